--- a/internal/comeback/keeper.go
+++ b/internal/comeback/keeper.go
@@ -23,7 +23,6 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 
 	decide "robinmast/decide/comeback"
@@ -100,7 +99,7 @@
 
 // Open reads what earlier lives left and begins a new one; began is the process's.
 func Open(cfg Config, began time.Time) (*Keeper, error) {
-	k := &Keeper{cfg: cfg, log: cfg.Log, began: began, machine: machine(cfg.Settings.Cores), site: site(cfg.Settings, cfg.Names)}
+	k := &Keeper{cfg: cfg, log: cfg.Log, began: began, machine: machine(cfg.Settings.Cores), site: settingsDigest(cfg.Settings, cfg.Names)}
 	if k.cfg.Wall == nil {
 		k.cfg.Wall = func() int64 { return time.Now().UnixMilli() }
 	}
@@ -377,12 +376,6 @@
 	}
 }
 
-// site is a digest of the settings that learned figures depend on.
-func site(set rules.Settings, names settings.Names) uint64 {
-	set.NewPools, set.NewTogether, set.Cold = nil, nil, false
-	return xxhash.Sum64String(fmt.Sprintf("%+v %+v", set, names))
-}
-
 // machine names the kind of machine.
 func machine(cores int) string {
 	name := "unknown"
--- /dev/null
+++ b/internal/comeback/settings_digest.go
@@ -0,0 +1,111 @@
+package comeback
+
+import (
+	"fmt"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"robinmast/internal/settings"
+	"robinmast/rules"
+)
+
+// The digest of the settings is stored with each snapshot and covers their text as
+// fmt's %+v prints it, field names included. The types below fix that text, so that a
+// snapshot outlives a renamed field: their names and order are part of the format.
+type (
+	digestedSettings struct {
+		Tick           time.Duration
+		Cores          int
+		Nodes          int
+		Callers        int
+		Cold           bool
+		Layer          int
+		Classes        []digestedClass
+		Tenants        []digestedTenant
+		OverShare      float64
+		WorthByWork    bool
+		MarksRetries   bool
+		PassesPatience bool
+		TellsGone      bool
+		HonoursRetry   bool
+		MaxRetryAfter  time.Duration
+		FreeValue      uint8
+		FreeValueLife  time.Duration
+		Preemption     uint8
+		MemoryKB       float64
+		RunFactor      float64
+		EntryKB        float64
+		Fresh          time.Duration
+		Gauges         []string
+		KeepaliveMax   time.Duration
+		Readiness      bool
+		Below          uint8
+		CallShare      float64
+		CallWindow     time.Duration
+		CallLinger     time.Duration
+		AnswerSlack    time.Duration
+		ColdFrom       float64
+		Ramp           time.Duration
+		DrainGrace     time.Duration
+		FallMultiple   float64
+		FallWindow     time.Duration
+		NewPools       func()
+		NewTogether    func()
+	}
+
+	digestedClass struct {
+		Aim        time.Duration
+		AimStretch float64
+		Deadline   time.Duration
+		LateShare  float64
+		Worth      float64
+		Window     time.Duration
+		Effect     uint8
+		Calls      bool
+		SkipWorth  float64
+	}
+
+	digestedTenant struct {
+		QuotaPerSecond float64
+		Share          float64
+	}
+
+	digestedNames struct {
+		Classes []string
+		Tenants []string
+	}
+)
+
+// settingsDigest is the digest of the settings that learned figures depend on. A cold
+// start and the features switched on beside the platform's settings do not count.
+func settingsDigest(set rules.Settings, names settings.Names) uint64 {
+	return xxhash.Sum64String(digestText(set, names))
+}
+
+func digestText(set rules.Settings, names settings.Names) string {
+	classes := make([]digestedClass, len(set.Classes))
+	for i, c := range set.Classes {
+		classes[i] = digestedClass{
+			Aim: c.Aim, AimStretch: c.AimStretch, Deadline: c.Deadline, LateShare: c.LateShare, Worth: c.Worth,
+			Window: c.Window, Effect: uint8(c.Effect), Calls: c.Calls, SkipWorth: c.SkipWorth,
+		}
+	}
+	tenants := make([]digestedTenant, len(set.Tenants))
+	for i, t := range set.Tenants {
+		tenants[i] = digestedTenant{QuotaPerSecond: t.QuotaPerSecond, Share: t.Share}
+	}
+	digested := digestedSettings{
+		Tick: set.Tick, Cores: set.Cores, Nodes: set.Nodes, Callers: set.Callers, Layer: set.Layer,
+		Classes: classes, Tenants: tenants, OverShare: set.OverShare, WorthByWork: set.WorthByWork,
+		MarksRetries: set.MarksRetries, PassesPatience: set.PassesPatience, TellsGone: set.TellsGone,
+		HonoursRetry: set.HonoursRetry, MaxRetryAfter: set.MaxRetryAfter,
+		FreeValue: uint8(set.FreeValue), FreeValueLife: set.FreeValueLife, Preemption: uint8(set.Preemption),
+		MemoryKB: set.MemoryKB, RunFactor: set.RunFactor, EntryKB: set.EntryKB, Fresh: set.Fresh,
+		Gauges: set.Gauges, KeepaliveMax: set.KeepaliveMax, Readiness: set.Readiness, Below: uint8(set.Below),
+		CallShare: set.CallShare, CallWindow: set.CallWindow, CallLinger: set.CallLinger,
+		AnswerSlack: set.AnswerSlack, ColdFrom: set.ColdFrom, Ramp: set.Ramp, DrainGrace: set.DrainGrace,
+		FallMultiple: set.FallMultiple, FallWindow: set.FallWindow,
+	}
+	return fmt.Sprintf("%+v %+v", digested, digestedNames{Classes: names.Classes, Tenants: names.Tenants})
+}
