--- a/cmd/robinmast/config.go
+++ b/cmd/robinmast/config.go
@@ -140,14 +140,14 @@
 // check refuses settings that this program can't serve.
 func (c *platform) check() error {
 	switch {
-	case c.set.Below == rules.BelowTier:
+	case c.set.Dependency == rules.DependencyTier:
 		return errors.New("configuration: settings: extra.below: calls to another tier have no protocol here")
-	case c.set.Below == rules.BelowShared && c.DB == "":
+	case c.set.Dependency == rules.DependencyShared && c.DB == "":
 		return errors.New("configuration: settings: extra.below: calls below, and no db address to make them to")
 	case c.set.Preemption == rules.PreemptPause:
 		return errors.New("configuration: settings: extra.preemption: pausing has no protocol here")
-	case c.set.Tick <= 0 || c.set.Tick > time.Second:
-		return fmt.Errorf("configuration: settings: tickMs: %v is no usable tick", c.set.Tick)
+	case c.set.BatchInterval <= 0 || c.set.BatchInterval > time.Second:
+		return fmt.Errorf("configuration: settings: tickMs: %v is no usable tick", c.set.BatchInterval)
 	}
 	seen := map[string]bool{}
 	for _, name := range c.names.Classes {
@@ -195,16 +195,16 @@
 type silent struct{}
 
 func (silent) Run(rules.RequestID)                         {}
-func (silent) Halt(rules.RequestID)                        {}
+func (silent) Preempt(rules.RequestID)                     {}
 func (silent) Refuse(rules.RequestID, time.Duration, bool) {}
 func (silent) Fail(rules.RequestID)                        {}
 func (silent) Call(rules.RequestID, time.Duration)         {}
-func (silent) Skip(rules.RequestID)                        {}
-func (silent) Keep(rules.RequestID, time.Duration)         {}
-func (silent) Forget(rules.RequestID)                      {}
-func (silent) Reuse(rules.RequestID)                       {}
+func (silent) SkipCall(rules.RequestID)                    {}
+func (silent) KeepRecord(rules.RequestID, time.Duration)   {}
+func (silent) ForgetRecord(rules.RequestID)                {}
+func (silent) JoinEarlier(rules.RequestID)                 {}
 func (silent) SetHealth(bool, bool)                        {}
-func (silent) Say(float64)                                 {}
-func (silent) CloseIdle(time.Duration)                     {}
-func (silent) Wake(uint64, time.Duration)                  {}
+func (silent) PublishLoad(float64)                         {}
+func (silent) SetIdleTimeout(time.Duration)                {}
+func (silent) StartTimer(uint64, time.Duration)            {}
 func (silent) Log(string)                                  {}
--- a/cmd/robinmast/counters.go
+++ b/cmd/robinmast/counters.go
@@ -56,8 +56,8 @@
 	}
 	if b := p.below; b != nil {
 		args = append(args, slog.Group("below", "calls", b.Made.Load(), "well", b.Ended[rules.OK].Load(),
-			"failed", b.Ended[rules.Failed].Load(), "full", b.Ended[rules.Full].Load(), "timed_out", b.Ended[rules.TimedOut].Load(),
-			"connect_failed", b.Ended[rules.ConnectFailed].Load(), "reset", b.Ended[rules.Reset].Load(),
+			"failed", b.Ended[rules.Failed].Load(), "full", b.Ended[rules.CallRejected].Load(), "timed_out", b.Ended[rules.TimedOut].Load(),
+			"connect_failed", b.Ended[rules.ConnectFailed].Load(), "reset", b.Ended[rules.ConnectionReset].Load(),
 			"given_up", b.Ended[rules.Cancelled].Load(), traffic(&b.Traffic)))
 	}
 	if p.memory != nil {
@@ -87,7 +87,7 @@
 				"in_doubt", c.InDoubt.Load(), "snapshots", c.Snapshots.Load(), "priors_dropped", c.Dropped.Load(), "failed_writes", c.Failed.Load()))
 		}
 	}
-	if p.cfg.set.NewTogether != nil && line == linePresent {
+	if p.cfg.set.NewShedder != nil && line == linePresent {
 		if v, ok := p.node.Together(poolsWait); ok {
 			args = append(args, slog.Group("together", "others_refuse", round(v.Others), "short", round(v.Short), "walks_ended", round(v.Ended),
 				"advice_spread", round(v.Grown), "trust", round(v.Trust), "cut", round(v.Cut), "digest_age", v.Age, "follows", v.Source+1))
--- a/cmd/robinmast/main.go
+++ b/cmd/robinmast/main.go
@@ -255,7 +255,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	sockets := cfg.Limits.Sockets - ownSockets
-	if cfg.set.Below == rules.BelowShared {
+	if cfg.set.Dependency == rules.DependencyShared {
 		conns := max(min(callSockets, cfg.Limits.Sockets/8), 1)
 		p.below = dependency.New(ctx, cfg.DB, conns, log)
 		nc.Calls = p.below
@@ -405,9 +405,9 @@
 // sameSettings compares what the platform says; pools and together are the node's own,
 // and whether a node has just started is no setting of it.
 func sameSettings(a, b rules.Settings) bool {
-	a.Cold = b.Cold
+	a.ColdStart = b.ColdStart
 	a.NewPools, b.NewPools = nil, nil
-	a.NewTogether, b.NewTogether = nil, nil
+	a.NewShedder, b.NewShedder = nil, nil
 	return reflect.DeepEqual(a, b)
 }
 
--- a/cmd/robinmast/pools_test.go
+++ b/cmd/robinmast/pools_test.go
@@ -96,8 +96,8 @@
 				if a.Class == 0 {
 					pings[a.At/time.Second]++
 				}
-				if after <= set.Classes[a.Class].Aim && a.At >= learning {
-					worth += set.Classes[a.Class].Worth
+				if after <= set.Classes[a.Class].LatencyTarget && a.At >= learning {
+					worth += set.Classes[a.Class].Utility
 				}
 			}
 		})
--- a/cmd/simhost/fleet.go
+++ b/cmd/simhost/fleet.go
@@ -12,8 +12,8 @@
 
 // outcomes maps the wire's outcome codes.
 var outcomes = map[byte]rules.Outcome{
-	0: rules.OK, 255: rules.Failed, 254: rules.Full, 253: rules.TimedOut,
-	252: rules.ConnectFailed, 251: rules.Reset, 250: rules.Cancelled, 249: rules.Moot,
+	0: rules.OK, 255: rules.Failed, 254: rules.CallRejected, 253: rules.TimedOut,
+	252: rules.ConnectFailed, 251: rules.ConnectionReset, 250: rules.Cancelled, 249: rules.NeverStarted,
 }
 
 // instance is one node: its module and what it did in the present batch.
@@ -62,7 +62,7 @@
 		if !n.touched { // its process ended within the batch
 			continue
 		}
-		n.guard(func() error { n.module.Settle(b.Clock); return nil })
+		n.guard(func() error { n.module.FinishBatch(b.Clock); return nil })
 		f.reply.Add(n.who, &n.actions)
 		n.actions.Reset()
 		n.touched = false
@@ -163,17 +163,17 @@
 		if !ok {
 			return fmt.Errorf("unknown outcome code %d", rec.U8(17))
 		}
-		m.Ended(now, id, o, rec.Time(9))
+		m.RunEnded(now, id, o, rec.Time(9))
 	case simwire.EvAtCall:
-		m.NeedsCall(now, id)
+		m.CallNeeded(now, id)
 	case simwire.EvCameBack:
 		o, ok := outcomes[rec.U8(9)]
 		if !ok {
 			return fmt.Errorf("unknown outcome code %d", rec.U8(9))
 		}
-		m.Called(now, id, o, rec.Time(10))
+		m.CallEnded(now, id, o, rec.Time(10))
 	case simwire.EvHangup:
-		m.Gone(now, id)
+		m.CallerGone(now, id)
 	case simwire.EvLameDuck:
 		m.Drain(now, rec.Time(1))
 	case simwire.EvTickDue:
@@ -181,7 +181,7 @@
 		for i := range min(int(rec.U8(9)), (simwire.EventSize-10)/4) {
 			n.gauges = append(n.gauges, rec.F32(10+4*i))
 		}
-		m.Woke(now, rec.U64(1), n.gauges)
+		m.TimerFired(now, rec.U64(1), n.gauges)
 	}
 	return nil
 }
@@ -189,13 +189,13 @@
 func demand(rec simwire.Record) rules.Request {
 	opts := rec.U8(66)
 	r := rules.Request{
-		ID: rules.RequestID(rec.U64(1)), Earlier: rules.RequestID(rec.U64(9)), Patience: rec.Time(17),
+		ID: rules.RequestID(rec.U64(1)), RepeatOf: rules.RequestID(rec.U64(9)), CallerTimeout: rec.Time(17),
 		Rank: rec.F32(25), Tenant: int(rec.U32(37)), Caller: rec.U32(41), Age: rec.Time(45),
-		Key: rec.U64(53), KB: rec.F32(61), Class: int(rec.U8(65)),
+		Key: rec.U64(53), MemoryKB: rec.F32(61), Class: int(rec.U8(65)),
 		Retry: opts&simwire.OptRetry != 0, Write: opts&simwire.OptWrite != 0,
 	}
 	if opts&simwire.OptHint != 0 {
-		r.Hint = rec.Time(29)
+		r.WorkHint = rec.Time(29)
 	}
 	return r
 }
@@ -203,23 +203,23 @@
 // host writes a module's actions in wire form.
 type host struct{ a *simwire.Actions }
 
-func (h *host) Run(id rules.RequestID)    { h.a.ID(simwire.AcLaunch, uint64(id)) }
-func (h *host) Halt(id rules.RequestID)   { h.a.ID(simwire.AcYank, uint64(id)) }
-func (h *host) Fail(id rules.RequestID)   { h.a.ID(simwire.AcFail, uint64(id)) }
-func (h *host) Skip(id rules.RequestID)   { h.a.ID(simwire.AcSkip, uint64(id)) }
-func (h *host) Forget(id rules.RequestID) { h.a.ID(simwire.AcReleaseKey, uint64(id)) }
-func (h *host) Reuse(id rules.RequestID)  { h.a.ID(simwire.AcReuse, uint64(id)) }
+func (h *host) Run(id rules.RequestID)          { h.a.ID(simwire.AcLaunch, uint64(id)) }
+func (h *host) Preempt(id rules.RequestID)      { h.a.ID(simwire.AcYank, uint64(id)) }
+func (h *host) Fail(id rules.RequestID)         { h.a.ID(simwire.AcFail, uint64(id)) }
+func (h *host) SkipCall(id rules.RequestID)     { h.a.ID(simwire.AcSkip, uint64(id)) }
+func (h *host) ForgetRecord(id rules.RequestID) { h.a.ID(simwire.AcReleaseKey, uint64(id)) }
+func (h *host) JoinEarlier(id rules.RequestID)  { h.a.ID(simwire.AcReuse, uint64(id)) }
 func (h *host) Refuse(id rules.RequestID, retryAfter time.Duration, last bool) {
 	h.a.PushBack(uint64(id), retryAfter, last)
 }
 func (h *host) Call(id rules.RequestID, timeout time.Duration) {
 	h.a.IDTime(simwire.AcCallDep, uint64(id), timeout)
 }
-func (h *host) Keep(id rules.RequestID, span time.Duration) {
+func (h *host) KeepRecord(id rules.RequestID, span time.Duration) {
 	h.a.IDTime(simwire.AcKeep, uint64(id), span)
 }
-func (h *host) SetHealth(stored, good bool)         { h.a.SetHealth(stored, good) }
-func (h *host) Say(value float64)                   { h.a.Signal(value) }
-func (h *host) CloseIdle(after time.Duration)       { h.a.IdleLimit(after) }
-func (h *host) Wake(token uint64, in time.Duration) { h.a.IDTime(simwire.AcAfter, token, in) }
-func (h *host) Log(line string)                     { h.a.Text(simwire.AcWriteLog, line) }
+func (h *host) SetHealth(stored, good bool)               { h.a.SetHealth(stored, good) }
+func (h *host) PublishLoad(value float64)                 { h.a.Signal(value) }
+func (h *host) SetIdleTimeout(after time.Duration)        { h.a.IdleLimit(after) }
+func (h *host) StartTimer(token uint64, in time.Duration) { h.a.IDTime(simwire.AcAfter, token, in) }
+func (h *host) Log(line string)                           { h.a.Text(simwire.AcWriteLog, line) }
--- a/decide/comeback/comeback_test.go
+++ b/decide/comeback/comeback_test.go
@@ -180,22 +180,22 @@
 // The module takes a prior up as a few runs' worth: evidence moves it at once, and
 // forgetting leaves it as new.
 func TestModuleTakesPrior(t *testing.T) {
-	set := rules.Settings{Cores: 2, MemoryKB: 1000, Classes: []rules.Class{{Deadline: 2 * time.Second, Aim: time.Second, Worth: 1}}}
+	set := rules.Settings{Cores: 2, MemoryKB: 1000, Classes: []rules.Class{{Deadline: 2 * time.Second, LatencyTarget: time.Second, Utility: 1}}}
 	m, err := rules.New(0, set, 1, nobody{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	fresh := m.Learned()
-	m.Prior(learned(0.02), 1, 0.5)
+	m.WarmStart(learned(0.02), 1, 0.5)
 	got := m.Learned()
 	if c := got.Classes[0]; math.Abs(c.Mean-0.04) > 1e-9 || c.Base != 0 || c.Runs > 4 || math.Abs(got.Rate-45) > 1e-9 {
 		t.Errorf("taken up as %+v", got)
 	}
-	m.Prior(learned(5), 1, 1) // what is known already stays
+	m.WarmStart(learned(5), 1, 1) // what is known already stays
 	if c := m.Learned().Classes[0]; math.Abs(c.Mean-0.04) > 1e-9 {
 		t.Errorf("a second prior changed %+v", c)
 	}
-	m.Forget()
+	m.DiscardWarmStart()
 	if got := m.Learned(); got.Rate != fresh.Rate || got.Classes[0] != fresh.Classes[0] {
 		t.Errorf("not forgotten: %+v", got)
 	}
@@ -203,8 +203,8 @@
 
 type nobody struct{ rules.Host }
 
-func (nobody) SetHealth(bool, bool)       {}
-func (nobody) Wake(uint64, time.Duration) {}
+func (nobody) SetHealth(bool, bool)             {}
+func (nobody) StartTimer(uint64, time.Duration) {}
 
 func TestPace(t *testing.T) {
 	var p Pace
--- a/decide/pools/load_test.go
+++ b/decide/pools/load_test.go
@@ -16,14 +16,14 @@
 // site is a machine of eight cores that slow with crowding: cheap calls of little
 // worth, texts that an agent waits for, and script steps.
 func site() rules.Settings {
-	cheap := rules.Class{Aim: 600 * ms, Deadline: 1500 * ms, Worth: 0.05}
+	cheap := rules.Class{LatencyTarget: 600 * ms, Deadline: 1500 * ms, Utility: 0.05}
 	text, script := cheap, cheap
-	text.Worth, script.Worth = 2, 3
+	text.Utility, script.Utility = 2, 3
 	return rules.Settings{
-		Tick: ms, Cores: 8, Nodes: 1, Callers: 3, Classes: []rules.Class{cheap, text, script}, Tenants: []rules.Tenant{{Share: 1}},
-		MemoryKB: 1e6, RunFactor: 4, EntryKB: 1, Preemption: rules.PreemptDrop, FallMultiple: 8, FallWindow: time.Second,
-		DrainGrace: 300 * ms, PassesPatience: true, TellsGone: true, Gauges: []string{"cpu_busy", "runnable"}, HonoursRetry: true,
-		MaxRetryAfter: time.Second, KeepaliveMax: 30 * time.Second, AnswerSlack: 60 * ms,
+		BatchInterval: ms, Cores: 8, Nodes: 1, Callers: 3, Classes: []rules.Class{cheap, text, script}, Tenants: []rules.Tenant{{Share: 1}},
+		MemoryKB: 1e6, RunningMemoryFactor: 4, RecordKB: 1, Preemption: rules.PreemptDrop, OverloadRunsPerCore: 8, OverloadWindow: time.Second,
+		DrainGrace: 300 * ms, TimeoutsPassed: true, DisconnectsReported: true, Gauges: []string{"cpu_busy", "runnable"}, HonoursRetryAfter: true,
+		MaxRetryAfter: time.Second, MaxIdleTimeout: 30 * time.Second, AnswerSlack: 60 * ms,
 	}
 }
 
@@ -50,10 +50,10 @@
 	}
 	var classes []pools.Class
 	for i, c := range set.Classes {
-		classes = append(classes, pools.Class{Worth: c.Worth, Name: fmt.Sprint(i)})
+		classes = append(classes, pools.Class{Worth: c.Utility, Name: fmt.Sprint(i)})
 	}
 	set.NewPools = func() rules.Pools {
-		return pools.New(pools.Settings{Classes: classes, Reserve: reserve, WorthByWork: set.WorthByWork})
+		return pools.New(pools.Settings{Classes: classes, Reserve: reserve, WorthByWork: set.UtilityPerWork})
 	}
 	return set
 }
@@ -113,7 +113,7 @@
 	}), nil, map[int]float64{text: 0.9, script: 0.8}, []int{cheap, text, script}},
 	{"flood of calls that earn", append(mix(0.9), machine.Stream{
 		Class: cheap, Rate: between(from, to, 10*8/0.006, 0), Work: machine.Always(6 * ms),
-	}), func(o *machine.Options) { o.Settings.Classes[cheap].Worth = 2 }, map[int]float64{text: 0.8, script: 0.5}, []int{cheap, text, script}},
+	}), func(o *machine.Options) { o.Settings.Classes[cheap].Utility = 2 }, map[int]float64{text: 0.8, script: 0.5}, []int{cheap, text, script}},
 	{"flood of the dearest", append(mix(0.9), machine.Stream{
 		Class: script, Rate: between(from, to, 10*8/0.08, 0), Work: machine.Always(80 * ms),
 	}), nil, map[int]float64{text: 0.7}, []int{cheap, text, script}},
@@ -227,7 +227,7 @@
 	same := func(n int, worth float64) rules.Settings {
 		s := site()
 		c := s.Classes[text]
-		c.Worth = worth
+		c.Utility = worth
 		s.Classes = nil
 		for range n {
 			s.Classes = append(s.Classes, c)
@@ -251,11 +251,11 @@
 		"equal worths":       {same(4, 1), spread(4), nil, 0.75},
 		"worth of zero":      {same(2, 0), spread(2), nil, 0.75},
 		"cold": {site(), mix(1.0), func(o *machine.Options) {
-			o.Settings.Cold, o.Settings.Ramp, o.Settings.ColdFrom = true, 4*time.Second, 0.3
+			o.Settings.ColdStart, o.Settings.WarmUpTime, o.Settings.ColdSpeed = true, 4*time.Second, 0.3
 		}, 0.8},
 		"drain":     {site(), mix(0.8)[1:], func(o *machine.Options) { o.Drain, o.Length = 6*time.Second, 10*time.Second }, 0.5},
 		"once":      {site(), mix(1.3), func(o *machine.Options) { o.Settings.Classes[script].Effect = rules.Unsafe }, 0.5},
-		"by work":   {site(), mix(1.3), func(o *machine.Options) { o.Settings.WorthByWork = true }, 0.5},
+		"by work":   {site(), mix(1.3), func(o *machine.Options) { o.Settings.UtilityPerWork = true }, 0.5},
 		"two cores": {site(), mix(0.3), func(o *machine.Options) { o.Settings.Cores = 2 }, 0.6},
 	} {
 		opt := machine.Options{Settings: c.set}
@@ -288,7 +288,7 @@
 		t.Errorf("%.2f is served in time after a stall", share(c))
 	}
 	set := site()
-	set.Tenants, set.OverShare = []rules.Tenant{{Share: 0.5, QuotaPerSecond: 133}, {Share: 0.5, QuotaPerSecond: 133}}, 0.2
+	set.Tenants, set.OverQuotaUtility = []rules.Tenant{{Share: 0.5, QuotaPerSecond: 133}, {Share: 0.5, QuotaPerSecond: 133}}, 0.2
 	rate := 1.5 * 8 / 0.03
 	served := map[int]int{}
 	var arrivals = machine.Arrivals(4, 10*time.Second,
@@ -313,24 +313,24 @@
 
 func (c *caller) Run(id rules.RequestID)                    { c.run = append(c.run, id) }
 func (c *caller) Call(id rules.RequestID, _ time.Duration)  { c.call = append(c.call, id) }
-func (*caller) Halt(rules.RequestID)                        {}
+func (*caller) Preempt(rules.RequestID)                     {}
 func (*caller) Refuse(rules.RequestID, time.Duration, bool) {}
 func (*caller) Fail(rules.RequestID)                        {}
-func (*caller) Skip(rules.RequestID)                        {}
-func (*caller) Keep(rules.RequestID, time.Duration)         {}
-func (*caller) Forget(rules.RequestID)                      {}
-func (*caller) Reuse(rules.RequestID)                       {}
+func (*caller) SkipCall(rules.RequestID)                    {}
+func (*caller) KeepRecord(rules.RequestID, time.Duration)   {}
+func (*caller) ForgetRecord(rules.RequestID)                {}
+func (*caller) JoinEarlier(rules.RequestID)                 {}
 func (*caller) SetHealth(bool, bool)                        {}
-func (*caller) Say(float64)                                 {}
-func (*caller) CloseIdle(time.Duration)                     {}
-func (*caller) Wake(uint64, time.Duration)                  {}
+func (*caller) PublishLoad(float64)                         {}
+func (*caller) SetIdleTimeout(time.Duration)                {}
+func (*caller) StartTimer(uint64, time.Duration)            {}
 func (*caller) Log(string)                                  {}
 
 // A request at a call holds no slot of its class; when it comes back it does again.
 func TestCallsBelow(t *testing.T) {
 	set := site()
-	set.Cores, set.Below, set.CallShare, set.CallWindow = 1, rules.BelowShared, 20, time.Second
-	set.Classes[text].Calls = true
+	set.Cores, set.Dependency, set.CallShare, set.CallWindow = 1, rules.DependencyShared, 20, time.Second
+	set.Classes[text].CallsDependency = true
 	set = with(set, reserve)
 	var used *pools.Pools
 	make := set.NewPools
@@ -341,23 +341,23 @@
 		t.Fatal(err)
 	}
 	for id := rules.RequestID(1); id <= 2; id++ {
-		m.Arrive(ms, rules.Request{ID: id, Class: text, KB: 1, Patience: time.Second, Hint: 30 * ms})
+		m.Arrive(ms, rules.Request{ID: id, Class: text, MemoryKB: 1, CallerTimeout: time.Second, WorkHint: 30 * ms})
 	}
-	m.Settle(ms)
+	m.FinishBatch(ms)
 	if len(h.run) != 1 || used.Views(nil)[text].Running != 1 {
 		t.Fatalf("ran %v", h.run)
 	}
-	m.NeedsCall(2*ms, 1)
-	m.Settle(2 * ms)
+	m.CallNeeded(2*ms, 1)
+	m.FinishBatch(2 * ms)
 	if len(h.call) != 1 || len(h.run) != 2 || used.Views(nil)[text].Running != 1 {
 		t.Errorf("called %v, ran %v, %d running", h.call, h.run, used.Views(nil)[text].Running)
 	}
-	m.Called(3*ms, 1, rules.OK, ms)
+	m.CallEnded(3*ms, 1, rules.OK, ms)
 	if n := used.Views(nil)[text].Running; n != 2 {
 		t.Errorf("%d running after the call came back", n)
 	}
-	m.Ended(4*ms, 1, rules.OK, 2*ms)
-	m.Ended(4*ms, 2, rules.OK, 2*ms)
+	m.RunEnded(4*ms, 1, rules.OK, 2*ms)
+	m.RunEnded(4*ms, 2, rules.OK, 2*ms)
 	if n := used.Views(nil)[text].Running; n != 0 {
 		t.Errorf("%d running after all ended", n)
 	}
--- a/decide/pools/pools.go
+++ b/decide/pools/pools.go
@@ -175,7 +175,7 @@
 }
 
 // Running tells that a class has n more runs on the cores, or fewer.
-func (p *Pools) Running(now time.Duration, class, n int) {
+func (p *Pools) RunningChanged(now time.Duration, class, n int) {
 	p.advance(now)
 	c := p.all[class]
 	if c.running == 0 {
@@ -188,7 +188,7 @@
 }
 
 // Ran tells how long a run took that went well. Nothing else teaches.
-func (p *Pools) Ran(_ time.Duration, class int, took time.Duration) {
+func (p *Pools) RunSucceeded(_ time.Duration, class int, took time.Duration) {
 	c := p.all[class]
 	c.runs++
 	c.run += max(runAlpha, 1/c.runs) * (took.Seconds() - c.run)
@@ -392,7 +392,7 @@
 
 // Stuck is how many runs stand still in classes that hang: they hold slots and
 // no core, and the others need not wait for them.
-func (p *Pools) Stuck() (n int) {
+func (p *Pools) StalledRuns() (n int) {
 	for _, c := range p.live {
 		if c.hangs {
 			n += c.running
@@ -435,7 +435,7 @@
 
 // Next says which of the line gets a free slot, -1 for none; slots is how many
 // there are, taken how many of them are taken.
-func (p *Pools) Next(now time.Duration, slots, taken int, line []rules.Waiting) int {
+func (p *Pools) Next(now time.Duration, slots, taken int, line []rules.QueuedRequest) int {
 	p.advance(now)
 	kept := 0.0
 	for _, c := range p.live {
@@ -445,7 +445,7 @@
 	best, bestTier, most := -1, math.MaxInt, 0.0
 	for i, w := range line {
 		c := p.all[w.Class]
-		most = max(most, w.Value)
+		most = max(most, w.Utility)
 		// A class within its floor may take what is kept; any other leaves it.
 		if c.floor == 0 || float64(c.running) >= c.floor {
 			if float64(taken) >= float64(slots)-math.Ceil(kept-p.keeps(c)-0.5) {
@@ -455,11 +455,11 @@
 		if c.hangs && c.running > 0 {
 			continue
 		}
-		if c.next < bestTier || c.next == bestTier && p.short && w.Value > line[best].Value {
+		if c.next < bestTier || c.next == bestTier && p.short && w.Utility > line[best].Utility {
 			best, bestTier = i, c.next
 		}
 	}
-	if best >= 0 && bestTier == 1 && line[best].Value < most {
+	if best >= 0 && bestTier == 1 && line[best].Utility < most {
 		p.all[line[best].Class].saved = now
 	}
 	return best
@@ -468,7 +468,7 @@
 // Leaves says who leaves a line that is over its bound: of the floods that hold
 // more than their places, else of the classes that hold more than their floor's,
 // the request that earns least, of equals the newest.
-func (p *Pools) Leaves(now time.Duration, bound int, line []rules.Waiting) int {
+func (p *Pools) Evict(now time.Duration, bound int, line []rules.QueuedRequest) int {
 	p.advance(now)
 	p.over, p.short = now, true
 	for _, c := range p.live {
@@ -489,14 +489,14 @@
 	worst, plain := -1, len(line)-1
 	for i := len(line) - 1; i >= 0; i-- {
 		w := line[i]
-		if w.Value < line[plain].Value {
+		if w.Utility < line[plain].Utility {
 			plain = i
 		}
 		over := p.all[w.Class].next
 		if over < 0 {
 			continue
 		}
-		if worst < 0 || over > p.all[line[worst].Class].next || over == p.all[line[worst].Class].next && w.Value < line[worst].Value {
+		if worst < 0 || over > p.all[line[worst].Class].next || over == p.all[line[worst].Class].next && w.Utility < line[worst].Utility {
 			worst = i
 		}
 	}
@@ -528,7 +528,7 @@
 }
 
 // Views tells what the pools do.
-func (p *Pools) Views(line []rules.Waiting) []View {
+func (p *Pools) Views(line []rules.QueuedRequest) []View {
 	for _, c := range p.all {
 		c.held = 0
 	}
--- a/decide/pools/pools_test.go
+++ b/decide/pools/pools_test.go
@@ -26,7 +26,7 @@
 		now := time.Duration(0)
 		running := make([]int, n)
 		limit := 1.0
-		var line []rules.Waiting
+		var line []rules.QueuedRequest
 		total := 0
 		for range rapid.IntRange(1, 120).Draw(r, "events") {
 			class := rapid.IntRange(0, n-1).Draw(r, "class")
@@ -35,12 +35,12 @@
 			case 0, 1:
 				for range rapid.IntRange(1, 40).Draw(r, "burst") {
 					p.Arrived(now, class, time.Duration(rapid.IntRange(0, 300).Draw(r, "hint"))*time.Millisecond)
-					line = append(line, rules.Waiting{Class: class, Value: rapid.Float64Range(0, 9).Draw(r, "value")})
+					line = append(line, rules.QueuedRequest{Class: class, Utility: rapid.Float64Range(0, 9).Draw(r, "value")})
 				}
 			case 2:
 				if running[class] > 0 {
-					p.Running(now, class, -1)
-					p.Ran(now, class, time.Duration(rapid.IntRange(0, 900).Draw(r, "took"))*time.Millisecond)
+					p.RunningChanged(now, class, -1)
+					p.RunSucceeded(now, class, time.Duration(rapid.IntRange(0, 900).Draw(r, "took"))*time.Millisecond)
 					running[class]--
 					total--
 				}
@@ -59,7 +59,7 @@
 					r.Fatalf("%v entitled of %v, floors %v", sum, top, floors)
 				}
 			case 4:
-				slots := int(max(limit, 1)) + p.Stuck()
+				slots := int(max(limit, 1)) + p.StalledRuns()
 				i := p.Next(now, slots, total, line)
 				if i >= len(line) || i < -1 {
 					r.Fatalf("place %d of %d", i, len(line))
@@ -75,7 +75,7 @@
 						}
 					}
 				}
-				p.Running(now, line[i].Class, 1)
+				p.RunningChanged(now, line[i].Class, 1)
 				running[line[i].Class]++
 				total++
 				line = append(line[:i:i], line[i+1:]...)
@@ -84,7 +84,7 @@
 					continue
 				}
 				bound := rapid.IntRange(0, 30).Draw(r, "bound")
-				i := p.Leaves(now, bound, line)
+				i := p.Evict(now, bound, line)
 				if i < 0 || i >= len(line) {
 					r.Fatalf("place %d of %d", i, len(line))
 				}
@@ -117,9 +117,9 @@
 				p.Arrived(now, class, hint)
 			}
 			if took > 0 {
-				p.Running(now, class, 1)
-				p.Running(now, class, -1)
-				p.Ran(now, class, took)
+				p.RunningChanged(now, class, 1)
+				p.RunningChanged(now, class, -1)
+				p.RunSucceeded(now, class, took)
 			}
 			p.Step(now, 8)
 		}
@@ -178,16 +178,16 @@
 	}
 	now += 3 * time.Second // class 0 is silent, and its slots are lent
 	for range 8 {
-		i := p.Next(now, 8, p.all[1].running, []rules.Waiting{{Class: 1, Value: 9}})
+		i := p.Next(now, 8, p.all[1].running, []rules.QueuedRequest{{Class: 1, Utility: 9}})
 		if i != 0 {
 			t.Fatalf("slot %d is not lent", p.all[1].running)
 		}
-		p.Running(now, 1, 1)
+		p.RunningChanged(now, 1, 1)
 	}
 	feed(0, 8)
 	p.Step(now, 8)
-	p.Running(now, 1, -1)
-	if i := p.Next(now, 8, 7, []rules.Waiting{{Class: 1, Value: 9}, {Class: 0, Value: 1}}); i != 1 {
+	p.RunningChanged(now, 1, -1)
+	if i := p.Next(now, 8, 7, []rules.QueuedRequest{{Class: 1, Utility: 9}, {Class: 0, Utility: 1}}); i != 1 {
 		t.Errorf("the next free slot goes to place %d, not to the class that lent it", i)
 	}
 }
--- a/decide/together/explore_test.go
+++ b/decide/together/explore_test.go
@@ -135,13 +135,13 @@
 func (w *world) check() error {
 	bare := New(0, true)
 	bare.drain, bare.short = 100, 1
-	line := []rules.Waiting{{Value: 50}, {Value: 50}, {Value: 50}}
+	line := []rules.QueuedRequest{{Utility: 50}, {Utility: 50}, {Utility: 50}}
 	for i := range w.nodes {
 		m := w.nodes[i] // a copy
 		m.drain, m.short = 100, 1
 		for _, value := range []float64{10, 50} {
 			for _, most := range []time.Duration{time.Millisecond, time.Second} {
-				if m.InVain(line, value, most) != bare.InVain(line, value, most) {
+				if m.ExceedsQueueTimeout(line, value, most) != bare.ExceedsQueueTimeout(line, value, most) {
 					return fmt.Errorf("node %d refuses for others' sake what it would finish alone", i)
 				}
 			}
--- a/decide/together/swing_test.go
+++ b/decide/together/swing_test.go
@@ -62,7 +62,7 @@
 					continue
 				}
 				refused++
-				if m.EndsWalk(now, price) {
+				if m.StopsRetries(now, price) {
 					out++
 				} else {
 					mods[rnd.IntN(f.nodes)].Arrived(now, price, price, true)
@@ -162,7 +162,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		m.Arrived(now, 50, 50, true)
-		m.EndsWalk(now, 50)
-		m.Advice(now, 300*time.Millisecond, 2*time.Second)
+		m.StopsRetries(now, 50)
+		m.RetryAfter(now, 300*time.Millisecond, 2*time.Second)
 	}
 }
--- a/decide/together/together.go
+++ b/decide/together/together.go
@@ -18,7 +18,7 @@
 	"robinmast/rules"
 )
 
-var _ rules.Together = (*Module)(nil)
+var _ rules.Shedder = (*Module)(nil)
 
 // Tuned values. Shares are of 1; every time is a real duration.
 const (
@@ -187,10 +187,10 @@
 
 // InVain reports whether a request of that value, itself in the line, would be
 // held for longer than most.
-func (m *Module) InVain(line []rules.Waiting, value float64, most time.Duration) bool {
+func (m *Module) ExceedsQueueTimeout(line []rules.QueuedRequest, value float64, most time.Duration) bool {
 	ahead := -1
 	for _, w := range line {
-		if w.Value >= value {
+		if w.Utility >= value {
 			ahead++
 		}
 	}
@@ -219,7 +219,7 @@
 // EndsWalk reports whether a refused request is to try no other node. Told, it is
 // so below the fleet's cut: no node keeps less than what is turned away. Alone, it
 // is so for a share of them that grows with what others refuse.
-func (m *Module) EndsWalk(now time.Duration, price float64) bool {
+func (m *Module) StopsRetries(now time.Duration, price float64) bool {
 	m.refused++
 	share := endMost * m.alone()
 	if t := m.trust(now); t > 0 {
@@ -243,13 +243,13 @@
 
 // RetryWorth is the worth of a further try over that of a first: less while the
 // fleet is short, the same while only some nodes were full.
-func (m *Module) RetryWorth() float64 { return 1 - (1-retryShort)*m.fleetShort }
+func (m *Module) RetryUtility() float64 { return 1 - (1-retryShort)*m.fleetShort }
 
 // Advice is how long who is refused now is to stay away: near base, at the first
 // slot whose returns are within what drains then, so that those refused together
 // do not return together. Where all are taken it is the emptiest. Its mean is base,
 // and more only while returns exceed their share and no slot runs dry for it.
-func (m *Module) Advice(now, base, most time.Duration) time.Duration {
+func (m *Module) RetryAfter(now, base, most time.Duration) time.Duration {
 	if base <= 0 || most <= 0 {
 		return base
 	}
--- a/decide/together/together_test.go
+++ b/decide/together/together_test.go
@@ -21,7 +21,7 @@
 		for range int(rate * step.Seconds()) {
 			m.Arrived(now, 50, 50, rnd.Float64() < again)
 			if rnd.Float64() < refused {
-				m.EndsWalk(now, 50)
+				m.StopsRetries(now, 50)
 			}
 		}
 		m.Step(now+step, drain, short)
@@ -45,7 +45,7 @@
 		now := feed(m, 0, 5, 200, c.again, 0.4, 100, c.short)
 		ended := 0
 		for range 1000 {
-			if m.EndsWalk(now, 50) {
+			if m.StopsRetries(now, 50) {
 				ended++
 			}
 		}
@@ -59,7 +59,7 @@
 // less while the fleet is short; people hear of both once.
 func TestRetryWorth(t *testing.T) {
 	m := New(0, false)
-	if w := m.RetryWorth(); w != 1 {
+	if w := m.RetryUtility(); w != 1 {
 		t.Errorf("worth %v at the start", w)
 	}
 	lines := 0
@@ -74,11 +74,11 @@
 		return end
 	}
 	now := count(0, 4, 0.5, 1)
-	if w := m.RetryWorth(); math.Abs(w-retryShort) > 0.01 || lines != 1 {
+	if w := m.RetryUtility(); math.Abs(w-retryShort) > 0.01 || lines != 1 {
 		t.Errorf("worth %v while the fleet is short, %d lines", w, lines)
 	}
 	count(now, 6, 0, 0)
-	if w := m.RetryWorth(); w != 1 || lines != 2 {
+	if w := m.RetryUtility(); w != 1 || lines != 2 {
 		t.Errorf("worth %v after it, %d lines", w, lines)
 	}
 }
@@ -94,14 +94,14 @@
 		}
 		m.Step(now+step, 100, 1) // 100 a second drain, 90 of more value come
 	}
-	line := func(n int, value float64) (l []rules.Waiting) {
+	line := func(n int, value float64) (l []rules.QueuedRequest) {
 		for range n {
-			l = append(l, rules.Waiting{Value: value})
+			l = append(l, rules.QueuedRequest{Utility: value})
 		}
 		return l
 	}
 	for name, c := range map[string]struct {
-		line  []rules.Waiting
+		line  []rules.QueuedRequest
 		value float64
 		want  bool
 	}{
@@ -111,7 +111,7 @@
 		"cheap, behind one":     {line(2, 100), 10, false},   // 0.1 s
 		"dear, cheap ones wait": {line(90, 10), 100, false},
 	} {
-		if got := m.InVain(c.line, c.value, 300*time.Millisecond); got != c.want {
+		if got := m.ExceedsQueueTimeout(c.line, c.value, 300*time.Millisecond); got != c.want {
 			t.Errorf("%s: in vain %v, it waits %v", name, got, m.Wait(len(c.line)-1, c.value))
 		}
 	}
@@ -125,7 +125,7 @@
 	seen, sum := map[int64]int{}, time.Duration(0)
 	const n = 200
 	for range n {
-		d := m.Advice(0, base, most)
+		d := m.RetryAfter(0, base, most)
 		if d < base/4 || d > 2*base {
 			t.Fatalf("advice %v for %v", d, base)
 		}
@@ -259,15 +259,15 @@
 	m := New(0, true)
 	m.Told(0, 0, Digest{Epoch: 1, Seq: 1, Cut: 40})
 	for range 50 {
-		if !m.EndsWalk(0, 10) {
+		if !m.StopsRetries(0, 10) {
 			t.Fatal("a walk below the cut goes on")
 		}
-		if m.EndsWalk(0, 100) {
+		if m.StopsRetries(0, 100) {
 			t.Fatal("a walk above the cut ends")
 		}
 	}
 	m.Told(step, step, Digest{Epoch: 1, Seq: 2, Cut: 0})
-	if m.EndsWalk(step, 10) {
+	if m.StopsRetries(step, 10) {
 		t.Error("a walk ends while the fleet has room")
 	}
 	alone := New(0, false)
@@ -293,14 +293,14 @@
 			case 2:
 				base := time.Duration(rapid.Int64Range(1, int64(5*time.Second)).Draw(t, "base"))
 				most := time.Duration(rapid.Int64Range(1, int64(10*time.Second)).Draw(t, "most"))
-				if d := m.Advice(now, base, most); d <= 0 || d > max(most, slotWidth) && d > base {
+				if d := m.RetryAfter(now, base, most); d <= 0 || d > max(most, slotWidth) && d > base {
 					t.Fatalf("advice %v for base %v, most %v", d, base, most)
 				}
 			case 3:
 				m.Told(now, now-time.Duration(rapid.Int64Range(0, int64(4*time.Second)).Draw(t, "age")),
 					Digest{Epoch: rapid.Uint64Range(0, 3).Draw(t, "epoch"), Seq: rapid.Uint64Range(0, 9).Draw(t, "seq"), Cut: any.Draw(t, "cut")})
 			case 4:
-				m.EndsWalk(now, any.Draw(t, "price"))
+				m.StopsRetries(now, any.Draw(t, "price"))
 			case 5:
 				g.Heard(now, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name"), rapid.Uint64Range(0, 2).Draw(t, "inc"),
 					rapid.Uint64Range(0, 9).Draw(t, "seq"), word(any.Draw(t, "drain"), any.Draw(t, "short"), map[float64]float64{50: any.Draw(t, "demand")}))
@@ -310,8 +310,8 @@
 			}
 			v := m.View(now)
 			if !(v.Others >= 0 && v.Others <= 1 && v.Short >= 0 && v.Short <= 1 && v.Trust >= 0 && v.Trust <= 1) ||
-				!(m.RetryWorth() >= retryShort-1e-9 && m.RetryWorth() <= 1) || !(m.grown >= least && m.grown <= longest) || !(m.odd >= 0 && m.odd < 1) {
-				t.Fatalf("view %+v, worth %v, grown %v, odd %v", v, m.RetryWorth(), m.grown, m.odd)
+				!(m.RetryUtility() >= retryShort-1e-9 && m.RetryUtility() <= 1) || !(m.grown >= least && m.grown <= longest) || !(m.odd >= 0 && m.odd < 1) {
+				t.Fatalf("view %+v, worth %v, grown %v, odd %v", v, m.RetryUtility(), m.grown, m.odd)
 			}
 		}
 		for range 400 { // nothing outlives its evidence
@@ -336,7 +336,7 @@
 				m.Arrived(now, 50, 50, i < again/10)
 				if i%2 == 0 {
 					refused++
-					if m.EndsWalk(now, 50) {
+					if m.StopsRetries(now, 50) {
 						ended++
 					}
 				}
--- a/internal/comeback/keeper.go
+++ b/internal/comeback/keeper.go
@@ -198,7 +198,7 @@
 
 // Begin takes the loop's time, before anything else: the process has now read its store.
 func (k *Keeper) Begin(now time.Duration) {
-	set := decide.LifeSettings{Cores: k.cfg.Settings.Cores, ColdFrom: k.cfg.Settings.ColdFrom, Ramp: k.cfg.Settings.Ramp}
+	set := decide.LifeSettings{Cores: k.cfg.Settings.Cores, ColdFrom: k.cfg.Settings.ColdSpeed, Ramp: k.cfg.Settings.WarmUpTime}
 	if k.learned != nil {
 		for _, c := range k.learned.Classes {
 			set.Usual = append(set.Usual, c.Base)
@@ -285,7 +285,7 @@
 		return false
 	}
 	c := &k.cfg.Settings.Classes[class]
-	window := c.Window
+	window := c.IdempotencyWindow
 	if c.Effect == rules.Unsafe { // nothing links its tries: one may come as long as its caller waits
 		window = c.Deadline
 	}
--- a/internal/comeback/keeper_test.go
+++ b/internal/comeback/keeper_test.go
@@ -32,8 +32,8 @@
 
 func newWorld(t *testing.T) *world {
 	return &world{t: t, disk: vfs.NewMem(false), wall: 1_800_000_000_000, name: "n1", set: rules.Settings{
-		Cores: 2, ColdFrom: 0.33, Ramp: 3 * second, Classes: []rules.Class{
-			{Deadline: 2 * second}, {Effect: rules.Keyed, Window: 10 * second, Deadline: 2 * second}, {Effect: rules.Unsafe, Deadline: 2 * second}},
+		Cores: 2, ColdSpeed: 0.33, WarmUpTime: 3 * second, Classes: []rules.Class{
+			{Deadline: 2 * second}, {Effect: rules.Keyed, IdempotencyWindow: 10 * second, Deadline: 2 * second}, {Effect: rules.Unsafe, Deadline: 2 * second}},
 	}}
 }
 
@@ -163,7 +163,7 @@
 	}
 	w.end(k, s, rules.Learned{})
 	for name, change := range map[string]func(){
-		"another site": func() { w.set.Ramp++ },
+		"another site": func() { w.set.WarmUpTime++ },
 		"too old":      func() { w.wall += (13 * time.Hour).Milliseconds() },
 		"clock back":   func() { w.wall -= (14 * time.Hour).Milliseconds() },
 		"bit flips": func() {
--- a/internal/comeback/settings_digest.go
+++ b/internal/comeback/settings_digest.go
@@ -87,8 +87,8 @@
 	classes := make([]digestedClass, len(set.Classes))
 	for i, c := range set.Classes {
 		classes[i] = digestedClass{
-			Aim: c.Aim, AimStretch: c.AimStretch, Deadline: c.Deadline, LateShare: c.LateShare, Worth: c.Worth,
-			Window: c.Window, Effect: uint8(c.Effect), Calls: c.Calls, SkipWorth: c.SkipWorth,
+			Aim: c.LatencyTarget, AimStretch: c.LatencyTargetStretch, Deadline: c.Deadline, LateShare: c.LateUtilityShare, Worth: c.Utility,
+			Window: c.IdempotencyWindow, Effect: uint8(c.Effect), Calls: c.CallsDependency, SkipWorth: c.SkipUtilityShare,
 		}
 	}
 	tenants := make([]digestedTenant, len(set.Tenants))
@@ -96,16 +96,16 @@
 		tenants[i] = digestedTenant{QuotaPerSecond: t.QuotaPerSecond, Share: t.Share}
 	}
 	digested := digestedSettings{
-		Tick: set.Tick, Cores: set.Cores, Nodes: set.Nodes, Callers: set.Callers, Layer: set.Layer,
-		Classes: classes, Tenants: tenants, OverShare: set.OverShare, WorthByWork: set.WorthByWork,
-		MarksRetries: set.MarksRetries, PassesPatience: set.PassesPatience, TellsGone: set.TellsGone,
-		HonoursRetry: set.HonoursRetry, MaxRetryAfter: set.MaxRetryAfter,
-		FreeValue: uint8(set.FreeValue), FreeValueLife: set.FreeValueLife, Preemption: uint8(set.Preemption),
-		MemoryKB: set.MemoryKB, RunFactor: set.RunFactor, EntryKB: set.EntryKB, Fresh: set.Fresh,
-		Gauges: set.Gauges, KeepaliveMax: set.KeepaliveMax, Readiness: set.Readiness, Below: uint8(set.Below),
-		CallShare: set.CallShare, CallWindow: set.CallWindow, CallLinger: set.CallLinger,
-		AnswerSlack: set.AnswerSlack, ColdFrom: set.ColdFrom, Ramp: set.Ramp, DrainGrace: set.DrainGrace,
-		FallMultiple: set.FallMultiple, FallWindow: set.FallWindow,
+		Tick: set.BatchInterval, Cores: set.Cores, Nodes: set.Nodes, Callers: set.Callers, Layer: set.Layer,
+		Classes: classes, Tenants: tenants, OverShare: set.OverQuotaUtility, WorthByWork: set.UtilityPerWork,
+		MarksRetries: set.RetriesMarked, PassesPatience: set.TimeoutsPassed, TellsGone: set.DisconnectsReported,
+		HonoursRetry: set.HonoursRetryAfter, MaxRetryAfter: set.MaxRetryAfter,
+		FreeValue: uint8(set.LoadFeedback), FreeValueLife: set.LoadFeedbackTTL, Preemption: uint8(set.Preemption),
+		MemoryKB: set.MemoryKB, RunFactor: set.RunningMemoryFactor, EntryKB: set.RecordKB, Fresh: set.ReadFreshness,
+		Gauges: set.Gauges, KeepaliveMax: set.MaxIdleTimeout, Readiness: set.Readiness, Below: uint8(set.Dependency),
+		CallShare: set.CallShare, CallWindow: set.CallWindow, CallLinger: set.AbandonedCallTime,
+		AnswerSlack: set.AnswerSlack, ColdFrom: set.ColdSpeed, Ramp: set.WarmUpTime, DrainGrace: set.DrainGrace,
+		FallMultiple: set.OverloadRunsPerCore, FallWindow: set.OverloadWindow,
 	}
 	return fmt.Sprintf("%+v %+v", digested, digestedNames{Classes: names.Classes, Tenants: names.Tenants})
 }
--- a/internal/comeback/settings_digest_test.go
+++ b/internal/comeback/settings_digest_test.go
@@ -50,12 +50,12 @@
 	if got := digestText(set, names); got != want {
 		t.Errorf("digested text is\n%s, want\n%s", got, want)
 	}
-	set.Cold = !set.Cold
+	set.ColdStart = !set.ColdStart
 	set.NewPools = func() rules.Pools { return nil }
 	if got := digestText(set, names); got != want {
 		t.Errorf("a cold start or pools change the digested text to\n%s, want\n%s", got, want)
 	}
-	if got, want := settingsDigest(rules.Settings{Cores: 2, Tick: time.Millisecond}, settings.Names{}), uint64(0xcc8a358a6bba45d8); got != want {
+	if got, want := settingsDigest(rules.Settings{Cores: 2, BatchInterval: time.Millisecond}, settings.Names{}), uint64(0xcc8a358a6bba45d8); got != want {
 		t.Errorf("digest is %#x, want %#x", got, want)
 	}
 }
--- a/internal/dependency/dependency.go
+++ b/internal/dependency/dependency.go
@@ -41,7 +41,7 @@
 type Client struct {
 	Traffic stream.Traffic
 	Made    atomic.Int64
-	Ended   [rules.Moot + 1]atomic.Int64 // by outcome
+	Ended   [rules.NeverStarted + 1]atomic.Int64 // by outcome
 
 	url    atomic.Pointer[string]
 	http   *http.Client
@@ -135,7 +135,7 @@
 	case res.StatusCode == http.StatusOK:
 		return rules.OK, result, nil
 	case res.Header.Get(neverHeader) != "":
-		return rules.Full, nil, nil
+		return rules.CallRejected, nil, nil
 	case res.StatusCode == http.StatusGatewayTimeout || res.StatusCode == http.StatusRequestTimeout:
 		return rules.TimedOut, nil, nil
 	}
@@ -152,13 +152,13 @@
 	case ctx.Err() != nil:
 		return rules.TimedOut
 	}
-	return rules.Reset
+	return rules.ConnectionReset
 }
 
 // names are the outcomes in lines.
 var names = [...]string{
-	rules.OK: "ok", rules.Failed: "failed", rules.Full: "full", rules.TimedOut: "timed_out",
-	rules.ConnectFailed: "connect_failed", rules.Reset: "reset", rules.Cancelled: "given_up", rules.Moot: "moot",
+	rules.OK: "ok", rules.Failed: "failed", rules.CallRejected: "full", rules.TimedOut: "timed_out",
+	rules.ConnectFailed: "connect_failed", rules.ConnectionReset: "reset", rules.Cancelled: "given_up", rules.NeverStarted: "moot",
 }
 
 // complain logs failures at a bounded rate.
--- a/internal/dependency/dependency_test.go
+++ b/internal/dependency/dependency_test.go
@@ -75,15 +75,15 @@
 		want  rules.Outcome
 	}{
 		"rows":          {well, false, rules.OK},
-		"never started": {status("503 Full", "Never-Started: 1\r\n"), false, rules.Full},
+		"never started": {status("503 Full", "Never-Started: 1\r\n"), false, rules.CallRejected},
 		"busy":          {status("503 Full", ""), false, rules.Failed},
 		"fails":         {status("500 No", ""), false, rules.Failed},
 		"gave up":       {status("504 Late", ""), false, rules.TimedOut},
 		"hangs":         {"", false, rules.TimedOut},
 		"half, hangs":   {well[:20], false, rules.TimedOut},
-		"resets":        {"", true, rules.Reset},
+		"resets":        {"", true, rules.ConnectionReset},
 		"without end":   {"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + strings.Repeat("x", 200000), false, rules.Failed},
-		"babbles":       {strings.Repeat("x", 1<<20), true, rules.Reset},
+		"babbles":       {strings.Repeat("x", 1<<20), true, rules.ConnectionReset},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -117,7 +117,7 @@
 	for cut := range well {
 		at.Store(int64(cut))
 		got, _ := cl.ask(5 * time.Second)
-		if r := <-got; r.o != rules.Reset {
+		if r := <-got; r.o != rules.ConnectionReset {
 			t.Errorf("cut at %d: outcome %d with %q", cut, r.o, r.text)
 		}
 	}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -127,7 +127,7 @@
 		s.door = door.New(0, cfg.Setup)
 	}
 	s.good.Store(true)
-	s.idle.Store(int64(cfg.Settings.KeepaliveMax))
+	s.idle.Store(int64(cfg.Settings.MaxIdleTimeout))
 	return s
 }
 
@@ -143,7 +143,7 @@
 // CloseIdle sets how long a connection may carry nothing.
 func (s *Server) CloseIdle(after time.Duration) {
 	if after <= 0 {
-		after = s.cfg.Settings.KeepaliveMax
+		after = s.cfg.Settings.MaxIdleTimeout
 	}
 	s.idle.Store(int64(after))
 }
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -79,9 +79,9 @@
 func start(t *testing.T, tune func(*Server)) *bench {
 	t.Helper()
 	set := rules.Settings{
-		Classes:      []rules.Class{{Effect: rules.Safe}, {Effect: rules.Keyed}},
-		Tenants:      []rules.Tenant{{}},
-		KeepaliveMax: 30 * time.Second,
+		Classes:        []rules.Class{{Effect: rules.Safe}, {Effect: rules.Keyed}},
+		Tenants:        []rules.Tenant{{}},
+		MaxIdleTimeout: 30 * time.Second,
 	}
 	names := settings.Names{Classes: []string{"read", "pay"}, Tenants: []string{"acme"}}
 	b := &bench{sink: &recorder{}, ledger: &exchange.Ledger{}}
--- a/internal/node/comeback.go
+++ b/internal/node/comeback.go
@@ -32,8 +32,8 @@
 // learner is a module that tells and takes what was learned.
 type learner interface {
 	Learned() rules.Learned
-	Prior(l rules.Learned, weight, speed float64)
-	Forget()
+	WarmStart(l rules.Learned, weight, speed float64)
+	DiscardWarmStart()
 }
 
 // Heard takes what a control service has heard of this name's earlier lives, nil =
@@ -53,7 +53,7 @@
 	}
 	l, weight, speed := n.cfg.Comeback.Bound(n.now, n.now-e.took, e.cold)
 	if m, ok := n.module.(learner); ok && l != nil {
-		m.Prior(*l, weight, speed)
+		m.WarmStart(*l, weight, speed)
 	}
 }
 
@@ -70,7 +70,7 @@
 	n.warm = warm
 	if ask != n.ask {
 		n.ask = ask
-		if n.cfg.Settings.FreeValue != rules.SayNone {
+		if n.cfg.Settings.LoadFeedback != rules.FeedbackNone {
 			n.front.Say(n.asked(n.value))
 		}
 	}
@@ -94,10 +94,10 @@
 	if n.cfg.Comeback == nil || n.ask >= 1 {
 		return value
 	}
-	switch n.cfg.Settings.FreeValue {
-	case rules.SayLevel: // nothing ranked under it is sent
+	switch n.cfg.Settings.LoadFeedback {
+	case rules.FeedbackLevel: // nothing ranked under it is sent
 		return 1 - (1-value)*max(n.ask, leastAsked)
-	case rules.SayCredit:
+	case rules.FeedbackCredit:
 		return max(value*n.ask, 1)
 	default:
 		return value * max(n.ask, leastAsked)
@@ -115,7 +115,7 @@
 	hint := time.Duration(it.x.HintMs * float64(time.Millisecond))
 	if n.cfg.Comeback.Ran(n.now, it.x.Class, e.took, hint) {
 		if m, ok := n.module.(learner); ok {
-			m.Forget()
+			m.DiscardWarmStart()
 		}
 	}
 }
@@ -125,12 +125,12 @@
 // given an earlier request of which the module knows nothing, which counts as run.
 func (n *Node) doubted(it *item, q *rules.Request) bool {
 	n.cfg.Comeback.Arrived(n.now, q.Retry)
-	if q.Earlier != 0 || !n.cfg.Comeback.InDoubt(n.now, q.Class, hash(keyOf(it.x, n.cfg.Settings)), q.Retry, q.Age) {
+	if q.RepeatOf != 0 || !n.cfg.Comeback.InDoubt(n.now, q.Class, hash(keyOf(it.x, n.cfg.Settings)), q.Retry, q.Age) {
 		return false
 	}
 	if n.cfg.Settings.Classes[q.Class].Effect == rules.Keyed {
 		n.nextID++
-		q.Earlier = n.nextID
+		q.RepeatOf = n.nextID
 		return false
 	}
 	it.x.Answer(exchange.Answer{Kind: exchange.Failed})
--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -29,7 +29,7 @@
 }
 
 // Halt stops a run.
-func (h host) Halt(id rules.RequestID) {
+func (h host) Preempt(id rules.RequestID) {
 	it := h.items[id]
 	switch {
 	case it == nil || !it.running:
@@ -72,14 +72,14 @@
 }
 
 // Skip lets a run go on without the call it stands at.
-func (h host) Skip(id rules.RequestID) {
+func (h host) SkipCall(id rules.RequestID) {
 	if it := h.items[id]; it != nil {
 		h.pool.Pass(it.x)
 	}
 }
 
 // Keep makes or renews a request's entry in the table.
-func (h host) Keep(id rules.RequestID, span time.Duration) {
+func (h host) KeepRecord(id rules.RequestID, span time.Duration) {
 	it := h.items[id]
 	if it == nil {
 		return
@@ -90,7 +90,7 @@
 }
 
 // Forget takes a request's entry out of the table.
-func (h host) Forget(id rules.RequestID) {
+func (h host) ForgetRecord(id rules.RequestID) {
 	if it := h.items[id]; it != nil && it.kept != nil {
 		h.settleKept(it, false, nil)
 		h.table.drop(it.kept)
@@ -98,7 +98,7 @@
 }
 
 // Reuse serves a request from the result of the one it repeats.
-func (h host) Reuse(id rules.RequestID) {
+func (h host) JoinEarlier(id rules.RequestID) {
 	it := h.items[id]
 	if it == nil {
 		return
@@ -127,16 +127,16 @@
 }
 
 // Say sets the free value.
-func (h host) Say(value float64) {
+func (h host) PublishLoad(value float64) {
 	h.value = value
 	h.front.Say(h.asked(value))
 }
 
 // CloseIdle sets the idle limit of connections.
-func (h host) CloseIdle(after time.Duration) { h.front.CloseIdle(after) }
+func (h host) SetIdleTimeout(after time.Duration) { h.front.CloseIdle(after) }
 
 // Wake sets a timer.
-func (h host) Wake(token uint64, in time.Duration) {
+func (h host) StartTimer(token uint64, in time.Duration) {
 	at := h.now + in
 	i := len(h.timers)
 	for i > 0 && h.timers[i-1].at > at {
--- a/internal/node/keys.go
+++ b/internal/node/keys.go
@@ -66,7 +66,7 @@
 	switch {
 	case set.Classes[x.Class].Effect == rules.Keyed:
 		return "u" + recall.ID{Class: x.ClassName, Tenant: x.TenantName, Name: x.Unique}.Key()
-	case x.Safe && set.Fresh > 0 && x.Item != "":
+	case x.Safe && set.ReadFreshness > 0 && x.Item != "":
 		return "i" + recall.ID{Class: x.ClassName, Tenant: x.TenantName, Name: x.Item}.Key()
 	}
 	return ""
@@ -162,7 +162,7 @@
 	}
 	var fresh time.Duration
 	if it.x.Safe {
-		fresh = n.cfg.Settings.Fresh
+		fresh = n.cfg.Settings.ReadFreshness
 	}
 	for _, w := range n.table.settle(e, good, body, n.now, fresh) {
 		n.reused(w, good, body)
@@ -175,5 +175,5 @@
 	if good {
 		end = pool.Complete
 	}
-	n.late = append(n.late, event{kind: finished, x: it.x, end: end, took: n.cfg.Settings.Tick, body: body})
+	n.late = append(n.late, event{kind: finished, x: it.x, end: end, took: n.cfg.Settings.BatchInterval, body: body})
 }
--- a/internal/node/memory.go
+++ b/internal/node/memory.go
@@ -248,7 +248,7 @@
 			end = pool.Error
 		}
 		n.cfg.Memory.Told(err == nil)
-		n.post(event{kind: finished, x: x, end: end, took: n.cfg.Settings.Tick, body: body})
+		n.post(event{kind: finished, x: x, end: end, took: n.cfg.Settings.BatchInterval, body: body})
 	})
 }
 
--- a/internal/node/memory_test.go
+++ b/internal/node/memory_test.go
@@ -40,7 +40,7 @@
 	own := config.Defaults()
 	own.Results.Enabled, own.Results.Dir = true, "/r"
 	set := usual()
-	set.Fresh = time.Second
+	set.ReadFreshness = time.Second
 	if change != nil {
 		change(&own.Results, &set)
 	}
@@ -186,7 +186,7 @@
 // long enough, before their own time is over; should its end be told after all, later
 // repeats get it.
 func TestEndThatNobodyTells(t *testing.T) {
-	long := func(_ *config.Results, set *rules.Settings) { set.Classes[1].Window = 10 * time.Second }
+	long := func(_ *config.Results, set *rules.Settings) { set.Classes[1].IdempotencyWindow = 10 * time.Second }
 	disk := vfs.NewMem(false)
 	a := live(t, disk, 1000, time.Hour, long)
 	x := a.send(1, key("k"))
@@ -317,7 +317,7 @@
 
 // Restored entries count in the module's memory of keys, however often it is made.
 func TestRestoredEntriesCount(t *testing.T) {
-	large := func(_ *config.Results, set *rules.Settings) { set.EntryKB = 0.3 * set.MemoryKB }
+	large := func(_ *config.Results, set *rules.Settings) { set.RecordKB = 0.3 * set.MemoryKB }
 	disk := vfs.NewMem(false)
 	a := live(t, disk, 1000, time.Hour, large)
 	x := a.send(1, key("k"))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -82,8 +82,8 @@
 	}
 	l := Load{Warm: 1}
 	l.Running, l.Limit, l.Pressure = m.Load()
-	if s := n.cfg.Settings; s.Cold && s.Ramp > 0 {
-		l.Warm = min(1, s.ColdFrom+(1-s.ColdFrom)*float64(n.now-n.born)/float64(s.Ramp))
+	if s := n.cfg.Settings; s.ColdStart && s.WarmUpTime > 0 {
+		l.Warm = min(1, s.ColdSpeed+(1-s.ColdSpeed)*float64(n.now-n.born)/float64(s.WarmUpTime))
 	}
 	if n.cfg.Comeback != nil {
 		l.Warm = n.warm
@@ -100,7 +100,7 @@
 // together is the module's part that thinks of the fleet, nil if it is off.
 func (n *Node) together() *together.Module {
 	m, ok := n.module.(interface {
-		Inspect() (rules.Pools, []rules.Waiting, rules.Together)
+		Inspect() (rules.Pools, []rules.QueuedRequest, rules.Shedder)
 	})
 	if !ok {
 		return nil
@@ -150,14 +150,14 @@
 // decisions is what the loop needs of the module.
 type decisions interface {
 	Arrive(now time.Duration, q rules.Request)
-	Ended(now time.Duration, id rules.RequestID, o rules.Outcome, took time.Duration)
-	Gone(now time.Duration, id rules.RequestID)
+	RunEnded(now time.Duration, id rules.RequestID, o rules.Outcome, took time.Duration)
+	CallerGone(now time.Duration, id rules.RequestID)
 	Drain(now time.Duration, left time.Duration)
-	NeedsCall(now time.Duration, id rules.RequestID)
-	Called(now time.Duration, id rules.RequestID, o rules.Outcome, took time.Duration)
-	Woke(now time.Duration, token uint64, gauges []float64)
-	Settle(now time.Duration)
-	Restored(now time.Duration, id rules.RequestID, span time.Duration)
+	CallNeeded(now time.Duration, id rules.RequestID)
+	CallEnded(now time.Duration, id rules.RequestID, o rules.Outcome, took time.Duration)
+	TimerFired(now time.Duration, token uint64, gauges []float64)
+	FinishBatch(now time.Duration)
+	RestoreRecord(now time.Duration, id rules.RequestID, span time.Duration)
 }
 
 type event struct {
@@ -308,7 +308,7 @@
 		n.cfg.Comeback.Begin(n.now)
 		n.ask, n.warm = 1, 1
 	}
-	if err := n.build(n.now, n.cfg.Settings.Cold); err != nil {
+	if err := n.build(n.now, n.cfg.Settings.ColdStart); err != nil {
 		return err
 	}
 	n.loop(ctx)
@@ -338,7 +338,7 @@
 		n.batch()
 		// The module's batches come at most once a tick; what arrives meanwhile
 		// makes the next one.
-		if pause := n.now + n.cfg.Settings.Tick - n.clock(); pause > 0 {
+		if pause := n.now + n.cfg.Settings.BatchInterval - n.clock(); pause > 0 {
 			time.Sleep(pause)
 		}
 	}
@@ -379,12 +379,12 @@
 			t := n.timers[0]
 			n.timers = slices.Delete(n.timers, 0, 1)
 			n.polled = false
-			n.module.Woke(n.now, t.token, gauges)
+			n.module.TimerFired(n.now, t.token, gauges)
 			n.stepLife()
 			n.load()
 		}
 	})
-	n.guard(func() { n.module.Settle(n.now) })
+	n.guard(func() { n.module.FinishBatch(n.now) })
 	n.table.expire(n.now)
 	if n.cfg.Memory != nil {
 		n.endWaits()
@@ -423,7 +423,7 @@
 
 func (n *Node) views() []pools.View {
 	m, ok := n.module.(interface {
-		Inspect() (rules.Pools, []rules.Waiting, rules.Together)
+		Inspect() (rules.Pools, []rules.QueuedRequest, rules.Shedder)
 	})
 	if !ok {
 		return nil
@@ -457,7 +457,7 @@
 				n.suspend(it) // the new module does not count it on the cores
 			}
 		}
-		if err := n.build(n.born, n.cfg.Settings.Cold); err != nil {
+		if err := n.build(n.born, n.cfg.Settings.ColdStart); err != nil {
 			panic(err) // it was made before from the same settings
 		}
 		n.drain()
@@ -478,7 +478,7 @@
 // build makes the module, as of when the worker pool came up.
 func (n *Node) build(born time.Duration, cold bool) error {
 	n.timers, n.polled, n.born = nil, false, born
-	n.cfg.Settings.Cold = cold
+	n.cfg.Settings.ColdStart = cold
 	now := n.now
 	n.now = born
 	m, err := rules.New(born, n.cfg.Settings, n.cfg.Seed, host{n})
@@ -489,7 +489,7 @@
 	n.module = m
 	for _, r := range n.earlier {
 		if left := r.Expires - n.now; left > 0 {
-			m.Restored(n.now, r.id, left)
+			m.RestoreRecord(n.now, r.id, left)
 		}
 	}
 	return nil
@@ -502,7 +502,7 @@
 		n.arrive(e.x)
 	case gone:
 		if it := n.byX[e.x]; it != nil {
-			n.module.Gone(n.now, it.id)
+			n.module.CallerGone(n.now, it.id)
 			n.leave(it)
 		}
 	case finished:
@@ -517,7 +517,7 @@
 	case blocked:
 		if it := n.byX[e.x]; it != nil && it.running {
 			it.statement = e.body
-			n.module.NeedsCall(n.now, it.id)
+			n.module.CallNeeded(n.now, it.id)
 		}
 	case called:
 		n.called(e)
@@ -559,7 +559,7 @@
 	}
 	n.isBound = true
 	waiting := n.ordered()
-	up := min(e.took, n.cfg.Settings.Ramp+n.cfg.Settings.FallWindow) // longer ago makes no difference
+	up := min(e.took, n.cfg.Settings.WarmUpTime+n.cfg.Settings.OverloadWindow) // longer ago makes no difference
 	if err := n.build(n.now-up, e.cold); err != nil {
 		panic(err) // it was made before from the same settings
 	}
@@ -601,7 +601,7 @@
 		n.forget(it)
 		return
 	default:
-		q.Earlier = earlier
+		q.RepeatOf = earlier
 	}
 	if n.cfg.Comeback != nil && n.doubted(it, &q) {
 		return
@@ -618,11 +618,11 @@
 		return min(max(time.Duration(min(ms, float64(longest/time.Millisecond))*float64(time.Millisecond)), least), longest)
 	}
 	q := rules.Request{
-		ID: id, Rank: x.Rank, Hint: clamp(x.HintMs, 0), Tenant: x.Tenant, Caller: x.Caller,
-		Age: clamp(max(unix-x.Door, 0), 0), KB: x.KB, Class: x.Class, Retry: x.Retry, Key: hash(x.Item),
+		ID: id, Rank: x.Rank, WorkHint: clamp(x.HintMs, 0), Tenant: x.Tenant, Caller: x.Caller,
+		Age: clamp(max(unix-x.Door, 0), 0), MemoryKB: x.KB, Class: x.Class, Retry: x.Retry, Key: hash(x.Item),
 	}
 	if x.Limit > 0 { // a time already past is still told: 0 would mean that nothing is known
-		q.Patience = min(clamp(max(x.Door+x.Limit-unix, 0), time.Microsecond), clamp(x.Limit, time.Microsecond))
+		q.CallerTimeout = min(clamp(max(x.Door+x.Limit-unix, 0), time.Microsecond), clamp(x.Limit, time.Microsecond))
 	}
 	return q
 }
@@ -637,7 +637,7 @@
 	if e.out == rules.OK {
 		n.pool.Supply(it.x, e.body)
 	}
-	n.module.Called(n.now, it.id, e.out, e.took)
+	n.module.CallEnded(n.now, it.id, e.out, e.took)
 }
 
 // giveUpCall ends the call of a request that is over, if one is out.
@@ -670,10 +670,10 @@
 			it.x.Answer(exchange.Answer{Kind: exchange.Served, Body: e.body})
 		}
 		n.settleKept(it, true, e.body)
-		n.module.Ended(n.now, it.id, rules.OK, e.took)
+		n.module.RunEnded(n.now, it.id, rules.OK, e.took)
 		n.ranLife(it, e, reused)
 	case pool.Cancelled:
-		n.module.Ended(n.now, it.id, rules.Cancelled, e.took)
+		n.module.RunEnded(n.now, it.id, rules.Cancelled, e.took)
 		n.leave(it)
 		return
 	default:
@@ -681,12 +681,12 @@
 		n.settleKept(it, false, nil)
 		o := rules.Failed
 		if e.end == pool.Moot {
-			o = rules.Moot
+			o = rules.NeverStarted
 			if it.kept != nil && !reused {
 				it.kept.moot = true
 			}
 		}
-		n.module.Ended(n.now, it.id, o, e.took)
+		n.module.RunEnded(n.now, it.id, o, e.took)
 	}
 	n.leave(it)
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -61,14 +61,14 @@
 func (r *rig) unixMs() float64 { return 1764576000000 + float64(r.passed)/float64(time.Millisecond) }
 
 func usual() rules.Settings {
-	class := rules.Class{Aim: 2 * time.Second, Deadline: 6 * time.Second, Worth: 1, Window: 300 * time.Millisecond}
+	class := rules.Class{LatencyTarget: 2 * time.Second, Deadline: 6 * time.Second, Utility: 1, IdempotencyWindow: 300 * time.Millisecond}
 	safe, once, never := class, class, class
 	once.Effect, never.Effect = rules.Keyed, rules.Unsafe
 	return rules.Settings{
-		Tick: 2 * time.Millisecond, Cores: 2, Nodes: 1, Callers: 1, Classes: []rules.Class{safe, once, never},
-		MemoryKB: 1e6, RunFactor: 4, EntryKB: 1, Preemption: rules.PreemptDrop, FallMultiple: 8,
-		FallWindow: time.Second, DrainGrace: 100 * time.Millisecond, PassesPatience: true, TellsGone: true,
-		Gauges: []string{"cpu_busy", "runnable"}, HonoursRetry: true, MaxRetryAfter: time.Second,
+		BatchInterval: 2 * time.Millisecond, Cores: 2, Nodes: 1, Callers: 1, Classes: []rules.Class{safe, once, never},
+		MemoryKB: 1e6, RunningMemoryFactor: 4, RecordKB: 1, Preemption: rules.PreemptDrop, OverloadRunsPerCore: 8,
+		OverloadWindow: time.Second, DrainGrace: 100 * time.Millisecond, TimeoutsPassed: true, DisconnectsReported: true,
+		Gauges: []string{"cpu_busy", "runnable"}, HonoursRetryAfter: true, MaxRetryAfter: time.Second,
 	}
 }
 
@@ -352,7 +352,7 @@
 // not shared once it is known.
 func TestFreshReads(t *testing.T) {
 	set := usual()
-	set.Fresh = 100 * time.Millisecond
+	set.ReadFreshness = 100 * time.Millisecond
 	r := newRig(t, set, true)
 	a, b := r.send(0, about("i")), r.send(0, about("i"))
 	none, other := r.send(0, nil), r.send(0, about("j"))
@@ -383,7 +383,7 @@
 // age, and what came too early is read again.
 func TestBoundLate(t *testing.T) {
 	set := usual()
-	set.Cold, set.ColdFrom, set.Ramp = false, 0.2, 10*time.Second
+	set.ColdStart, set.ColdSpeed, set.WarmUpTime = false, 0.2, 10*time.Second
 	r := newRig(t, set, false)
 	early, left := r.send(0, nil), r.send(0, nil)
 	left.Abandon(exchange.WasCancelled)
@@ -394,15 +394,15 @@
 	}
 	r.Bound(true, 4*time.Second)
 	r.turn()
-	if !r.cfg.Settings.Cold || r.now-r.born < 4*time.Second || r.now-r.born > 5*time.Second {
-		t.Errorf("cold %v since %v", r.cfg.Settings.Cold, r.now-r.born)
+	if !r.cfg.Settings.ColdStart || r.now-r.born < 4*time.Second || r.now-r.born > 5*time.Second {
+		t.Errorf("cold %v since %v", r.cfg.Settings.ColdStart, r.now-r.born)
 	}
 	if len(r.spawned) != 1 || r.spawned[0] != early.Txn {
 		t.Errorf("spawned %v", r.spawned)
 	}
 	r.Bound(false, time.Hour) // a new link is no new worker pool
 	r.turn()
-	if !r.cfg.Settings.Cold {
+	if !r.cfg.Settings.ColdStart {
 		t.Error("a new link changed what is known")
 	}
 	r.end(early, pool.Complete, "r")
@@ -492,7 +492,7 @@
 // faulty is a module with a defect in one of its methods.
 type faulty struct{ decisions }
 
-func (faulty) Gone(time.Duration, rules.RequestID) { panic("defect") }
+func (faulty) CallerGone(time.Duration, rules.RequestID) { panic("defect") }
 
 // A defect costs what it was fed, not what waited behind it in the same batch:
 // those requests were read and are owed an answer.
@@ -539,9 +539,9 @@
 	fed     int
 }
 
-func (s *spy) Woke(now time.Duration, token uint64, g []float64) {
+func (s *spy) TimerFired(now time.Duration, token uint64, g []float64) {
 	s.gauges = g
-	s.decisions.Woke(now, token, g)
+	s.decisions.TimerFired(now, token, g)
 }
 
 func (s *spy) Arrive(now time.Duration, q rules.Request) {
@@ -549,9 +549,9 @@
 	s.decisions.Arrive(now, q)
 }
 
-func (s *spy) Settle(now time.Duration) {
+func (s *spy) FinishBatch(now time.Duration) {
 	s.settled = append(s.settled, now)
-	s.decisions.Settle(now)
+	s.decisions.FinishBatch(now)
 }
 
 func TestGaugesReachTheModule(t *testing.T) {
@@ -572,7 +572,7 @@
 // most once a tick.
 func TestBatches(t *testing.T) {
 	set := usual()
-	set.Tick = 5 * time.Millisecond
+	set.BatchInterval = 5 * time.Millisecond
 	r := newRig(t, set, true)
 	s := &spy{decisions: r.module}
 	r.module = s
@@ -593,7 +593,7 @@
 		t.Errorf("%d of %d requests reached the module", s.fed, requests)
 	}
 	for i := 1; i < len(s.settled); i++ {
-		if gap := s.settled[i] - s.settled[i-1]; gap < set.Tick {
+		if gap := s.settled[i] - s.settled[i-1]; gap < set.BatchInterval {
 			t.Fatalf("settled again after %v", gap)
 		}
 	}
@@ -616,8 +616,8 @@
 	} {
 		x := exchange.New(&exchange.Ledger{}, nil, 1, exchange.Call{Door: c.door, Limit: c.limit, HintMs: 12.5})
 		q := request(x, 1, now)
-		if q.Age != c.age || q.Patience != c.patience || q.Hint != 12500*time.Microsecond {
-			t.Errorf("door %v, limit %v: age %v, patience %v", c.door, c.limit, q.Age, q.Patience)
+		if q.Age != c.age || q.CallerTimeout != c.patience || q.WorkHint != 12500*time.Microsecond {
+			t.Errorf("door %v, limit %v: age %v, patience %v", c.door, c.limit, q.Age, q.CallerTimeout)
 		}
 	}
 }
@@ -686,9 +686,9 @@
 // brings later goes nowhere.
 func TestCallsBelow(t *testing.T) {
 	set := usual()
-	set.Below, set.CallShare, set.CallWindow = rules.BelowShared, 10, 5*time.Second
+	set.Dependency, set.CallShare, set.CallWindow = rules.DependencyShared, 10, 5*time.Second
 	for i := range set.Classes {
-		set.Classes[i].Calls = true
+		set.Classes[i].CallsDependency = true
 	}
 	below := &calls{}
 	r := newRigWith(t, Config{Settings: set, Calls: below}, true)
@@ -701,7 +701,7 @@
 	blocked(x, "q1")
 	answer(0, rules.OK, "rows")
 	blocked(x, "q2")
-	answer(1, rules.Reset, "") // safe work: made again
+	answer(1, rules.ConnectionReset, "") // safe work: made again
 	if len(below.refs) != 3 || below.refs[2] != x.Txn+" q2" {
 		t.Fatalf("calls %v", below.refs)
 	}
--- a/internal/recall/recall.go
+++ b/internal/recall/recall.go
@@ -128,13 +128,13 @@
 		return nil, fmt.Errorf("results: %w", err)
 	}
 	set := decide.Settings{
-		Classes: map[string]decide.Class{}, Tenants: map[string]bool{}, Fresh: cfg.Settings.Fresh,
+		Classes: map[string]decide.Class{}, Tenants: map[string]bool{}, Fresh: cfg.Settings.ReadFreshness,
 		Bytes: cfg.Results.Bytes, Entries: cfg.Results.Entries, Slack: cfg.Results.Slack,
 		FailUnknown: cfg.Results.FailUnknown, Unsafe: cfg.Results.Unsafe,
 	}
 	for i, name := range cfg.Names.Classes {
 		c := cfg.Settings.Classes[i]
-		set.Classes[name] = decide.Class{Effect: c.Effect, Window: c.Window}
+		set.Classes[name] = decide.Class{Effect: c.Effect, Window: c.IdempotencyWindow}
 	}
 	for _, name := range cfg.Names.Tenants {
 		set.Tenants[name] = true
@@ -307,7 +307,7 @@
 	c := m.cfg.Settings.Classes[x.Class]
 	e := decide.Entry{ID: m.ID(x), Effect: c.Effect, Run: x.Txn, Asked: m.mod.Unix(now), Expires: m.mod.Unix(expires)}
 	if c.Effect == rules.Keyed {
-		e.Window = c.Window.Milliseconds()
+		e.Window = c.IdempotencyWindow.Milliseconds()
 	}
 	return e
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -78,17 +78,17 @@
 	"idempotent": rules.Safe, "deduplicated": rules.Keyed, "at_most_once": rules.Unsafe,
 }
 
-var belows = map[string]rules.Below{
-	"": rules.BelowNone, "none": rules.BelowNone, "shared": rules.BelowShared, "tier": rules.BelowTier,
+var belows = map[string]rules.Dependency{
+	"": rules.DependencyNone, "none": rules.DependencyNone, "shared": rules.DependencyShared, "tier": rules.DependencyTier,
 }
 
 var preemptions = map[string]rules.Preemption{
 	"": rules.PreemptNone, "none": rules.PreemptNone, "drop": rules.PreemptDrop, "pause": rules.PreemptPause,
 }
 
-var freeValues = map[string]rules.FreeValue{
-	"": rules.SayNone, "none": rules.SayNone, "level": rules.SayLevel, "credit": rules.SayCredit,
-	"weight": rules.SayWeight,
+var freeValues = map[string]rules.LoadFeedback{
+	"": rules.FeedbackNone, "none": rules.FeedbackNone, "level": rules.FeedbackLevel, "credit": rules.FeedbackCredit,
+	"weight": rules.FeedbackWeight,
 }
 
 // pick looks a word up and says which setting held an unknown one.
@@ -135,40 +135,40 @@
 	}
 	x, o := j.Extra, j.Obligations
 	s := rules.Settings{
-		Tick: duration(j.TickMs), Cores: x.CPUs, Nodes: j.GroupSize, Callers: x.Upstreams,
-		Cold: x.JustStarted, Layer: j.Layer, OverShare: j.OverShare, WorthByWork: j.CountedBy == "work",
-		MarksRetries: j.ClientHabits.MarksRetry, PassesPatience: x.PassesDeadline, TellsGone: x.TellsGone,
-		HonoursRetry: j.Bounds.RetryAfter, MaxRetryAfter: duration(j.Bounds.MaxRetryAfterMs),
-		FreeValueLife: duration(x.HeededMs), MemoryKB: x.RAMKb, RunFactor: x.RunFactor, EntryKB: x.EntryKb,
-		Fresh: duration(x.FreshMs), Gauges: x.Meters, KeepaliveMax: duration(x.KeepaliveMaxMs),
+		BatchInterval: duration(j.TickMs), Cores: x.CPUs, Nodes: j.GroupSize, Callers: x.Upstreams,
+		ColdStart: x.JustStarted, Layer: j.Layer, OverQuotaUtility: j.OverShare, UtilityPerWork: j.CountedBy == "work",
+		RetriesMarked: j.ClientHabits.MarksRetry, TimeoutsPassed: x.PassesDeadline, DisconnectsReported: x.TellsGone,
+		HonoursRetryAfter: j.Bounds.RetryAfter, MaxRetryAfter: duration(j.Bounds.MaxRetryAfterMs),
+		LoadFeedbackTTL: duration(x.HeededMs), MemoryKB: x.RAMKb, RunningMemoryFactor: x.RunFactor, RecordKB: x.EntryKb,
+		ReadFreshness: duration(x.FreshMs), Gauges: x.Meters, MaxIdleTimeout: duration(x.KeepaliveMaxMs),
 		Readiness: x.Readiness, CallShare: x.CallShare, CallWindow: duration(x.CallsOverMs),
-		CallLinger: duration(x.StaysForMs), AnswerSlack: duration(o.AnswerSlackMs), ColdFrom: o.ColdFrom,
-		Ramp: duration(o.RampTimeMs), DrainGrace: duration(o.StopSendingWithinMs),
-		FallMultiple: o.FallMultiple, FallWindow: duration(o.FallMs),
+		AbandonedCallTime: duration(x.StaysForMs), AnswerSlack: duration(o.AnswerSlackMs), ColdSpeed: o.ColdFrom,
+		WarmUpTime: duration(o.RampTimeMs), DrainGrace: duration(o.StopSendingWithinMs),
+		OverloadRunsPerCore: o.FallMultiple, OverloadWindow: duration(o.FallMs),
 	}
 	var err error
-	if s.Below, err = pick(belows, "extra.below", x.Below); err != nil {
+	if s.Dependency, err = pick(belows, "extra.below", x.Below); err != nil {
 		return s, err
 	}
 	if s.Preemption, err = pick(preemptions, "extra.preemption", x.Preemption); err != nil {
 		return s, err
 	}
-	if s.FreeValue, err = pick(freeValues, "extra.say", x.Say); err != nil {
+	if s.LoadFeedback, err = pick(freeValues, "extra.say", x.Say); err != nil {
 		return s, err
 	}
 	for i, l := range j.Lanes {
 		c := rules.Class{
-			Aim: duration(l.AimMs), AimStretch: l.AimStretch, Deadline: duration(l.DeadlineMs),
-			LateShare: l.LateShare, Worth: l.Worth, Window: duration(l.WindowMs),
+			LatencyTarget: duration(l.AimMs), LatencyTargetStretch: l.AimStretch, Deadline: duration(l.DeadlineMs),
+			LateUtilityShare: l.LateShare, Utility: l.Worth, IdempotencyWindow: duration(l.WindowMs),
 		}
 		if c.Effect, err = pick(effects, "lanes[].effect", l.Effect); err != nil {
 			return s, err
 		}
 		if i < len(x.ClassCalls) {
-			c.Calls = x.ClassCalls[i]
+			c.CallsDependency = x.ClassCalls[i]
 		}
 		if i < len(x.ClassSkipWorth) {
-			c.SkipWorth = x.ClassSkipWorth[i]
+			c.SkipUtilityShare = x.ClassSkipWorth[i]
 		}
 		s.Classes = append(s.Classes, c)
 		names.Classes = append(names.Classes, l.Name)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -20,12 +20,12 @@
 		t.Fatal(err)
 	}
 	c := s.Classes[0]
-	if s.Tick != 2500*time.Microsecond || s.Nodes != 10 || !s.WorthByWork || s.MaxRetryAfter != time.Second ||
-		s.Below != rules.BelowShared || s.FreeValue != rules.SayCredit || s.Preemption != rules.PreemptPause ||
-		s.CallShare != 0.7 || len(s.Tenants) != 1 || c.Effect != rules.Keyed || !c.Calls || c.SkipWorth != 0.3 {
+	if s.BatchInterval != 2500*time.Microsecond || s.Nodes != 10 || !s.UtilityPerWork || s.MaxRetryAfter != time.Second ||
+		s.Dependency != rules.DependencyShared || s.LoadFeedback != rules.FeedbackCredit || s.Preemption != rules.PreemptPause ||
+		s.CallShare != 0.7 || len(s.Tenants) != 1 || c.Effect != rules.Keyed || !c.CallsDependency || c.SkipUtilityShare != 0.3 {
 		t.Errorf("read wrongly: %+v", s)
 	}
-	if s.Classes[1].Effect != rules.Unsafe || s.Classes[1].Calls || s.Classes[2].Effect != rules.Safe {
+	if s.Classes[1].Effect != rules.Unsafe || s.Classes[1].CallsDependency || s.Classes[2].Effect != rules.Safe {
 		t.Errorf("classes read wrongly: %+v", s.Classes)
 	}
 }
--- a/internal/settings/together.go
+++ b/internal/settings/together.go
@@ -17,5 +17,5 @@
 		return
 	}
 	told := own.Together.Told
-	set.NewTogether = func(now time.Duration) rules.Together { return together.New(now, told) }
+	set.NewShedder = func(now time.Duration) rules.Shedder { return together.New(now, told) }
 }
--- a/internal/standin/machine/best.go
+++ b/internal/standin/machine/best.go
@@ -67,7 +67,7 @@
 		kinds = append(kinds, k)
 	}
 	slices.SortFunc(kinds, func(a, b kind) int { return (a.class*bestSizes + a.size) - (b.class*bestSizes + b.size) })
-	late := func(k kind) int { return int(set.Classes[k.class].Aim/bestWindow) + 1 }
+	late := func(k kind) int { return int(set.Classes[k.class].LatencyTarget/bestWindow) + 1 }
 	slots := windows
 	for _, k := range kinds {
 		slots = max(slots, windows+late(k))
@@ -85,7 +85,7 @@
 			}
 			for d := 0; d <= late(k); d++ {
 				ones = append(ones, entry{rows, len(cost)}, entry{-1 - (w + d), len(cost)})
-				cost = append(cost, -set.Classes[k.class].Worth*count[k]/total[k])
+				cost = append(cost, -set.Classes[k.class].Utility*count[k]/total[k])
 			}
 			b = append(b, offered[k][w])
 			rows++
@@ -129,19 +129,19 @@
 func (s *Split) Arrived(time.Duration, int, time.Duration) {}
 
 // Running counts the runs of a class.
-func (s *Split) Running(_ time.Duration, class, n int) { s.running[class] += n }
+func (s *Split) RunningChanged(_ time.Duration, class, n int) { s.running[class] += n }
 
 // Ran is for rules.Pools.
-func (s *Split) Ran(time.Duration, int, time.Duration) {}
+func (s *Split) RunSucceeded(time.Duration, int, time.Duration) {}
 
 // Step is for rules.Pools.
 func (s *Split) Step(time.Duration, float64) []string { return nil }
 
 // Stuck is for rules.Pools.
-func (s *Split) Stuck() int { return 0 }
+func (s *Split) StalledRuns() int { return 0 }
 
 // Next is the oldest of a class with a slot of its own.
-func (s *Split) Next(_ time.Duration, slots, taken int, line []rules.Waiting) int {
+func (s *Split) Next(_ time.Duration, slots, taken int, line []rules.QueuedRequest) int {
 	own := max(1, slots/len(s.running))
 	for i, w := range line {
 		if s.running[w.Class] < own {
@@ -152,7 +152,7 @@
 }
 
 // Leaves is the newest of the class that holds most.
-func (s *Split) Leaves(_ time.Duration, _ int, line []rules.Waiting) int {
+func (s *Split) Evict(_ time.Duration, _ int, line []rules.QueuedRequest) int {
 	held := make([]int, len(s.running))
 	for _, w := range line {
 		held[w.Class]++
--- a/internal/standin/machine/fleet.go
+++ b/internal/standin/machine/fleet.go
@@ -131,7 +131,7 @@
 // start makes a node anew.
 func (f *fleetPlay) start(n int, cold bool) error {
 	opt := Options{Settings: f.opt.Settings, Crowd: f.opt.Crowd}
-	opt.Settings.Cold = cold
+	opt.Settings.ColdStart = cold
 	opt.Settings.AnswerSlack = time.Hour // who hangs answers late, and that is no broken rule
 	p := &play{opt: opt, now: f.now, all: map[rules.RequestID]*request{}, res: &Result{}}
 	p.opt.Told = func(id rules.RequestID, how string, after time.Duration, last bool) { f.told(n, id, how, after, last) }
@@ -192,9 +192,9 @@
 	p.ended = nil
 	for len(p.timers) > 0 && p.timers[0] <= f.now {
 		p.timers = p.timers[1:]
-		p.m.Woke(f.now, 1, p.gauges())
+		p.m.TimerFired(f.now, 1, p.gauges())
 	}
-	p.m.Settle(f.now)
+	p.m.FinishBatch(f.now)
 	for id, r := range p.all {
 		if r.answered && !r.running {
 			delete(p.all, id)
@@ -298,7 +298,7 @@
 	p.now = f.now
 	if r := p.all[id]; r != nil {
 		r.answered = true
-		p.m.Gone(f.now, id)
+		p.m.CallerGone(f.now, id)
 	}
 }
 
@@ -314,9 +314,9 @@
 	case "served":
 		s.Served++
 		c := f.opt.Settings.Classes[a.Class]
-		if f.now-a.began <= c.Aim {
+		if f.now-a.began <= c.LatencyTarget {
 			s.InTime++
-			s.Worth += c.Worth
+			s.Worth += c.Utility
 		}
 		return
 	case "refused":
--- a/internal/standin/machine/fleet_test.go
+++ b/internal/standin/machine/fleet_test.go
@@ -15,16 +15,16 @@
 
 func fleetOf(nodes int, on bool) FleetOptions {
 	set := rules.Settings{
-		Tick: time.Millisecond, Cores: 2, Nodes: nodes, Callers: 20, MemoryKB: 1e6, RunFactor: 2, MarksRetries: true, HonoursRetry: true,
-		MaxRetryAfter: 2 * time.Second, Preemption: rules.PreemptDrop, Gauges: []string{"cpu_busy", "runnable"}, KeepaliveMax: time.Minute,
-		ColdFrom: 0.33, Ramp: 3 * time.Second, FallMultiple: 8, FallWindow: time.Second, OverShare: 1, Tenants: []rules.Tenant{{Share: 1}},
+		BatchInterval: time.Millisecond, Cores: 2, Nodes: nodes, Callers: 20, MemoryKB: 1e6, RunningMemoryFactor: 2, RetriesMarked: true, HonoursRetryAfter: true,
+		MaxRetryAfter: 2 * time.Second, Preemption: rules.PreemptDrop, Gauges: []string{"cpu_busy", "runnable"}, MaxIdleTimeout: time.Minute,
+		ColdSpeed: 0.33, WarmUpTime: 3 * time.Second, OverloadRunsPerCore: 8, OverloadWindow: time.Second, OverQuotaUtility: 1, Tenants: []rules.Tenant{{Share: 1}},
 		Classes: []rules.Class{
-			{Aim: 800 * time.Millisecond, Deadline: 2500 * time.Millisecond, Worth: 1},
-			{Aim: 800 * time.Millisecond, Deadline: 2 * time.Second, Worth: 2},
+			{LatencyTarget: 800 * time.Millisecond, Deadline: 2500 * time.Millisecond, Utility: 1},
+			{LatencyTarget: 800 * time.Millisecond, Deadline: 2 * time.Second, Utility: 2},
 		},
 	}
 	if on {
-		set.NewTogether = func(now time.Duration) rules.Together { return together.New(now, false) }
+		set.NewShedder = func(now time.Duration) rules.Shedder { return together.New(now, false) }
 	}
 	return FleetOptions{
 		Settings: set, Nodes: nodes, Dispatchers: 20, Crowd: 0.1, Mean: 20 * time.Millisecond, Share: []float64{0.77, 0.23},
@@ -136,7 +136,7 @@
 						for seed := range seeds {
 							opt := fleetOf(nodes, true)
 							opt.Seed, opt.Heed, opt.Retries, opt.Length = seed+1, heed, retries, 16*time.Second
-							opt.Settings.Classes[1].Worth = 2 * dear
+							opt.Settings.Classes[1].Utility = 2 * dear
 							switch trigger {
 							case 0:
 								opt.Trouble = thirdHangs(nodes, Hangs)
--- a/internal/standin/machine/machine.go
+++ b/internal/standin/machine/machine.go
@@ -168,9 +168,9 @@
 		}
 		for len(p.timers) > 0 && p.timers[0] <= p.now {
 			p.timers = p.timers[1:]
-			m.Woke(p.now, 1, p.gauges())
+			m.TimerFired(p.now, 1, p.gauges())
 		}
-		m.Settle(p.now)
+		m.FinishBatch(p.now)
 		p.check()
 	}
 	for _, r := range p.all {
@@ -227,7 +227,7 @@
 	if o == rules.OK && !r.answered {
 		p.answer(r, "served")
 	}
-	p.ended = append(p.ended, func() { p.m.Ended(p.now, r.id, o, took) })
+	p.ended = append(p.ended, func() { p.m.RunEnded(p.now, r.id, o, took) })
 }
 
 func (p *play) arrive(a Arrival, id rules.RequestID) {
@@ -235,8 +235,8 @@
 	p.all[id] = r
 	p.cell(r).Arrived++
 	q := rules.Request{
-		ID: id, Class: a.Class, Tenant: a.Tenant, Hint: a.Hint, KB: 5, Rank: 0.5, Retry: a.Retry, Caller: uint32(id % 3),
-		Patience: p.opt.Settings.Classes[a.Class].Deadline,
+		ID: id, Class: a.Class, Tenant: a.Tenant, WorkHint: a.Hint, MemoryKB: 5, Rank: 0.5, Retry: a.Retry, Caller: uint32(id % 3),
+		CallerTimeout: p.opt.Settings.Classes[a.Class].Deadline,
 	}
 	p.m.Arrive(p.now, q)
 }
@@ -267,11 +267,11 @@
 	switch how {
 	case "served":
 		x.Served++
-		if after <= c.Aim {
+		if after <= c.LatencyTarget {
 			x.InTime++
-			x.Worth += c.Worth
+			x.Worth += c.Utility
 		} else {
-			x.Worth += c.Worth * c.LateShare
+			x.Worth += c.Utility * c.LateUtilityShare
 		}
 	case "refused":
 		x.Refused++
@@ -286,7 +286,7 @@
 // check holds the crowd against what is survived.
 func (p *play) check() {
 	s := p.opt.Settings
-	if s.FallMultiple > 0 && float64(len(p.runs)) > s.FallMultiple*float64(s.Cores) {
+	if s.OverloadRunsPerCore > 0 && float64(len(p.runs)) > s.OverloadRunsPerCore*float64(s.Cores) {
 		p.broken("%d runs on %d cores", len(p.runs), s.Cores)
 	}
 }
@@ -314,7 +314,7 @@
 	h.p.runs = append(h.p.runs, r)
 }
 
-func (h host) Halt(id rules.RequestID) {
+func (h host) Preempt(id rules.RequestID) {
 	h.note("halt", id, 0)
 	if r := h.p.all[id]; r.running && (h.p.opt.Hangs == nil || !h.p.opt.Hangs(h.p.now, r.Class)) {
 		h.p.finish(r, rules.Cancelled)
@@ -338,16 +338,16 @@
 	h.p.answer(h.p.all[id], "failed")
 }
 
-func (h host) Call(id rules.RequestID, d time.Duration) { h.note("call", id, d.Seconds()) }
-func (h host) Skip(id rules.RequestID)                  { h.note("skip", id, 0) }
-func (h host) Keep(id rules.RequestID, d time.Duration) { h.note("keep", id, d.Seconds()) }
-func (h host) Forget(id rules.RequestID)                { h.note("forget", id, 0) }
-func (h host) Reuse(id rules.RequestID)                 { h.note("reuse", id, 0) }
-func (h host) SetHealth(_, good bool)                   { h.note("health", 0, map[bool]float64{true: 1}[good]) }
-func (h host) Say(v float64)                            { h.note("say", 0, v) }
-func (h host) CloseIdle(d time.Duration)                { h.note("idle", 0, d.Seconds()) }
+func (h host) Call(id rules.RequestID, d time.Duration)       { h.note("call", id, d.Seconds()) }
+func (h host) SkipCall(id rules.RequestID)                    { h.note("skip", id, 0) }
+func (h host) KeepRecord(id rules.RequestID, d time.Duration) { h.note("keep", id, d.Seconds()) }
+func (h host) ForgetRecord(id rules.RequestID)                { h.note("forget", id, 0) }
+func (h host) JoinEarlier(id rules.RequestID)                 { h.note("reuse", id, 0) }
+func (h host) SetHealth(_, good bool)                         { h.note("health", 0, map[bool]float64{true: 1}[good]) }
+func (h host) PublishLoad(v float64)                          { h.note("say", 0, v) }
+func (h host) SetIdleTimeout(d time.Duration)                 { h.note("idle", 0, d.Seconds()) }
 
-func (h host) Wake(_ uint64, in time.Duration) { h.p.timers = append(h.p.timers, h.p.now+in) }
+func (h host) StartTimer(_ uint64, in time.Duration) { h.p.timers = append(h.p.timers, h.p.now+in) }
 
 func (h host) Log(line string) {
 	h.note("log "+line, 0, 0)
--- a/internal/stream/end.go
+++ b/internal/stream/end.go
@@ -73,7 +73,7 @@
 	case IdleClosed, LeftByUs:
 		return rules.Cancelled
 	}
-	return rules.Reset
+	return rules.ConnectionReset
 }
 
 // lingers tells whether the peer may still be sending, and hear what was sent to it.
--- a/rules/api.go
+++ b/rules/api.go
@@ -28,27 +28,27 @@
 
 // The outcomes of runs and calls.
 const (
-	OK            Outcome = iota // it went well
-	Failed                       // it failed and may have had its effect
-	Full                         // the call was bounced unseen
-	TimedOut                     // the call was given up and may have had its effect
-	ConnectFailed                // nothing below was reached
-	Reset                        // the call broke off and may have had its effect
-	Cancelled                    // the run was stopped, or ended at a call after its answer
-	Moot                         // nothing started, the request was over
+	OK              Outcome = iota // it went well
+	Failed                         // it failed and may have had its effect
+	CallRejected                   // the call was bounced unseen
+	TimedOut                       // the call was given up and may have had its effect
+	ConnectFailed                  // nothing below was reached
+	ConnectionReset                // the call broke off and may have had its effect
+	Cancelled                      // the run was stopped, or ended at a call after its answer
+	NeverStarted                   // nothing started, the request was over
 )
 
 // NeverRan reports whether the outcome proves that nothing ran.
-func (o Outcome) NeverRan() bool { return o == Full || o == ConnectFailed || o == Moot }
+func (o Outcome) NeverRan() bool { return o == CallRejected || o == ConnectFailed || o == NeverStarted }
 
 // Below says what a node's requests call.
-type Below uint8
+type Dependency uint8
 
 // The kinds of dependency.
 const (
-	BelowNone   Below = iota
-	BelowShared       // one dependency that every node loads
-	BelowTier         // another tier of nodes, reached through a balancer
+	DependencyNone   Dependency = iota
+	DependencyShared            // one dependency that every node loads
+	DependencyTier              // another tier of nodes, reached through a balancer
 )
 
 // Preemption says what Host.Halt does to running work.
@@ -62,27 +62,27 @@
 )
 
 // FreeValue says what callers make of the value set by Host.Say.
-type FreeValue uint8
+type LoadFeedback uint8
 
 // The meanings of the free value.
 const (
-	SayNone   FreeValue = iota // Say must not be used
-	SayLevel                   // callers send nothing ranked under it
-	SayCredit                  // requests each caller may have out here
-	SayWeight                  // chance that a caller does not pass this node over
+	FeedbackNone   LoadFeedback = iota // Say must not be used
+	FeedbackLevel                      // callers send nothing ranked under it
+	FeedbackCredit                     // requests each caller may have out here
+	FeedbackWeight                     // chance that a caller does not pass this node over
 )
 
 // Class is what the settings say of a request class.
 type Class struct {
-	Aim        time.Duration // answers within it earn the full worth
-	AimStretch float64       // the aim grows by this many times the request's own work
-	Deadline   time.Duration // how long a client waits in all
-	LateShare  float64       // share of the worth between aim and deadline
-	Worth      float64
-	Window     time.Duration // Keyed: how long after reaching us a repeat may come
-	Effect     Effect
-	Calls      bool    // its requests may call below
-	SkipWorth  float64 // share of the worth left when a call is skipped, 0 = must call
+	LatencyTarget        time.Duration // answers within it earn the full worth
+	LatencyTargetStretch float64       // the aim grows by this many times the request's own work
+	Deadline             time.Duration // how long a client waits in all
+	LateUtilityShare     float64       // share of the worth between aim and deadline
+	Utility              float64
+	IdempotencyWindow    time.Duration // Keyed: how long after reaching us a repeat may come
+	Effect               Effect
+	CallsDependency      bool    // its requests may call below
+	SkipUtilityShare     float64 // share of the worth left when a call is skipped, 0 = must call
 }
 
 // Tenant is what the settings say of one tenant.
@@ -93,67 +93,67 @@
 
 // Settings is what a node is told when it starts.
 type Settings struct {
-	Tick           time.Duration // batches come at most this often
-	Cores          int
-	Nodes          int // nodes of this tier at the start
-	Callers        int // callers of this tier at the start
-	Cold           bool
-	Layer          int
-	Classes        []Class
-	Tenants        []Tenant
-	OverShare      float64 // worth of a request beyond its tenant's share
-	WorthByWork    bool    // worth counts for each unit of work
-	MarksRetries   bool
-	PassesPatience bool
-	TellsGone      bool
-	HonoursRetry   bool          // retry-after is passed on
-	MaxRetryAfter  time.Duration // the longest that is heeded
-	FreeValue      FreeValue
-	FreeValueLife  time.Duration // how long callers remember the free value
-	Preemption     Preemption
-	MemoryKB       float64
-	RunFactor      float64       // memory of a running request over a held one
-	EntryKB        float64       // memory of a kept entry
-	Fresh          time.Duration // how long a read's answer may be shared, 0 = never
-	Gauges         []string
-	KeepaliveMax   time.Duration
-	Readiness      bool // the callers' list follows health
-	Below          Below
-	CallShare      float64       // BelowShared: mean calls this node may hold
-	CallWindow     time.Duration // BelowShared: span of that mean
-	CallLinger     time.Duration // BelowShared: how long an abandoned call stays
-	AnswerSlack    time.Duration // how long past due an answer still counts
-	ColdFrom       float64       // least share of its speed a cold node starts at
-	Ramp           time.Duration // a cold node is warm after this
-	DrainGrace     time.Duration // what arrives later than this after Drain is not run
-	FallMultiple   float64       // mean runs a core that a warm node survives
-	FallWindow     time.Duration // span of that mean
-	NewPools       func() Pools  // pools by class, nil = one line for all
-
-	NewTogether func(now time.Duration) Together // refusals with the fleet in mind, nil = none
+	BatchInterval       time.Duration // batches come at most this often
+	Cores               int
+	Nodes               int // nodes of this tier at the start
+	Callers             int // callers of this tier at the start
+	ColdStart           bool
+	Layer               int
+	Classes             []Class
+	Tenants             []Tenant
+	OverQuotaUtility    float64 // worth of a request beyond its tenant's share
+	UtilityPerWork      bool    // worth counts for each unit of work
+	RetriesMarked       bool
+	TimeoutsPassed      bool
+	DisconnectsReported bool
+	HonoursRetryAfter   bool          // retry-after is passed on
+	MaxRetryAfter       time.Duration // the longest that is heeded
+	LoadFeedback        LoadFeedback
+	LoadFeedbackTTL     time.Duration // how long callers remember the free value
+	Preemption          Preemption
+	MemoryKB            float64
+	RunningMemoryFactor float64       // memory of a running request over a held one
+	RecordKB            float64       // memory of a kept entry
+	ReadFreshness       time.Duration // how long a read's answer may be shared, 0 = never
+	Gauges              []string
+	MaxIdleTimeout      time.Duration
+	Readiness           bool // the callers' list follows health
+	Dependency          Dependency
+	CallShare           float64       // BelowShared: mean calls this node may hold
+	CallWindow          time.Duration // BelowShared: span of that mean
+	AbandonedCallTime   time.Duration // BelowShared: how long an abandoned call stays
+	AnswerSlack         time.Duration // how long past due an answer still counts
+	ColdSpeed           float64       // least share of its speed a cold node starts at
+	WarmUpTime          time.Duration // a cold node is warm after this
+	DrainGrace          time.Duration // what arrives later than this after Drain is not run
+	OverloadRunsPerCore float64       // mean runs a core that a warm node survives
+	OverloadWindow      time.Duration // span of that mean
+	NewPools            func() Pools  // pools by class, nil = one line for all
+
+	NewShedder func(now time.Duration) Shedder // refusals with the fleet in mind, nil = none
 }
 
 // Request is one try that was read and is now held.
 type Request struct {
-	ID       RequestID
-	Earlier  RequestID     // the kept request it repeats, 0 = none
-	Patience time.Duration // how long the caller still waits, 0 = not told
-	Rank     float64       // its place by worth, 0 to 1
-	Hint     time.Duration // expected work, 0 = not told
-	Tenant   int
-	Caller   uint32
-	Age      time.Duration // since it reached the machine
-	Key      uint64
-	KB       float64 // memory while held
-	Class    int
-	Retry    bool // a further try or a second copy, where these are marked
-	Write    bool
+	ID            RequestID
+	RepeatOf      RequestID     // the kept request it repeats, 0 = none
+	CallerTimeout time.Duration // how long the caller still waits, 0 = not told
+	Rank          float64       // its place by worth, 0 to 1
+	WorkHint      time.Duration // expected work, 0 = not told
+	Tenant        int
+	Caller        uint32
+	Age           time.Duration // since it reached the machine
+	Key           uint64
+	MemoryKB      float64 // memory while held
+	Class         int
+	Retry         bool // a further try or a second copy, where these are marked
+	Write         bool
 }
 
 // Waiting is a held request as Pools see it.
-type Waiting struct {
-	Class int
-	Value float64 // what serving it earns for its work
+type QueuedRequest struct {
+	Class   int
+	Utility float64 // what serving it earns for its work
 }
 
 // Pools say, where they are set, which of the line gets a free slot and which
@@ -161,39 +161,39 @@
 // stay as they are. decide/pools has them.
 type Pools interface {
 	Arrived(now time.Duration, class int, hint time.Duration)
-	Running(now time.Duration, class, n int) // n more runs of a class are on the cores
-	Ran(now time.Duration, class int, took time.Duration)
+	RunningChanged(now time.Duration, class, n int) // n more runs of a class are on the cores
+	RunSucceeded(now time.Duration, class int, took time.Duration)
 	Step(now time.Duration, limit float64) (lines []string)
-	Stuck() int // runs that stand still and need no core
-	Next(now time.Duration, slots, taken int, line []Waiting) int
-	Leaves(now time.Duration, bound int, line []Waiting) int
+	StalledRuns() int // runs that stand still and need no core
+	Next(now time.Duration, slots, taken int, line []QueuedRequest) int
+	Evict(now time.Duration, bound int, line []QueuedRequest) int
 }
 
 // Together says, where it is set, what becomes of refusals with the fleet in mind.
 // Which requests run, and how many, stays as it is. decide/together has it.
-type Together interface {
+type Shedder interface {
 	Arrived(now time.Duration, value, price float64, again bool)
 	Step(now time.Duration, drain, short float64) (lines []string)
-	InVain(line []Waiting, value float64, most time.Duration) bool // it would be held for longer than most
-	EndsWalk(now time.Duration, price float64) bool
-	RetryWorth() float64 // of a further try over a first one
-	Advice(now, base, most time.Duration) time.Duration
+	ExceedsQueueTimeout(line []QueuedRequest, value float64, most time.Duration) bool // it would be held for longer than most
+	StopsRetries(now time.Duration, price float64) bool
+	RetryUtility() float64 // of a further try over a first one
+	RetryAfter(now, base, most time.Duration) time.Duration
 }
 
 // Host carries out what the module decides.
 type Host interface {
 	Run(id RequestID)
-	Halt(id RequestID)
+	Preempt(id RequestID)
 	Refuse(id RequestID, retryAfter time.Duration, last bool)
 	Fail(id RequestID)
 	Call(id RequestID, timeout time.Duration)
-	Skip(id RequestID)
-	Keep(id RequestID, span time.Duration)
-	Forget(id RequestID)
-	Reuse(id RequestID)
+	SkipCall(id RequestID)
+	KeepRecord(id RequestID, span time.Duration)
+	ForgetRecord(id RequestID)
+	JoinEarlier(id RequestID)
 	SetHealth(stored, good bool)
-	Say(value float64)
-	CloseIdle(after time.Duration)
-	Wake(token uint64, in time.Duration)
+	PublishLoad(value float64)
+	SetIdleTimeout(after time.Duration)
+	StartTimer(token uint64, in time.Duration)
 	Log(line string)
 }
--- a/rules/customers_test.go
+++ b/rules/customers_test.go
@@ -65,7 +65,7 @@
 func (c *customer) after(x *try, d time.Duration, do func()) {
 	x.version++
 	v := x.version
-	c.in(max(d, c.set.Tick), func() {
+	c.in(max(d, c.set.BatchInterval), func() {
 		if x.version == v && !x.over {
 			do()
 		}
@@ -82,20 +82,20 @@
 	if o != Cancelled || x.answered || x.gone {
 		x.over = true
 	}
-	c.m.Ended(c.now, x.q.ID, o, took)
+	c.m.RunEnded(c.now, x.q.ID, o, took)
 }
 
 // goOn lets a run go on: to a call, or to its end.
 func (c *customer) goOn(x *try, calls bool) {
 	took := time.Duration(1+c.rng.IntN(c.longest)) * time.Millisecond
 	c.after(x, took, func() {
-		if calls && c.class(x).Calls && c.rng.IntN(2) == 0 {
+		if calls && c.class(x).CallsDependency && c.rng.IntN(2) == 0 {
 			if x.answered || x.gone {
 				c.ends(x, Cancelled, took)
 				return
 			}
 			x.running, x.atCall, x.called, x.again = false, true, false, true
-			c.m.NeedsCall(c.now, x.q.ID)
+			c.m.CallNeeded(c.now, x.q.ID)
 			return
 		}
 		switch {
@@ -117,7 +117,7 @@
 	}
 	c.seen["run"]++
 	if x.over || x.answered || x.gone {
-		c.in(0, func() { c.m.Ended(c.now, id, Moot, 0) })
+		c.in(0, func() { c.m.RunEnded(c.now, id, NeverStarted, 0) })
 		return
 	}
 	if x.running || x.atCall || x.calling {
@@ -128,7 +128,7 @@
 		c.broke("duplicate: %d of effect %d starts again", id, e)
 	}
 	for _, o := range c.order {
-		if e == Keyed && o != x && o.what == x.what && o.ran && x.arrived-o.arrived < c.class(x).Window && x.arrived >= o.arrived {
+		if e == Keyed && o != x && o.what == x.what && o.ran && x.arrived-o.arrived < c.class(x).IdempotencyWindow && x.arrived >= o.arrived {
 			c.broke("duplicate: %d runs what %d has run", id, o.q.ID)
 		}
 	}
@@ -139,7 +139,7 @@
 	c.goOn(x, true)
 }
 
-func (c *customer) Halt(id RequestID) {
+func (c *customer) Preempt(id RequestID) {
 	x := c.tries[id]
 	if c.set.Preemption == PreemptNone {
 		c.broke("halt of %d where nothing can be halted", id)
@@ -148,7 +148,7 @@
 		c.broke("halt of %d, whose work is not safe to repeat", id)
 	}
 	if c.seen["halt"]++; x.running {
-		c.after(x, c.set.Tick, func() { c.ends(x, Cancelled, c.set.Tick) })
+		c.after(x, c.set.BatchInterval, func() { c.ends(x, Cancelled, c.set.BatchInterval) })
 	}
 }
 
@@ -165,7 +165,7 @@
 	switch {
 	case x.running:
 	case x.atCall || x.calling:
-		c.after(x, c.set.Tick, func() { c.ends(x, Cancelled, c.set.Tick) })
+		c.after(x, c.set.BatchInterval, func() { c.ends(x, Cancelled, c.set.BatchInterval) })
 	default:
 		x.over = true
 	}
@@ -196,7 +196,7 @@
 		c.broke("duplicate: the call of %d is made again, it may have had its effect", id)
 	}
 	x.atCall, x.calling, x.called = false, true, true
-	o := []Outcome{OK, OK, OK, Failed, Full, TimedOut, ConnectFailed, Reset}[c.rng.IntN(8)]
+	o := []Outcome{OK, OK, OK, Failed, CallRejected, TimedOut, ConnectFailed, ConnectionReset}[c.rng.IntN(8)]
 	took := time.Duration(c.rng.Int64N(int64(max(timeout, 2))))
 	if o == TimedOut {
 		took = timeout
@@ -204,16 +204,16 @@
 	x.again = o.NeverRan()
 	c.after(x, took, func() {
 		x.calling, x.running, x.atCall = false, o == OK, o != OK
-		c.m.Called(c.now, id, o, took)
+		c.m.CallEnded(c.now, id, o, took)
 		if o == OK {
 			c.goOn(x, true)
 		}
 	})
 }
 
-func (c *customer) Skip(id RequestID) {
+func (c *customer) SkipCall(id RequestID) {
 	x := c.tries[id]
-	if c.class(x).SkipWorth <= 0 {
+	if c.class(x).SkipUtilityShare <= 0 {
 		c.broke("the call of %d is left out, it may not be", id)
 	}
 	if c.seen["skip"]++; x.atCall {
@@ -222,7 +222,7 @@
 	}
 }
 
-func (c *customer) Keep(id RequestID, span time.Duration) {
+func (c *customer) KeepRecord(id RequestID, span time.Duration) {
 	x := c.tries[id]
 	if x.q.Write && c.class(x).Effect == Safe {
 		c.broke("a write, %d, is kept for sharing", id)
@@ -232,16 +232,16 @@
 	}
 }
 
-func (c *customer) Forget(id RequestID) {
+func (c *customer) ForgetRecord(id RequestID) {
 	if x := c.tries[id]; c.table[x.what].holder == id {
 		c.seen["forget"]++
 		delete(c.table, x.what)
 	}
 }
 
-func (c *customer) Reuse(id RequestID) {
+func (c *customer) JoinEarlier(id RequestID) {
 	x := c.tries[id]
-	if c.seen["reuse"]++; x.q.Earlier == 0 {
+	if c.seen["reuse"]++; x.q.RepeatOf == 0 {
 		c.broke("%d is to share a result and repeats nothing", id)
 		return
 	}
@@ -251,53 +251,53 @@
 	x.reusing = true
 	var wait func()
 	wait = func() {
-		switch o := c.tries[x.q.Earlier]; {
+		switch o := c.tries[x.q.RepeatOf]; {
 		case o.over && o.ran:
-			c.ends(x, OK, c.set.Tick)
+			c.ends(x, OK, c.set.BatchInterval)
 		case o.over:
-			c.ends(x, Failed, c.set.Tick)
+			c.ends(x, Failed, c.set.BatchInterval)
 		default:
 			c.after(x, 20*time.Millisecond, wait)
 		}
 	}
-	c.after(x, c.set.Tick, wait)
+	c.after(x, c.set.BatchInterval, wait)
 }
 
-func (c *customer) Say(float64) {
-	if c.set.FreeValue == SayNone {
+func (c *customer) PublishLoad(float64) {
+	if c.set.LoadFeedback == FeedbackNone {
 		c.broke("a free value where none is used")
 	}
 }
 
 func (c *customer) SetHealth(bool, bool)                   {}
-func (c *customer) CloseIdle(time.Duration)                {}
+func (c *customer) SetIdleTimeout(time.Duration)           {}
 func (c *customer) Log(string)                             {}
-func (c *customer) Wake(_ uint64, in time.Duration)        { c.wake = c.now + in }
+func (c *customer) StartTimer(_ uint64, in time.Duration)  { c.wake = c.now + in }
 func (c *customer) pick(of ...time.Duration) time.Duration { return of[c.rng.IntN(len(of))] }
 
 // draw makes the settings of a customer.
 func (c *customer) draw() {
 	r := c.rng
 	c.set = Settings{
-		Tick: c.pick(time.Millisecond, 5*time.Millisecond), Cores: 1 + r.IntN(4), Nodes: 1 + r.IntN(20), Callers: r.IntN(50),
-		Cold: r.IntN(3) == 0, OverShare: 0.05, WorthByWork: r.IntN(2) == 0, MarksRetries: r.IntN(2) == 0,
-		PassesPatience: r.IntN(2) == 0, TellsGone: r.IntN(2) == 0, HonoursRetry: true, MaxRetryAfter: time.Second,
-		FreeValue: FreeValue(r.IntN(4)), FreeValueLife: time.Second, Preemption: Preemption(r.IntN(3)),
-		MemoryKB: 2000 + 20000*r.Float64(), RunFactor: 4 + 12*r.Float64(), EntryKB: 1 + 40*r.Float64(),
-		Fresh: c.pick(0, 200*time.Millisecond, 2*time.Second), Gauges: []string{"cpu_busy", "runnable"}, KeepaliveMax: 30 * time.Second,
-		Below: Below(r.IntN(3)), CallShare: 0.5 + 5*r.Float64(), CallWindow: 5 * time.Second, CallLinger: 200 * time.Millisecond,
-		AnswerSlack: 60 * time.Millisecond, ColdFrom: 0.2 + 0.5*r.Float64(), Ramp: 9 * time.Second,
-		DrainGrace: c.pick(300*time.Millisecond, 2*time.Second), FallMultiple: 3 + 5*r.Float64(), FallWindow: 1500 * time.Millisecond,
+		BatchInterval: c.pick(time.Millisecond, 5*time.Millisecond), Cores: 1 + r.IntN(4), Nodes: 1 + r.IntN(20), Callers: r.IntN(50),
+		ColdStart: r.IntN(3) == 0, OverQuotaUtility: 0.05, UtilityPerWork: r.IntN(2) == 0, RetriesMarked: r.IntN(2) == 0,
+		TimeoutsPassed: r.IntN(2) == 0, DisconnectsReported: r.IntN(2) == 0, HonoursRetryAfter: true, MaxRetryAfter: time.Second,
+		LoadFeedback: LoadFeedback(r.IntN(4)), LoadFeedbackTTL: time.Second, Preemption: Preemption(r.IntN(3)),
+		MemoryKB: 2000 + 20000*r.Float64(), RunningMemoryFactor: 4 + 12*r.Float64(), RecordKB: 1 + 40*r.Float64(),
+		ReadFreshness: c.pick(0, 200*time.Millisecond, 2*time.Second), Gauges: []string{"cpu_busy", "runnable"}, MaxIdleTimeout: 30 * time.Second,
+		Dependency: Dependency(r.IntN(3)), CallShare: 0.5 + 5*r.Float64(), CallWindow: 5 * time.Second, AbandonedCallTime: 200 * time.Millisecond,
+		AnswerSlack: 60 * time.Millisecond, ColdSpeed: 0.2 + 0.5*r.Float64(), WarmUpTime: 9 * time.Second,
+		DrainGrace: c.pick(300*time.Millisecond, 2*time.Second), OverloadRunsPerCore: 3 + 5*r.Float64(), OverloadWindow: 1500 * time.Millisecond,
 	}
 	for i := range 3 {
 		deadline := 1500 + r.IntN(8000)
 		k := Class{
-			Aim: time.Duration(deadline*(25+r.IntN(40))/100) * time.Millisecond, Deadline: time.Duration(deadline) * time.Millisecond,
-			LateShare: 0.2 * float64(r.IntN(2)), Worth: float64(1 + r.IntN(4)), Effect: Effect((i + r.IntN(2)) % 3),
-			Window: time.Duration(2+r.IntN(8)) * time.Second, Calls: c.set.Below != BelowNone && r.IntN(3) > 0,
+			LatencyTarget: time.Duration(deadline*(25+r.IntN(40))/100) * time.Millisecond, Deadline: time.Duration(deadline) * time.Millisecond,
+			LateUtilityShare: 0.2 * float64(r.IntN(2)), Utility: float64(1 + r.IntN(4)), Effect: Effect((i + r.IntN(2)) % 3),
+			IdempotencyWindow: time.Duration(2+r.IntN(8)) * time.Second, CallsDependency: c.set.Dependency != DependencyNone && r.IntN(3) > 0,
 		}
 		if r.IntN(2) == 0 && k.Effect == Safe {
-			k.SkipWorth = 0.5
+			k.SkipUtilityShare = 0.5
 		}
 		c.set.Classes = append(c.set.Classes, k)
 	}
@@ -311,13 +311,13 @@
 	c.next++
 	x := &try{what: int(c.next), arrived: c.now - age}
 	x.q = Request{
-		ID: c.next, Class: c.rng.IntN(len(c.set.Classes)), Age: age, KB: 5 + 40*c.rng.Float64(), Caller: uint32(c.rng.IntN(60)),
-		Hint: time.Duration(c.rng.IntN(2)) * time.Duration(20+c.rng.IntN(500)) * time.Millisecond, Tenant: c.rng.IntN(len(c.set.Tenants) + 1),
+		ID: c.next, Class: c.rng.IntN(len(c.set.Classes)), Age: age, MemoryKB: 5 + 40*c.rng.Float64(), Caller: uint32(c.rng.IntN(60)),
+		WorkHint: time.Duration(c.rng.IntN(2)) * time.Duration(20+c.rng.IntN(500)) * time.Millisecond, Tenant: c.rng.IntN(len(c.set.Tenants) + 1),
 	}
 	if n := len(c.order); n > 0 && c.rng.IntN(3) == 0 {
 		o := c.order[n-1-c.rng.IntN(min(n, 60))]
 		x.what, x.q.Class, x.q.Write = o.what, o.q.Class, o.q.Write
-		x.q.Retry = c.set.MarksRetries
+		x.q.Retry = c.set.RetriesMarked
 	} else {
 		x.q.Write = c.rng.IntN(3) == 0
 	}
@@ -326,22 +326,22 @@
 		x.q.Key = uint64(x.what)
 	}
 	if e, ok := c.table[x.what]; ok && x.arrived < e.expires && k.Effect != Unsafe && !x.q.Write {
-		if o := c.tries[e.holder]; k.Effect == Keyed || !o.over || c.now-o.arrived < c.set.Fresh {
-			x.q.Earlier = e.holder
+		if o := c.tries[e.holder]; k.Effect == Keyed || !o.over || c.now-o.arrived < c.set.ReadFreshness {
+			x.q.RepeatOf = e.holder
 		}
 	} else if ok && k.Effect == Keyed && x.arrived < e.expires {
-		x.q.Earlier = e.holder
+		x.q.RepeatOf = e.holder
 	}
 	x.due = x.arrived + k.Deadline
-	if c.set.PassesPatience {
-		x.q.Patience = time.Duration(100+c.rng.IntN(3000)) * time.Millisecond
-		x.due = c.now + x.q.Patience
+	if c.set.TimeoutsPassed {
+		x.q.CallerTimeout = time.Duration(100+c.rng.IntN(3000)) * time.Millisecond
+		x.due = c.now + x.q.CallerTimeout
 	}
 	x.due = max(x.due, c.now)
 	c.tries[x.q.ID] = x
 	c.order = append(c.order, x)
 	c.m.Arrive(c.now, x.q)
-	if c.set.TellsGone && c.rng.IntN(6) == 0 {
+	if c.set.DisconnectsReported && c.rng.IntN(6) == 0 {
 		c.in(time.Duration(c.rng.IntN(3000))*time.Millisecond, func() {
 			if x.over || x.answered {
 				return
@@ -349,9 +349,9 @@
 			if x.gone = true; !x.running && !x.atCall && !x.calling {
 				x.over = true
 			} else if !x.running {
-				c.after(x, c.set.Tick, func() { c.ends(x, Cancelled, c.set.Tick) })
+				c.after(x, c.set.BatchInterval, func() { c.ends(x, Cancelled, c.set.BatchInterval) })
 			}
-			c.m.Gone(c.now, x.q.ID)
+			c.m.CallerGone(c.now, x.q.ID)
 		})
 	}
 }
@@ -365,9 +365,9 @@
 		}
 		factor := 1.0
 		if x.running || x.atCall || x.calling {
-			factor = c.set.RunFactor
+			factor = c.set.RunningMemoryFactor
 		}
-		memory += x.q.KB * factor
+		memory += x.q.MemoryKB * factor
 		if x.running {
 			running++
 		}
@@ -377,7 +377,7 @@
 	}
 	for what, e := range c.table {
 		if c.now < e.expires {
-			memory += c.set.EntryKB
+			memory += c.set.RecordKB
 		} else if c.now > e.expires+2*time.Second { // what came before its end may be read until then
 			delete(c.table, what)
 		}
@@ -386,17 +386,17 @@
 		c.broke("fall-over: %.0f of %.0f kB", memory, c.set.MemoryKB)
 	}
 	c.crowd = append(c.crowd, float64(running))
-	if n := int(c.set.FallWindow / c.set.Tick); len(c.crowd) > n {
+	if n := int(c.set.OverloadWindow / c.set.BatchInterval); len(c.crowd) > n {
 		c.crowd = c.crowd[1:]
 		mean := 0.0
 		for _, v := range c.crowd {
 			mean += v / float64(n)
 		}
 		speed := 1.0
-		if c.set.Cold {
-			speed = min(1, c.set.ColdFrom+(1-c.set.ColdFrom)*float64(c.now-50*time.Second)/float64(c.set.Ramp))
+		if c.set.ColdStart {
+			speed = min(1, c.set.ColdSpeed+(1-c.set.ColdSpeed)*float64(c.now-50*time.Second)/float64(c.set.WarmUpTime))
 		}
-		if most := float64(c.set.Cores) * (1 + (c.set.FallMultiple-1)*speed); mean > most {
+		if most := float64(c.set.Cores) * (1 + (c.set.OverloadRunsPerCore-1)*speed); mean > most {
 			c.broke("fall-over: %.1f runs in the mean, %.1f are survived", mean, most)
 		}
 	}
@@ -418,14 +418,14 @@
 	if c.m, err = New(c.now, c.set, c.seed, c); err != nil {
 		c.t.Fatalf("seed %d: %v", c.seed, err)
 	}
-	rate := float64(c.set.Cores) * (1 + 20*c.rng.Float64()) * c.set.Tick.Seconds()
+	rate := float64(c.set.Cores) * (1 + 20*c.rng.Float64()) * c.set.BatchInterval.Seconds()
 	c.longest = 400
 	blind := c.rng.IntN(3) == 0 // gauges that always say idle let the limit grow as far as it may
 	if blind {
 		c.longest = 1500
 	}
 	notice, end := c.now+11*time.Second, c.now+14*time.Second
-	for ; c.now < end && !c.broken; c.now += c.set.Tick {
+	for ; c.now < end && !c.broken; c.now += c.set.BatchInterval {
 		for i := 0; i < len(c.due); i++ {
 			if c.due[i].at <= c.now {
 				do := c.due[i].do
@@ -435,7 +435,7 @@
 			}
 		}
 		if c.now >= notice && c.drained == 0 {
-			c.drained, c.stopAt = c.now, end-c.set.Tick
+			c.drained, c.stopAt = c.now, end-c.set.BatchInterval
 			c.m.Drain(c.now, c.stopAt-c.now)
 		}
 		for n := rate; c.rng.Float64() < n && c.now < end-500*time.Millisecond; n-- {
@@ -455,9 +455,9 @@
 			if blind {
 				wants = 0
 			}
-			c.m.Woke(c.now, 1, []float64{min(1, wants/float64(c.set.Cores)), wants})
+			c.m.TimerFired(c.now, 1, []float64{min(1, wants/float64(c.set.Cores)), wants})
 		}
-		c.m.Settle(c.now)
+		c.m.FinishBatch(c.now)
 		c.check()
 	}
 }
--- a/rules/learned.go
+++ b/rules/learned.go
@@ -34,7 +34,7 @@
 // Prior takes what an earlier life had learned as if it rested on a few runs:
 // weight, from 0 to 1, says on how many. speed is the share of its usual speed that
 // the node starts at. Classes of which something is known already stay as they are.
-func (m *Module) Prior(l Learned, weight, speed float64) {
+func (m *Module) WarmStart(l Learned, weight, speed float64) {
 	if weight <= 0 || speed <= 0 || len(l.Classes) != len(m.runs) {
 		return
 	}
@@ -53,7 +53,7 @@
 }
 
 // Forget drops what Prior brought: the evidence speaks against it.
-func (m *Module) Forget() {
+func (m *Module) DiscardWarmStart() {
 	for i := range m.runs {
 		m.runs[i], m.hints[i] = pace{}, 0
 	}
--- a/rules/replay_test.go
+++ b/rules/replay_test.go
@@ -28,13 +28,15 @@
 		}
 		return 0
 	}, Work: machine.Always(4 * time.Millisecond)}), "bbbf2bd6e64b62969a9945a0"},
-	"cold": {4, func(s *rules.Settings, _ *machine.Options) { s.Cold, s.Ramp, s.ColdFrom = true, 4*time.Second, 0.3 }, mix(1.1), "e098490c18e54b1ac2a45eca"},
+	"cold": {4, func(s *rules.Settings, _ *machine.Options) {
+		s.ColdStart, s.WarmUpTime, s.ColdSpeed = true, 4*time.Second, 0.3
+	}, mix(1.1), "e098490c18e54b1ac2a45eca"},
 	"hang": {5, func(_ *rules.Settings, o *machine.Options) {
 		o.Hangs = func(at time.Duration, _ int) bool { return at > 3*time.Second && at < 5*time.Second }
 	}, mix(0.9), "55577b5267b44caa342140e0"},
 	"drain":     {6, func(_ *rules.Settings, o *machine.Options) { o.Drain = 5 * time.Second; o.Length = 9 * time.Second }, mix(1.0), "45c18af6b72ffef82a841de9"},
 	"unsafe":    {7, func(s *rules.Settings, _ *machine.Options) { s.Classes[1].Effect = rules.Unsafe }, mix(1.3), "2c44dc696f3229b33b2a53a5"},
-	"by work":   {8, func(s *rules.Settings, _ *machine.Options) { s.WorthByWork = true }, mix(1.3), "285b5f7d1b78f7ae7274a862"},
+	"by work":   {8, func(s *rules.Settings, _ *machine.Options) { s.UtilityPerWork = true }, mix(1.3), "285b5f7d1b78f7ae7274a862"},
 	"two cores": {9, func(s *rules.Settings, _ *machine.Options) { s.Cores = 2 }, mix(0.65), "8284edb5c806e4a4d27b0b13"},
 }
 
@@ -49,15 +51,15 @@
 }
 
 func replaySettings() rules.Settings {
-	class := rules.Class{Aim: 600 * time.Millisecond, Deadline: 1500 * time.Millisecond, Worth: 1}
+	class := rules.Class{LatencyTarget: 600 * time.Millisecond, Deadline: 1500 * time.Millisecond, Utility: 1}
 	dear, slow := class, class
-	dear.Worth, slow.Worth, slow.LateShare = 3, 1.5, 0.4
+	dear.Utility, slow.Utility, slow.LateUtilityShare = 3, 1.5, 0.4
 	return rules.Settings{
-		Tick: time.Millisecond, Cores: 4, Nodes: 1, Callers: 3, Classes: []rules.Class{class, dear, slow},
-		Tenants: []rules.Tenant{{QuotaPerSecond: 160}, {QuotaPerSecond: 30}}, OverShare: 0.2, MemoryKB: 1e6, RunFactor: 4, EntryKB: 1,
-		Preemption: rules.PreemptDrop, FallMultiple: 8, FallWindow: time.Second, DrainGrace: 300 * time.Millisecond,
-		PassesPatience: true, TellsGone: true, Gauges: []string{"cpu_busy", "runnable"}, HonoursRetry: true,
-		MaxRetryAfter: time.Second, FreeValue: rules.SayWeight, KeepaliveMax: 30 * time.Second, AnswerSlack: 60 * time.Millisecond,
+		BatchInterval: time.Millisecond, Cores: 4, Nodes: 1, Callers: 3, Classes: []rules.Class{class, dear, slow},
+		Tenants: []rules.Tenant{{QuotaPerSecond: 160}, {QuotaPerSecond: 30}}, OverQuotaUtility: 0.2, MemoryKB: 1e6, RunningMemoryFactor: 4, RecordKB: 1,
+		Preemption: rules.PreemptDrop, OverloadRunsPerCore: 8, OverloadWindow: time.Second, DrainGrace: 300 * time.Millisecond,
+		TimeoutsPassed: true, DisconnectsReported: true, Gauges: []string{"cpu_busy", "runnable"}, HonoursRetryAfter: true,
+		MaxRetryAfter: time.Second, LoadFeedback: rules.FeedbackWeight, MaxIdleTimeout: 30 * time.Second, AnswerSlack: 60 * time.Millisecond,
 	}
 }
 
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -211,10 +211,10 @@
 	notice, stopAt time.Duration
 
 	pools   Pools // nil = one line for all
-	waiting []Waiting
+	waiting []QueuedRequest
 	kept    bool // pools keep the free slots for others
 
-	together Together // nil = this node alone counts
+	together Shedder // nil = this node alone counts
 }
 
 // New starts a node's decisions. The seed is not used: nothing here is random.
@@ -228,10 +228,10 @@
 		if c.Deadline <= 0 {
 			return nil, errors.New("settings: a class without a deadline")
 		}
-		if c.Aim <= 0 {
-			set.Classes[i].Aim = c.Deadline
+		if c.LatencyTarget <= 0 {
+			set.Classes[i].LatencyTarget = c.Deadline
 		}
-		shortest = min(shortest, set.Classes[i].Aim)
+		shortest = min(shortest, set.Classes[i].LatencyTarget)
 	}
 	m := &Module{
 		set: set, host: host, now: now, born: now, limit: float64(set.Cores), progress: now,
@@ -243,13 +243,13 @@
 		lastFrom: map[uint32]time.Duration{},
 		callSeen: now, stepped: now, saidAt: now, said: -1, healthy: true,
 		stopAt: math.MaxInt64, quick: min(float64(shortest)/float64(usualAim), 1),
-		idleSaid: set.KeepaliveMax, door: now, // a clock below zero is no swamp
+		idleSaid: set.MaxIdleTimeout, door: now, // a clock below zero is no swamp
 	}
 	if set.NewPools != nil {
 		m.pools = set.NewPools()
 	}
-	if set.NewTogether != nil {
-		m.together = set.NewTogether(now)
+	if set.NewShedder != nil {
+		m.together = set.NewShedder(now)
 	}
 	host.SetHealth(true, true)
 	m.wake()
@@ -269,7 +269,7 @@
 	r := &request{Request: q, arrived: now - q.Age}
 	m.byID[q.ID] = r
 	m.all = append(m.all, r)
-	m.memory += q.KB
+	m.memory += q.MemoryKB
 	m.hear(q.Caller)
 	if q.Class >= len(m.set.Classes) { // an unknown class: nothing is known of its rules
 		m.drop(r)
@@ -277,10 +277,10 @@
 		return
 	}
 	if m.pools != nil {
-		m.pools.Arrived(now, q.Class, q.Hint)
+		m.pools.Arrived(now, q.Class, q.WorkHint)
 	}
 	m.stale -= staleAlpha * m.stale
-	if float64(q.Age) > staleAge*float64(m.class(r).Aim) {
+	if float64(q.Age) > staleAge*float64(m.class(r).LatencyTarget) {
 		m.stale += staleAlpha
 	}
 	m.setTimes(r)
@@ -290,7 +290,7 @@
 	}
 	late := m.draining && r.arrived > m.notice+m.set.DrainGrace-m.margin() // it must not run any more
 	// What is beyond a quota would keep a core from what comes next and is within.
-	beyond := r.overdue && r.Earlier == 0 && m.pressure > worthFrom && m.onCores >= m.set.Cores
+	beyond := r.overdue && r.RepeatOf == 0 && m.pressure > worthFrom && m.onCores >= m.set.Cores
 	if beyond && !late {
 		m.overflow++
 		m.turnAway(r, m.together == nil || m.endsWalk(r, true))
@@ -334,15 +334,15 @@
 	if m.swamp > swampOver {
 		m.door = m.now + doorHold
 	}
-	limit, least := m.set.KeepaliveMax, slices.Min(m.idleCost[:])
+	limit, least := m.set.MaxIdleTimeout, slices.Min(m.idleCost[:])
 	for i, cost := range m.idleCost {
 		if cost < least+idleSlack || m.now < m.door {
-			limit = min(idleShortest<<i, m.set.KeepaliveMax)
+			limit = min(idleShortest<<i, m.set.MaxIdleTimeout)
 		}
 	}
 	if limit != m.idleSaid {
 		m.idleSaid = limit
-		m.host.CloseIdle(limit)
+		m.host.SetIdleTimeout(limit)
 	}
 }
 
@@ -351,22 +351,22 @@
 func (m *Module) setTimes(r *request) {
 	c := m.class(r)
 	r.due = r.arrived + c.Deadline
-	if m.set.PassesPatience && r.Patience > 0 {
-		r.due = m.now + r.Patience
+	if m.set.TimeoutsPassed && r.CallerTimeout > 0 {
+		r.due = m.now + r.CallerTimeout
 	}
 	r.due = min(r.due, m.stopAt)
 	share := ageShare
-	if !m.set.MarksRetries && !m.set.PassesPatience { // it may be its client's third try
+	if !m.set.RetriesMarked && !m.set.TimeoutsPassed { // it may be its client's third try
 		share = unsureAge
 	}
 	r.old = r.arrived + time.Duration(share*float64(c.Deadline))
-	r.aim = r.arrived + c.Aim
-	if c.AimStretch > 0 {
-		work := r.Hint
+	r.aim = r.arrived + c.LatencyTarget
+	if c.LatencyTargetStretch > 0 {
+		work := r.WorkHint
 		if work <= 0 {
 			work = m.usualRun(r)
 		}
-		r.aim = min(r.aim+time.Duration(c.AimStretch*float64(work)), r.arrived+c.Deadline)
+		r.aim = min(r.aim+time.Duration(c.LatencyTargetStretch*float64(work)), r.arrived+c.Deadline)
 	}
 }
 
@@ -374,22 +374,22 @@
 // joins the line; otherwise it was answered or waits for the other's result.
 func (m *Module) remember(r *request) bool {
 	c := m.class(r)
-	shared := c.Effect == Safe && m.set.Fresh > 0 && r.Key != 0 && !r.Write
+	shared := c.Effect == Safe && m.set.ReadFreshness > 0 && r.Key != 0 && !r.Write
 	if c.Effect != Keyed && !shared {
 		return true
 	}
-	if r.Earlier != 0 {
-		e := m.entries[r.Earlier]
+	if r.RepeatOf != 0 {
+		e := m.entries[r.RepeatOf]
 		if e == nil || e.ran || !e.freed { // unknown counts as run: never risk a second effect
 			r.state = reusing
-			m.host.Reuse(r.ID)
+			m.host.JoinEarlier(r.ID)
 			return false
 		}
 	}
-	span := m.set.Fresh
+	span := m.set.ReadFreshness
 	if c.Effect == Keyed {
-		span = c.Window + 2*m.set.Tick
-		if m.keyMemory()+m.set.EntryKB > keyMemory*m.set.MemoryKB { // it must not run unremembered
+		span = c.IdempotencyWindow + 2*m.set.BatchInterval
+		if m.keyMemory()+m.set.RecordKB > keyMemory*m.set.MemoryKB { // it must not run unremembered
 			m.turnAway(r, false)
 			return false
 		}
@@ -397,17 +397,17 @@
 		return true
 	}
 	m.entries[r.ID] = &entry{expires: m.now + span}
-	m.host.Keep(r.ID, span)
+	m.host.KeepRecord(r.ID, span)
 	return true
 }
 
 // Restored tells of an entry kept by an earlier life of the node. Its run may have happened.
-func (m *Module) Restored(now time.Duration, id RequestID, span time.Duration) {
+func (m *Module) RestoreRecord(now time.Duration, id RequestID, span time.Duration) {
 	m.now = now
 	m.entries[id] = &entry{expires: now + span, ran: true}
 }
 
-func (m *Module) keyMemory() float64 { return float64(len(m.entries)-m.freed) * m.set.EntryKB }
+func (m *Module) keyMemory() float64 { return float64(len(m.entries)-m.freed) * m.set.RecordKB }
 
 // overShare reports whether a request's tenant sends more than this node's part of its quota, and more of
 // what comes here than its share: a node that hot keys or few callers fill sees all of them beyond. What
@@ -483,7 +483,7 @@
 // leaves is how many usual runs fit before an answer is worth little.
 func (m *Module) leaves(r *request) float64 {
 	left := min(r.aim, r.due-m.margin()) - m.now
-	if m.class(r).LateShare > 0 {
+	if m.class(r).LateUtilityShare > 0 {
 		left = r.due - m.margin() - m.now
 	}
 	return float64(left) / float64(max(m.usualRun(r), 1))
@@ -500,8 +500,8 @@
 		return min(firstRunGuess, m.class(r).Deadline/8)
 	}
 	t := l.mean
-	if r.Hint > 0 && m.hintVar > 0 {
-		t = max(t+max(m.hintCov/m.hintVar, 0)*(r.Hint.Seconds()-m.hints[r.Class]), t/10)
+	if r.WorkHint > 0 && m.hintVar > 0 {
+		t = max(t+max(m.hintCov/m.hintVar, 0)*(r.WorkHint.Seconds()-m.hints[r.Class]), t/10)
 	}
 	if l.n < learnRuns {
 		t = min(t, m.class(r).Deadline.Seconds()/8)
@@ -511,12 +511,12 @@
 
 // worth is what serving a request earns. A marked retry may be late: its client has waited before.
 func (m *Module) worth(r *request) float64 {
-	v := m.class(r).Worth
+	v := m.class(r).Utility
 	if r.overdue {
-		v *= m.set.OverShare
+		v *= m.set.OverQuotaUtility
 	}
 	if r.Retry && m.together != nil {
-		v *= m.together.RetryWorth()
+		v *= m.together.RetryUtility()
 	} else if r.Retry {
 		v *= retryWorth
 	}
@@ -526,29 +526,29 @@
 // price is what serving a request as a first try earns for each unit of its expected work.
 func (m *Module) price(r *request) float64 {
 	first := request{Request: r.Request, overdue: r.overdue}
-	if first.Retry = false; m.set.WorthByWork {
+	if first.Retry = false; m.set.UtilityPerWork {
 		return m.worth(&first)
 	}
-	return m.worth(&first) / cmp.Or(r.Hint, m.usualRun(r)).Seconds()
+	return m.worth(&first) / cmp.Or(r.WorkHint, m.usualRun(r)).Seconds()
 }
 
 // inVain: what earns more would fill the slots, or push r out of a full line, until r is too old to start.
 func (m *Module) inVain(r *request) bool {
 	return m.together != nil && m.waits && (m.pressure > worthFrom || 8*len(m.line) > 7*m.bound()) &&
-		float64(len(m.line)) > m.limit && m.together.InVain(m.seenByPools(), m.value(r), r.old-m.now)
+		float64(len(m.line)) > m.limit && m.together.ExceedsQueueTimeout(m.seenByPools(), m.value(r), r.old-m.now)
 }
 
 // endsWalk reports whether a refused request is to try no other node; old: it was held too long here.
 // Where walks are marked and few come here, the others have room and this node alone is short of it.
 func (m *Module) endsWalk(r *request, old bool) bool {
-	room := m.set.MarksRetries && m.again < againFew
-	alone := !room && (old || m.pressure > lastAll || m.pressure > lastRetry && (r.Retry || !m.set.MarksRetries))
-	return m.together == nil && alone || m.together != nil && m.together.EndsWalk(m.now, m.price(r))
+	room := m.set.RetriesMarked && m.again < againFew
+	alone := !room && (old || m.pressure > lastAll || m.pressure > lastRetry && (r.Retry || !m.set.RetriesMarked))
+	return m.together == nil && alone || m.together != nil && m.together.StopsRetries(m.now, m.price(r))
 }
 
 // value is what serving a held request earns for each unit of work.
 func (m *Module) value(r *request) float64 {
-	if m.set.WorthByWork {
+	if m.set.UtilityPerWork {
 		return m.worth(r)
 	}
 	return m.worth(r) / max(m.usualRun(r).Seconds(), 0.001)
@@ -564,7 +564,7 @@
 			}
 		}
 		if m.pools != nil {
-			worst = m.pools.Leaves(m.now, bound, m.seenByPools())
+			worst = m.pools.Evict(m.now, bound, m.seenByPools())
 		}
 		m.overflow++
 		m.turnAway(m.line[worst], m.endsWalk(m.line[worst], false))
@@ -577,18 +577,18 @@
 // cores stay under the crowd known to be survived. A cold node's speed counts at its slowest ramp.
 func (m *Module) crowd() float64 {
 	speed := 1.0
-	if m.set.Cold && m.set.Ramp > 0 {
-		done := min(1, float64(m.now-m.born)/float64(m.set.Ramp))
-		speed = m.set.ColdFrom + (1-m.set.ColdFrom)*done
+	if m.set.ColdStart && m.set.WarmUpTime > 0 {
+		done := min(1, float64(m.now-m.born)/float64(m.set.WarmUpTime))
+		speed = m.set.ColdSpeed + (1-m.set.ColdSpeed)*done
 	}
-	return max(1, crowdMargin*float64(m.set.Cores)*(1+(max(m.set.FallMultiple, 1)-1)*speed))
+	return max(1, crowdMargin*float64(m.set.Cores)*(1+(max(m.set.OverloadRunsPerCore, 1)-1)*speed))
 }
 
 // slots is how many requests may run: with pools, those that stand still in a class of which
 // nothing ends do not count, within the crowd that is survived.
 func (m *Module) slots() int {
 	if m.pools != nil {
-		return int(min(m.limit+float64(m.pools.Stuck()), m.crowd()))
+		return int(min(m.limit+float64(m.pools.StalledRuns()), m.crowd()))
 	}
 	return int(min(m.limit, m.crowd()))
 }
@@ -597,15 +597,15 @@
 func (m *Module) core(r *request, n int) {
 	m.onCores += n
 	if m.pools != nil {
-		m.pools.Running(m.now, r.Class, n)
+		m.pools.RunningChanged(m.now, r.Class, n)
 	}
 }
 
 // seenByPools is the line as pools see it, until the next call.
-func (m *Module) seenByPools() []Waiting {
+func (m *Module) seenByPools() []QueuedRequest {
 	m.waiting = m.waiting[:0]
 	for _, r := range m.line {
-		m.waiting = append(m.waiting, Waiting{Class: r.Class, Value: m.value(r)})
+		m.waiting = append(m.waiting, QueuedRequest{Class: r.Class, Utility: m.value(r)})
 	}
 	return m.waiting
 }
@@ -616,7 +616,9 @@
 }
 
 // Inspect shows what NewPools and NewTogether made, and the line as pools see it, until the next event.
-func (m *Module) Inspect() (Pools, []Waiting, Together) { return m.pools, m.seenByPools(), m.together }
+func (m *Module) Inspect() (Pools, []QueuedRequest, Shedder) {
+	return m.pools, m.seenByPools(), m.together
+}
 
 // next is the place of the request that gets a free slot: the oldest, but while
 // overflow lasts the one that earns most for its work, of equals the oldest.
@@ -649,7 +651,7 @@
 			m.turnAway(r, m.forlorn(r) || m.now > r.old && m.endsWalk(r, true))
 			continue
 		}
-		grown := r.KB * (m.set.RunFactor - 1)
+		grown := r.MemoryKB * (m.set.RunningMemoryFactor - 1)
 		if m.memory+grown+m.keyMemory() > memoryMargin*m.set.MemoryKB {
 			return
 		}
@@ -666,7 +668,7 @@
 
 // step moves the running limit and the drain rate.
 func (m *Module) step(dt time.Duration) {
-	share := min(m.stood/max(dt.Seconds(), m.set.Tick.Seconds()), 1)
+	share := min(m.stood/max(dt.Seconds(), m.set.BatchInterval.Seconds()), 1)
 	m.rateTime += m.stood - rateAlpha*share*m.rateTime
 	m.rateCount += m.drained - rateAlpha*share*m.rateCount
 	ratio, _ := m.ratio()
@@ -721,18 +723,18 @@
 // ---- call ----
 
 // NeedsCall tells that a running request stands at a call.
-func (m *Module) NeedsCall(now time.Duration, id RequestID) {
+func (m *Module) CallNeeded(now time.Duration, id RequestID) {
 	m.now = now
 	if r := m.byID[id]; r != nil && r.state == running {
 		m.moved()
 		m.core(r, -1)
 		m.inCalls++
-		r.state, r.calls, r.lastCall = atCall, 0, Moot
+		r.state, r.calls, r.lastCall = atCall, 0, NeverStarted
 	}
 }
 
 // Called tells how a call ended.
-func (m *Module) Called(now time.Duration, id RequestID, o Outcome, took time.Duration) {
+func (m *Module) CallEnded(now time.Duration, id RequestID, o Outcome, took time.Duration) {
 	m.now = now
 	m.countCalls()
 	r := m.byID[id]
@@ -750,7 +752,7 @@
 		r.state, m.inCalls = running, m.inCalls-1
 		m.core(r, 1)
 	case TimedOut:
-		m.callTime[m.callBucket%callBuckets] += m.set.CallLinger.Seconds()
+		m.callTime[m.callBucket%callBuckets] += m.set.AbandonedCallTime.Seconds()
 	}
 }
 
@@ -769,35 +771,35 @@
 		c := m.class(r)
 		left := min(r.aim, r.due-m.margin()) - m.now
 		timeout := callPart * left.Seconds()
-		if b := m.callBudget; m.set.Below == BelowShared && b > 0 {
+		if b := m.callBudget; m.set.Dependency == DependencyShared && b > 0 {
 			timeout = min(timeout, callBooked*b) // a share of calls below one affords no longer ones
 		}
 		// A failed call is repeated only where nothing is earned without it: repeats
 		// swamp what lies below just when it is short.
-		mayCall := r.calls == 0 || c.SkipWorth <= 0 && r.calls < callTries &&
+		mayCall := r.calls == 0 || c.SkipUtilityShare <= 0 && r.calls < callTries &&
 			(r.lastCall.NeverRan() || c.Effect == Safe)
 		switch {
-		case !mayCall && c.SkipWorth <= 0:
+		case !mayCall && c.SkipUtilityShare <= 0:
 			m.giveUp(r)
 		case mayCall && left > 0 && m.roomToCall(timeout):
 			m.callsOut++
 			r.calls++
 			r.state = calling
-			m.host.Call(r.ID, max(time.Duration(timeout*float64(time.Second)), m.set.Tick))
+			m.host.Call(r.ID, max(time.Duration(timeout*float64(time.Second)), m.set.BatchInterval))
 		case mayCall && spare > 0 && left > time.Duration(waitRunShare*float64(m.usualRun(r))):
 			spare--
 			m.callsShort = true
-		case c.SkipWorth > 0:
+		case c.SkipUtilityShare > 0:
 			m.callsShort = true
 			r.state, m.inCalls = running, m.inCalls-1
 			m.core(r, 1)
-			m.host.Skip(r.ID)
+			m.host.SkipCall(r.ID)
 		}
 	}
 }
 
 // loss is what leaving a request's call out costs.
-func (m *Module) loss(r *request) float64 { return m.worth(r) * (1 - m.class(r).SkipWorth) }
+func (m *Module) loss(r *request) float64 { return m.worth(r) * (1 - m.class(r).SkipUtilityShare) }
 
 // roomToCall keeps calls under what the crowd allows, the learned limit, and
 // this node's share below even if every call out lasts to its timeout.
@@ -805,7 +807,7 @@
 	if float64(m.callsOut) >= m.crowd()-float64(m.set.Cores) {
 		return false
 	}
-	if m.set.Below != BelowShared || m.callBudget <= 0 {
+	if m.set.Dependency != DependencyShared || m.callBudget <= 0 {
 		return true
 	}
 	if float64(m.callsOut) >= max(1, m.callLimit) {
@@ -852,14 +854,14 @@
 // ---- answer ----
 
 // Ended tells that a run, or a reuse, is over.
-func (m *Module) Ended(now time.Duration, id RequestID, o Outcome, took time.Duration) {
+func (m *Module) RunEnded(now time.Duration, id RequestID, o Outcome, took time.Duration) {
 	m.now = now
 	m.countCalls()
 	r := m.byID[id]
 	if r == nil {
 		return
 	}
-	if r.state == running && o != Moot {
+	if r.state == running && o != NeverStarted {
 		m.moved()
 	}
 	if r.state == running && !r.answered && o == OK {
@@ -875,7 +877,7 @@
 		}
 		return
 	}
-	if e := m.entries[id]; e != nil && o == Moot && m.class(r).Effect == Keyed { // its only start took no effect
+	if e := m.entries[id]; e != nil && o == NeverStarted && m.class(r).Effect == Keyed { // its only start took no effect
 		e.ran = false
 		m.release(r)
 	}
@@ -888,8 +890,8 @@
 		m.drained++
 	}
 	p := &m.runs[r.Class]
-	if r.Hint > 0 {
-		dx, dy := r.Hint.Seconds()-m.hints[r.Class], took.Seconds()-p.mean
+	if r.WorkHint > 0 {
+		dx, dy := r.WorkHint.Seconds()-m.hints[r.Class], took.Seconds()-p.mean
 		m.hints[r.Class] += max(runAlpha, 1/(p.n+1)) * dx
 		if p.n > 0 {
 			m.hintVar += runAlpha / 2 * (dx*dx - m.hintVar)
@@ -899,7 +901,7 @@
 	p.base *= baseDrift
 	p.learn(took, runAlpha)
 	if m.pools != nil {
-		m.pools.Ran(m.now, r.Class, took)
+		m.pools.RunSucceeded(m.now, r.Class, took)
 	}
 }
 
@@ -934,7 +936,7 @@
 // turnAway refuses a request that never ran. Keyed work whose key may have run
 // is never refused: it fails.
 func (m *Module) turnAway(r *request, last bool) {
-	if r.ran || (m.class(r).Effect == Keyed && r.Earlier != 0) {
+	if r.ran || (m.class(r).Effect == Keyed && r.RepeatOf != 0) {
 		m.giveUp(r)
 		return
 	}
@@ -946,12 +948,12 @@
 // release frees the key of a request that will never run.
 func (m *Module) release(r *request) {
 	if e := m.entries[r.ID]; e != nil && !e.ran && !e.freed {
-		if e.freed = true; float64(m.freed)*m.set.EntryKB < keyMemory*m.set.MemoryKB {
+		if e.freed = true; float64(m.freed)*m.set.RecordKB < keyMemory*m.set.MemoryKB {
 			m.freed++
 		} else { // as many as could be kept: one that is unknown counts as run
 			delete(m.entries, r.ID)
 		}
-		m.host.Forget(r.ID)
+		m.host.ForgetRecord(r.ID)
 	}
 }
 
@@ -977,13 +979,13 @@
 	able := r.state == running && !r.over && m.set.Preemption != PreemptNone
 	if able && !r.halted && m.class(r).Effect == Safe {
 		r.halted = true
-		m.host.Halt(r.ID)
+		m.host.Preempt(r.ID)
 	}
 }
 
 // advice is the retry-after: a share of the line's drain time, more under pressure.
 func (m *Module) advice() time.Duration {
-	if !m.set.HonoursRetry {
+	if !m.set.HonoursRetryAfter {
 		return 0
 	}
 	longest := max(m.set.MaxRetryAfter, 0)
@@ -993,13 +995,13 @@
 	wait := adviceShare * (1 + adviceGrow*m.pressure) * float64(len(m.line)) / max(m.drainRate(), m.limit)
 	advice := min(max(time.Duration(wait*float64(time.Second)), m.span(minAdvice)), longest)
 	if m.together != nil {
-		return m.together.Advice(m.now, advice, longest)
+		return m.together.RetryAfter(m.now, advice, longest)
 	}
 	return advice
 }
 
 // Gone tells that nobody waits for a request any more.
-func (m *Module) Gone(now time.Duration, id RequestID) {
+func (m *Module) CallerGone(now time.Duration, id RequestID) {
 	m.now = now
 	if r := m.byID[id]; r != nil {
 		m.letGo(r)
@@ -1007,7 +1009,7 @@
 }
 
 // margin is how long before it is due an answer must be decided.
-func (m *Module) margin() time.Duration { return beat + 2*m.set.Tick }
+func (m *Module) margin() time.Duration { return beat + 2*m.set.BatchInterval }
 
 // expire answers what can't wait: all before it is due, held work past its age
 // limit, and running safe work whose answer would be worth nothing.
@@ -1018,7 +1020,7 @@
 			continue
 		}
 		late := m.now >= r.due-m.margin()
-		if c := m.class(r); !late && r.state != held && c.LateShare <= 0 && c.Effect == Safe && m.now > r.aim {
+		if c := m.class(r); !late && r.state != held && c.LateUtilityShare <= 0 && c.Effect == Safe && m.now > r.aim {
 			late = true
 			if r.state == running { // it takes at least this long: the runs that end in time hide it
 				m.runs[r.Class].learn(m.now-r.started, runAlpha)
@@ -1044,11 +1046,11 @@
 	case calling:
 		m.inCalls--
 		m.callsOut--
-		m.callTime[m.callBucket%callBuckets] += m.set.CallLinger.Seconds()
+		m.callTime[m.callBucket%callBuckets] += m.set.AbandonedCallTime.Seconds()
 	default:
 		return
 	}
-	m.memory -= max(r.KB*(m.set.RunFactor-1), 0)
+	m.memory -= max(r.MemoryKB*(m.set.RunningMemoryFactor-1), 0)
 }
 
 // drop forgets a request of which nothing is left.
@@ -1058,7 +1060,7 @@
 	}
 	m.leaveCores(r)
 	m.line = slices.DeleteFunc(m.line, func(o *request) bool { return o == r })
-	m.memory -= r.KB
+	m.memory -= r.MemoryKB
 	r.over = true
 	delete(m.byID, r.ID)
 }
@@ -1071,7 +1073,7 @@
 	if !m.draining {
 		m.draining, m.notice = true, now
 	}
-	m.stopAt = now + max(left-2*m.set.Tick, 0)
+	m.stopAt = now + max(left-2*m.set.BatchInterval, 0)
 	for _, r := range m.all {
 		r.due = min(r.due, m.stopAt)
 	}
@@ -1085,7 +1087,7 @@
 // ---- the node as a whole ----
 
 // Woke is the one timer. It brings the gauges.
-func (m *Module) Woke(now time.Duration, _ uint64, gauges []float64) {
+func (m *Module) TimerFired(now time.Duration, _ uint64, gauges []float64) {
 	m.now = now
 	for i, v := range gauges[:min(len(gauges), len(m.set.Gauges))] {
 		switch m.set.Gauges[i] {
@@ -1120,7 +1122,7 @@
 
 func (m *Module) wake() {
 	m.wakeAt = m.now + beat
-	m.host.Wake(1, beat)
+	m.host.StartTimer(1, beat)
 }
 
 // say sets the free value and the health that callers are told.
@@ -1155,15 +1157,15 @@
 		m.host.SetHealth(true, !out)
 	}
 	value, none := 0.0, 0.0
-	switch m.set.FreeValue {
-	case SayNone:
+	switch m.set.LoadFeedback {
+	case FeedbackNone:
 		return
-	case SayLevel:
+	case FeedbackLevel:
 		value, none = m.pressure, 1
-	case SayCredit:
+	case FeedbackCredit:
 		even := creditPart / float64(max(m.set.Callers, 1))
 		value = max(1, (m.limit+float64(m.bound()))*(1-m.pressure*(1-even)))
-	case SayWeight:
+	case FeedbackWeight:
 		value = 1 - weightPart*m.pressure
 	}
 	if out {
@@ -1171,12 +1173,12 @@
 	}
 	if math.Abs(value-m.said) > 0.005 {
 		m.said = value
-		m.host.Say(value)
+		m.host.PublishLoad(value)
 	}
 }
 
 // Settle decides after the events of a batch.
-func (m *Module) Settle(now time.Duration) {
+func (m *Module) FinishBatch(now time.Duration) {
 	m.now = now
 	m.countCalls()
 	m.pass()
--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -28,8 +28,8 @@
 	b.acts = append(b.acts, line)
 	b.last[line] = true
 }
-func (b *bed) Run(id RequestID)  { b.add("run %d", id) }
-func (b *bed) Halt(id RequestID) { b.add("halt %d", id) }
+func (b *bed) Run(id RequestID)     { b.add("run %d", id) }
+func (b *bed) Preempt(id RequestID) { b.add("halt %d", id) }
 func (b *bed) Refuse(id RequestID, after time.Duration, last bool) {
 	b.add("refuse %d", id)
 	if after > 0 {
@@ -39,31 +39,31 @@
 		b.add("last %d", id)
 	}
 }
-func (b *bed) Fail(id RequestID)                     { b.add("fail %d", id) }
-func (b *bed) Call(id RequestID, t time.Duration)    { b.add("call %d", id) }
-func (b *bed) Skip(id RequestID)                     { b.add("skip %d", id) }
-func (b *bed) Keep(id RequestID, span time.Duration) { b.add("keep %d", id) }
-func (b *bed) Forget(id RequestID)                   { b.add("forget %d", id) }
-func (b *bed) Reuse(id RequestID)                    { b.add("reuse %d", id) }
-func (b *bed) SetHealth(stored, good bool)           { b.add("health %v %v", stored, good) }
-func (b *bed) Say(v float64)                         { b.say = v; b.add("say") }
-func (b *bed) CloseIdle(after time.Duration)         { b.add("idle %v", after) }
-func (b *bed) Wake(token uint64, in time.Duration)   { b.wake = b.now + in }
-func (b *bed) Log(line string)                       {}
+func (b *bed) Fail(id RequestID)                           { b.add("fail %d", id) }
+func (b *bed) Call(id RequestID, t time.Duration)          { b.add("call %d", id) }
+func (b *bed) SkipCall(id RequestID)                       { b.add("skip %d", id) }
+func (b *bed) KeepRecord(id RequestID, span time.Duration) { b.add("keep %d", id) }
+func (b *bed) ForgetRecord(id RequestID)                   { b.add("forget %d", id) }
+func (b *bed) JoinEarlier(id RequestID)                    { b.add("reuse %d", id) }
+func (b *bed) SetHealth(stored, good bool)                 { b.add("health %v %v", stored, good) }
+func (b *bed) PublishLoad(v float64)                       { b.say = v; b.add("say") }
+func (b *bed) SetIdleTimeout(after time.Duration)          { b.add("idle %v", after) }
+func (b *bed) StartTimer(token uint64, in time.Duration)   { b.wake = b.now + in }
+func (b *bed) Log(line string)                             {}
 
 func settings() Settings {
 	return Settings{
-		Tick: 2 * ms, Cores: 2, Nodes: 4, Callers: 3, OverShare: 0.05, HonoursRetry: true,
-		MaxRetryAfter: time.Second, PassesPatience: true, Preemption: PreemptDrop, MemoryKB: 1e6,
-		RunFactor: 16, EntryKB: 100, Gauges: []string{"cpu_busy", "runnable", "novelty"},
-		AnswerSlack: 60 * ms, ColdFrom: 0.2, Ramp: 18 * time.Second, DrainGrace: 2 * time.Second,
-		FallMultiple: 8, FallWindow: 1500 * ms, CallWindow: 5 * time.Second, CallShare: 10,
-		CallLinger: 200 * ms,
+		BatchInterval: 2 * ms, Cores: 2, Nodes: 4, Callers: 3, OverQuotaUtility: 0.05, HonoursRetryAfter: true,
+		MaxRetryAfter: time.Second, TimeoutsPassed: true, Preemption: PreemptDrop, MemoryKB: 1e6,
+		RunningMemoryFactor: 16, RecordKB: 100, Gauges: []string{"cpu_busy", "runnable", "novelty"},
+		AnswerSlack: 60 * ms, ColdSpeed: 0.2, WarmUpTime: 18 * time.Second, DrainGrace: 2 * time.Second,
+		OverloadRunsPerCore: 8, OverloadWindow: 1500 * ms, CallWindow: 5 * time.Second, CallShare: 10,
+		AbandonedCallTime: 200 * ms,
 		Classes: []Class{
-			{Aim: 2500 * ms, Deadline: 8 * time.Second, Worth: 1},
-			{Aim: 2500 * ms, Deadline: 8 * time.Second, Worth: 2, SkipWorth: 0.5, Calls: true},
-			{Aim: 2500 * ms, Deadline: 8 * time.Second, Worth: 1, Effect: Keyed, Window: 5 * time.Second},
-			{Aim: 2500 * ms, Deadline: 8 * time.Second, Worth: 1, Effect: Unsafe},
+			{LatencyTarget: 2500 * ms, Deadline: 8 * time.Second, Utility: 1},
+			{LatencyTarget: 2500 * ms, Deadline: 8 * time.Second, Utility: 2, SkipUtilityShare: 0.5, CallsDependency: true},
+			{LatencyTarget: 2500 * ms, Deadline: 8 * time.Second, Utility: 1, Effect: Keyed, IdempotencyWindow: 5 * time.Second},
+			{LatencyTarget: 2500 * ms, Deadline: 8 * time.Second, Utility: 1, Effect: Unsafe},
 		},
 	}
 }
@@ -86,7 +86,7 @@
 // arrive reads a request of a class, with changes, and returns its id.
 func (b *bed) arrive(class int, change func(*Request)) RequestID {
 	b.next++
-	q := Request{ID: b.next, Class: class, KB: 10, Patience: 8 * time.Second}
+	q := Request{ID: b.next, Class: class, MemoryKB: 10, CallerTimeout: 8 * time.Second}
 	if change != nil {
 		change(&q)
 	}
@@ -94,13 +94,13 @@
 	return q.ID
 }
 
-func (b *bed) settle() { b.m.Settle(b.now) }
+func (b *bed) settle() { b.m.FinishBatch(b.now) }
 
 // pass lets time go by, beat for beat, as the host would.
 func (b *bed) pass(d time.Duration, gauges ...float64) {
 	for end := b.now + d; b.wake <= end; {
 		b.now = b.wake
-		b.m.Woke(b.now, 1, gauges)
+		b.m.TimerFired(b.now, 1, gauges)
 		b.settle()
 	}
 }
@@ -159,7 +159,7 @@
 	}
 	// The line's floor is the running limit: 2 wait, 2 are refused at once with advice.
 	b.want("refuse 6", "advice 6", "refuse 5")
-	b.m.Ended(b.now, 1, OK, 100*ms)
+	b.m.RunEnded(b.now, 1, OK, 100*ms)
 	b.settle()
 	b.want("run 3") // the oldest
 	b.wantNot("run 4")
@@ -196,7 +196,7 @@
 
 func TestCrowdCeiling(t *testing.T) {
 	for _, cold := range []bool{false, true} {
-		b := newBed(t, func(s *Settings) { s.Cold = cold })
+		b := newBed(t, func(s *Settings) { s.ColdStart = cold })
 		b.m.limit = 1000
 		for range 60 {
 			b.arrive(0, nil)
@@ -216,7 +216,7 @@
 	for class, answer := range []string{"fail", "fail", "fail", "fail"} {
 		t.Run(fmt.Sprint("class ", class), func(t *testing.T) {
 			b := newBed(t, nil)
-			id := b.arrive(class, func(q *Request) { q.Patience = 900 * ms })
+			id := b.arrive(class, func(q *Request) { q.CallerTimeout = 900 * ms })
 			b.settle()
 			b.want(fmt.Sprintf("run %d", id))
 			b.pass(900*ms-2*ms, 1, 1)
@@ -226,8 +226,8 @@
 }
 
 func TestDueFromClassDeadlineWherePatienceIsNotPassed(t *testing.T) {
-	b := newBed(t, func(s *Settings) { s.PassesPatience = false })
-	id := b.arrive(3, func(q *Request) { q.Patience = 0; q.Age = 7 * time.Second })
+	b := newBed(t, func(s *Settings) { s.TimeoutsPassed = false })
+	id := b.arrive(3, func(q *Request) { q.CallerTimeout = 0; q.Age = 7 * time.Second })
 	b.settle()
 	b.pass(time.Second-2*ms, 1, 1)
 	if b.count("fail ")+b.count("refuse ") != 1 {
@@ -247,14 +247,14 @@
 }
 
 func TestProcessPauseDoesNotEmptyTheLine(t *testing.T) {
-	b := newBed(t, func(s *Settings) { s.Classes[0].Aim = 6 * time.Second })
+	b := newBed(t, func(s *Settings) { s.Classes[0].LatencyTarget = 6 * time.Second })
 	for range 4 {
 		b.arrive(0, nil)
 	}
 	b.settle()
 	b.now += 2100 * ms // nothing is delivered meanwhile
-	b.m.Woke(b.now, 1, []float64{1, 2})
-	b.m.Ended(b.now, 1, OK, 100*ms)
+	b.m.TimerFired(b.now, 1, []float64{1, 2})
+	b.m.RunEnded(b.now, 1, OK, 100*ms)
 	b.settle()
 	b.want("run 3")
 	b.wantNot("refuse 3", "refuse 4")
@@ -265,13 +265,13 @@
 	first := b.arrive(2, nil)
 	b.settle()
 	b.want("keep 1", "run 1")
-	second := b.arrive(2, func(q *Request) { q.Earlier = first; q.Retry = true })
+	second := b.arrive(2, func(q *Request) { q.RepeatOf = first; q.Retry = true })
 	b.settle()
 	b.want("reuse 2")
 	b.wantNot("run 2", "refuse 2")
-	b.m.Ended(b.now, first, Failed, 10*ms)
-	b.m.Ended(b.now, second, Failed, 10*ms)
-	b.arrive(2, func(q *Request) { q.Earlier = first })
+	b.m.RunEnded(b.now, first, Failed, 10*ms)
+	b.m.RunEnded(b.now, second, Failed, 10*ms)
+	b.arrive(2, func(q *Request) { q.RepeatOf = first })
 	b.settle()
 	b.want("reuse 3")
 	b.wantNot("run 3")
@@ -284,9 +284,9 @@
 	}
 	b.settle()
 	b.want("refuse 5", "forget 5")
-	b.m.Ended(b.now, 1, OK, 10*ms)
-	b.m.Ended(b.now, 2, OK, 10*ms)
-	b.arrive(2, func(q *Request) { q.Earlier = 5 }) // was on its way while the entry stood
+	b.m.RunEnded(b.now, 1, OK, 10*ms)
+	b.m.RunEnded(b.now, 2, OK, 10*ms)
+	b.arrive(2, func(q *Request) { q.RepeatOf = 5 }) // was on its way while the entry stood
 	b.settle()
 	b.want("keep 6")
 	b.wantNot("reuse 6")
@@ -304,11 +304,11 @@
 }
 
 func TestKeyTableIsBounded(t *testing.T) {
-	b := newBed(t, func(s *Settings) { s.MemoryKB = 10000; s.EntryKB = 1000; s.RunFactor = 1 })
+	b := newBed(t, func(s *Settings) { s.MemoryKB = 10000; s.RecordKB = 1000; s.RunningMemoryFactor = 1 })
 	for range 20 {
 		id := b.arrive(2, nil)
 		b.settle()
-		b.m.Ended(b.now, id, OK, 10*ms)
+		b.m.RunEnded(b.now, id, OK, 10*ms)
 	}
 	if got := b.count("keep "); got > 4 {
 		t.Errorf("%d keys kept, memory holds 4 within its share", got)
@@ -347,7 +347,7 @@
 func TestMemoryGuard(t *testing.T) {
 	b := newBed(t, func(s *Settings) { s.MemoryKB = 1000 })
 	for range 8 {
-		b.arrive(0, func(q *Request) { q.KB = 30 })
+		b.arrive(0, func(q *Request) { q.MemoryKB = 30 })
 	}
 	b.settle()
 	if got := b.count("run "); got != 1 {
@@ -356,13 +356,13 @@
 }
 
 func TestCallsStayWithinShare(t *testing.T) {
-	b := newBed(t, func(s *Settings) { s.Below = BelowShared; s.CallShare = 0.3; s.Cores = 6 })
+	b := newBed(t, func(s *Settings) { s.Dependency = DependencyShared; s.CallShare = 0.3; s.Cores = 6 })
 	for range 6 {
 		b.arrive(1, nil)
 	}
 	b.settle()
 	for id := RequestID(1); id <= 6; id++ {
-		b.m.NeedsCall(b.now, id)
+		b.m.CallNeeded(b.now, id)
 	}
 	b.m.called.mean = 2
 	b.settle()
@@ -384,17 +384,17 @@
 		{"a skip that earns something comes before a repeat", 1, TimedOut, "skip 1"},
 		{"safe repeats where it must call", 0, TimedOut, "call 1"},
 		{"unsafe is not repeated", 3, TimedOut, "fail 1"},
-		{"unsafe repeats what never ran", 3, Full, "call 1"},
+		{"unsafe repeats what never ran", 3, CallRejected, "call 1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBed(t, func(s *Settings) { s.Below = BelowTier })
+			b := newBed(t, func(s *Settings) { s.Dependency = DependencyTier })
 			id := b.arrive(c.class, nil)
 			b.settle()
-			b.m.NeedsCall(b.now, id)
+			b.m.CallNeeded(b.now, id)
 			b.settle()
 			b.want("call 1")
 			b.last = map[string]bool{}
-			b.m.Called(b.now, id, c.outcome, 10*ms)
+			b.m.CallEnded(b.now, id, c.outcome, 10*ms)
 			b.settle()
 			b.want(c.want)
 		})
@@ -407,7 +407,7 @@
 		id := b.arrive(0, nil)
 		b.settle()
 		b.now += 50 * ms
-		b.m.Ended(b.now, id, OK, 50*ms)
+		b.m.RunEnded(b.now, id, OK, 50*ms)
 		b.settle()
 		b.pass(25*ms, 1, 1)
 	}
@@ -418,14 +418,14 @@
 	b.settle()
 	b.want(fmt.Sprint("refuse ", d), fmt.Sprint("advice ", d), "health true false")
 	b.wantNot(fmt.Sprint("last ", d)) // another node can serve it
-	b.m.Ended(b.now, a, Cancelled, 900*ms)
-	b.m.Ended(b.now, c, Cancelled, 900*ms)
+	b.m.RunEnded(b.now, a, Cancelled, 900*ms)
+	b.m.RunEnded(b.now, c, Cancelled, 900*ms)
 	b.acts = nil
 	b.settle()
 	if !slices.Equal(b.acts, []string{fmt.Sprint("run ", c), fmt.Sprint("run ", a)}) { // their aim is 1.4 s away, and both cores are free
 		t.Errorf("after the stall: %v", b.acts)
 	}
-	b.m.Ended(b.now, a, OK, 50*ms)
+	b.m.RunEnded(b.now, a, OK, 50*ms)
 	e := b.arrive(0, nil)
 	b.settle()
 	b.want(fmt.Sprint("run ", e))
@@ -437,7 +437,7 @@
 		for range 200 {
 			for _, r := range append([]*request(nil), b.m.all...) {
 				if r.state == running {
-					b.m.Ended(b.now, r.ID, o, 25*ms)
+					b.m.RunEnded(b.now, r.ID, o, 25*ms)
 				}
 			}
 			for range 4 {
@@ -457,10 +457,10 @@
 		b.arrive(0, nil)
 	}
 	b.settle()
-	b.m.Gone(b.now, 1)
-	b.m.Gone(b.now, 3)
+	b.m.CallerGone(b.now, 1)
+	b.m.CallerGone(b.now, 3)
 	b.settle()
-	b.m.Ended(b.now, 1, Cancelled, 5*ms)
+	b.m.RunEnded(b.now, 1, Cancelled, 5*ms)
 	b.settle()
 	b.pass(9*time.Second, 1, 1)
 	b.want("halt 1")
@@ -472,12 +472,12 @@
 	id := b.arrive(0, nil)
 	b.settle()
 	for range 2 {
-		b.m.Ended(b.now, id, OK, 5*ms)
-		b.m.Ended(b.now, id, Moot, 0)
-		b.m.NeedsCall(b.now, id)
-		b.m.Called(b.now, id, OK, 0)
-		b.m.Gone(b.now, id)
-		b.m.Woke(b.now, 99, nil)
+		b.m.RunEnded(b.now, id, OK, 5*ms)
+		b.m.RunEnded(b.now, id, NeverStarted, 0)
+		b.m.CallNeeded(b.now, id)
+		b.m.CallEnded(b.now, id, OK, 0)
+		b.m.CallerGone(b.now, id)
+		b.m.TimerFired(b.now, 99, nil)
 		b.settle()
 	}
 	if b.m.onCores != 0 || b.m.inCalls != 0 || len(b.m.all) != 0 || b.m.memory != 0 {
@@ -501,14 +501,14 @@
 		o = newBed(t, nil)
 	}
 	for i := range 300 {
-		b.arrive(i%4, func(q *Request) { q.Tenant = i % 3; q.KB = float64(5 + i%7) })
+		b.arrive(i%4, func(q *Request) { q.Tenant = i % 3; q.MemoryKB = float64(5 + i%7) })
 		if o != nil {
 			o.arrive(i%2, nil)
 			o.pass(10*ms, 0.2, 1)
 		}
 		b.settle()
 		if i%3 == 0 && len(b.m.all) > 0 && b.m.all[0].state == running {
-			b.m.Ended(b.now, b.m.all[0].ID, OK, 80*ms)
+			b.m.RunEnded(b.now, b.m.all[0].ID, OK, 80*ms)
 		}
 		b.pass(20*ms, 0.9, 2)
 	}
@@ -530,7 +530,7 @@
 // callBed has n requests of class 1 standing at a call of a shared dependency.
 func callBed(t *testing.T, n int, change func(*Settings)) *bed {
 	b := newBed(t, func(s *Settings) {
-		s.Below, s.Cores = BelowShared, 8
+		s.Dependency, s.Cores = DependencyShared, 8
 		if change != nil {
 			change(s)
 		}
@@ -540,13 +540,13 @@
 	}
 	b.settle()
 	for id := RequestID(1); id <= RequestID(n); id++ {
-		b.m.NeedsCall(b.now, id)
+		b.m.CallNeeded(b.now, id)
 	}
 	return b
 }
 
 func TestCallLimitFollowsCallLatency(t *testing.T) {
-	b := newBed(t, func(s *Settings) { s.Below = BelowShared })
+	b := newBed(t, func(s *Settings) { s.Dependency = DependencyShared })
 	for range 20 {
 		b.m.called.learn(100*ms, callAlpha)
 	}
@@ -572,7 +572,7 @@
 }
 
 func TestShortLineAtTheCallSkipsTheLeastLoss(t *testing.T) {
-	b := callBed(t, 8, func(s *Settings) { s.Classes[1].SkipWorth = 0.5 })
+	b := callBed(t, 8, func(s *Settings) { s.Classes[1].SkipUtilityShare = 0.5 })
 	b.m.callLimit, b.m.called.mean = 2, 0.75 // the line at the call holds two
 	b.m.all[5].overdue = true
 	b.settle()
@@ -581,7 +581,7 @@
 }
 
 func TestWaitingAtTheCallEndsInTime(t *testing.T) {
-	b := callBed(t, 2, func(s *Settings) { s.CallShare = 1; s.Classes[1].SkipWorth = 0.5 })
+	b := callBed(t, 2, func(s *Settings) { s.CallShare = 1; s.Classes[1].SkipUtilityShare = 0.5 })
 	b.settle()
 	b.want("call 1")
 	b.wantNot("skip 2")
@@ -590,7 +590,7 @@
 }
 
 func TestAdviceAndCreditFollowPressure(t *testing.T) {
-	b := newBed(t, func(s *Settings) { s.FreeValue = SayCredit })
+	b := newBed(t, func(s *Settings) { s.LoadFeedback = FeedbackCredit })
 	for range 4 {
 		b.arrive(0, nil)
 	}
@@ -613,7 +613,7 @@
 	for i := range 400 { // tenant 0 sends nine in ten, far over its quota
 		id := b.arrive(0, func(q *Request) { q.Tenant = min(1, i%10/9) })
 		b.settle()
-		b.m.Ended(b.now, id, OK, 5*ms)
+		b.m.RunEnded(b.now, id, OK, 5*ms)
 		b.settle()
 	}
 	b.arrive(3, nil)
@@ -649,13 +649,13 @@
 				r.ran = false
 				b.m.drop(r)
 			} else {
-				b.m.Ended(b.now, id, OK, 5*ms)
+				b.m.RunEnded(b.now, id, OK, 5*ms)
 			}
 			if other := b.arrive(0, func(q *Request) { q.Tenant = 1 }); b.m.byID[other].overdue {
 				t.Fatal("a tenant without a quota is over it")
 			}
 			b.settle()
-			b.m.Ended(b.now, b.next, OK, 5*ms)
+			b.m.RunEnded(b.now, b.next, OK, 5*ms)
 			b.pass(time.Second/30, 0, 0)
 		}
 		want := 0
@@ -684,7 +684,7 @@
 			t.Fatalf("request %d of tenant %d is marked", i, i%4/3)
 		}
 		b.settle()
-		b.m.Ended(b.now, id, OK, 5*ms)
+		b.m.RunEnded(b.now, id, OK, 5*ms)
 		b.pass(25*ms, 0, 0)
 	}
 	marked := 0
@@ -694,7 +694,7 @@
 			marked++
 		}
 		b.settle()
-		b.m.Ended(b.now, id, OK, 5*ms)
+		b.m.RunEnded(b.now, id, OK, 5*ms)
 	}
 	if marked < 150 {
 		t.Errorf("%d of 200 marked", marked)
@@ -721,7 +721,7 @@
 		b.m.pressure = tc.pressure
 		b.m.quota[0].left, b.m.quota[0].at, b.m.quota[0].sent = 0, b.now, 0.9
 		beyond, within := b.arrive(0, nil), b.arrive(0, func(q *Request) { q.Tenant = 1 })
-		again := b.arrive(2, func(q *Request) { q.Earlier = ran })
+		again := b.arrive(2, func(q *Request) { q.RepeatOf = ran })
 		b.wantNot(fmt.Sprint("refuse ", within))
 		b.want(fmt.Sprint("reuse ", again))
 		if b.last[fmt.Sprint("refuse ", beyond)] != tc.refused || b.last[fmt.Sprint("last ", beyond)] != tc.refused {
@@ -735,14 +735,14 @@
 		pressure float64
 		want     string
 	}{{0, "run 3"}, {0.5, "run 4"}} {
-		b := newBed(t, func(s *Settings) { s.WorthByWork = true })
+		b := newBed(t, func(s *Settings) { s.UtilityPerWork = true })
 		for range 3 {
 			b.arrive(0, nil)
 		}
 		b.arrive(1, nil) // worth twice as much
 		b.settle()
 		b.m.pressure = c.pressure
-		b.m.Ended(b.now, 1, OK, 50*ms)
+		b.m.RunEnded(b.now, 1, OK, 50*ms)
 		b.settle()
 		b.want(c.want)
 	}
@@ -753,7 +753,7 @@
 		gauges []float64
 		want   string
 	}{{[]float64{0.4, 3}, "run 4"}, {[]float64{1, 9}, "refuse 4"}} {
-		b := newBed(t, func(s *Settings) { s.Cores = 6; s.Classes[0].Aim = 2 * time.Second })
+		b := newBed(t, func(s *Settings) { s.Cores = 6; s.Classes[0].LatencyTarget = 2 * time.Second })
 		for range 20 {
 			b.m.runs[0].learn(time.Second, runAlpha)
 		}
@@ -779,7 +779,7 @@
 }
 
 func TestCreditIsWholeWithoutPressure(t *testing.T) {
-	b := newBed(t, func(s *Settings) { s.FreeValue = SayCredit })
+	b := newBed(t, func(s *Settings) { s.LoadFeedback = FeedbackCredit })
 	b.m.say()
 	if want := b.m.limit + float64(b.m.bound()); b.say != want {
 		t.Errorf("credit %v, want the whole room %v: one caller may carry most of the traffic", b.say, want)
@@ -787,7 +787,7 @@
 }
 
 func TestCallBaseDoesNotChaseCrowding(t *testing.T) {
-	b := newBed(t, func(s *Settings) { s.Below = BelowShared })
+	b := newBed(t, func(s *Settings) { s.Dependency = DependencyShared })
 	for range 20 {
 		b.m.called.learn(50*ms, callAlpha)
 	}
@@ -802,7 +802,7 @@
 }
 
 func TestStaleReadsSendCallersElsewhere(t *testing.T) {
-	b := newBed(t, func(s *Settings) { s.FreeValue = SayWeight })
+	b := newBed(t, func(s *Settings) { s.LoadFeedback = FeedbackWeight })
 	for range 40 {
 		b.arrive(0, func(q *Request) { q.Age = 1400 * ms })
 		b.settle()
@@ -821,7 +821,7 @@
 	for range 3 { // the first to end are the shortest
 		id := b.arrive(0, nil)
 		b.settle()
-		b.m.Ended(b.now, id, OK, 10*ms)
+		b.m.RunEnded(b.now, id, OK, 10*ms)
 	}
 	b.arrive(0, nil)
 	b.arrive(0, nil)
@@ -836,24 +836,24 @@
 	b := newBed(t, nil)
 	for i := range 60 {
 		hint := time.Duration(100+100*(i%4)) * ms
-		id := b.arrive(0, func(q *Request) { q.Hint = hint })
+		id := b.arrive(0, func(q *Request) { q.WorkHint = hint })
 		b.settle()
-		b.m.Ended(b.now, id, OK, 200*ms+2*hint) // a wait that does not grow, and half speed
+		b.m.RunEnded(b.now, id, OK, 200*ms+2*hint) // a wait that does not grow, and half speed
 		b.settle()
 	}
-	small := b.m.usualRun(&request{Request: Request{Hint: 100 * ms}})
-	big := b.m.usualRun(&request{Request: Request{Hint: 1200 * ms}})
+	small := b.m.usualRun(&request{Request: Request{WorkHint: 100 * ms}})
+	big := b.m.usualRun(&request{Request: Request{WorkHint: 1200 * ms}})
 	if small > 600*ms || big < 1800*ms {
 		t.Errorf("usual runs %v and %v, want about 400 ms and 2.6 s", small, big)
 	}
-	id := b.arrive(0, func(q *Request) { q.Hint = 1200 * ms }) // 3.6 s with room, and the aim is 2.5 s
+	id := b.arrive(0, func(q *Request) { q.WorkHint = 1200 * ms }) // 3.6 s with room, and the aim is 2.5 s
 	b.pass(25*ms, 1, 9)
 	b.want(fmt.Sprint("refuse ", id))
 }
 
 func TestWeightAndLevelFollowPressure(t *testing.T) {
-	for kind, want := range map[FreeValue]float64{SayWeight: 1 - weightPart*0.5, SayLevel: 0.5} {
-		b := newBed(t, func(s *Settings) { s.FreeValue = kind })
+	for kind, want := range map[LoadFeedback]float64{FeedbackWeight: 1 - weightPart*0.5, FeedbackLevel: 0.5} {
+		b := newBed(t, func(s *Settings) { s.LoadFeedback = kind })
 		b.m.pressure = 0.5 + pressureDown
 		b.arrive(0, nil)
 		b.arrive(0, nil)
@@ -891,12 +891,12 @@
 		"dozens come back within seconds": {30, 4 * time.Second, 30 * time.Second},
 		"hundreds of callers seldom do":   {900, idleShortest, time.Second},
 	} {
-		b := newBed(t, func(s *Settings) { s.KeepaliveMax, s.Callers = 30*time.Second, tc.callers })
+		b := newBed(t, func(s *Settings) { s.MaxIdleTimeout, s.Callers = 30*time.Second, tc.callers })
 		for i := range 400 {
 			b.pass(100 * ms)
 			id := b.arrive(0, func(q *Request) { q.Caller = uint32(i % tc.callers) })
 			b.settle()
-			b.m.Ended(b.now, id, OK, 50*ms)
+			b.m.RunEnded(b.now, id, OK, 50*ms)
 		}
 		if got := b.m.idleSaid; got < tc.from || got > tc.to {
 			t.Errorf("%s: idle limit %v, want %v to %v", name, got, tc.from, tc.to)
@@ -920,7 +920,7 @@
 		"this node alone is in overflow":   {0.7, false, false, 0.02, false},
 		"unmarked, a passing overflow":     {0.1, false, true, 0, false},
 	} {
-		b := newBed(t, func(s *Settings) { s.MarksRetries = !tc.unmarked })
+		b := newBed(t, func(s *Settings) { s.RetriesMarked = !tc.unmarked })
 		b.m.pressure, b.m.again = tc.pressure, tc.again
 		for range 12 {
 			b.arrive(0, func(q *Request) { q.Retry = tc.retry })
@@ -943,7 +943,7 @@
 			id := b.arrive(0, func(q *Request) { q.Age = age })
 			b.settle()
 			for _, r := range append(on, id) {
-				b.m.Ended(b.now, r, OK, 5*ms)
+				b.m.RunEnded(b.now, r, OK, 5*ms)
 			}
 			b.pass(50*ms, 1, 1)
 		}
@@ -977,12 +977,12 @@
 		"a few reads":         {2, time.Second},
 		"handshakes in heaps": {12, 30 * time.Second},
 	} {
-		b := newBed(t, func(s *Settings) { s.KeepaliveMax = 30 * time.Second })
+		b := newBed(t, func(s *Settings) { s.MaxIdleTimeout = 30 * time.Second })
 		for i := range 400 {
 			b.pass(100*ms, 1, tc.runnable)
 			id := b.arrive(0, func(q *Request) { q.Caller = uint32(i) })
 			b.settle()
-			b.m.Ended(b.now, id, OK, 50*ms)
+			b.m.RunEnded(b.now, id, OK, 50*ms)
 		}
 		if b.m.idleSaid > tc.want || b.m.idleSaid < tc.want/4 {
 			t.Errorf("%s: idle limit %v, want about %v", name, b.m.idleSaid, tc.want)
@@ -1007,24 +1007,24 @@
 
 func TestExtremeSettingsStillServe(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"a call share under one": func(s *Settings) { s.Below, s.CallShare = BelowShared, 0.3 },
-		"hundreds of callers":    func(s *Settings) { s.Callers, s.FreeValue = 1300, SayCredit },
-		"no callers":             func(s *Settings) { s.Callers, s.FreeValue = 0, SayCredit },
+		"a call share under one": func(s *Settings) { s.Dependency, s.CallShare = DependencyShared, 0.3 },
+		"hundreds of callers":    func(s *Settings) { s.Callers, s.LoadFeedback = 1300, FeedbackCredit },
+		"no callers":             func(s *Settings) { s.Callers, s.LoadFeedback = 0, FeedbackCredit },
 		"one core":               func(s *Settings) { s.Cores = 1 },
-		"no keepalive":           func(s *Settings) { s.KeepaliveMax = 0 },
-		"no call window":         func(s *Settings) { s.Below, s.CallWindow = BelowShared, 0 },
+		"no keepalive":           func(s *Settings) { s.MaxIdleTimeout = 0 },
+		"no call window":         func(s *Settings) { s.Dependency, s.CallWindow = DependencyShared, 0 },
 	} {
 		b := newBed(t, change)
 		for i := range 40 {
 			id := b.arrive(1, func(q *Request) { q.Caller = uint32(i) })
 			b.settle()
-			b.m.NeedsCall(b.now, id)
+			b.m.CallNeeded(b.now, id)
 			b.settle()
 			if b.last[fmt.Sprintf("call %d", id)] {
 				b.now += 50 * ms
-				b.m.Called(b.now, id, OK, 50*ms)
+				b.m.CallEnded(b.now, id, OK, 50*ms)
 			}
-			b.m.Ended(b.now, id, OK, 200*ms)
+			b.m.RunEnded(b.now, id, OK, 200*ms)
 			b.settle()
 			b.pass(500*ms, 0.5, 1)
 		}
@@ -1041,7 +1041,7 @@
 	day := func(from time.Duration) []string {
 		b := &bed{t: t, last: map[string]bool{}, now: from}
 		s := settings()
-		s.Below, s.KeepaliveMax = BelowShared, 30*time.Second
+		s.Dependency, s.MaxIdleTimeout = DependencyShared, 30*time.Second
 		m, err := New(b.now, s, 7, b)
 		if err != nil {
 			t.Fatal(err)
@@ -1051,21 +1051,21 @@
 			b.now += 5 * ms
 			if i%40 == 0 {
 				id++
-				m.Arrive(b.now, Request{ID: id, Class: 1, Patience: 7 * time.Second, KB: 10, Caller: uint32(i)})
+				m.Arrive(b.now, Request{ID: id, Class: 1, CallerTimeout: 7 * time.Second, MemoryKB: 10, Caller: uint32(i)})
 			}
 			if i%40 == 10 {
-				m.NeedsCall(b.now, id)
+				m.CallNeeded(b.now, id)
 			}
 			if i%40 == 20 {
-				m.Called(b.now, id, OK, 50*ms)
+				m.CallEnded(b.now, id, OK, 50*ms)
 			}
 			if i%40 == 30 {
-				m.Ended(b.now, id, OK, 150*ms)
+				m.RunEnded(b.now, id, OK, 150*ms)
 			}
 			if b.now >= b.wake {
-				m.Woke(b.now, 1, []float64{0.5, 1})
+				m.TimerFired(b.now, 1, []float64{0.5, 1})
 			}
-			m.Settle(b.now)
+			m.FinishBatch(b.now)
 		}
 		return b.acts
 	}
@@ -1083,7 +1083,7 @@
 // for longer than the burst. It could harm where short runs say nothing of long
 // ones: the rate is then too high until slots were short for a step.
 func TestShortBurstsTeachTheBound(t *testing.T) {
-	b := newBed(t, func(s *Settings) { s.Tick = ms })
+	b := newBed(t, func(s *Settings) { s.BatchInterval = ms })
 	for range 60 { // two cores, runs of 5 ms, a burst of ten every 25 ms
 		for range 10 {
 			b.arrive(0, nil)
@@ -1092,7 +1092,7 @@
 			b.settle()
 			for _, r := range append([]*request(nil), b.m.all...) {
 				if r.state == running {
-					b.m.Ended(b.now+5*ms, r.ID, OK, 5*ms)
+					b.m.RunEnded(b.now+5*ms, r.ID, OK, 5*ms)
 				}
 			}
 		}
@@ -1120,7 +1120,7 @@
 // takes eight seconds to be known refuses through a third of a short release.
 func TestShortAimsAreLearnedFaster(t *testing.T) {
 	steps := func(aim time.Duration) (n int) {
-		b := newBed(t, func(s *Settings) { s.Classes[0].Aim = aim })
+		b := newBed(t, func(s *Settings) { s.Classes[0].LatencyTarget = aim })
 		for range 40 {
 			at := b.m.stepped
 			b.pass(25 * ms)
@@ -1141,7 +1141,7 @@
 	b := newBed(t, nil)
 	for i := range 2 * mostCallers {
 		id := b.arrive(0, func(q *Request) { q.Caller = uint32(i) })
-		b.m.Gone(b.now, id)
+		b.m.CallerGone(b.now, id)
 		b.settle()
 	}
 	if n := len(b.m.lastFrom); n != mostCallers {
@@ -1203,7 +1203,7 @@
 		again float64
 		last  bool
 	}{"unmarked": {false, 0, true}, "many walk": {true, 0.3, true}, "few walk": {true, 0.02, false}} {
-		b := newBed(t, func(s *Settings) { s.MarksRetries = tc.marks })
+		b := newBed(t, func(s *Settings) { s.RetriesMarked = tc.marks })
 		b.arrive(3, nil)
 		b.arrive(3, nil) // both cores busy
 		b.settle()
@@ -1219,11 +1219,11 @@
 
 // Half a minute of reads tells how many of them are further tries.
 func TestShareOfFurtherTries(t *testing.T) {
-	b := newBed(t, func(s *Settings) { s.MarksRetries = true })
+	b := newBed(t, func(s *Settings) { s.RetriesMarked = true })
 	for i := range 400 {
 		id := b.arrive(0, func(q *Request) { q.Retry = i%4 == 0 })
 		b.settle()
-		b.m.Ended(b.now, id, OK, 5*ms)
+		b.m.RunEnded(b.now, id, OK, 5*ms)
 		b.settle()
 	}
 	if b.m.again < 0.2 || b.m.again > 0.3 {
@@ -1234,8 +1234,8 @@
 // The memory of keys counts what is kept, not what was given back: requests that were turned
 // away, and one whose only start took no effect, leave room for others at once.
 func TestForgottenKeysTakeNoMemory(t *testing.T) {
-	b := newBed(t, func(s *Settings) { s.MemoryKB, s.RunFactor, s.EntryKB = 10000, 1, 300 }) // keys may take 4,500
-	keyed := func(q *Request) { q.KB = 1 }
+	b := newBed(t, func(s *Settings) { s.MemoryKB, s.RunningMemoryFactor, s.RecordKB = 10000, 1, 300 }) // keys may take 4,500
+	keyed := func(q *Request) { q.MemoryKB = 1 }
 	for range 3 { // both cores busy, a full line, and 30 that come too much
 		for range 10 {
 			b.arrive(2, keyed)
@@ -1247,7 +1247,7 @@
 		t.Fatalf("%d entries take %v kB", len(b.m.entries), kept)
 	}
 	for _, r := range slices.Clone(b.m.all) {
-		b.m.Ended(b.now, r.ID, OK, 5*ms)
+		b.m.RunEnded(b.now, r.ID, OK, 5*ms)
 	}
 	b.settle()
 	b.pass(5*time.Second+100*ms, 0, 0) // the windows of those that ran are over
@@ -1257,7 +1257,7 @@
 	a := b.arrive(2, keyed)
 	b.settle()
 	b.want(fmt.Sprint("run ", a))
-	b.m.Ended(b.now, a, Moot, 0)
+	b.m.RunEnded(b.now, a, NeverStarted, 0)
 	b.want(fmt.Sprint("forget ", a))
 	if again := b.m.keyMemory(); again != 0 {
 		t.Errorf("a start without effect keeps %v kB", again)
@@ -1265,9 +1265,9 @@
 	c := b.arrive(2, keyed)
 	b.settle()
 	b.want(fmt.Sprint("run ", c))
-	b.m.Ended(b.now, c, OK, 5*ms)
+	b.m.RunEnded(b.now, c, OK, 5*ms)
 	b.wantNot(fmt.Sprint("forget ", c))
-	d := b.arrive(2, func(q *Request) { q.Earlier = c; q.KB = 1 })
+	d := b.arrive(2, func(q *Request) { q.RepeatOf = c; q.MemoryKB = 1 })
 	b.settle()
 	b.want(fmt.Sprint("reuse ", d))
 	b.wantNot(fmt.Sprint("run ", d), fmt.Sprint("refuse ", d))
@@ -1280,7 +1280,7 @@
 		marks, patience bool
 		held            time.Duration
 	}{"marked": {true, false, 960 * ms}, "patience": {false, true, 960 * ms}, "neither": {false, false, 400 * ms}} {
-		b := newBed(t, func(s *Settings) { s.MarksRetries, s.PassesPatience = tc.marks, tc.patience })
+		b := newBed(t, func(s *Settings) { s.RetriesMarked, s.TimeoutsPassed = tc.marks, tc.patience })
 		b.arrive(3, nil)
 		b.arrive(3, nil) // both cores busy
 		b.settle()
@@ -1315,17 +1315,17 @@
 // A flood of keyed requests that are all turned away leaves no more entries behind than
 // could be kept, twice over; a repeat of one that is no longer known never runs.
 func TestForgottenKeysAreBounded(t *testing.T) {
-	b := newBed(t, func(s *Settings) { s.MemoryKB, s.RunFactor, s.EntryKB = 10000, 1, 300 }) // 15 may be kept
+	b := newBed(t, func(s *Settings) { s.MemoryKB, s.RunningMemoryFactor, s.RecordKB = 10000, 1, 300 }) // 15 may be kept
 	var last RequestID
 	for range 500 {
-		last = b.arrive(2, func(q *Request) { q.KB = 1 })
+		last = b.arrive(2, func(q *Request) { q.MemoryKB = 1 })
 		b.settle()
 	}
 	b.want(fmt.Sprint("refuse ", last), fmt.Sprint("forget ", last))
 	if n := len(b.m.entries); n > 30 || n-b.m.freed > 15 {
 		t.Errorf("%d entries, %d of them freed", n, b.m.freed)
 	}
-	again := b.arrive(2, func(q *Request) { q.KB, q.Earlier = 1, last })
+	again := b.arrive(2, func(q *Request) { q.MemoryKB, q.RepeatOf = 1, last })
 	b.settle()
 	b.want(fmt.Sprint("reuse ", again))
 	b.wantNot(fmt.Sprint("run ", again))
--- a/rules/together_test.go
+++ b/rules/together_test.go
@@ -24,16 +24,16 @@
 	}
 }
 func (n *neighbours) Step(time.Duration, float64, float64) []string { return []string{"a line"} }
-func (n *neighbours) InVain(line []Waiting, _ float64, _ time.Duration) bool {
+func (n *neighbours) ExceedsQueueTimeout(line []QueuedRequest, _ float64, _ time.Duration) bool {
 	n.line = len(line)
 	return n.vain
 }
-func (n *neighbours) EndsWalk(_ time.Duration, price float64) bool {
+func (n *neighbours) StopsRetries(_ time.Duration, price float64) bool {
 	n.asked = append(n.asked, price)
 	return n.ends
 }
-func (n *neighbours) RetryWorth() float64 { return n.retry }
-func (n *neighbours) Advice(_, base, _ time.Duration) time.Duration {
+func (n *neighbours) RetryUtility() float64 { return n.retry }
+func (n *neighbours) RetryAfter(_, base, _ time.Duration) time.Duration {
 	return max(n.advice, base)
 }
 
@@ -44,7 +44,7 @@
 	n.vain = false
 	defer func() { n.vain = vain }()
 	b := newBed(t, func(s *Settings) {
-		s.NewTogether = func(time.Duration) Together { return n }
+		s.NewShedder = func(time.Duration) Shedder { return n }
 	})
 	for range 4 * len(b.m.set.Classes) {
 		b.arrive(0, nil)
@@ -98,7 +98,7 @@
 	b := beside(t, n)
 	first := b.arrive(2, nil) // refused at once: its key is free again
 	b.want("refuse "+itoa(first), "forget "+itoa(first))
-	again := b.arrive(2, func(q *Request) { q.Earlier = first })
+	again := b.arrive(2, func(q *Request) { q.RepeatOf = first })
 	if b.last["refuse "+itoa(again)] || !b.last["fail "+itoa(again)] {
 		t.Errorf("a keyed repeat in vain: %v", b.acts)
 	}
@@ -109,9 +109,9 @@
 func TestWalksEndAsTheFleetHasIt(t *testing.T) {
 	for _, ends := range []bool{false, true} {
 		n := &neighbours{ends: ends, retry: 0.4}
-		b := newBed(t, func(s *Settings) { s.NewTogether = func(time.Duration) Together { return n } })
+		b := newBed(t, func(s *Settings) { s.NewShedder = func(time.Duration) Shedder { return n } })
 		for range 30 {
-			b.arrive(0, func(q *Request) { q.Retry, q.Hint = true, 100*ms })
+			b.arrive(0, func(q *Request) { q.Retry, q.WorkHint = true, 100*ms })
 		}
 		b.m.pressure = 0.9
 		b.settle()
@@ -140,7 +140,7 @@
 func TestFurtherTriesCountAsTheFleetHasIt(t *testing.T) {
 	for _, worth := range []float64{1, 0.4} {
 		n := &neighbours{retry: worth}
-		b := newBed(t, func(s *Settings) { s.NewTogether = func(time.Duration) Together { return n } })
+		b := newBed(t, func(s *Settings) { s.NewShedder = func(time.Duration) Shedder { return n } })
 		b.arrive(0, nil)
 		b.arrive(0, nil)
 		b.settle() // both slots are taken
