--- a/cmd/robinmast/control.go
+++ b/cmd/robinmast/control.go
@@ -17,7 +17,7 @@
 	"time"
 
 	decide "robinmast/decide/comeback"
-	"robinmast/decide/together"
+	"robinmast/decide/shedding"
 	"robinmast/internal/comeback"
 	"robinmast/internal/config"
 	"robinmast/internal/exchange"
@@ -30,7 +30,7 @@
 	links  []*controlLink
 	ledger *exchange.Ledger
 
-	told func(since time.Time, src int, d together.Digest) // nil = no digest is asked for
+	told func(since time.Time, src int, d shedding.Digest) // nil = no digest is asked for
 
 	back  *comeback.Keeper    // nil = nothing is said of the way back
 	heard func(*decide.Heard) // takes what was heard of earlier lives
@@ -38,8 +38,8 @@
 
 	mu   sync.Mutex
 	is   controlMessage
-	said together.Word
-	view together.View
+	said shedding.LoadReport
+	view shedding.View
 	part controlWord
 	stop time.Time // the drain ends, zero = it has not begun
 }
@@ -141,7 +141,7 @@
 
 // word takes what the module says of itself for the fleet; it is put into words
 // when the next report is made.
-func (c *controlReport) word(w together.Word, v together.View) {
+func (c *controlReport) word(w shedding.LoadReport, v shedding.View) {
 	c.mu.Lock()
 	c.said, c.view, c.is.Together = w, v, &c.part
 	c.mu.Unlock()
@@ -149,8 +149,8 @@
 
 // tell puts the last word into the next report; the lock must be held.
 func (c *controlReport) tell() {
-	c.part = controlWord{Drain: tenth(c.said.Drain), Short: round(c.said.Short), Demand: map[string]float64{},
-		Ask: c.told != nil, Cut: c.view.Cut, Trust: round(c.view.Trust)}
+	c.part = controlWord{Drain: tenth(c.said.DrainRate), Short: round(c.said.ShortageShare), Demand: map[string]float64{},
+		Ask: c.told != nil, Cut: c.view.Threshold, Trust: round(c.view.Trust)}
 	for i, x := range c.said.Demand {
 		if x = tenth(x); x > 0 {
 			c.part.Demand[strconv.Itoa(i)] = x
@@ -167,7 +167,7 @@
 		return
 	}
 	var d struct {
-		together.Digest
+		shedding.Digest
 		Heard *controlHeard `json:"heard"`
 		Room  float64       `json:"room"`
 	}
--- a/cmd/robinmast/counters.go
+++ b/cmd/robinmast/counters.go
@@ -89,8 +89,8 @@
 	}
 	if p.cfg.set.NewShedder != nil && line == linePresent {
 		if v, ok := p.node.Together(poolsWait); ok {
-			args = append(args, slog.Group("together", "others_refuse", round(v.Others), "short", round(v.Short), "walks_ended", round(v.Ended),
-				"advice_spread", round(v.Grown), "trust", round(v.Trust), "cut", round(v.Cut), "digest_age", v.Age, "follows", v.Source+1))
+			args = append(args, slog.Group("together", "others_refuse", round(v.PeerRefusalShare), "short", round(v.Shortage), "walks_ended", round(v.StoppedRetries),
+				"advice_spread", round(v.AdviceStretch), "trust", round(v.Trust), "cut", round(v.Threshold), "digest_age", v.DigestAge, "follows", v.Source+1))
 		}
 	}
 	if p.cfg.set.NewPools != nil && line == linePresent { // a loop that has ended shows nothing
--- a/decide/backoff/backoff.go
+++ b/decide/backoff/backoff.go
@@ -20,25 +20,25 @@
 
 // Settings are one link's. All times are above 0.
 type Settings struct {
-	Floor  time.Duration // the least wait after a failure
-	First  time.Duration // the span of the first wait; it doubles with each failure
-	Most   time.Duration // the most that the span grows to
-	Window time.Duration // the budget is for so long
-	Budget int           // tries in a window
+	MinWait     time.Duration // the least wait after a failure
+	InitialSpan time.Duration // the span of the first wait; it doubles with each failure
+	MaxSpan     time.Duration // the most that the span grows to
+	Window      time.Duration // the budget is for so long
+	Budget      int           // tries in a window
 }
 
 // Backoff is one link's. It belongs to one goroutine.
 type Backoff struct {
-	set   Settings
-	rnd   *rand.Rand
-	span  time.Duration
-	made  []time.Duration // the last tries, Budget of them at most
-	Spent int             // times that the budget made a try wait
+	set            Settings
+	rnd            *rand.Rand
+	span           time.Duration
+	made           []time.Duration // the last tries, Budget of them at most
+	BudgetExceeded int             // times that the budget made a try wait
 }
 
 // New returns a link's backoff; rnd must differ from node to node.
 func New(set Settings, rnd *rand.Rand) *Backoff {
-	return &Backoff{set: set, rnd: rnd, span: set.First, made: make([]time.Duration, 0, max(set.Budget, 1))}
+	return &Backoff{set: set, rnd: rnd, span: set.InitialSpan, made: make([]time.Duration, 0, max(set.Budget, 1))}
 }
 
 // Failed takes a failure and returns how long to wait before the next try: full
@@ -46,26 +46,26 @@
 // part of it only. Where the budget is spent it
 // is until the oldest try leaves the window.
 func (b *Backoff) Failed(now time.Duration) time.Duration {
-	wait := b.set.Floor
-	if b.span >= b.set.Most { // phases are random by now, and even waits keep them spread evenly
-		wait = max(wait, time.Duration(steady*float64(b.set.Most)))
+	wait := b.set.MinWait
+	if b.span >= b.set.MaxSpan { // phases are random by now, and even waits keep them spread evenly
+		wait = max(wait, time.Duration(steady*float64(b.set.MaxSpan)))
 	}
 	if over := b.span - wait; over > 0 {
 		wait += time.Duration(b.rnd.Int64N(int64(over) + 1))
 	}
-	b.span = min(2*b.span, b.set.Most)
+	b.span = min(2*b.span, b.set.MaxSpan)
 	if free := b.free(now + wait); free > now+wait {
-		b.Spent++
+		b.BudgetExceeded++
 		wait = free - now
 	}
 	return wait
 }
 
 // Well takes a success: the next failure waits as the first did.
-func (b *Backoff) Well() { b.span = b.set.First }
+func (b *Backoff) Succeeded() { b.span = b.set.InitialSpan }
 
 // Trying takes the word that a try is made now.
-func (b *Backoff) Trying(now time.Duration) {
+func (b *Backoff) TryStarted(now time.Duration) {
 	if b.set.Budget <= 0 {
 		return
 	}
--- a/decide/backoff/backoff_test.go
+++ b/decide/backoff/backoff_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-var usual = Settings{Floor: 50 * time.Millisecond, First: 100 * time.Millisecond, Most: 2800 * time.Millisecond, Window: 10 * time.Second, Budget: 16}
+var usual = Settings{MinWait: 50 * time.Millisecond, InitialSpan: 100 * time.Millisecond, MaxSpan: 2800 * time.Millisecond, Window: 10 * time.Second, Budget: 16}
 
 // 24 links that lose their peer for 10 s at one moment come back spread over at
 // least 2 s, and make fewer tries than a fixed pace that doubles to 700 ms did: the
@@ -29,7 +29,7 @@
 		for n := range uint64(24) {
 			b := New(usual, rand.New(rand.NewPCG(n, fleet)))
 			for now := b.Failed(0); ; now += b.Failed(now) {
-				b.Trying(now)
+				b.TryStarted(now)
 				tries++
 				if now >= down {
 					back = append(back, now)
@@ -60,15 +60,15 @@
 	for range 10 {
 		b.Failed(0)
 	}
-	b.Well()
-	if w := b.Failed(0); w > usual.First {
+	b.Succeeded()
+	if w := b.Failed(0); w > usual.InitialSpan {
 		t.Errorf("after a success the first wait is %v", w)
 	}
 	for range usual.Budget {
-		b.Trying(0)
+		b.TryStarted(0)
 	}
-	b.Well()
-	if w := b.Failed(time.Second); w != 9*time.Second || b.Spent != 1 {
+	b.Succeeded()
+	if w := b.Failed(time.Second); w != 9*time.Second || b.BudgetExceeded != 1 {
 		t.Errorf("with the budget spent it waits %v", w)
 	}
 }
@@ -82,14 +82,14 @@
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
 			var w time.Duration
 			if rapid.Bool().Draw(t, "well") {
-				b.Well()
+				b.Succeeded()
 			}
 			w = b.Failed(now)
-			if w < usual.Floor || w > max(usual.Most, usual.Window) {
+			if w < usual.MinWait || w > max(usual.MaxSpan, usual.Window) {
 				t.Fatalf("waits %v", w)
 			}
 			now += w
-			b.Trying(now)
+			b.TryStarted(now)
 			made = append(made, now)
 			if n := len(made); n > usual.Budget && made[n-1]-made[n-1-usual.Budget] < usual.Window {
 				t.Fatalf("%d tries in %v", usual.Budget+1, made[n-1]-made[n-1-usual.Budget])
--- a/decide/door/door.go
+++ b/decide/connlimit/door.go
@@ -6,7 +6,7 @@
 //
 // Invariant, held by TestShare: in any span of time no more is let in than the share
 // of that span, what may be saved up, and one event more.
-package door
+package connlimit
 
 import "time"
 
@@ -15,8 +15,8 @@
 
 // The kinds.
 const (
-	Connect Kind = iota // a connection is opened, with all that it takes until it is closed
-	Probe               // a health check is answered
+	Connect     Kind = iota // a connection is opened, with all that it takes until it is closed
+	HealthCheck             // a health check is answered
 	kinds
 )
 
@@ -30,22 +30,22 @@
 )
 
 // first is what an event is taken to cost until some were seen: the part that is seen.
-var first = [kinds]time.Duration{Connect: 25 * time.Microsecond, Probe: 10 * time.Microsecond}
+var first = [kinds]time.Duration{Connect: 25 * time.Microsecond, HealthCheck: 10 * time.Microsecond}
 
 // Door is one node's. It belongs to one goroutine at a time.
-type Door struct {
+type Limiter struct {
 	share float64 // of a core
 	left  float64 // seconds of it that may be used now; below 0 it is owed
 	at    time.Duration
 	cost  [kinds]float64 // seconds, smoothed
 
-	Held [kinds]int           // events that had to wait
-	Wait [kinds]time.Duration // and how long, all together
+	Delayed    [kinds]int           // events that had to wait
+	TotalDelay [kinds]time.Duration // and how long, all together
 }
 
 // New returns a door that lets take share of a core, above 0.
-func New(now time.Duration, share float64) *Door {
-	d := &Door{share: share, at: now, left: share * savedFor.Seconds()}
+func New(now time.Duration, share float64) *Limiter {
+	d := &Limiter{share: share, at: now, left: share * savedFor.Seconds()}
 	for k := range d.cost {
 		d.cost[k] = first[k].Seconds()
 	}
@@ -53,13 +53,13 @@
 }
 
 // Took takes what an event took of the processor, as far as that was seen.
-func (d *Door) Took(k Kind, seen time.Duration) {
+func (d *Limiter) Charge(k Kind, seen time.Duration) {
 	x := min(max(seen, costLeast), costMost).Seconds()
 	d.cost[k] += costAlpha * (x - d.cost[k])
 }
 
 // Ask takes an event that came and returns how long it is to wait.
-func (d *Door) Ask(now time.Duration, k Kind) time.Duration {
+func (d *Limiter) Delay(now time.Duration, k Kind) time.Duration {
 	if now > d.at {
 		d.left = min(d.left+d.share*(now-d.at).Seconds(), d.share*savedFor.Seconds())
 		d.at = now
@@ -69,7 +69,7 @@
 		return 0
 	}
 	wait := time.Duration(-d.left / d.share * float64(time.Second))
-	d.Held[k]++
-	d.Wait[k] += wait
+	d.Delayed[k]++
+	d.TotalDelay[k] += wait
 	return wait
 }
--- a/decide/door/door_test.go
+++ b/decide/connlimit/door_test.go
@@ -1,4 +1,4 @@
-package door
+package connlimit
 
 import (
 	"testing"
@@ -23,9 +23,9 @@
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "dt")) * time.Microsecond
 			k := Kind(rapid.IntRange(0, int(kinds)-1).Draw(t, "kind"))
 			if rapid.Bool().Draw(t, "learn") {
-				d.Took(k, time.Duration(rapid.Int64Range(-1, 1e9).Draw(t, "took")))
+				d.Charge(k, time.Duration(rapid.Int64Range(-1, 1e9).Draw(t, "took")))
 			}
-			wait := d.Ask(now, k)
+			wait := d.Delay(now, k)
 			if wait < 0 || wait == 0 && d.left < 0 {
 				t.Fatalf("waits %v with %v left", wait, d.left)
 			}
@@ -48,20 +48,20 @@
 func TestFloodIsHeld(t *testing.T) {
 	d := New(0, 0.2)
 	for range 50 {
-		if w := d.Ask(time.Second, Connect); w > 0 {
+		if w := d.Delay(time.Second, Connect); w > 0 {
 			t.Fatalf("a burst of fifty waits %v", w)
 		}
 	}
 	last := time.Duration(0)
 	for i := range 20_000 { // in one second
 		now := 2*time.Second + time.Duration(i)*50*time.Microsecond
-		d.Took(Connect, 50*time.Microsecond)
-		last = now + d.Ask(now, Connect)
+		d.Charge(Connect, 50*time.Microsecond)
+		last = now + d.Delay(now, Connect)
 	}
 	if took := (last - 2*time.Second).Seconds(); took < 10 || took > 20 { // 3 s of a core at a fifth
 		t.Errorf("20,000 connections of 150 us are let in within %.1f s", took)
 	}
-	if d.Held[Connect] < 15_000 || d.Held[Probe] > 0 {
-		t.Errorf("held %v", d.Held)
+	if d.Delayed[Connect] < 15_000 || d.Delayed[HealthCheck] > 0 {
+		t.Errorf("held %v", d.Delayed)
 	}
 }
--- a/decide/fleet/deploy_test.go
+++ b/decide/fleet/deploy_test.go
@@ -237,7 +237,7 @@
 			if now%(2*time.Second) == 0 { // load reports
 				for p, view := range views {
 					for i, s := range all {
-						f.Saw(now, Load{Proxy: fmt.Sprint(p), Node: s.name, Good: view.good[i], Bad: view.bad[i]})
+						f.ObserveLoad(now, ProxyLoad{Proxy: fmt.Sprint(p), Node: s.name, Good: view.good[i], Bad: view.bad[i]})
 					}
 					clear(view.good)
 					clear(view.bad)
--- a/decide/fleet/fleet.go
+++ b/decide/fleet/fleet.go
@@ -58,9 +58,9 @@
 
 // The phases.
 const (
-	Up       Phase = iota
-	Draining       // it leaves; what it has it finishes
-	Out            // it asks for nothing, for reasons of its own
+	Up           Phase = iota
+	Draining           // it leaves; what it has it finishes
+	OutOfService       // it asks for nothing, for reasons of its own
 )
 
 // Report is what a node says. Plain reports of the platform's kind have a name
@@ -86,7 +86,7 @@
 }
 
 // Load is what one proxy saw of one node since its last load report.
-type Load struct {
+type ProxyLoad struct {
 	Proxy, Node string
 	Good, Bad   float64 // requests
 }
@@ -198,7 +198,7 @@
 // Proven reports whether the view may be published: an earlier life's only once most
 // of its nodes were heard, or had time to speak, since it may be old or another's; a new
 // one only once all nodes had time, since an empty view would empty the proxies.
-func (f *Fleet) Proven(now time.Duration) bool {
+func (f *Fleet) Ready(now time.Duration) bool {
 	if f.former == 0 {
 		return now-f.began >= listenNew
 	}
@@ -292,7 +292,7 @@
 }
 
 // Saw takes what a proxy saw of a node.
-func (f *Fleet) Saw(now time.Duration, l Load) {
+func (f *Fleet) ObserveLoad(now time.Duration, l ProxyLoad) {
 	n := f.nodes[l.Node]
 	if n == nil || !(l.Good >= 0) || !(l.Bad >= 0) {
 		return
@@ -484,7 +484,7 @@
 		state, why = n.trusted, "silent, but so are many: kept as it was"
 	case n.silent > 0:
 		state, why = Silent, "reports are missing"
-	case r.Phase == Out || !r.Healthy:
+	case r.Phase == OutOfService || !r.Healthy:
 		state, why = Refusing, "it says that it can take nothing"
 	case n.damped:
 		state, why = Damped, "it comes and goes"
--- a/decide/fleet/fleet_test.go
+++ b/decide/fleet/fleet_test.go
@@ -81,7 +81,7 @@
 	p := newPlay(t, 6, 2)
 	p.want("n00", Healthy)
 	p.live["n01"].Phase = Draining
-	p.live["n02"].Phase = Out
+	p.live["n02"].Phase = OutOfService
 	p.live["n03"].Warm = 0.3
 	p.pass(3 * time.Second)
 	p.want("n01", Leaving)
@@ -218,7 +218,7 @@
 	see := func(node string, bad float64, proxies ...string) {
 		for range 8 {
 			for _, x := range proxies {
-				p.f.Saw(p.now, Load{Proxy: x, Node: node, Good: 20 - bad, Bad: bad})
+				p.f.ObserveLoad(p.now, ProxyLoad{Proxy: x, Node: node, Good: 20 - bad, Bad: bad})
 			}
 			p.pass(500 * ms)
 		}
@@ -228,8 +228,8 @@
 	if w := p.node("n00").Weight; w == 0 || w > p.node("n01").Weight/5 {
 		t.Errorf("failing, with weight %d of %d", w, p.node("n01").Weight)
 	}
-	p.f.Saw(p.now, Load{Proxy: "a", Node: "n01", Good: 100})
-	p.f.Saw(p.now, Load{Proxy: "b", Node: "n01", Good: 100})
+	p.f.ObserveLoad(p.now, ProxyLoad{Proxy: "a", Node: "n01", Good: 100})
+	p.f.ObserveLoad(p.now, ProxyLoad{Proxy: "b", Node: "n01", Good: 100})
 	see("n01", 19, "c")
 	p.want("n01", Healthy, Failing)
 	see("n00", 0, "a", "b")
@@ -246,19 +246,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.Proven(p.now) || f.Proven(p.now+provenAfter-1) || !f.Proven(p.now+provenAfter) {
+	if f.Ready(p.now) || f.Ready(p.now+provenAfter-1) || !f.Ready(p.now+provenAfter) {
 		t.Error("proven before anybody spoke, or not once all had time")
 	}
 	for i := range 4 {
-		if f.Proven(p.now + 1) {
+		if f.Ready(p.now + 1) {
 			t.Fatalf("proven by %d of 6", i)
 		}
 		f.Report(p.now+1, Report{Name: fmt.Sprintf("n%02d", i), Addr: "127.0.0.1:1", Incarnation: 1 << 60, Seq: 1, Healthy: true, Warm: 1, Limit: 4})
 	}
-	if !f.Proven(p.now + 1) {
+	if !f.Ready(p.now + 1) {
 		t.Error("not proven by four of six")
 	}
-	if g := New(0); g.Proven(listenNew-1) || !g.Proven(listenNew) {
+	if g := New(0); g.Ready(listenNew-1) || !g.Ready(listenNew) {
 		t.Error("a new one")
 	}
 }
@@ -362,7 +362,7 @@
 					x.Phase = Phase(rapid.IntRange(0, 2).Draw(r, "phase"))
 				}
 			case 4:
-				p.f.Saw(p.now, Load{Proxy: "p", Node: name, Good: rapid.Float64Range(-1, 50).Draw(r, "good"), Bad: rapid.Float64Range(-1, 50).Draw(r, "bad")})
+				p.f.ObserveLoad(p.now, ProxyLoad{Proxy: "p", Node: name, Good: rapid.Float64Range(-1, 50).Draw(r, "good"), Bad: rapid.Float64Range(-1, 50).Draw(r, "bad")})
 			default:
 				p.live = map[string]*Report{}
 			}
--- a/decide/fleet/history.go
+++ b/decide/fleet/history.go
@@ -35,7 +35,7 @@
 
 // Note takes a view and keeps what changed since the last one. A node that is still
 // unproven has not changed: nobody spoke for it yet.
-func (h *History) Note(now time.Duration, v *View) {
+func (h *History) Record(now time.Duration, v *View) {
 	seen := make(map[string]bool, len(v.Nodes))
 	for i := range v.Nodes {
 		n := &v.Nodes[i]
--- a/decide/fleet/history_test.go
+++ b/decide/fleet/history_test.go
@@ -18,30 +18,30 @@
 // one node that flaps does not push out the rest.
 func TestHistory(t *testing.T) {
 	h := NewHistory()
-	h.Note(1, viewOf(map[string]State{"a": Healthy}))
-	h.Note(2, viewOf(map[string]State{"a": Healthy}))
-	h.Note(3, viewOf(map[string]State{"a": Silent}))
+	h.Record(1, viewOf(map[string]State{"a": Healthy}))
+	h.Record(2, viewOf(map[string]State{"a": Healthy}))
+	h.Record(3, viewOf(map[string]State{"a": Silent}))
 	if l := h.List(); len(l) != 2 || !l[0].New || l[1].From != Healthy || l[1].To != Silent || l[1].Why != "because" {
 		t.Fatalf("%+v", l)
 	}
 	for i := range 500 {
-		h.Note(time.Duration(10+i), viewOf(map[string]State{"a": Silent, "b": State(i % 2)}))
+		h.Record(time.Duration(10+i), viewOf(map[string]State{"a": Silent, "b": State(i % 2)}))
 	}
 	if l := h.List(); len(l) != 2+historyNode || l[1].Name != "a" {
 		t.Errorf("%d changes are kept, a flapping node's among them", len(l))
 	}
 	again := NewHistory()
 	again.Restore(h.List(), -time.Hour)
-	again.Note(5, viewOf(map[string]State{"a": Silent, "b": State(1)})) // nothing changed meanwhile
+	again.Record(5, viewOf(map[string]State{"a": Silent, "b": State(1)})) // nothing changed meanwhile
 	if l := again.List(); len(l) != 2+historyNode || l[0].At > 0 {
 		t.Errorf("after a restart %d changes, the first at %v", len(l), l[0].At)
 	}
-	again.Note(25*time.Hour, viewOf(map[string]State{"a": Gone}))
+	again.Record(25*time.Hour, viewOf(map[string]State{"a": Gone}))
 	if l := again.List(); len(l) != 1 || l[0].To != Gone {
 		t.Errorf("a day later %d are kept", len(l))
 	}
 	for i := range 2 * historyMost {
-		again.Note(26*time.Hour, viewOf(map[string]State{fmt.Sprint(i): Healthy}))
+		again.Record(26*time.Hour, viewOf(map[string]State{fmt.Sprint(i): Healthy}))
 	}
 	if len(again.List()) > historyMost || len(again.last) > 1 {
 		t.Errorf("%d changes, %d names are kept", len(again.List()), len(again.last))
--- a/decide/together/choice.go
+++ b/decide/shedding/choice.go
@@ -1,12 +1,12 @@
 // This file owns whose digest a node follows where several control services tell one:
 // never a mix of two.
 
-package together
+package shedding
 
 import "time"
 
 // Sources is how many services a node listens to at most.
-const Sources = 5
+const MaxSources = 5
 
 // Tuned values of the choice.
 const (
@@ -27,7 +27,7 @@
 
 // choice is which of them is followed.
 type choice struct {
-	all   [Sources]source
+	all   [MaxSources]source
 	at    int
 	moved time.Duration
 	Moves int
@@ -52,7 +52,7 @@
 			if !s.fresh(now) || float64(s.d.Nodes) < heardPart*float64(cur.d.Nodes) {
 				continue
 			}
-			if b := &c.all[best]; s.d.Cut > 0 && (b.d.Cut <= 0 || band(s.d.Cut) >= band(b.d.Cut)+cutApart) {
+			if b := &c.all[best]; s.d.Threshold > 0 && (b.d.Threshold <= 0 || band(s.d.Threshold) >= band(b.d.Threshold)+cutApart) {
 				best = i
 			}
 		}
--- a/decide/together/choice_test.go
+++ b/decide/shedding/choice_test.go
@@ -1,4 +1,4 @@
-package together
+package shedding
 
 import (
 	"testing"
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-func tell(m *Module, now time.Duration, src int, seq uint64, nodes int, cut float64) {
-	m.ToldBy(now, now, src, Digest{Epoch: uint64(10 + src), Seq: seq, Nodes: nodes, Cut: cut})
+func tell(m *Shedder, now time.Duration, src int, seq uint64, nodes int, cut float64) {
+	m.ReceiveDigestFrom(now, now, src, Digest{Epoch: uint64(10 + src), Seq: seq, Nodes: nodes, Threshold: cut})
 	m.Step(now, 100, 1)
 }
 
@@ -40,8 +40,8 @@
 		tell(m, now, 2, seq, 6, 50)
 		tell(m, now, 3, seq, 1, 5000)
 	}
-	if v := at(9 * time.Second); v.Source != 2 || v.Cut != 50 {
-		t.Errorf("follows %d with cut %.0f where one that hears enough sees danger", v.Source, v.Cut)
+	if v := at(9 * time.Second); v.Source != 2 || v.Threshold != 50 {
+		t.Errorf("follows %d with cut %.0f where one that hears enough sees danger", v.Source, v.Threshold)
 	}
 	if m.choice.Moves != 2 {
 		t.Errorf("%d moves", m.choice.Moves)
@@ -58,13 +58,13 @@
 		now := time.Duration(0)
 		for range 150 {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "dt")) * time.Millisecond
-			src := rapid.IntRange(-1, Sources).Draw(t, "src")
+			src := rapid.IntRange(-1, MaxSources).Draw(t, "src")
 			d := Digest{Epoch: uint64(100 + src), Seq: rapid.Uint64Range(1, 40).Draw(t, "seq"), Nodes: rapid.IntRange(0, 20).Draw(t, "nodes"),
-				Cut: rapid.SampledFrom([]float64{0, 10, 50, 500}).Draw(t, "cut")}
+				Threshold: rapid.SampledFrom([]float64{0, 10, 50, 500}).Draw(t, "cut")}
 			since := now - time.Duration(rapid.IntRange(0, 3000).Draw(t, "age"))*time.Millisecond
 			moves, was, moved := m.choice.Moves, m.choice.at, m.choice.moved
-			if m.ToldBy(now, since, src, d) {
-				if src < 0 || src >= Sources {
+			if m.ReceiveDigestFrom(now, since, src, d) {
+				if src < 0 || src >= MaxSources {
 					t.Fatal("a source that is none was believed")
 				}
 				said[d] = src
--- a/decide/together/explore_test.go
+++ b/decide/shedding/explore_test.go
@@ -1,4 +1,4 @@
-package together
+package shedding
 
 import (
 	"fmt"
@@ -38,9 +38,9 @@
 	over    bool          // the overload lasts
 	ended   time.Duration // when it ended
 	epoch   uint64
-	g       *Gatherer
+	g       *Aggregator
 	seq     [exploreNodes]uint64
-	nodes   [exploreNodes]Module
+	nodes   [exploreNodes]Shedder
 	flights []flight
 }
 
@@ -63,15 +63,15 @@
 	fmt.Fprint(&b, w.tick, w.faults, w.over, w.ended, w.epoch, w.g.cut, w.g.seq, w.seq)
 	for _, name := range []string{"n0", "n1"} {
 		if h := w.g.words[name]; h != nil {
-			fmt.Fprint(&b, "|", h.seq, w.now-h.at, h.Short)
+			fmt.Fprint(&b, "|", h.seq, w.now-h.at, h.ShortageShare)
 		}
 	}
 	for i := range w.nodes {
 		m := &w.nodes[i]
-		fmt.Fprint(&b, "/", m.hasDigest, m.digest.Epoch, m.digest.Seq, m.digest.Cut, m.heard)
+		fmt.Fprint(&b, "/", m.hasDigest, m.digest.Epoch, m.digest.Seq, m.digest.Threshold, m.heard)
 	}
 	for _, f := range w.flights {
-		fmt.Fprint(&b, "~", f.to, f.due-w.now, f.d.Epoch, f.d.Seq, f.d.Cut)
+		fmt.Fprint(&b, "~", f.to, f.due-w.now, f.d.Epoch, f.d.Seq, f.d.Threshold)
 	}
 	return b.String()
 }
@@ -97,7 +97,7 @@
 	if w.over {
 		said = word(100, 1, map[float64]float64{50: 150, 10: 100})
 	}
-	w.g.Heard(w.now, fmt.Sprint("n", i), 1, w.seq[i], said)
+	w.g.Observe(w.now, fmt.Sprint("n", i), 1, w.seq[i], said)
 	a := flight{to: i, made: w.now, due: w.now, d: w.g.Last()}
 	switch f {
 	case late1:
@@ -119,7 +119,7 @@
 			rest = append(rest, f)
 			continue
 		}
-		w.nodes[f.to].Told(w.now, f.made, f.d)
+		w.nodes[f.to].ReceiveDigest(w.now, f.made, f.d)
 	}
 	w.flights = rest
 	w.now += exploreTick
@@ -128,7 +128,7 @@
 
 func (w *world) restart(epoch uint64) {
 	w.epoch = epoch
-	w.g = NewGatherer(epoch)
+	w.g = NewAggregator(epoch)
 }
 
 // check holds the invariants of every world.
@@ -146,7 +146,7 @@
 				}
 			}
 		}
-		if v := m.View(w.now); v.Cut > 0 && !w.over && w.now-w.ended > wordLife+trustEnd {
+		if v := m.View(w.now); v.Threshold > 0 && !w.over && w.now-w.ended > wordLife+trustEnd {
 			return fmt.Errorf("node %d follows a cut %v after the overload ended", i, w.now-w.ended)
 		}
 		if v := m.View(w.now); v.Trust > 0 && w.now-m.heard >= trustEnd {
@@ -170,7 +170,7 @@
 	}
 	for i := range w.nodes {
 		m := &w.nodes[i]
-		if v := m.View(w.now); v.Cut > 0 != w.over || v.Trust < 1 || m.digest.Epoch != w.epoch {
+		if v := m.View(w.now); v.Threshold > 0 != w.over || v.Trust < 1 || m.digest.Epoch != w.epoch {
 			return fmt.Errorf("node %d after %d quiet ticks: %+v of epoch %d, the service's is %d, overload %v", i, quietTicks, v, m.digest.Epoch, w.epoch, w.over)
 		}
 	}
@@ -178,7 +178,7 @@
 }
 
 func TestExplore(t *testing.T) {
-	begin := &world{over: true, epoch: 10, g: NewGatherer(10)}
+	begin := &world{over: true, epoch: 10, g: NewAggregator(10)}
 	for i := range begin.nodes {
 		begin.nodes[i] = *New(0, true)
 	}
--- a/decide/together/swing_test.go
+++ b/decide/shedding/swing_test.go
@@ -1,4 +1,4 @@
-package together
+package shedding
 
 import (
 	"fmt"
@@ -25,13 +25,13 @@
 func (f *fluid) play(length time.Duration) {
 	const drain = 100.0
 	rnd := rand.New(rand.NewPCG(7, uint64(f.nodes)))
-	g := NewGatherer(1)
+	g := NewAggregator(1)
 	type later struct {
 		at   time.Duration
 		what func(now time.Duration)
 	}
 	var queue []later
-	mods := make([]*Module, f.nodes)
+	mods := make([]*Shedder, f.nodes)
 	phase := make([]time.Duration, f.nodes)
 	for i := range mods {
 		mods[i] = New(0, true)
@@ -71,22 +71,22 @@
 			m.Step(now+100*time.Millisecond, drain, min(first/drain, 1)*map[bool]float64{true: 1, false: 0.2}[first > 0.95*drain])
 			if (now+phase[i])%(700*time.Millisecond) < 100*time.Millisecond {
 				seq++
-				word, n := m.Word(), seq
+				word, n := m.LoadReport(), seq
 				made := now
 				queue = append(queue, later{now + f.delay, func(at time.Duration) {
-					g.Heard(at, fmt.Sprint(i), 1, n, word)
+					g.Observe(at, fmt.Sprint(i), 1, n, word)
 					d := g.Last()
-					queue = append(queue, later{at + f.delay, func(then time.Duration) { m.Told(then, made, d) }})
+					queue = append(queue, later{at + f.delay, func(then time.Duration) { m.ReceiveDigest(then, made, d) }})
 				}})
 			}
 		}
 		away += 0.1 * (f.heed*float64(refused)/float64(max(read, 1)) - away)
 		d := g.Digest(now)
-		f.cuts = append(f.cuts, d.Cut)
+		f.cuts = append(f.cuts, d.Threshold)
 		f.ended = append(f.ended, float64(out)/float64(max(refused, 1)))
 		n := 0
 		for _, m := range mods {
-			if m.View(now).Cut > 0 {
+			if m.View(now).Threshold > 0 {
 				n++
 			}
 		}
@@ -143,9 +143,9 @@
 func BenchmarkDigest(b *testing.B) {
 	for _, n := range []int{30, 300, 3000} {
 		b.Run(fmt.Sprint(n, " nodes"), func(b *testing.B) {
-			g := NewGatherer(1)
+			g := NewAggregator(1)
 			for i := range n {
-				g.Heard(0, fmt.Sprint(i), 1, 1, word(100, 1, map[float64]float64{100: 80, 50: 40, 12: 60}))
+				g.Observe(0, fmt.Sprint(i), 1, 1, word(100, 1, map[float64]float64{100: 80, 50: 40, 12: 60}))
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/decide/together/together.go
+++ b/decide/shedding/together.go
@@ -8,7 +8,7 @@
 // Invariants, held by TestProperties: whatever came in, advice lies within its
 // bounds, shares within 0 and 1, and no state outlives its evidence; a digest past
 // its life is as if never told, and on the way there trust falls without a jump.
-package together
+package shedding
 
 import (
 	"fmt"
@@ -18,7 +18,7 @@
 	"robinmast/rules"
 )
 
-var _ rules.Shedder = (*Module)(nil)
+var _ rules.Shedder = (*Shedder)(nil)
 
 // Tuned values. Shares are of 1; every time is a real duration.
 const (
@@ -52,40 +52,40 @@
 )
 
 // Module is one node's. It belongs to one goroutine.
-type Module struct {
+type Shedder struct {
 	stepped time.Duration
 	told    bool // digests are taken
 
-	count, rate   [Bands]float64 // arrivals by value: since the last step, and a second
-	first, demand [Bands]float64 // first tries by price, the same
-	read, again   float64        // arrivals and further tries, faded
-	refused, out  float64        // refusals and those that ended a walk, faded
-	drain         float64
-	short         float64 // share of the last steps in which slots were short
-	wanted        float64 // first tries a second
-	usual         float64 // the highest drain of late, slowly forgotten
-	fleetShort    float64 // how surely the fleet is short, 0 to 1
-	grown         float64 // of the spread
-	turn          float64 // of the sequence of appointments, 0 to 1
-	odd           float64 // running remainder, so that a share of walks ends exactly
-	slot          [slots]uint16
-	slotAt        int64 // number of the first slot
-	digest        Digest
-	heard         time.Duration // as of when the digest holds
-	hasDigest     bool
-	choice        choice // of the service whose digest that is
-	acting        bool
-	Ignored       int // digests that were older than what is known
+	count, rate    [PriorityBands]float64 // arrivals by value: since the last step, and a second
+	first, demand  [PriorityBands]float64 // first tries by price, the same
+	read, again    float64                // arrivals and further tries, faded
+	refused, out   float64                // refusals and those that ended a walk, faded
+	drain          float64
+	short          float64 // share of the last steps in which slots were short
+	wanted         float64 // first tries a second
+	usual          float64 // the highest drain of late, slowly forgotten
+	fleetShort     float64 // how surely the fleet is short, 0 to 1
+	grown          float64 // of the spread
+	turn           float64 // of the sequence of appointments, 0 to 1
+	odd            float64 // running remainder, so that a share of walks ends exactly
+	slot           [slots]uint16
+	slotAt         int64 // number of the first slot
+	digest         Digest
+	heard          time.Duration // as of when the digest holds
+	hasDigest      bool
+	choice         choice // of the service whose digest that is
+	acting         bool
+	IgnoredDigests int // digests that were older than what is known
 }
 
 // New returns a node's module; told lets it take digests.
-func New(now time.Duration, told bool) *Module {
-	return &Module{stepped: now, told: told, grown: 1, slotAt: slotOf(now)}
+func New(now time.Duration, told bool) *Shedder {
+	return &Shedder{stepped: now, told: told, grown: 1, slotAt: slotOf(now)}
 }
 
 // Arrived takes an arrival: what serving it earns in the order of the line, its
 // price by which nodes compare, and whether it is marked as a further try.
-func (m *Module) Arrived(_ time.Duration, value, price float64, again bool) {
+func (m *Shedder) Arrived(_ time.Duration, value, price float64, again bool) {
 	m.count[band(value)]++
 	m.read++
 	if again {
@@ -98,7 +98,7 @@
 // Step brings the rates up to now: drain is how many held requests a second get a
 // slot, short the share of the time in which slots were short. It returns lines
 // for people.
-func (m *Module) Step(now time.Duration, drain, short float64) (lines []string) {
+func (m *Shedder) Step(now time.Duration, drain, short float64) (lines []string) {
 	dt := (now - m.stepped).Seconds()
 	if dt <= 0 {
 		return nil
@@ -137,7 +137,7 @@
 	return lines
 }
 
-func (m *Module) age(now time.Duration) string {
+func (m *Shedder) age(now time.Duration) string {
 	if m.trust(now) == 0 {
 		return "none"
 	}
@@ -148,7 +148,7 @@
 // it: where each node refuses r and ends e of the walks, r(1-e) of all arrivals
 // are further tries. Desktops that try again raise it, the more so the shorter
 // the fleet is.
-func (m *Module) others() float64 {
+func (m *Shedder) others() float64 {
 	if m.read < leastRead {
 		return 0
 	}
@@ -163,7 +163,7 @@
 // say that others refuse, its own slots are short, and first tries come faster than it
 // usually drains. Without the last a node that was slowed would take its own refusals,
 // which come back marked, for those of others, and end walks that others had room for.
-func (m *Module) alone() float64 {
+func (m *Shedder) alone() float64 {
 	if m.short < 0.05 || m.wanted < wantedLeast*m.usual {
 		return 0
 	}
@@ -172,14 +172,14 @@
 
 // judge is how surely the fleet is short: by its digest as far as that is believed,
 // else by what further tries tell, and never while this node is not short itself.
-func (m *Module) judge(now time.Duration) float64 {
+func (m *Shedder) judge(now time.Duration) float64 {
 	alone := m.alone()
 	t := m.trust(now)
 	if t == 0 {
 		return alone
 	}
 	told := 0.0
-	if m.digest.Cut > 0 {
+	if m.digest.Threshold > 0 {
 		told = 1
 	}
 	return t*told + (1-t)*alone
@@ -187,22 +187,22 @@
 
 // InVain reports whether a request of that value, itself in the line, would be
 // held for longer than most.
-func (m *Module) ExceedsQueueTimeout(line []rules.QueuedRequest, value float64, most time.Duration) bool {
+func (m *Shedder) ExceedsQueueTimeout(line []rules.QueuedRequest, value float64, most time.Duration) bool {
 	ahead := -1
 	for _, w := range line {
 		if w.Utility >= value {
 			ahead++
 		}
 	}
-	return m.Wait(max(ahead, 0), value) > time.Duration(vainShare*float64(most))
+	return m.QueueDelay(max(ahead, 0), value) > time.Duration(vainShare*float64(most))
 }
 
 // Wait is how long a request of that value would be held: those ahead of it and
 // those of more value that come meanwhile go first. It is the longest there is
 // where it would never have its turn.
-func (m *Module) Wait(ahead int, value float64) time.Duration {
+func (m *Shedder) QueueDelay(ahead int, value float64) time.Duration {
 	above := 0.0
-	for i := band(value) + 1; i < Bands; i++ {
+	for i := band(value) + 1; i < PriorityBands; i++ {
 		above += m.rate[i]
 	}
 	left := m.drain - above
@@ -219,13 +219,13 @@
 // EndsWalk reports whether a refused request is to try no other node. Told, it is
 // so below the fleet's cut: no node keeps less than what is turned away. Alone, it
 // is so for a share of them that grows with what others refuse.
-func (m *Module) StopsRetries(now time.Duration, price float64) bool {
+func (m *Shedder) StopsRetries(now time.Duration, price float64) bool {
 	m.refused++
 	share := endMost * m.alone()
 	if t := m.trust(now); t > 0 {
 		below := 0.0
-		switch over := band(price) - band(m.digest.Cut); {
-		case m.digest.Cut <= 0:
+		switch over := band(price) - band(m.digest.Threshold); {
+		case m.digest.Threshold <= 0:
 		case over < 0:
 			below = 1
 		case over <= nearCut:
@@ -243,13 +243,13 @@
 
 // RetryWorth is the worth of a further try over that of a first: less while the
 // fleet is short, the same while only some nodes were full.
-func (m *Module) RetryUtility() float64 { return 1 - (1-retryShort)*m.fleetShort }
+func (m *Shedder) RetryUtility() float64 { return 1 - (1-retryShort)*m.fleetShort }
 
 // Advice is how long who is refused now is to stay away: near base, at the first
 // slot whose returns are within what drains then, so that those refused together
 // do not return together. Where all are taken it is the emptiest. Its mean is base,
 // and more only while returns exceed their share and no slot runs dry for it.
-func (m *Module) RetryAfter(now, base, most time.Duration) time.Duration {
+func (m *Shedder) RetryAfter(now, base, most time.Duration) time.Duration {
 	if base <= 0 || most <= 0 {
 		return base
 	}
@@ -296,27 +296,29 @@
 
 // View is how the module stands, for counters and reports.
 type View struct {
-	Others float64 // share that other nodes refuse, as further tries show it
-	Short  float64 // how surely the fleet is short
-	Trust  float64 // in the digest
-	Cut    float64 // told
-	Age    time.Duration
-	Ended  float64 // share of refusals that ended a walk lately
-	Grown  float64 // of the spread of advice
-	Source int     // the service that is followed
+	PeerRefusalShare float64 // share that other nodes refuse, as further tries show it
+	Shortage         float64 // how surely the fleet is short
+	Trust            float64 // in the digest
+	Threshold        float64 // told
+	DigestAge        time.Duration
+	StoppedRetries   float64 // share of refusals that ended a walk lately
+	AdviceStretch    float64 // of the spread of advice
+	Source           int     // the service that is followed
 }
 
 // View shows how the module stands.
-func (m *Module) View(now time.Duration) View {
-	v := View{Others: m.others(), Short: m.fleetShort, Trust: m.trust(now), Grown: m.grown, Ended: m.out / max(m.refused, 1)}
+func (m *Shedder) View(now time.Duration) View {
+	v := View{PeerRefusalShare: m.others(), Shortage: m.fleetShort, Trust: m.trust(now), AdviceStretch: m.grown, StoppedRetries: m.out / max(m.refused, 1)}
 	if v.Trust > 0 {
-		v.Cut, v.Age, v.Source = m.digest.Cut, now-m.heard, m.choice.at
+		v.Threshold, v.DigestAge, v.Source = m.digest.Threshold, now-m.heard, m.choice.at
 	}
 	return v
 }
 
 // Word is what the node tells of itself.
-func (m *Module) Word() Word { return Word{Drain: m.drain, Short: m.short, Demand: m.demand} }
+func (m *Shedder) LoadReport() LoadReport {
+	return LoadReport{DrainRate: m.drain, ShortageShare: m.short, Demand: m.demand}
+}
 
 // sane is x, or 0 where x is no number of any use.
 func sane(x float64) float64 {
--- a/decide/together/together_test.go
+++ b/decide/shedding/together_test.go
@@ -1,4 +1,4 @@
-package together
+package shedding
 
 import (
 	"math"
@@ -14,7 +14,7 @@
 const step = 100 * time.Millisecond
 
 // feed plays seconds of arrivals, a part of them further tries, and of refusals.
-func feed(m *Module, from time.Duration, seconds, rate, again, refused, drain, short float64) time.Duration {
+func feed(m *Shedder, from time.Duration, seconds, rate, again, refused, drain, short float64) time.Duration {
 	rnd := rand.New(rand.NewPCG(1, uint64(rate)))
 	end := from + time.Duration(seconds*float64(time.Second))
 	for now := from; now < end; now += step {
@@ -112,7 +112,7 @@
 		"dear, cheap ones wait": {line(90, 10), 100, false},
 	} {
 		if got := m.ExceedsQueueTimeout(c.line, c.value, 300*time.Millisecond); got != c.want {
-			t.Errorf("%s: in vain %v, it waits %v", name, got, m.Wait(len(c.line)-1, c.value))
+			t.Errorf("%s: in vain %v, it waits %v", name, got, m.QueueDelay(len(c.line)-1, c.value))
 		}
 	}
 }
@@ -141,8 +141,8 @@
 	}
 }
 
-func word(drain, short float64, demand map[float64]float64) (w Word) {
-	w.Drain, w.Short = drain, short
+func word(drain, short float64, demand map[float64]float64) (w LoadReport) {
+	w.DrainRate, w.ShortageShare = drain, short
 	for price, x := range demand {
 		w.Demand[band(price)] += x
 	}
@@ -152,55 +152,55 @@
 // Above the cut nobody sheds while anybody keeps what is below it: the cut is where
 // demand, from the dearest down, has filled all drains, within a band.
 func TestCutIsTheWaterLevel(t *testing.T) {
-	g := NewGatherer(1)
+	g := NewAggregator(1)
 	for i, name := range []string{"a", "b", "c", "d"} {
 		w := word(100, 1, map[float64]float64{100: 50, 50: 40, 25: 30, 12: 100})
 		if i == 3 { // one node has room, and only cheap work comes to it
 			w = word(100, 0, map[float64]float64{12: 60})
 		}
-		if !g.Heard(0, name, 1, 1, w) {
+		if !g.Observe(0, name, 1, 1, w) {
 			t.Fatal("not heard")
 		}
 	}
 	d := g.Digest(0) // 150 of 100, 120 of 50, 90 of 25, 360 of 12 for 400: the cut is in the cheapest
-	if d.Cut == 0 || band(d.Cut) != band(12) || d.Nodes != 4 || d.Drain != 400 || d.Demand != 720 {
+	if d.Threshold == 0 || band(d.Threshold) != band(12) || d.Nodes != 4 || d.DrainRate != 400 || d.Demand != 720 {
 		t.Errorf("digest %+v", d)
 	}
 	for seq := uint64(2); seq < 20; seq++ {
 		for _, name := range []string{"a", "b", "c", "d"} {
-			g.Heard(time.Duration(seq)*step, name, 1, seq, word(100, 1, map[float64]float64{100: 80, 50: 40}))
+			g.Observe(time.Duration(seq)*step, name, 1, seq, word(100, 1, map[float64]float64{100: 80, 50: 40}))
 		}
 		d = g.Digest(time.Duration(seq) * step)
 	}
-	if band(d.Cut) != band(50) { // 320 of 100, 160 of 50 for 400
-		t.Errorf("the cut is %v", d.Cut)
+	if band(d.Threshold) != band(50) { // 320 of 100, 160 of 50 for 400
+		t.Errorf("the cut is %v", d.Threshold)
 	}
 	for seq := uint64(20); seq < 24; seq++ {
 		for _, name := range []string{"a", "b", "c", "d"} {
-			g.Heard(time.Duration(seq)*step, name, 1, seq, word(100, 0.5, map[float64]float64{100: 80}))
+			g.Observe(time.Duration(seq)*step, name, 1, seq, word(100, 0.5, map[float64]float64{100: 80}))
 		}
 		d = g.Digest(time.Duration(seq) * step)
 	}
-	if d.Cut != 0 {
-		t.Errorf("the fleet has room for all, the cut is %v", d.Cut)
+	if d.Threshold != 0 {
+		t.Errorf("the fleet has room for all, the cut is %v", d.Threshold)
 	}
 }
 
 // One node's nonsense moves the fleet's figures by no more than a few shares.
 func TestLiarIsTrimmed(t *testing.T) {
-	for name, lie := range map[string]Word{
+	for name, lie := range map[string]LoadReport{
 		"a million":  word(1e6, 1, map[float64]float64{1000: 1e6}),
 		"negative":   word(-5, -1, map[float64]float64{1000: -100}),
 		"no number":  word(math.NaN(), math.NaN(), map[float64]float64{1000: math.NaN()}),
 		"infinities": word(math.Inf(1), math.Inf(1), map[float64]float64{1000: math.Inf(1)}),
 	} {
-		g := NewGatherer(1)
+		g := NewAggregator(1)
 		for i := range 9 {
-			g.Heard(0, string(rune('a'+i)), 1, 1, word(100, 1, map[float64]float64{50: 150}))
+			g.Observe(0, string(rune('a'+i)), 1, 1, word(100, 1, map[float64]float64{50: 150}))
 		}
-		g.Heard(0, "liar", 1, 1, lie)
+		g.Observe(0, "liar", 1, 1, lie)
 		d := g.Digest(0)
-		if !(d.Drain >= 900 && d.Drain <= 900+trimTimes*100) || !(d.Demand >= 1350 && d.Demand <= 1350+trimTimes*150) {
+		if !(d.DrainRate >= 900 && d.DrainRate <= 900+trimTimes*100) || !(d.Demand >= 1350 && d.Demand <= 1350+trimTimes*150) {
 			t.Errorf("%s: %+v", name, d)
 		}
 	}
@@ -208,15 +208,15 @@
 
 // A node that fell silent counts no more, and a dead incarnation's word nothing.
 func TestWordsAge(t *testing.T) {
-	g := NewGatherer(1)
-	g.Heard(0, "a", 5, 9, word(100, 1, map[float64]float64{50: 300}))
-	if g.Heard(step, "a", 4, 99, word(900, 0, nil)) || g.Heard(step, "a", 5, 9, word(900, 0, nil)) {
+	g := NewAggregator(1)
+	g.Observe(0, "a", 5, 9, word(100, 1, map[float64]float64{50: 300}))
+	if g.Observe(step, "a", 4, 99, word(900, 0, nil)) || g.Observe(step, "a", 5, 9, word(900, 0, nil)) {
 		t.Error("an older word was taken")
 	}
-	if d := g.Digest(step); d.Drain != 100 || d.Cut == 0 {
+	if d := g.Digest(step); d.DrainRate != 100 || d.Threshold == 0 {
 		t.Errorf("digest %+v", d)
 	}
-	if d := g.Digest(wordLife); d.Nodes != 0 || d.Cut != 0 {
+	if d := g.Digest(wordLife); d.Nodes != 0 || d.Threshold != 0 {
 		t.Errorf("after its life %+v", d)
 	}
 }
@@ -225,11 +225,11 @@
 // never told; an older epoch or sequence changes nothing while it lives.
 func TestDigestAges(t *testing.T) {
 	m, never := New(0, true), New(0, true)
-	if !m.Told(0, 0, Digest{Epoch: 7, Seq: 3, Cut: 40}) {
+	if !m.ReceiveDigest(0, 0, Digest{Epoch: 7, Seq: 3, Threshold: 40}) {
 		t.Fatal("not taken")
 	}
-	for _, d := range []Digest{{Epoch: 7, Seq: 3, Cut: 9}, {Epoch: 7, Seq: 2, Cut: 9}, {Epoch: 6, Seq: 99, Cut: 9}, {Seq: 5}, {Epoch: 9, Seq: 1, Cut: math.NaN()}} {
-		if m.Told(step, step, d) {
+	for _, d := range []Digest{{Epoch: 7, Seq: 3, Threshold: 9}, {Epoch: 7, Seq: 2, Threshold: 9}, {Epoch: 6, Seq: 99, Threshold: 9}, {Seq: 5}, {Epoch: 9, Seq: 1, Threshold: math.NaN()}} {
+		if m.ReceiveDigest(step, step, d) {
 			t.Errorf("%+v was taken", d)
 		}
 	}
@@ -243,13 +243,13 @@
 	}
 	feed(m, 0, 4, 200, 0.3, 0.3, 100, 1)
 	feed(never, 0, 4, 200, 0.3, 0.3, 100, 1)
-	if a, b := m.View(4*time.Second), never.View(4*time.Second); a.Short != b.Short || a.Cut != 0 || a.Trust != 0 {
+	if a, b := m.View(4*time.Second), never.View(4*time.Second); a.Shortage != b.Shortage || a.Threshold != 0 || a.Trust != 0 {
 		t.Errorf("past its life %+v, never told %+v", a, b)
 	}
-	if !m.Told(4*time.Second, 4*time.Second, Digest{Epoch: 6, Seq: 1, Cut: 9}) {
+	if !m.ReceiveDigest(4*time.Second, 4*time.Second, Digest{Epoch: 6, Seq: 1, Threshold: 9}) {
 		t.Error("a service that lost its folder is not heard once the other's word has died")
 	}
-	if m.Told(9*time.Second, 6*time.Second, Digest{Epoch: 8, Seq: 1, Cut: 9}) {
+	if m.ReceiveDigest(9*time.Second, 6*time.Second, Digest{Epoch: 8, Seq: 1, Threshold: 9}) {
 		t.Error("a digest that arrived past its life was taken")
 	}
 }
@@ -257,7 +257,7 @@
 // Told, only what is below the cut is to try no other node.
 func TestToldEndsWalksBelowTheCut(t *testing.T) {
 	m := New(0, true)
-	m.Told(0, 0, Digest{Epoch: 1, Seq: 1, Cut: 40})
+	m.ReceiveDigest(0, 0, Digest{Epoch: 1, Seq: 1, Threshold: 40})
 	for range 50 {
 		if !m.StopsRetries(0, 10) {
 			t.Fatal("a walk below the cut goes on")
@@ -266,12 +266,12 @@
 			t.Fatal("a walk above the cut ends")
 		}
 	}
-	m.Told(step, step, Digest{Epoch: 1, Seq: 2, Cut: 0})
+	m.ReceiveDigest(step, step, Digest{Epoch: 1, Seq: 2, Threshold: 0})
 	if m.StopsRetries(step, 10) {
 		t.Error("a walk ends while the fleet has room")
 	}
 	alone := New(0, false)
-	if alone.Told(0, 0, Digest{Epoch: 1, Seq: 1, Cut: 40}) {
+	if alone.ReceiveDigest(0, 0, Digest{Epoch: 1, Seq: 1, Threshold: 40}) {
 		t.Error("a node that is not to be told took a digest")
 	}
 }
@@ -280,7 +280,7 @@
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New(0, true)
-		g := NewGatherer(1)
+		g := NewAggregator(1)
 		now := time.Duration(0)
 		any := rapid.OneOf(rapid.Float64(), rapid.Float64Range(0, 1000), rapid.Just(math.NaN()), rapid.Just(math.Inf(1)), rapid.Just(-1.0))
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
@@ -297,19 +297,19 @@
 					t.Fatalf("advice %v for base %v, most %v", d, base, most)
 				}
 			case 3:
-				m.Told(now, now-time.Duration(rapid.Int64Range(0, int64(4*time.Second)).Draw(t, "age")),
-					Digest{Epoch: rapid.Uint64Range(0, 3).Draw(t, "epoch"), Seq: rapid.Uint64Range(0, 9).Draw(t, "seq"), Cut: any.Draw(t, "cut")})
+				m.ReceiveDigest(now, now-time.Duration(rapid.Int64Range(0, int64(4*time.Second)).Draw(t, "age")),
+					Digest{Epoch: rapid.Uint64Range(0, 3).Draw(t, "epoch"), Seq: rapid.Uint64Range(0, 9).Draw(t, "seq"), Threshold: any.Draw(t, "cut")})
 			case 4:
 				m.StopsRetries(now, any.Draw(t, "price"))
 			case 5:
-				g.Heard(now, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name"), rapid.Uint64Range(0, 2).Draw(t, "inc"),
+				g.Observe(now, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name"), rapid.Uint64Range(0, 2).Draw(t, "inc"),
 					rapid.Uint64Range(0, 9).Draw(t, "seq"), word(any.Draw(t, "drain"), any.Draw(t, "short"), map[float64]float64{50: any.Draw(t, "demand")}))
-				if d := g.Digest(now); !(d.Cut >= 0) || !(d.Drain >= 0) || !(d.Demand >= 0) || math.IsInf(d.Drain+d.Demand+d.Cut, 0) {
+				if d := g.Digest(now); !(d.Threshold >= 0) || !(d.DrainRate >= 0) || !(d.Demand >= 0) || math.IsInf(d.DrainRate+d.Demand+d.Threshold, 0) {
 					t.Fatalf("digest %+v", d)
 				}
 			}
 			v := m.View(now)
-			if !(v.Others >= 0 && v.Others <= 1 && v.Short >= 0 && v.Short <= 1 && v.Trust >= 0 && v.Trust <= 1) ||
+			if !(v.PeerRefusalShare >= 0 && v.PeerRefusalShare <= 1 && v.Shortage >= 0 && v.Shortage <= 1 && v.Trust >= 0 && v.Trust <= 1) ||
 				!(m.RetryUtility() >= retryShort-1e-9 && m.RetryUtility() <= 1) || !(m.grown >= least && m.grown <= longest) || !(m.odd >= 0 && m.odd < 1) {
 				t.Fatalf("view %+v, worth %v, grown %v, odd %v", v, m.RetryUtility(), m.grown, m.odd)
 			}
@@ -318,7 +318,7 @@
 			now += step
 			m.Step(now, 0, 0)
 		}
-		if v := m.View(now); v.Short > 1e-6 || v.Trust != 0 || v.Cut != 0 || m.acting {
+		if v := m.View(now); v.Shortage > 1e-6 || v.Trust != 0 || v.Threshold != 0 || m.acting {
 			t.Fatalf("after 40 s without anything: %+v, acting %v", v, m.acting)
 		}
 	})
--- a/internal/control/comeback.go
+++ b/internal/control/comeback.go
@@ -12,7 +12,7 @@
 
 	"robinmast/decide/comeback"
 	"robinmast/decide/fleet"
-	"robinmast/decide/together"
+	"robinmast/decide/shedding"
 	"robinmast/internal/store"
 )
 
@@ -43,7 +43,7 @@
 // told is the answer to a report: the fleet's digest, and what was heard of the
 // node's earlier lives.
 type told struct {
-	*together.Digest
+	*shedding.Digest
 	Heard *heard  `json:"heard,omitempty"`
 	Room  float64 `json:"room,omitempty"` // share of the fleet's usual room that is there
 }
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -21,7 +21,7 @@
 	"google.golang.org/grpc/credentials/insecure"
 
 	"robinmast/decide/fleet"
-	"robinmast/decide/together"
+	"robinmast/decide/shedding"
 	"robinmast/internal/standin"
 	"robinmast/internal/standin/proxy"
 	"robinmast/internal/store"
@@ -213,7 +213,7 @@
 	for i, bad := range []float64{40, 8} { // one fails fast; one never answers, which its callers' time-outs tell
 		addr := fmt.Sprintf("n%02d", 8+i)
 		standin.Eventually(t, addr+" failing", func() bool {
-			g.s.Saw(fleet.Load{Proxy: "world", Node: addr, Bad: bad})
+			g.s.Saw(fleet.ProxyLoad{Proxy: "world", Node: addr, Bad: bad})
 			time.Sleep(100 * time.Millisecond)
 			for _, n := range g.s.View().Nodes {
 				if n.Name == addr {
@@ -559,15 +559,15 @@
 		return out
 	}
 	full := &word{Drain: 100, Short: 1, Demand: map[string]float64{"70": 50, "60": 80, "50": 70, "-3": 9, "960": 9, "x": 9}, Ask: true}
-	var d together.Digest
+	var d shedding.Digest
 	seq := uint64(0)
 	standin.Eventually(t, "a digest with a cut", func() bool {
 		seq++
 		report("a", seq, full)
 		out := report("b", seq, full)
-		return out.Code == http.StatusOK && json.Unmarshal(out.Body.Bytes(), &d) == nil && d.Cut > 0
+		return out.Code == http.StatusOK && json.Unmarshal(out.Body.Bytes(), &d) == nil && d.Threshold > 0
 	})
-	if d.Epoch == 0 || d.Seq == 0 || d.Nodes != 2 || d.Drain != 200 || d.Demand != 400 {
+	if d.Epoch == 0 || d.Seq == 0 || d.Nodes != 2 || d.DrainRate != 200 || d.Demand != 400 {
 		t.Errorf("digest %+v", d)
 	}
 	if out := report("c", 1, nil); out.Code != http.StatusNoContent || out.Body.Len() > 0 {
@@ -579,12 +579,12 @@
 		t.Errorf("a node that did not ask got %d", out.Code)
 	}
 	seq++
-	full.Cut, full.Trust = d.Cut, 1
+	full.Cut, full.Trust = d.Threshold, 1
 	report("a", seq, full)
 	out := httptest.NewRecorder()
 	g.s.Handler().ServeHTTP(out, httptest.NewRequest(http.MethodGet, "/fleet", nil))
 	var v Fleet
-	if err := json.Unmarshal(out.Body.Bytes(), &v); err != nil || v.Digest.Cut != d.Cut {
+	if err := json.Unmarshal(out.Body.Bytes(), &v); err != nil || v.Digest.Threshold != d.Threshold {
 		t.Fatalf("the fleet: %v, %+v", err, v.Digest)
 	}
 	standin.Eventually(t, "how nodes stand to the cut", func() bool {
--- a/internal/control/loads.go
+++ b/internal/control/loads.go
@@ -69,7 +69,7 @@
 				for _, e := range z.GetUpstreamEndpointStats() {
 					a := e.GetAddress().GetSocketAddress()
 					if node, ok := names[fmt.Sprintf("%s:%d", a.GetAddress(), a.GetPortValue())]; ok {
-						l.Service.Saw(fleet.Load{
+						l.Service.Saw(fleet.ProxyLoad{
 							Proxy: who, Node: node, Good: float64(e.GetTotalSuccessfulRequests()), Bad: float64(e.GetTotalErrorRequests()),
 						})
 					}
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -21,7 +21,7 @@
 
 	"robinmast/decide/comeback"
 	"robinmast/decide/fleet"
-	"robinmast/decide/together"
+	"robinmast/decide/shedding"
 	"robinmast/internal/store"
 )
 
@@ -53,7 +53,7 @@
 
 	mu     sync.Mutex
 	view   fleet.View
-	digest together.Digest
+	digest shedding.Digest
 	events []comeback.Event
 	past   []fleet.Change
 	kept   fleet.Change      // the last that was stored
@@ -71,9 +71,9 @@
 
 type event struct {
 	report *fleet.Report
-	word   *together.Word // of the node that reports
-	back   *comeback.Word // the same, of its way to full service
-	load   *fleet.Load
+	word   *shedding.LoadReport // of the node that reports
+	back   *comeback.Word       // the same, of its way to full service
+	load   *fleet.ProxyLoad
 }
 
 // New returns a service; Run runs it.
@@ -119,7 +119,7 @@
 func (s *Service) Run(ctx context.Context) {
 	f := s.restore()
 	w, past := s.restoreEvents()
-	g := together.NewGatherer(uint64(time.Now().UnixMicro()))
+	g := shedding.NewAggregator(uint64(time.Now().UnixMicro()))
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
 	published, noted, saved, unsaved := uint64(0), uint64(0), time.Time{}, false
@@ -128,10 +128,10 @@
 		for _, line := range lines {
 			s.cfg.Log.Info("fleet", "line", line)
 		}
-		was := g.Last().Cut
+		was := g.Last().Threshold
 		d := g.Digest(s.now())
-		if (was > 0) != (d.Cut > 0) {
-			s.cfg.Log.Info("fleet", "line", fmt.Sprintf("the fleet's cut is %.1f: %.0f first tries a second, %.0f drain, by %d nodes", d.Cut, d.Demand, d.Drain, d.Nodes))
+		if (was > 0) != (d.Threshold > 0) {
+			s.cfg.Log.Info("fleet", "line", fmt.Sprintf("the fleet's cut is %.1f: %.0f first tries a second, %.0f drain, by %d nodes", d.Threshold, d.Demand, d.DrainRate, d.Nodes))
 		}
 		for _, line := range w.Step(s.now()) {
 			s.cfg.Log.Info("fleet", "line", line)
@@ -140,14 +140,14 @@
 		changes := s.past // of this goroutine's making: nobody else writes it
 		if v.Version != noted {
 			noted = v.Version
-			past.Note(s.now(), &v)
+			past.Record(s.now(), &v)
 			changes = past.List()
 		}
 		s.mu.Lock()
 		s.view, s.digest, s.events, s.room, s.past = v, d, w.List(), w.Room(), changes
 		maps.DeleteFunc(s.follow, func(_ string, o follower) bool { return s.now()-o.at > followFor })
 		s.mu.Unlock()
-		if v.Version != published && f.Proven(s.now()) {
+		if v.Version != published && f.Ready(s.now()) {
 			published = v.Version
 			s.Streams.Publish(&v)
 			unsaved = true
@@ -181,7 +181,7 @@
 	}
 }
 
-func (s *Service) feed(f *fleet.Fleet, g *together.Gatherer, w *comeback.Events, e event) {
+func (s *Service) feed(f *fleet.Fleet, g *shedding.Aggregator, w *comeback.Events, e event) {
 	switch {
 	case e.report != nil:
 		s.Reports.Add(1)
@@ -192,10 +192,10 @@
 			w.Heard(s.now(), *e.back)
 		}
 		if e.word != nil {
-			g.Heard(s.now(), e.report.Name, e.report.Incarnation, e.report.Seq, *e.word)
+			g.Observe(s.now(), e.report.Name, e.report.Incarnation, e.report.Seq, *e.word)
 		}
 	case e.load != nil:
-		f.Saw(s.now(), *e.load)
+		f.ObserveLoad(s.now(), *e.load)
 	}
 }
 
@@ -231,7 +231,7 @@
 }
 
 // Saw takes what a proxy saw of a node.
-func (s *Service) Saw(l fleet.Load) { s.enqueue(event{load: &l}) }
+func (s *Service) Saw(l fleet.ProxyLoad) { s.enqueue(event{load: &l}) }
 
 // message is a node's report on the wire: PUT /nodes/NAME, a JSON object. Shares
 // are of 1, times milliseconds.
@@ -265,10 +265,10 @@
 }
 
 // parse reads a word; figures that are none count as 0, bands that do not exist as none.
-func (w *word) parse() *together.Word {
-	out := &together.Word{Drain: w.Drain, Short: w.Short}
+func (w *word) parse() *shedding.LoadReport {
+	out := &shedding.LoadReport{DrainRate: w.Drain, ShortageShare: w.Short}
 	for name, x := range w.Demand {
-		if b, err := strconv.Atoi(name); err == nil && b >= 0 && b < together.Bands {
+		if b, err := strconv.Atoi(name); err == nil && b >= 0 && b < shedding.PriorityBands {
 			out.Demand[b] = x
 		}
 	}
@@ -281,7 +281,7 @@
 // followFor is how long a node's word on the cut it follows is shown.
 const followFor = 3 * time.Second
 
-var phases = map[string]fleet.Phase{"up": fleet.Up, "draining": fleet.Draining, "out": fleet.Out}
+var phases = map[string]fleet.Phase{"up": fleet.Up, "draining": fleet.Draining, "out": fleet.OutOfService}
 
 // parseReport reads a node's report.
 func parseReport(name string, text []byte) (*fleet.Report, parts, error) {
@@ -353,7 +353,7 @@
 		for _, n := range v.Nodes {
 			out.Nodes = append(out.Nodes, FleetNode{
 				Name: n.Name, Addr: n.Addr, Zone: n.Zone, State: n.State.String(), Why: n.Why, SinceS: math.Round((now-n.Since).Seconds()*10) / 10,
-				Weight: n.Weight, Limit: n.Limit, Penalty: n.Penalty, Unproven: n.Unproven, Follows: follows(follow, n.Name, out.Digest.Cut),
+				Weight: n.Weight, Limit: n.Limit, Penalty: n.Penalty, Unproven: n.Unproven, Follows: follows(follow, n.Name, out.Digest.Threshold),
 			})
 		}
 		answer(w, out)
@@ -388,7 +388,7 @@
 	Lost    []string    `json:"lost_zones,omitempty"`
 	Nodes   []FleetNode `json:"nodes"`
 
-	Digest together.Digest `json:"digest"`
+	Digest shedding.Digest `json:"digest"`
 }
 
 // FleetNode is one node of it.
@@ -421,7 +421,7 @@
 	switch m.Phase {
 	case "UP":
 	case "OUT":
-		r.Phase = fleet.Out
+		r.Phase = fleet.OutOfService
 	default:
 		return nil, parts{}, fmt.Errorf("phase %q is neither UP nor OUT", clip(m.Phase))
 	}
--- a/internal/front/client.go
+++ b/internal/front/client.go
@@ -14,7 +14,7 @@
 
 	"github.com/tidwall/redcon"
 
-	"robinmast/decide/door"
+	"robinmast/decide/connlimit"
 	"robinmast/internal/exchange"
 	"robinmast/internal/stream"
 )
@@ -191,9 +191,9 @@
 		c.reject(tag)
 		return
 	}
-	c.s.pause(context.Background(), door.Probe) // this connection's reader alone waits: checks come on one of their own
+	c.s.pause(context.Background(), connlimit.HealthCheck) // this connection's reader alone waits: checks come on one of their own
 	began := time.Now()
-	defer c.s.took(door.Probe, began)
+	defer c.s.took(connlimit.HealthCheck, began)
 	word := "RED"
 	if c.s.good.Load() {
 		word = "GREEN"
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -20,7 +20,7 @@
 
 	"github.com/tidwall/redcon"
 
-	"robinmast/decide/door"
+	"robinmast/decide/connlimit"
 	"robinmast/internal/exchange"
 	"robinmast/internal/settings"
 	"robinmast/internal/stream"
@@ -106,7 +106,7 @@
 
 	began  time.Time
 	doorMu sync.Mutex
-	door   *door.Door // nil = nothing is held
+	door   *connlimit.Limiter // nil = nothing is held
 
 	complained atomic.Int64
 	muted      atomic.Int64
@@ -124,7 +124,7 @@
 	s.Traffic.HeldLimit = cfg.OutBytes
 	s.began = time.Now()
 	if cfg.Setup > 0 {
-		s.door = door.New(0, cfg.Setup)
+		s.door = connlimit.New(0, cfg.Setup)
 	}
 	s.good.Store(true)
 	s.idle.Store(int64(cfg.Settings.MaxIdleTimeout))
@@ -185,10 +185,10 @@
 				case <-time.After(acceptPause):
 				}
 			}
-			l.s.pause(l.ctx, door.Connect)
+			l.s.pause(l.ctx, connlimit.Connect)
 			began := time.Now()
 			cl := l.s.wrap(c)
-			l.s.took(door.Connect, began)
+			l.s.took(connlimit.Connect, began)
 			if l.ctx.Err() != nil { // it waited until the end
 				cl.Shut(stream.LeftByUs)
 			}
@@ -235,12 +235,12 @@
 }
 
 // pause waits until the door lets an event in; what is on open connections goes on.
-func (s *Server) pause(ctx context.Context, k door.Kind) {
+func (s *Server) pause(ctx context.Context, k connlimit.Kind) {
 	if s.door == nil {
 		return
 	}
 	s.doorMu.Lock()
-	wait := s.door.Ask(time.Since(s.began), k)
+	wait := s.door.Delay(time.Since(s.began), k)
 	s.doorMu.Unlock()
 	if wait <= 0 {
 		return
@@ -252,13 +252,13 @@
 }
 
 // took tells the door what an event has taken.
-func (s *Server) took(k door.Kind, began time.Time) {
+func (s *Server) took(k connlimit.Kind, began time.Time) {
 	if s.door == nil {
 		return
 	}
 	seen := time.Since(began)
 	s.doorMu.Lock()
-	s.door.Took(k, seen)
+	s.door.Charge(k, seen)
 	s.doorMu.Unlock()
 }
 
@@ -269,7 +269,7 @@
 	}
 	s.doorMu.Lock()
 	defer s.doorMu.Unlock()
-	return s.door.Held[door.Connect], s.door.Held[door.Probe]
+	return s.door.Delayed[connlimit.Connect], s.door.Delayed[connlimit.HealthCheck]
 }
 
 func (s *Server) full() bool {
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"robinmast/decide/door"
+	"robinmast/decide/connlimit"
 	"robinmast/internal/exchange"
 	"robinmast/internal/settings"
 	"robinmast/internal/standin"
@@ -491,7 +491,7 @@
 	flood := func(share float64) (opened int64, slowest time.Duration, held int) {
 		b := start(t, func(s *Server) {
 			if share > 0 {
-				s.door = door.New(0, share)
+				s.door = connlimit.New(0, share)
 			}
 		})
 		b.sink.answer = &exchange.Answer{Kind: exchange.Refused}
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -83,7 +83,7 @@
 // Spread lets tries after a failure wait random times within a budget: all nodes lose
 // the service at one moment. It must be called before Run.
 func (r *Reporter) Spread(rnd *rand.Rand) {
-	r.again = backoff.New(backoff.Settings{Floor: backoffMin, First: 2 * backoffMin, Most: backoffMax, Window: controlWindow, Budget: 24}, rnd)
+	r.again = backoff.New(backoff.Settings{MinWait: backoffMin, InitialSpan: 2 * backoffMin, MaxSpan: backoffMax, Window: controlWindow, Budget: 24}, rnd)
 }
 
 // NewControl returns a reporter to the control service at addr; body makes a
@@ -92,7 +92,7 @@
 	r := newReporter(addr, name, "/nodes/", "control service", log)
 	r.body = body
 	r.again = backoff.New(backoff.Settings{
-		Floor: backoffMin, First: 2 * backoffMin, Most: controlMost, Window: controlWindow, Budget: controlBudget,
+		MinWait: backoffMin, InitialSpan: 2 * backoffMin, MaxSpan: controlMost, Window: controlWindow, Budget: controlBudget,
 	}, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	if secure != nil {
 		r.scheme = "https://"
@@ -165,7 +165,7 @@
 	for ctx.Err() == nil {
 		began := time.Now()
 		if r.again != nil && failing {
-			r.again.Trying(began.Sub(start))
+			r.again.TryStarted(began.Sub(start))
 		}
 		err := r.report(ctx)
 		if ctx.Err() != nil {
@@ -189,7 +189,7 @@
 			}
 		} else {
 			if r.again != nil {
-				r.again.Well()
+				r.again.Succeeded()
 			}
 			r.Sent.Add(1)
 			if failing {
--- a/internal/node/comeback.go
+++ b/internal/node/comeback.go
@@ -64,7 +64,7 @@
 	}
 	short := false
 	if t := n.together(); t != nil {
-		short = t.View(n.now).Short > 0.5
+		short = t.View(n.now).Shortage > 0.5
 	}
 	ask, warm := n.cfg.Comeback.Step(n.now, short, n.learned)
 	n.warm = warm
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -17,7 +17,7 @@
 
 	"robinmast/decide/comeback"
 	"robinmast/decide/pools"
-	"robinmast/decide/together"
+	"robinmast/decide/shedding"
 	"robinmast/internal/exchange"
 	"robinmast/internal/pool"
 	"robinmast/rules"
@@ -55,11 +55,11 @@
 	Seed     uint64
 	KeyBytes int // memory for kept results
 	Health   func(good bool)
-	Load     func(Load)                         // told with each timer, nil = nobody wants to know
-	Word     func(together.Word, together.View) // the same, where the module thinks of the fleet
-	Calls    Calls                              // what lies below, nil = nothing
-	Memory   Memory                             // what outlives the node, nil = nothing
-	Comeback Comeback                           // the way back to full service, nil = it is not looked at
+	Load     func(Load)                               // told with each timer, nil = nobody wants to know
+	Word     func(shedding.LoadReport, shedding.View) // the same, where the module thinks of the fleet
+	Calls    Calls                                    // what lies below, nil = nothing
+	Memory   Memory                                   // what outlives the node, nil = nothing
+	Comeback Comeback                                 // the way back to full service, nil = it is not looked at
 	Log      *slog.Logger
 }
 
@@ -93,12 +93,12 @@
 		return
 	}
 	if t := n.together(); t != nil {
-		n.cfg.Word(t.Word(), t.View(n.now))
+		n.cfg.Word(t.LoadReport(), t.View(n.now))
 	}
 }
 
 // together is the module's part that thinks of the fleet, nil if it is off.
-func (n *Node) together() *together.Module {
+func (n *Node) together() *shedding.Shedder {
 	m, ok := n.module.(interface {
 		Inspect() (rules.Pools, []rules.QueuedRequest, rules.Shedder)
 	})
@@ -106,25 +106,25 @@
 		return nil
 	}
 	_, _, t := m.Inspect()
-	together, _ := t.(*together.Module)
+	together, _ := t.(*shedding.Shedder)
 	return together
 }
 
 // Told takes the fleet's digest of one of the services, as of the moment since.
-func (n *Node) Told(since time.Time, src int, d together.Digest) {
+func (n *Node) Told(since time.Time, src int, d shedding.Digest) {
 	n.post(event{kind: told, digest: &d, src: src, took: time.Since(since)})
 }
 
 // Together shows how the module thinks of the fleet, if it does and the loop
 // answers in time.
-func (n *Node) Together(most time.Duration) (together.View, bool) {
-	show := make(chan together.View, 1)
+func (n *Node) Together(most time.Duration) (shedding.View, bool) {
+	show := make(chan shedding.View, 1)
 	n.post(event{kind: inspect, seen: show})
 	select {
 	case v, ok := <-show:
 		return v, ok
 	case <-time.After(most):
-		return together.View{}, false
+		return shedding.View{}, false
 	}
 }
 
@@ -176,8 +176,8 @@
 	out  rules.Outcome     // called
 	call uint64            // called: which one
 
-	seen   chan together.View // inspect
-	digest *together.Digest   // told, took ago
+	seen   chan shedding.View // inspect
+	digest *shedding.Digest   // told, took ago
 	src    int                // told, by which service
 	life   *comeback.Heard    // lives, nil = of none
 	share  float64            // roomed, took ago
@@ -529,7 +529,7 @@
 		n.inspect(e)
 	case told:
 		if t := n.together(); t != nil {
-			t.ToldBy(n.now, n.now-e.took, e.src, *e.digest)
+			t.ReceiveDigestFrom(n.now, n.now-e.took, e.src, *e.digest)
 		}
 	case roomed:
 		if n.cfg.Comeback != nil {
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -134,7 +134,7 @@
 // Spread lets tries to connect wait random times within a budget, as many nodes that
 // lose what their pools share should; it must be called before Run.
 func (l *Link) Spread(rnd *rand.Rand) {
-	l.again = backoff.New(backoff.Settings{Floor: backoffMin, First: 4 * backoffMin, Most: backoffMax, Window: 10 * time.Second, Budget: 60}, rnd)
+	l.again = backoff.New(backoff.Settings{MinWait: backoffMin, InitialSpan: 4 * backoffMin, MaxSpan: backoffMax, Window: 10 * time.Second, Budget: 60}, rnd)
 }
 
 // Move takes the link to another address. The present link serves until a
@@ -273,7 +273,7 @@
 	for ctx.Err() == nil {
 		before := l.Counters.Links.Load()
 		if l.again != nil {
-			l.again.Trying(time.Since(start))
+			l.again.TryStarted(time.Since(start))
 		}
 		end, err := l.once(ctx)
 		if ctx.Err() != nil {
@@ -282,7 +282,7 @@
 		if l.Counters.Links.Load() != before { // it was up, however shortly
 			wait = backoffMin
 			if l.again != nil {
-				l.again.Well()
+				l.again.Succeeded()
 			}
 		}
 		if end == stream.LeftByUs {
--- a/internal/settings/together.go
+++ b/internal/settings/together.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"robinmast/decide/together"
+	"robinmast/decide/shedding"
 	"robinmast/internal/config"
 	"robinmast/rules"
 )
@@ -17,5 +17,5 @@
 		return
 	}
 	told := own.Together.Told
-	set.NewShedder = func(now time.Duration) rules.Shedder { return together.New(now, told) }
+	set.NewShedder = func(now time.Duration) rules.Shedder { return shedding.New(now, told) }
 }
--- a/internal/standin/machine/fleet_test.go
+++ b/internal/standin/machine/fleet_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"robinmast/decide/together"
+	"robinmast/decide/shedding"
 	"robinmast/rules"
 )
 
@@ -24,7 +24,7 @@
 		},
 	}
 	if on {
-		set.NewShedder = func(now time.Duration) rules.Shedder { return together.New(now, false) }
+		set.NewShedder = func(now time.Duration) rules.Shedder { return shedding.New(now, false) }
 	}
 	return FleetOptions{
 		Settings: set, Nodes: nodes, Dispatchers: 20, Crowd: 0.1, Mean: 20 * time.Millisecond, Share: []float64{0.77, 0.23},
--- a/internal/standin/proxy/proxy.go
+++ b/internal/standin/proxy/proxy.go
@@ -97,11 +97,11 @@
 
 // Run keeps a stream until ctx ends.
 func (p *Proxy) Run(ctx context.Context) {
-	again := backoff.New(backoff.Settings{Floor: 10 * time.Millisecond, First: 40 * time.Millisecond, Most: time.Second, Window: 10 * time.Second, Budget: 100},
+	again := backoff.New(backoff.Settings{MinWait: 10 * time.Millisecond, InitialSpan: 40 * time.Millisecond, MaxSpan: time.Second, Window: 10 * time.Second, Budget: 100},
 		rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	start := time.Now()
 	for ctx.Err() == nil {
-		again.Trying(time.Since(start))
+		again.TryStarted(time.Since(start))
 		p.mu.Lock()
 		p.streams++
 		before := p.messages
@@ -115,7 +115,7 @@
 		cancel()
 		p.mu.Lock()
 		if p.messages > before {
-			again.Well()
+			again.Succeeded()
 		}
 		p.mu.Unlock()
 		select {
