--- a/cmd/robinmast/control.go
+++ b/cmd/robinmast/control.go
@@ -16,13 +16,13 @@
 	"sync"
 	"time"
 
-	decide "robinmast/decide/comeback"
+	decide "robinmast/decide/recovery"
 	"robinmast/decide/shedding"
-	"robinmast/internal/comeback"
 	"robinmast/internal/config"
 	"robinmast/internal/exchange"
 	"robinmast/internal/members"
 	"robinmast/internal/node"
+	"robinmast/internal/recovery"
 )
 
 // controlReport gathers what the next report says.
@@ -32,8 +32,8 @@
 
 	told func(since time.Time, src int, d shedding.Digest) // nil = no digest is asked for
 
-	back  *comeback.Keeper    // nil = nothing is said of the way back
-	heard func(*decide.Heard) // takes what was heard of earlier lives
+	back  *recovery.Keeper            // nil = nothing is said of the way back
+	heard func(*decide.PreviousStore) // takes what was heard of earlier lives
 	room  func(since time.Time, share float64)
 
 	mu   sync.Mutex
@@ -77,11 +77,11 @@
 
 // controlBack is the part of a report of a node that watches its way to full service.
 type controlBack struct {
-	State  string        `json:"state"`
-	Memory string        `json:"memory,omitempty"`
-	Store  *decide.Heard `json:"store,omitempty"` // that remembers its results
-	Reads  float64       `json:"reads"`           // arrivals a second
-	Again  float64       `json:"again"`           // share of them that are further tries
+	State  string                `json:"state"`
+	Memory string                `json:"memory,omitempty"`
+	Store  *decide.PreviousStore `json:"store,omitempty"` // that remembers its results
+	Reads  float64               `json:"reads"`           // arrivals a second
+	Again  float64               `json:"again"`           // share of them that are further tries
 }
 
 // controlWord is the part of a report of a node that thinks of the fleet.
@@ -193,11 +193,11 @@
 
 // controlHeard is what a control service heard of this name's earlier lives.
 type controlHeard struct {
-	Before *decide.Heard `json:"before,omitempty"` // nil = of none
+	Before *decide.PreviousStore `json:"before,omitempty"` // nil = of none
 }
 
 // remembers lets reports say what the store is and how the way back stands.
-func (c *controlReport) remembers(k *comeback.Keeper, heard func(*decide.Heard), room func(time.Time, float64)) {
+func (c *controlReport) remembers(k *recovery.Keeper, heard func(*decide.PreviousStore), room func(time.Time, float64)) {
 	c.back, c.heard, c.room = k, heard, room
 }
 
--- a/cmd/robinmast/counters.go
+++ b/cmd/robinmast/counters.go
@@ -97,10 +97,10 @@
 		views := p.node.Pools(poolsWait)
 		var group []any
 		for _, v := range views {
-			if (v.Running > 0 || v.Held > 0 || v.Limit > 0 || v.Refused > 0) && len(group) < mostPools {
-				group = append(group, slog.Group(v.Name, "running", v.Running, "held", v.Held, "limit", round(v.Limit),
+			if (v.Running > 0 || v.Queued > 0 || v.Limit > 0 || v.Refused > 0) && len(group) < mostPools {
+				group = append(group, slog.Group(v.Name, "running", v.Running, "held", v.Queued, "limit", round(v.Limit),
 					"reserve", round(v.Reserve), "lent", round(v.Lent), "borrowed", round(v.Borrowed), "refused", v.Refused,
-					"cheap", v.Cheap, "hangs", v.Hangs))
+					"cheap", v.Cheap, "hangs", v.Hanging))
 			}
 		}
 		args = append(args, slog.Group("pools", group...))
--- a/cmd/robinmast/main.go
+++ b/cmd/robinmast/main.go
@@ -23,7 +23,6 @@
 	"syscall"
 	"time"
 
-	"robinmast/internal/comeback"
 	"robinmast/internal/config"
 	"robinmast/internal/dependency"
 	"robinmast/internal/exchange"
@@ -31,7 +30,8 @@
 	"robinmast/internal/members"
 	"robinmast/internal/node"
 	"robinmast/internal/pool"
-	"robinmast/internal/recall"
+	"robinmast/internal/recovery"
+	"robinmast/internal/resultcache"
 	"robinmast/internal/settings"
 	"robinmast/internal/store"
 	"robinmast/rules"
@@ -140,7 +140,7 @@
 
 // remember opens what outlives the node, nil if [results] is off. A store that
 // can't be opened ends the start, or leaves the node without memory, as set.
-func remember(cfg *platform, log *slog.Logger) (*recall.Memory, error) {
+func remember(cfg *platform, log *slog.Logger) (*resultcache.Cache, error) {
 	if !cfg.own.Results.Enabled {
 		return nil, nil
 	}
@@ -148,7 +148,7 @@
 	if cfg.own.Comeback.Enabled {
 		spread = upkeepSpread
 	}
-	mem, err := recall.Open(recall.Config{
+	mem, err := resultcache.Open(resultcache.Config{
 		Results: cfg.own.Results, Store: cfg.own.Store, Settings: cfg.set, Names: cfg.names, Log: log, Spread: spread,
 	})
 	if err != nil && cfg.own.Results.Forget {
@@ -160,13 +160,13 @@
 
 // comeBack begins the node's way back to full service, nil if [comeback] is off;
 // shut closes what it opened itself.
-func comeBack(cfg *platform, mem *recall.Memory, began time.Time, log *slog.Logger) (k *comeback.Keeper, shut func(), err error) {
+func comeBack(cfg *platform, mem *resultcache.Cache, began time.Time, log *slog.Logger) (k *recovery.Keeper, shut func(), err error) {
 	shut = func() {}
 	own := cfg.own.Comeback
 	if !own.Enabled {
 		return nil, shut, nil
 	}
-	c := comeback.Config{Own: own, Node: cfg.Name, Listens: len(cfg.own.Control.Address), Settings: cfg.set, Names: cfg.names, Log: log}
+	c := recovery.Config{Own: own, Node: cfg.Name, Listens: len(cfg.own.Control.Address), Settings: cfg.set, Names: cfg.names, Log: log}
 	switch {
 	case mem != nil:
 		c.Store, c.Recovery, c.Results = mem.Store(), mem.Recovery(), true
@@ -183,7 +183,7 @@
 			}
 		}
 	}
-	k, err = comeback.Open(c, began)
+	k, err = recovery.Open(c, began)
 	return k, shut, err
 }
 
@@ -204,7 +204,7 @@
 	pool   *pool.Link
 	report *members.Reporter
 	node   *node.Node
-	memory *recall.Memory     // nil = nothing is remembered
+	memory *resultcache.Cache // nil = nothing is remembered
 	below  *dependency.Client // nil = nothing is called
 
 	reloaded chan reloaded // a configuration that was read anew
@@ -212,7 +212,7 @@
 	again    bool          // it was asked for meanwhile
 
 	control *controlReport   // nil = no reports to a control service
-	back    *comeback.Keeper // nil = the way back to full service is not looked at
+	back    *recovery.Keeper // nil = the way back to full service is not looked at
 }
 
 // notices are the signals: to leave, and all others. One channel may be both.
@@ -226,7 +226,7 @@
 
 // serve runs the node until it has left; reload reads the configuration anew.
 func serve(
-	cfg *platform, mem *recall.Memory, back *comeback.Keeper, ln net.Listener, signals notices, reload func() (*platform, error), log *slog.Logger,
+	cfg *platform, mem *resultcache.Cache, back *recovery.Keeper, ln net.Listener, signals notices, reload func() (*platform, error), log *slog.Logger,
 ) error {
 	memory := int64(cfg.Limits.MemoryMB * (1 << 20))
 	p := &parts{
--- a/decide/pools/load_test.go
+++ b/decide/pools/load_test.go
@@ -50,10 +50,10 @@
 	}
 	var classes []pools.Class
 	for i, c := range set.Classes {
-		classes = append(classes, pools.Class{Worth: c.Utility, Name: fmt.Sprint(i)})
+		classes = append(classes, pools.Class{Utility: c.Utility, Name: fmt.Sprint(i)})
 	}
 	set.NewPools = func() rules.Pools {
-		return pools.New(pools.Settings{Classes: classes, Reserve: reserve, WorthByWork: set.UtilityPerWork})
+		return pools.New(pools.Settings{Classes: classes, Reserve: reserve, UtilityPerWork: set.UtilityPerWork})
 	}
 	return set
 }
--- a/decide/pools/pools.go
+++ b/decide/pools/pools.go
@@ -52,30 +52,30 @@
 
 // Class is what the settings say of a class.
 type Class struct {
-	Worth   float64
+	Utility float64
 	Reserve float64 // share of the slots it keeps in any case, 0 = only what it earns by being cheap
 	Name    string  // for lines that people read
 }
 
 // Settings are the module's.
 type Settings struct {
-	Classes     []Class
-	Reserve     float64 // share of the slots that the cheapest classes keep
-	WorthByWork bool    // worth counts for each unit of work
+	Classes        []Class
+	Reserve        float64 // share of the slots that the cheapest classes keep
+	UtilityPerWork bool    // worth counts for each unit of work
 }
 
 // View is what a class's pool does at present.
 type View struct {
 	Name     string
 	Running  int
-	Held     int
+	Queued   int
 	Limit    float64 // slots it is entitled to
 	Reserve  float64 // of them, kept in any case
 	Lent     float64 // of its slots, not used by it
 	Borrowed float64 // slots it uses beyond its own
 	Refused  int64   // that left a full line since they held more than their places
 	Cheap    bool
-	Hangs    bool
+	Hanging  bool
 }
 
 // pool is one class's.
@@ -143,10 +143,10 @@
 
 // density is what a slot earns in a second of the class's work.
 func (p *Pools) density(c *pool) float64 {
-	if p.set.WorthByWork {
-		return c.Worth
+	if p.set.UtilityPerWork {
+		return c.Utility
 	}
-	return c.Worth / max(c.length(), 0.0001)
+	return c.Utility / max(c.length(), 0.0001)
 }
 
 // slow is the class's latency over its base.
@@ -539,8 +539,8 @@
 	for i, c := range p.all {
 		r := float64(c.running)
 		views[i] = View{
-			Name: c.Name, Running: c.running, Held: c.held, Limit: c.alloc, Reserve: c.floor, Lent: max(c.alloc-r, 0),
-			Borrowed: max(r-c.alloc, 0), Refused: c.refused, Cheap: c.cheap, Hangs: c.hangs,
+			Name: c.Name, Running: c.running, Queued: c.held, Limit: c.alloc, Reserve: c.floor, Lent: max(c.alloc-r, 0),
+			Borrowed: max(r-c.alloc, 0), Refused: c.refused, Cheap: c.cheap, Hanging: c.hangs,
 		}
 	}
 	return views
--- a/decide/pools/pools_test.go
+++ b/decide/pools/pools_test.go
@@ -18,7 +18,7 @@
 		set := Settings{Reserve: rapid.Float64Range(0, 0.5).Draw(r, "reserve")}
 		own := 0.0
 		for range n {
-			c := Class{Worth: rapid.Float64Range(0, 5).Draw(r, "worth"), Reserve: rapid.Float64Range(0, 0.5/float64(n)).Draw(r, "own")}
+			c := Class{Utility: rapid.Float64Range(0, 5).Draw(r, "worth"), Reserve: rapid.Float64Range(0, 0.5/float64(n)).Draw(r, "own")}
 			own += c.Reserve
 			set.Classes = append(set.Classes, c)
 		}
@@ -163,7 +163,7 @@
 // What a class lent comes back with the next slot that is free: the others may
 // hold all of them, the first end of a run is enough for its floor.
 func TestLentComesBack(t *testing.T) {
-	p := New(Settings{Classes: []Class{{Worth: 1, Reserve: 0.25}, {Worth: 9}}})
+	p := New(Settings{Classes: []Class{{Utility: 1, Reserve: 0.25}, {Utility: 9}}})
 	now := time.Duration(0)
 	feed := func(class, n int) {
 		for range n {
--- a/decide/comeback/comeback.go
+++ b/decide/recovery/comeback.go
@@ -9,7 +9,7 @@
 // Invariants, held by TestLifeProperties: states follow each other in their order and
 // none lasts for ever, whatever is missing; what is asked for lies within 0 and 1,
 // and is 1 in full service; the times of all states add up to the time to full service.
-package comeback
+package recovery
 
 import (
 	"fmt"
@@ -26,9 +26,9 @@
 const (
 	Recovering State = iota // its store is read; it does not listen
 	Listening               // it listens, and its worker pool has not been heard: nothing runs
-	Proving                 // its first runs show how fast it is
+	Probing                 // its first runs show how fast it is
 	Warming                 // it is slower than it will be
-	Full
+	FullService
 	states
 )
 
@@ -56,16 +56,16 @@
 )
 
 // LifeSettings are what a life depends on.
-type LifeSettings struct {
-	Cores    int
-	ColdFrom float64       // least share of its speed that a cold pool starts at
-	Ramp     time.Duration // after which it is warm
-	Usual    []float64     // seconds of a usual run by class, of an earlier life; 0 = not known
+type StartupSettings struct {
+	Cores      int
+	ColdSpeed  float64       // least share of its speed that a cold pool starts at
+	WarmUpTime time.Duration // after which it is warm
+	UsualRuns  []float64     // seconds of a usual run by class, of an earlier life; 0 = not known
 }
 
 // Life is one node's way from its start to full service. It belongs to one goroutine.
-type Life struct {
-	set   LifeSettings
+type Startup struct {
+	set   StartupSettings
 	began time.Duration
 	state State
 	since time.Duration
@@ -88,34 +88,34 @@
 
 // NewLife returns the life of a process that began at that time and has now read its
 // store.
-func NewLife(began, now time.Duration, set LifeSettings) *Life {
-	l := &Life{set: set, began: began, since: began, warmAt: -1, heard: now}
-	l.set.ColdFrom = min(max(l.set.ColdFrom, speedLeast), 1)
+func NewStartup(began, now time.Duration, set StartupSettings) *Startup {
+	l := &Startup{set: set, began: began, since: began, warmAt: -1, heard: now}
+	l.set.ColdSpeed = min(max(l.set.ColdSpeed, speedLeast), 1)
 	l.turn(now, Listening)
 	return l
 }
 
 // turn begins a state.
-func (l *Life) turn(now time.Duration, s State) {
+func (l *Startup) turn(now time.Duration, s State) {
 	l.took[l.state] += max(now-l.since, 0)
 	l.state, l.since = s, now
 }
 
 // Bound takes the word that the worker pool is up, since when, and whether it began cold.
-func (l *Life) Bound(now, since time.Duration, cold bool) {
+func (l *Startup) WorkerPoolUp(now, since time.Duration, cold bool) {
 	if l.bound {
 		return
 	}
 	l.bound, l.cold, l.poolUp = true, cold, since
 	if l.state == Listening {
-		l.turn(now, Proving)
+		l.turn(now, Probing)
 	}
 }
 
 // Arrived takes a request; again marks a further try.
-func (l *Life) Arrived(now time.Duration, again bool) {
+func (l *Startup) Arrived(now time.Duration, again bool) {
 	l.heard = now
-	if l.state == Full {
+	if l.state == FullService {
 		return
 	}
 	l.arrived++
@@ -126,31 +126,31 @@
 
 // Short takes whether all of the fleet is short: then everybody asks for all it can
 // do, and the last ones back are not left idle.
-func (l *Life) Short(short bool) { l.short = short }
+func (l *Startup) FleetShortage(short bool) { l.short = short }
 
 // Room takes the share of the fleet's usual room that is there, as of the time given:
 // while little of it is, everybody asks for all it can do.
-func (l *Life) Room(since time.Duration, share float64) {
+func (l *Startup) FleetCapacity(since time.Duration, share float64) {
 	if share > 0 && share <= 1 && since >= l.roomAt { // what is no number is no word
 		l.room, l.roomAt = share, since
 	}
 }
 
 // scarce reports whether the fleet has little room, or none at all, for its load.
-func (l *Life) scarce(now time.Duration) bool {
+func (l *Startup) scarce(now time.Duration) bool {
 	return l.short || l.room > 0 && l.room < roomScarce && now-l.roomAt < roomLife
 }
 
 // Ran takes the end of a run that went well: how long it took, and what a usual run
 // of its work takes on a warm core by its caller's hint, 0 = not told.
-func (l *Life) Ran(_ time.Duration, class int, took, hint time.Duration) {
-	if l.state == Full || took <= 0 {
+func (l *Startup) RunSucceeded(_ time.Duration, class int, took, hint time.Duration) {
+	if l.state == FullService || took <= 0 {
 		return
 	}
 	l.ended++
 	usual := hint.Seconds()
-	if usual <= 0 && class >= 0 && class < len(l.set.Usual) {
-		usual = l.set.Usual[class]
+	if usual <= 0 && class >= 0 && class < len(l.set.UsualRuns) {
+		usual = l.set.UsualRuns[class]
 	}
 	if usual <= 0 {
 		return
@@ -166,12 +166,12 @@
 // Warm is the share of its usual speed that the node has reached: by the ramp of the
 // settings, and by its runs where they say less. Hints are rough and cores are
 // shared, so that runs never make it less than half of what the ramp says.
-func (l *Life) Warm(now time.Duration) float64 {
+func (l *Startup) Speed(now time.Duration) float64 {
 	ramp := 1.0
-	if l.cold && l.set.Ramp > 0 {
-		ramp = min(1, l.set.ColdFrom+(1-l.set.ColdFrom)*max(now-l.poolUp, 0).Seconds()/l.set.Ramp.Seconds())
+	if l.cold && l.set.WarmUpTime > 0 {
+		ramp = min(1, l.set.ColdSpeed+(1-l.set.ColdSpeed)*max(now-l.poolUp, 0).Seconds()/l.set.WarmUpTime.Seconds())
 	}
-	if l.state == Full {
+	if l.state == FullService {
 		return 1
 	}
 	if l.speed == 0 || now-l.heard > restSeconds*time.Second {
@@ -182,21 +182,21 @@
 
 // Step moves the life on. It returns what the node asks for, as a share of what it
 // would in full service, and a line once it is there.
-func (l *Life) Step(now time.Duration) (ask float64, line string) {
+func (l *Startup) Step(now time.Duration) (ask float64, line string) {
 	switch {
 	case l.state == Listening && now-l.since >= listenMost:
-		l.turn(now, Proving)
-	case l.state == Proving && (l.ended >= proveRuns*max(l.set.Cores, 1) || now-l.since >= proveMost):
+		l.turn(now, Probing)
+	case l.state == Probing && (l.ended >= proveRuns*max(l.set.Cores, 1) || now-l.since >= proveMost):
 		l.turn(now, Warming)
 	case l.state == Warming:
-		if l.Warm(now) < warmEnough {
+		if l.Speed(now) < warmEnough {
 			l.warmAt = -1
 		} else if l.warmAt < 0 {
 			l.warmAt = now
 		}
-		most := min(l.set.Ramp+warmSlack, warmMost)
+		most := min(l.set.WarmUpTime+warmSlack, warmMost)
 		if l.warmAt >= 0 && now-l.warmAt >= warmFor || now-l.since >= most {
-			l.turn(now, Full)
+			l.turn(now, FullService)
 			line = l.line(now)
 		}
 	}
@@ -204,15 +204,15 @@
 	switch l.state {
 	case Listening:
 		want = 0
-	case Proving:
-		want = max(min(l.Warm(now), l.set.ColdFrom), proveAsks)
+	case Probing:
+		want = max(min(l.Speed(now), l.set.ColdSpeed), proveAsks)
 	case Warming:
-		want = max(l.Warm(now), proveAsks)
+		want = max(l.Speed(now), proveAsks)
 	}
 	if l.scarce(now) && l.state > Listening {
 		want = 1
 	}
-	if l.state == Full || want < l.ask {
+	if l.state == FullService || want < l.ask {
 		l.ask = want
 	} else {
 		l.ask = min(l.ask+askStep, want)
@@ -221,18 +221,18 @@
 }
 
 // line says how the way was.
-func (l *Life) line(now time.Duration) string {
+func (l *Startup) line(now time.Duration) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "back in full service after %v:", (now - l.began).Round(time.Millisecond))
-	for s := Recovering; s < Full; s++ {
+	for s := Recovering; s < FullService; s++ {
 		fmt.Fprintf(&b, " %s %v,", s, l.took[s].Round(time.Millisecond))
 	}
-	fmt.Fprintf(&b, " %d runs, tries a first try %.2f", l.ended, l.Tries())
+	fmt.Fprintf(&b, " %d runs, tries a first try %.2f", l.ended, l.TriesPerRequest())
 	return b.String()
 }
 
 // Tries is how many tries came for each first one on the way.
-func (l *Life) Tries() float64 {
+func (l *Startup) TriesPerRequest() float64 {
 	if l.arrived == l.again {
 		return 1
 	}
@@ -240,10 +240,10 @@
 }
 
 // State tells the state, and since when it lasts.
-func (l *Life) State() (State, time.Duration) { return l.state, l.since }
+func (l *Startup) State() (State, time.Duration) { return l.state, l.since }
 
 // Took tells how long each state has lasted.
-func (l *Life) Took(now time.Duration) (all [states]time.Duration) {
+func (l *Startup) Durations(now time.Duration) (all [states]time.Duration) {
 	all = l.took
 	all[l.state] += max(now-l.since, 0)
 	return all
--- a/decide/comeback/comeback_test.go
+++ b/decide/recovery/comeback_test.go
@@ -1,4 +1,4 @@
-package comeback
+package recovery
 
 import (
 	"math"
@@ -17,7 +17,7 @@
 func TestLifeProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ramp := time.Duration(rapid.IntRange(0, 60_000).Draw(t, "ramp")) * time.Millisecond
-		l := NewLife(0, 0, LifeSettings{Cores: rapid.IntRange(0, 16).Draw(t, "cores"), ColdFrom: rapid.Float64Range(-1, 2).Draw(t, "from"), Ramp: ramp})
+		l := NewStartup(0, 0, StartupSettings{Cores: rapid.IntRange(0, 16).Draw(t, "cores"), ColdSpeed: rapid.Float64Range(-1, 2).Draw(t, "from"), WarmUpTime: ramp})
 		deaf := rapid.Bool().Draw(t, "deaf") // nothing ever comes
 		now, last := time.Duration(0), Listening
 		for range 3000 {
@@ -25,31 +25,31 @@
 			switch e := rapid.IntRange(0, 5).Draw(t, "event"); {
 			case deaf:
 			case e == 0:
-				l.Bound(now, now-time.Duration(rapid.IntRange(-10, 10_000).Draw(t, "up"))*time.Millisecond, rapid.Bool().Draw(t, "cold"))
+				l.WorkerPoolUp(now, now-time.Duration(rapid.IntRange(-10, 10_000).Draw(t, "up"))*time.Millisecond, rapid.Bool().Draw(t, "cold"))
 			case e == 1:
 				l.Arrived(now, rapid.Bool().Draw(t, "again"))
 			case e == 2:
-				l.Ran(now, rapid.IntRange(-1, 3).Draw(t, "class"), time.Duration(rapid.Int64Range(-1, 1e10).Draw(t, "took")), time.Duration(rapid.Int64Range(0, 1e10).Draw(t, "hint")))
+				l.RunSucceeded(now, rapid.IntRange(-1, 3).Draw(t, "class"), time.Duration(rapid.Int64Range(-1, 1e10).Draw(t, "took")), time.Duration(rapid.Int64Range(0, 1e10).Draw(t, "hint")))
 			case e == 3:
-				l.Short(rapid.Bool().Draw(t, "short"))
+				l.FleetShortage(rapid.Bool().Draw(t, "short"))
 			}
 			ask, _ := l.Step(now)
 			s, _ := l.State()
-			if !(ask >= 0 && ask <= 1) || s == Full && ask != 1 || s < last {
+			if !(ask >= 0 && ask <= 1) || s == FullService && ask != 1 || s < last {
 				t.Fatalf("asks for %v as %v after %v", ask, s, last)
 			}
-			if w := l.Warm(now); !(w > 0 && w <= 1) {
+			if w := l.Speed(now); !(w > 0 && w <= 1) {
 				t.Fatalf("warm is %v", w)
 			}
 			last = s
 			sum := time.Duration(0)
-			for _, d := range l.Took(now) {
+			for _, d := range l.Durations(now) {
 				sum += d
 			}
 			if sum != now {
 				t.Fatalf("the states took %v of %v", sum, now)
 			}
-			if s == Full {
+			if s == FullService {
 				return
 			}
 		}
@@ -63,12 +63,12 @@
 // they no longer are; one that is as fast as ever is there much sooner.
 func TestLifeGoesByItsRuns(t *testing.T) {
 	full := func(cold bool, speed func(time.Duration) float64) (at time.Duration, asked float64) {
-		l := NewLife(0, 10*time.Millisecond, LifeSettings{Cores: 2, ColdFrom: 0.33, Ramp: 3 * time.Second})
-		l.Bound(20*time.Millisecond, 20*time.Millisecond, cold)
+		l := NewStartup(0, 10*time.Millisecond, StartupSettings{Cores: 2, ColdSpeed: 0.33, WarmUpTime: 3 * time.Second})
+		l.WorkerPoolUp(20*time.Millisecond, 20*time.Millisecond, cold)
 		asked = 1
 		for now := 20 * time.Millisecond; now < time.Minute; now += 25 * time.Millisecond {
 			l.Arrived(now, false)
-			l.Ran(now, 0, time.Duration(float64(20*time.Millisecond)/speed(now)), 20*time.Millisecond)
+			l.RunSucceeded(now, 0, time.Duration(float64(20*time.Millisecond)/speed(now)), 20*time.Millisecond)
 			ask, line := l.Step(now)
 			if now > time.Second/2 {
 				asked = min(asked, ask)
@@ -94,13 +94,13 @@
 // do; a word that is old counts as none.
 func TestLifeGoesByTheFleetsRoom(t *testing.T) {
 	ask := func(share float64, age time.Duration) float64 {
-		l := NewLife(0, 0, LifeSettings{Cores: 1, ColdFrom: 0.3, Ramp: 10 * time.Second})
-		l.Bound(0, 0, true)
+		l := NewStartup(0, 0, StartupSettings{Cores: 1, ColdSpeed: 0.3, WarmUpTime: 10 * time.Second})
+		l.WorkerPoolUp(0, 0, true)
 		got := 0.0
 		for now := time.Duration(0); now < 4*time.Second; now += 25 * time.Millisecond {
 			l.Arrived(now, false)
-			l.Ran(now, 0, 60*time.Millisecond, 20*time.Millisecond)
-			l.Room(now-age, share)
+			l.RunSucceeded(now, 0, 60*time.Millisecond, 20*time.Millisecond)
+			l.FleetCapacity(now-age, share)
 			got, _ = l.Step(now)
 		}
 		return got
@@ -125,13 +125,13 @@
 // What makes a snapshot worth nothing, one by one.
 func TestWeigh(t *testing.T) {
 	const unix = int64(1_800_000_000_000)
-	good := Snapshot{Version: SnapshotVersion, Site: 7, Machine: "m", Taken: unix - 60_000, Learned: learned(0.02)}
-	if w, why := Weigh(&good, 7, "m", 1, unix); w < 0.9 || why != "" {
+	good := Snapshot{Version: SnapshotVersion, SettingsDigest: 7, Machine: "m", Taken: unix - 60_000, Learned: learned(0.02)}
+	if w, why := SnapshotWeight(&good, 7, "m", 1, unix); w < 0.9 || why != "" {
 		t.Fatalf("%v %s", w, why)
 	}
 	for name, change := range map[string]func(*Snapshot){
 		"version": func(s *Snapshot) { s.Version++ },
-		"site":    func(s *Snapshot) { s.Site++ },
+		"site":    func(s *Snapshot) { s.SettingsDigest++ },
 		"machine": func(s *Snapshot) { s.Machine = "n" },
 		"old":     func(s *Snapshot) { s.Taken -= 13 * 3_600_000 },
 		"future":  func(s *Snapshot) { s.Taken += 3_600_000 },
@@ -142,13 +142,13 @@
 	} {
 		s := good
 		change(&s)
-		if w, why := Weigh(&s, 7, "m", 1, unix); w != 0 || why == "" {
+		if w, why := SnapshotWeight(&s, 7, "m", 1, unix); w != 0 || why == "" {
 			t.Errorf("%s: believed at %v", name, w)
 		}
 	}
 	old := good
 	old.Taken = unix - (30 * time.Minute).Milliseconds()
-	if w, _ := Weigh(&old, 7, "m", 1, unix); math.Abs(w-0.5) > 0.01 {
+	if w, _ := SnapshotWeight(&old, 7, "m", 1, unix); math.Abs(w-0.5) > 0.01 {
 		t.Errorf("half an hour old it weighs %v", w)
 	}
 }
@@ -158,7 +158,7 @@
 func TestPriorIsHeldAgainstRuns(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	play := func(real, warm float64) (runs int, against string) {
-		p := NewPrior(learned(0.02), warm)
+		p := NewWarmStart(learned(0.02), warm)
 		for !p.Settled() {
 			runs++
 			if against = p.Ran(0, time.Duration(real/warm*(0.5+rnd.ExpFloat64()/2)*float64(time.Second)), warm); against != "" {
@@ -207,7 +207,7 @@
 func (nobody) StartTimer(uint64, time.Duration) {}
 
 func TestPace(t *testing.T) {
-	var p Pace
+	var p SnapshotPacer
 	var times []time.Duration
 	for now := time.Duration(0); now < 10*time.Minute; now += time.Second {
 		l := learned(0.02)
--- a/decide/comeback/events.go
+++ b/decide/recovery/events.go
@@ -1,7 +1,7 @@
 // This file owns the fleet's events: when most of it was lost, how little was left,
 // and how long it took to come back, by what nodes report.
 
-package comeback
+package recovery
 
 import (
 	"cmp"
@@ -32,14 +32,14 @@
 )
 
 // Word is what a node says that counts here.
-type Word struct {
-	Name, Zone  string
-	Incarnation uint64
-	Leaving     bool    // it drains: that is no loss
-	Warm        float64 // share of its usual speed
-	Limit       float64 // running limit, its size
-	Reads       float64 // arrivals a second
-	Again       float64 // share of them that are further tries
+type NodeReport struct {
+	Name, Zone      string
+	Incarnation     uint64
+	Leaving         bool    // it drains: that is no loss
+	Warm            float64 // share of its usual speed
+	Limit           float64 // running limit, its size
+	ArrivalRate     float64 // arrivals a second
+	FurtherTryShare float64 // share of them that are further tries
 }
 
 // Event is one time that most were lost. Times count on the fleet's clock; a time
@@ -65,14 +65,14 @@
 
 // known is a node as of its last word.
 type known struct {
-	Word
+	NodeReport
 	at   time.Duration
 	size float64 // the highest limit of late: one that starts anew has not found its limit yet
 	lost bool    // in the present event, or gone
 }
 
 // Events watches a fleet. It belongs to one goroutine.
-type Events struct {
+type EventDetector struct {
 	nodes  map[string]*known
 	losses []loss
 	usual  float64 // room
@@ -95,18 +95,18 @@
 
 // NewEvents returns a watch that has seen nothing; number is the last event's of an
 // earlier life of the service.
-func NewEvents(now time.Duration, number int) *Events {
-	return &Events{nodes: map[string]*known{}, number: number, step: now}
+func NewEventDetector(now time.Duration, number int) *EventDetector {
+	return &EventDetector{nodes: map[string]*known{}, number: number, step: now}
 }
 
 // Heard takes a node's word. A new incarnation is a loss, even if its silence was
 // too short to show.
-func (e *Events) Heard(now time.Duration, w Word) {
+func (e *EventDetector) Observe(now time.Duration, w NodeReport) {
 	k := e.nodes[w.Name]
 	if k == nil {
 		if len(e.nodes) < leaseNodes {
 			w = sane(w)
-			e.nodes[w.Name] = &known{Word: w, at: now, size: w.Limit}
+			e.nodes[w.Name] = &known{NodeReport: w, at: now, size: w.Limit}
 		}
 		return
 	}
@@ -121,25 +121,25 @@
 			e.losses[i].till = now
 		}
 	}
-	k.Word, k.at, k.lost = sane(w), now, false
+	k.NodeReport, k.at, k.lost = sane(w), now, false
 	k.size = max(k.Limit, sizeFade*k.size)
 }
 
 // sane bounds what a node says of itself: one that lies moves the fleet's figures
 // by no more than a node can.
-func sane(w Word) Word {
+func sane(w NodeReport) NodeReport {
 	clamp := func(x, most float64) float64 {
 		if !(x >= 0) {
 			return 0
 		}
 		return min(x, most)
 	}
-	w.Warm, w.Limit, w.Reads, w.Again = clamp(w.Warm, 1), clamp(w.Limit, 1e4), clamp(w.Reads, 1e6), clamp(w.Again, 1)
+	w.Warm, w.Limit, w.ArrivalRate, w.FurtherTryShare = clamp(w.Warm, 1), clamp(w.Limit, 1e4), clamp(w.ArrivalRate, 1e6), clamp(w.FurtherTryShare, 1)
 	return w
 }
 
 // Step watches; it returns lines for people when an event begins and ends.
-func (e *Events) Step(now time.Duration) (lines []string) {
+func (e *EventDetector) Step(now time.Duration) (lines []string) {
 	dt := (now - e.step).Seconds()
 	if dt <= 0 {
 		return nil
@@ -162,8 +162,8 @@
 		whole += min(k.size, most)
 		if !k.lost {
 			room += min(k.size, most) * k.Warm
-			first += k.Reads * (1 - k.Again) * dt
-			all += k.Reads * dt
+			first += k.ArrivalRate * (1 - k.FurtherTryShare) * dt
+			all += k.ArrivalRate * dt
 		}
 	}
 	e.losses = slices.DeleteFunc(e.losses, func(l loss) bool { return now-l.at > lostWithin })
@@ -233,7 +233,7 @@
 
 // down is the most room that was missing at one moment between the lives of nodes, if one
 // of them was heard again after the time given.
-func (e *Events) down(after time.Duration, most float64) (down float64) {
+func (e *EventDetector) down(after time.Duration, most float64) (down float64) {
 	if !slices.ContainsFunc(e.losses, func(l loss) bool { return l.till != awaited && l.till > after }) {
 		return 0
 	}
@@ -259,7 +259,7 @@
 
 // largest is the most that one node's size counts: some times the median, so that one
 // liar does not make the fleet's room its own.
-func (e *Events) largest() float64 {
+func (e *EventDetector) largest() float64 {
 	sizes := make([]float64, 0, len(e.nodes))
 	for _, k := range e.nodes {
 		if k.size > 0 {
@@ -282,14 +282,14 @@
 	return zones
 }
 
-func (e *Events) begin(at time.Duration, lost map[string]bool) string {
+func (e *EventDetector) begin(at time.Duration, lost map[string]bool) string {
 	e.number++
 	e.open = &Event{Number: e.number, Began: at, Lost: len(lost), Of: len(e.nodes), Least: 1, Tries: 1, fullAt: -1}
 	return fmt.Sprintf("event %d begins: %d of %d nodes were lost within %v", e.number, len(lost), len(e.nodes), lostWithin)
 }
 
 // keep files the open event.
-func (e *Events) keep() {
+func (e *EventDetector) keep() {
 	e.list = append(e.list, *e.open)
 	if len(e.list) > mostEvents {
 		e.list = slices.Delete(e.list, 0, len(e.list)-mostEvents)
@@ -310,10 +310,10 @@
 }
 
 // Room is the share of the usual room that is there now, 0 = not known.
-func (e *Events) Room() float64 { return e.room }
+func (e *EventDetector) Capacity() float64 { return e.room }
 
 // List tells the events, oldest first, the one under way last.
-func (e *Events) List() []Event {
+func (e *EventDetector) List() []Event {
 	list := slices.Clone(e.list)
 	if e.open != nil {
 		list = append(list, *e.open)
@@ -323,7 +323,7 @@
 
 // Restore takes up events of an earlier life of the service; shift brings their
 // times to this clock. One that was under way is over: nobody watched.
-func (e *Events) Restore(list []Event, shift time.Duration) {
+func (e *EventDetector) Restore(list []Event, shift time.Duration) {
 	for _, o := range list {
 		o.Began += shift
 		if !o.Over {
--- a/decide/comeback/events_test.go
+++ b/decide/recovery/events_test.go
@@ -1,4 +1,4 @@
-package comeback
+package recovery
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 
 // watchFleet plays nodes that report each 0.7 s: warm says how warm node i is, nil-like
 // below 0 = it says nothing; inc is its life.
-func watchFleet(t *testing.T, e *Events, n int, from, to time.Duration, warm func(i int, at time.Duration) float64, inc func(i int, at time.Duration) uint64) (lines []string) {
+func watchFleet(t *testing.T, e *EventDetector, n int, from, to time.Duration, warm func(i int, at time.Duration) float64, inc func(i int, at time.Duration) uint64) (lines []string) {
 	t.Helper()
 	for at := from; at < to; at += 100 * time.Millisecond {
 		for i := range n {
@@ -22,7 +22,7 @@
 				if inc(i, at) > 1 { // it has not found its limit yet
 					limit = 2.5
 				}
-				e.Heard(at, Word{Name: fmt.Sprint(i), Zone: fmt.Sprint("z", i%3), Incarnation: inc(i, at), Warm: w, Limit: limit, Reads: 100, Again: 0.1})
+				e.Observe(at, NodeReport{Name: fmt.Sprint(i), Zone: fmt.Sprint("z", i%3), Incarnation: inc(i, at), Warm: w, Limit: limit, ArrivalRate: 100, FurtherTryShare: 0.1})
 			}
 		}
 		lines = append(lines, e.Step(at)...)
@@ -35,7 +35,7 @@
 // Two thirds are killed at 10 s, come back cold at 11 s and are warm at 14 s: one event
 // with its times; a rolling restart of one node a second is none.
 func TestEventIsMeasured(t *testing.T) {
-	e := NewEvents(0, 0)
+	e := NewEventDetector(0, 0)
 	warm := func(i int, at time.Duration) float64 {
 		if i >= 8 || at < 10*time.Second {
 			return 1
@@ -62,7 +62,7 @@
 		o.Half <= 0 || o.Most < o.Half || o.Full < o.Most || end < 13*time.Second || end > 16*time.Second {
 		t.Errorf("%+v", o)
 	}
-	e = NewEvents(0, 0)
+	e = NewEventDetector(0, 0)
 	if lines := watchFleet(t, e, 12, 0, 40*time.Second, func(int, time.Duration) float64 { return 1 },
 		func(i int, at time.Duration) uint64 {
 			return 1 + uint64(max(at/(3*time.Second)-time.Duration(i), 0)/12)
@@ -79,7 +79,7 @@
 		apart    time.Duration
 		from, to float64
 	}{"together": {0, 0, 0.02}, "0.6 s apart": {600 * time.Millisecond, 0.3, 0.7}} {
-		e := NewEvents(0, 0)
+		e := NewEventDetector(0, 0)
 		dead := func(i int, at time.Duration) time.Duration { return at - 10*time.Second - time.Duration(i)*tc.apart }
 		warm := func(i int, at time.Duration) float64 {
 			switch d := dead(i, at); {
@@ -112,7 +112,7 @@
 func TestDownIsTheMostAway(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 7))
 	for range 300 {
-		e := NewEvents(0, 0)
+		e := NewEventDetector(0, 0)
 		for range rng.IntN(12) {
 			from := time.Duration(rng.IntN(10))
 			l := loss{from: from, till: from + 1 + time.Duration(rng.IntN(6)), size: float64(1 + rng.IntN(4))}
@@ -135,7 +135,7 @@
 			t.Fatalf("%v missing of %+v, want %v", got, e.losses, want)
 		}
 	}
-	e := NewEvents(0, 0)
+	e := NewEventDetector(0, 0)
 	for i := range 20_000 {
 		e.losses = append(e.losses, loss{from: time.Duration(i), till: time.Duration(i) + time.Second, size: 1})
 	}
@@ -148,7 +148,7 @@
 // All go and stay away: the event ends, and the smaller fleet is the usual one then.
 // What an earlier life of the service saw stays known, its open event ended.
 func TestEventEnds(t *testing.T) {
-	e := NewEvents(0, 6)
+	e := NewEventDetector(0, 6)
 	gone := func(i int, at time.Duration) float64 {
 		if at > 5*time.Second && i > 2 {
 			return -1
@@ -160,7 +160,7 @@
 	if len(open) != 1 || open[0].Over || open[0].Number != 7 {
 		t.Fatalf("%+v", open)
 	}
-	later := NewEvents(0, 0)
+	later := NewEventDetector(0, 0)
 	later.Restore(open, -time.Hour)
 	if l := later.List(); len(l) != 1 || !l[0].Over || l[0].Began > -50*time.Minute {
 		t.Errorf("taken over as %+v", l)
@@ -179,14 +179,14 @@
 
 // One node's nonsense moves the fleet's figures by no more than a node can.
 func TestEventsDoubtOneLiar(t *testing.T) {
-	e := NewEvents(0, 0)
+	e := NewEventDetector(0, 0)
 	for at := time.Duration(0); at < 20*time.Second; at += 100 * time.Millisecond {
 		for i := range 12 {
-			w := Word{Name: fmt.Sprint(i), Incarnation: 1, Warm: 1, Limit: 4, Reads: 10}
+			w := NodeReport{Name: fmt.Sprint(i), Incarnation: 1, Warm: 1, Limit: 4, ArrivalRate: 10}
 			if i == 0 {
-				w.Limit, w.Reads, w.Again = math.Inf(1), -1, 1e6
+				w.Limit, w.ArrivalRate, w.FurtherTryShare = math.Inf(1), -1, 1e6
 			}
-			e.Heard(at, w)
+			e.Observe(at, w)
 		}
 		if lines := e.Step(at); len(lines) > 0 {
 			t.Fatal(lines)
--- a/decide/comeback/prior.go
+++ b/decide/recovery/prior.go
@@ -1,7 +1,7 @@
 // This file owns how far a snapshot of what an earlier life learned is believed,
 // and when the evidence speaks against it.
 
-package comeback
+package recovery
 
 import (
 	"fmt"
@@ -30,21 +30,21 @@
 // the figures depend on: figures of another site or another kind of machine say
 // nothing here.
 type Snapshot struct {
-	Version int           `cbor:"1,keyasint"`
-	Site    uint64        `cbor:"2,keyasint"`
-	Machine string        `cbor:"3,keyasint"`
-	Taken   int64         `cbor:"4,keyasint"` // Unix milliseconds
-	Learned rules.Learned `cbor:"5,keyasint"`
+	Version        int           `cbor:"1,keyasint"`
+	SettingsDigest uint64        `cbor:"2,keyasint"`
+	Machine        string        `cbor:"3,keyasint"`
+	Taken          int64         `cbor:"4,keyasint"` // Unix milliseconds
+	Learned        rules.Learned `cbor:"5,keyasint"`
 }
 
 // Weigh says how far a snapshot is to be believed, 0 to 1, and why not where it is
 // not. unix is the time now, in milliseconds.
-func Weigh(s *Snapshot, site uint64, machine string, classes int, unix int64) (weight float64, why string) {
+func SnapshotWeight(s *Snapshot, site uint64, machine string, classes int, unix int64) (weight float64, why string) {
 	age := time.Duration(unix-s.Taken) * time.Millisecond
 	switch {
 	case s.Version != SnapshotVersion:
 		return 0, fmt.Sprintf("it has form %d, this program knows %d", s.Version, SnapshotVersion)
-	case s.Site != site:
+	case s.SettingsDigest != site:
 		return 0, "the site's settings are others now"
 	case s.Machine != machine:
 		return 0, "it is of another kind of machine: " + s.Machine
@@ -74,7 +74,7 @@
 }
 
 // Prior is a snapshot that was taken up and is still doubted.
-type Prior struct {
+type WarmStart struct {
 	learned rules.Learned
 	speed   float64 // share of its usual speed that the node started at
 	runs    int
@@ -84,12 +84,14 @@
 
 // NewPrior holds what was taken up against what is seen from now on; speed is what
 // Module.Prior was told.
-func NewPrior(l rules.Learned, speed float64) *Prior { return &Prior{learned: l, speed: speed} }
+func NewWarmStart(l rules.Learned, speed float64) *WarmStart {
+	return &WarmStart{learned: l, speed: speed}
+}
 
 // Ran takes the end of a run, with the share of its speed that the node should have
 // reached. It returns a reason once the evidence speaks against the prior; then, or
 // once it has stood, Settled reports true.
-func (p *Prior) Ran(class int, took time.Duration, warm float64) (against string) {
+func (p *WarmStart) Ran(class int, took time.Duration, warm float64) (against string) {
 	if p.done || class < 0 || class >= len(p.learned.Classes) || took <= 0 {
 		return ""
 	}
@@ -110,18 +112,18 @@
 }
 
 // Settled reports whether the prior was held against enough runs.
-func (p *Prior) Settled() bool { return p.done }
+func (p *WarmStart) Settled() bool { return p.done }
 
 // Pace decides when a snapshot is worth storing: soon after what was learned moved,
 // seldom while it hardly does, never before it rests on anything.
-type Pace struct {
+type SnapshotPacer struct {
 	at    time.Duration
 	last  rules.Learned
 	taken bool
 }
 
 // Due reports whether to store a snapshot now; the caller then does.
-func (p *Pace) Due(now time.Duration, l *rules.Learned) bool {
+func (p *SnapshotPacer) Due(now time.Duration, l *rules.Learned) bool {
 	known := false
 	for _, c := range l.Classes {
 		known = known || c.Runs >= priorRuns
--- a/decide/comeback/turns.go
+++ b/decide/recovery/turns.go
@@ -2,7 +2,7 @@
 // the service at once and come back together: so many at a time, whoever was served
 // longest ago first, and nobody who takes nothing keeps others waiting.
 
-package comeback
+package recovery
 
 import (
 	"cmp"
@@ -11,7 +11,7 @@
 )
 
 // Turns is a bounded number of turns. It belongs to one goroutine at a time.
-type Turns struct {
+type FairScheduler struct {
 	most  int           // turns at once
 	hold  time.Duration // after which one that was not given back counts as over
 	held  map[uint64]time.Duration
@@ -31,12 +31,12 @@
 const mostServed = 20_000 // names whose last turn is remembered
 
 // NewTurns returns turns for most at once, each for hold at most.
-func NewTurns(most int, hold time.Duration) *Turns {
-	return &Turns{most: max(most, 1), hold: hold, held: map[uint64]time.Duration{}, last: map[string]time.Duration{}}
+func NewFairScheduler(most int, hold time.Duration) *FairScheduler {
+	return &FairScheduler{most: max(most, 1), hold: hold, held: map[uint64]time.Duration{}, last: map[string]time.Duration{}}
 }
 
 // Ask asks for a turn for a name and returns its number; Step grants it.
-func (t *Turns) Ask(name string) uint64 {
+func (t *FairScheduler) Request(name string) uint64 {
 	t.seq++
 	a := asker{turn: t.seq, name: name, served: -1}
 	if at, known := t.last[name]; known {
@@ -50,7 +50,7 @@
 }
 
 // Done gives a turn back, or an ask that was not granted yet.
-func (t *Turns) Done(turn uint64) {
+func (t *FairScheduler) Release(turn uint64) {
 	if _, held := t.held[turn]; held {
 		delete(t.held, turn)
 		return
@@ -60,7 +60,7 @@
 
 // Step grants what is free, and returns the turns granted and when to step again at
 // the latest, 0 if nobody waits.
-func (t *Turns) Step(now time.Duration) (granted []uint64, again time.Duration) {
+func (t *FairScheduler) Grant(now time.Duration) (granted []uint64, again time.Duration) {
 	for turn, since := range t.held {
 		if now-since >= t.hold {
 			delete(t.held, turn)
@@ -88,4 +88,4 @@
 }
 
 // Waiting is how many wait for a turn.
-func (t *Turns) Waiting() int { return len(t.queue) }
+func (t *FairScheduler) Waiting() int { return len(t.queue) }
--- a/decide/comeback/turns_test.go
+++ b/decide/recovery/turns_test.go
@@ -1,4 +1,4 @@
-package comeback
+package recovery
 
 import (
 	"fmt"
@@ -14,12 +14,12 @@
 func TestTurns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		most := rapid.IntRange(1, 8).Draw(t, "most")
-		turns := NewTurns(most, 100*time.Millisecond)
+		turns := NewFairScheduler(most, 100*time.Millisecond)
 		names, since := map[uint64]string{}, map[string]time.Duration{}
 		held := map[uint64]time.Duration{}
 		now := time.Duration(0)
 		granted := func() {
-			list, again := turns.Step(now)
+			list, again := turns.Grant(now)
 			for turn, at := range held {
 				if now-at >= 100*time.Millisecond {
 					delete(held, turn)
@@ -54,11 +54,11 @@
 					busy = busy || n == name
 				}
 				if !busy {
-					names[turns.Ask(name)] = name
+					names[turns.Request(name)] = name
 				}
 			case 1:
 				for turn := range held {
-					turns.Done(turn)
+					turns.Release(turn)
 					delete(held, turn)
 					break
 				}
--- a/decide/recall/clock.go
+++ b/decide/resultcache/clock.go
@@ -3,7 +3,7 @@
 // clock touches it, and is carried across a restart by what is known of the time
 // between. It must never run backwards.
 
-package recall
+package resultcache
 
 import "time"
 
@@ -12,7 +12,7 @@
 const SaveEvery = time.Second
 
 // Mark is what is stored of the clocks, to be found at the next start.
-type Mark struct {
+type ClockCheckpoint struct {
 	Unix int64  // the module's own time, milliseconds
 	Wall int64  // the wall clock, Unix milliseconds
 	Boot string // names the machine's start, "" = not known
@@ -20,25 +20,25 @@
 }
 
 // Reading is what the clocks say at a start.
-type Reading struct {
+type ClockReading struct {
 	Wall int64
 	Boot string
 	Up   int64
 }
 
 // Step is how the time between two lives was told.
-type Step uint8
+type ClockStep uint8
 
 // The ways.
 const (
-	First    Step = iota // nothing was known
-	SameBoot             // by the machine's own clock: exact
-	ByWall               // by the wall clock
-	Back                 // the wall clock went back by up to the slack: no time passed
-	Doubtful             // it went back further: nobody knows
+	First    ClockStep = iota // nothing was known
+	SameBoot                  // by the machine's own clock: exact
+	ByWall                    // by the wall clock
+	Back                      // the wall clock went back by up to the slack: no time passed
+	Doubtful                  // it went back further: nobody knows
 )
 
-func (s Step) String() string {
+func (s ClockStep) String() string {
 	return [...]string{"first", "same_boot", "by_wall", "back_within_slack", "doubtful"}[s]
 }
 
@@ -50,7 +50,7 @@
 
 // Begin sets the module's time from what the last life stored, nil if nothing.
 // It must come before anything else.
-func (m *Module) Begin(now time.Duration, r Reading, was *Mark) (Step, time.Duration) {
+func (m *Module) Begin(now time.Duration, r ClockReading, was *ClockCheckpoint) (ClockStep, time.Duration) {
 	step, unix := First, r.Wall
 	if was != nil {
 		passed := r.Wall - was.Wall
@@ -80,6 +80,6 @@
 func (m *Module) Unix(now time.Duration) int64 { return m.clock.base + now.Milliseconds() }
 
 // Mark is what to store now.
-func (m *Module) Mark(now time.Duration, r Reading) Mark {
-	return Mark{Unix: m.Unix(now), Wall: r.Wall, Boot: r.Boot, Up: r.Up}
+func (m *Module) Mark(now time.Duration, r ClockReading) ClockCheckpoint {
+	return ClockCheckpoint{Unix: m.Unix(now), Wall: r.Wall, Boot: r.Boot, Up: r.Up}
 }
--- a/decide/recall/recall.go
+++ b/decide/resultcache/recall.go
@@ -8,7 +8,7 @@
 // keyed entry leaves before its window is over, at worst its result does; an
 // entry never outlives its window by more than Settings.Slack, and never comes
 // back once it aged out.
-package recall
+package resultcache
 
 import (
 	"container/heap"
@@ -41,29 +41,29 @@
 
 // The kinds of entries. They are stored: never renumber.
 const (
-	Intent Kind = 1 // it may have run; nothing is known of its end
-	Result Kind = 2 // it ran, and its result is stored
-	Failed Kind = 3 // it ran and failed
-	Lost   Kind = 4 // it ran, and its result had to leave
+	Intent        Kind = 1 // it may have run; nothing is known of its end
+	Result        Kind = 2 // it ran, and its result is stored
+	Failed        Kind = 3 // it ran and failed
+	ResultEvicted Kind = 4 // it ran, and its result had to leave
 )
 
 // ID names what the tries of a request have in common. Results never cross
 // tenants or classes.
-type ID struct {
+type RequestKey struct {
 	Class, Tenant string
 	Name          string // the key of a keyed request, the item of a read, the run of an unsafe one
 }
 
 // Key is the ID as one text; no two IDs share one.
-func (id ID) Key() string {
+func (id RequestKey) Text() string {
 	return escape.Replace(id.Class) + "/" + escape.Replace(id.Tenant) + "/" + id.Name
 }
 
 var escape = strings.NewReplacer("%", "%25", "/", "%2F")
 
 // Entry is what is known of a run. Times are Unix milliseconds by Module.Unix.
-type Entry struct {
-	ID
+type Record struct {
+	RequestKey
 	Kind    Kind
 	Effect  rules.Effect // as the class had it
 	Run     string       // the run's name at the worker pool
@@ -76,44 +76,44 @@
 // overhead is what an entry takes besides its names and its result, in bytes.
 const overhead = 128
 
-func (e *Entry) bytes() int64 {
+func (e *Record) bytes() int64 {
 	return overhead + e.Size + int64(len(e.Class)+len(e.Tenant)+len(e.Name)+len(e.Run))
 }
 
 // Verdict is what a repeat of a remembered request is told after a restart.
-type Verdict uint8
+type RepeatAction uint8
 
 // The verdicts.
 const (
-	Run     Verdict = iota // nothing speaks against a run
-	Wait                   // its run may still go on: wait for its end
-	Earlier                // the earlier answer
-	Fail                   // it ran, or may have, and there is no result
+	RunAgain      RepeatAction = iota // nothing speaks against a run
+	WaitForRun                        // its run may still go on: wait for its end
+	AnswerEarlier                     // the earlier answer
+	FailRepeat                        // it ran, or may have, and there is no result
 )
 
 // Drop says why an entry was not taken over at a start.
-type Drop uint8
+type DropReason uint8
 
 // The reasons. Kept is none.
 const (
-	Kept       Drop = iota
-	Aged            // its time is over
-	ClassGone       // the settings no longer have its class
-	TenantGone      // or its tenant
-	Changed         // its class has another effect now: nothing it said holds
-	NoRoom          // the bounds are smaller now
-	Reported        // unsafe work that may have run: told once, nothing can repeat it
-	Outdated        // a read's, and its newest record may be lost
+	Kept       DropReason = iota
+	Aged                  // its time is over
+	ClassGone             // the settings no longer have its class
+	TenantGone            // or its tenant
+	Changed               // its class has another effect now: nothing it said holds
+	NoRoom                // the bounds are smaller now
+	Reported              // unsafe work that may have run: told once, nothing can repeat it
+	Outdated              // a read's, and its newest record may be lost
 	numDrops
 )
 
 var dropWords = [numDrops]string{"kept", "aged", "class_gone", "tenant_gone", "effect_changed", "no_room", "unsafe_unknown", "outdated"}
 
-func (d Drop) String() string { return dropWords[d] }
+func (d DropReason) String() string { return dropWords[d] }
 
 // held is an entry in the module.
 type held struct {
-	Entry
+	Record
 	key   string
 	place int // in the heap, -1 = not there
 }
@@ -160,9 +160,9 @@
 // Intend notes that a request is about to run. ok is false if there is no room
 // for it: it would run unremembered. evicted lists whose entries leave for it,
 // lost whose results do.
-func (m *Module) Intend(now time.Duration, e Entry) (ok bool, orders Orders) {
+func (m *Module) Intend(now time.Duration, e Record) (ok bool, orders StoreChanges) {
 	e.Kind, e.Size = Intent, 0
-	key := e.Key()
+	key := e.Text()
 	if was := m.all[key]; was != nil {
 		m.remove(was)
 	}
@@ -175,9 +175,9 @@
 
 // Ended notes how a run ended: with a result of size bytes, or failed. It
 // reports whether that is to be stored, as what.
-func (m *Module) Ended(now time.Duration, e Entry, good bool, size int64) (Entry, bool, Orders) {
-	var orders Orders
-	key := e.Key()
+func (m *Module) RunEnded(now time.Duration, e Record, good bool, size int64) (Record, bool, StoreChanges) {
+	var orders StoreChanges
+	key := e.Text()
 	was := m.all[key]
 	if was != nil {
 		m.remove(was)
@@ -210,7 +210,7 @@
 		if e.Effect == rules.Safe {
 			return e, false, orders
 		}
-		e.Kind, e.Size = Lost, 0 // that it ran is what counts
+		e.Kind, e.Size = ResultEvicted, 0 // that it ran is what counts
 		if !m.makeRoom(now, &e, &orders) {
 			if was == nil {
 				return e, false, orders
@@ -223,8 +223,8 @@
 }
 
 // Withdraw forgets the intent of a run that never began.
-func (m *Module) Withdraw(id ID) (orders Orders) {
-	key := id.Key()
+func (m *Module) Withdraw(id RequestKey) (orders StoreChanges) {
+	key := id.Text()
 	if was := m.all[key]; was != nil && was.Kind == Intent {
 		m.remove(was)
 		orders.Delete = append(orders.Delete, key)
@@ -233,15 +233,15 @@
 }
 
 // Orders are changes of the store that a decision brings with it.
-type Orders struct {
+type StoreChanges struct {
 	Delete []string // entries that leave
-	Strip  []Entry  // entries whose results leave: stored as given here
+	Strip  []Record // entries whose results leave: stored as given here
 }
 
 // makeRoom makes room for e within the bounds: reads leave first, soonest to
 // expire first; then results of keyed requests, of which stays that they ran.
 // Keyed entries themselves never leave in their window.
-func (m *Module) makeRoom(now time.Duration, e *Entry, orders *Orders) bool {
+func (m *Module) makeRoom(now time.Duration, e *Record, orders *StoreChanges) bool {
 	need := e.bytes()
 	if m.set.Entries < 1 || need > m.set.Bytes {
 		return false
@@ -257,9 +257,9 @@
 		if p == nil || len(m.all) >= m.set.Entries {
 			return false
 		}
-		was := p.Entry
+		was := p.Record
 		m.remove(p)
-		was.Kind, was.Size = Lost, 0
+		was.Kind, was.Size = ResultEvicted, 0
 		m.add(p.key, was)
 		orders.Strip = append(orders.Strip, was)
 	}
@@ -268,12 +268,12 @@
 
 // Expire drops what aged out, and returns the keys.
 func (m *Module) Expire(now time.Duration) []string {
-	var o Orders
+	var o StoreChanges
 	m.drop(now, &o)
 	return o.Delete
 }
 
-func (m *Module) drop(now time.Duration, orders *Orders) {
+func (m *Module) drop(now time.Duration, orders *StoreChanges) {
 	unix := m.Unix(now)
 	for h := m.ages.first(); h != nil && h.Expires <= unix; h = m.ages.first() {
 		m.remove(h)
@@ -283,7 +283,7 @@
 
 // Restore takes over an entry from an earlier life of the node, or says why
 // not. What it returns is the entry as it holds now.
-func (m *Module) Restore(now time.Duration, e Entry) (Entry, Drop) {
+func (m *Module) Restore(now time.Duration, e Record) (Record, DropReason) {
 	c, known := m.set.Classes[e.Class]
 	unix := m.Unix(now)
 	switch {
@@ -319,15 +319,15 @@
 	if e.Expires > unix+m.longest(c)+windowSlack { // written by a clock that ran ahead
 		e.Expires = unix + m.longest(c) + windowSlack
 	}
-	if m.all[e.Key()] != nil || len(m.all) >= m.set.Entries || m.bytes+e.bytes() > m.set.Bytes {
+	if m.all[e.Text()] != nil || len(m.all) >= m.set.Entries || m.bytes+e.bytes() > m.set.Bytes {
 		if e.Effect == rules.Safe || len(m.all) >= m.set.Entries {
 			return e, NoRoom
 		}
 		if e.Kind == Result {
-			e.Kind, e.Size = Lost, 0
+			e.Kind, e.Size = ResultEvicted, 0
 		}
 	}
-	m.add(e.Key(), e)
+	m.add(e.Text(), e)
 	return e, Kept
 }
 
@@ -354,7 +354,7 @@
 // moment that the worker pool is heard: it may have been cut off between its intent
 // and its begin, and then nothing ever tells. usual is a usual run of its class, 0 =
 // not known.
-func Awaits(usual, deadline time.Duration) time.Duration {
+func InFlightTimeout(usual, deadline time.Duration) time.Duration {
 	if usual <= 0 {
 		return time.Duration(waitShare * float64(deadline))
 	}
@@ -364,23 +364,23 @@
 // Judge says what a repeat of a restored entry is told. poolSince is when the
 // worker pool came up, in Unix milliseconds: a run that was asked for before
 // that is over, whatever became of it; one asked for after may still go on.
-func (m *Module) Judge(e Entry, poolSince int64) Verdict {
+func (m *Module) Judge(e Record, poolSince int64) RepeatAction {
 	switch e.Kind {
 	case Result:
-		return Earlier
+		return AnswerEarlier
 	case Intent:
 		if e.Effect == rules.Safe && !m.set.FailUnknown {
-			return Run
+			return RunAgain
 		}
 		if poolSince <= e.Asked {
-			return Wait
+			return WaitForRun
 		}
 	}
-	return Fail
+	return FailRepeat
 }
 
-func (m *Module) add(key string, e Entry) {
-	h := &held{Entry: e, key: key, place: -1}
+func (m *Module) add(key string, e Record) {
+	h := &held{Record: e, key: key, place: -1}
 	m.all[key] = h
 	m.bytes += e.bytes()
 	heap.Push(&m.ages, h)
@@ -394,7 +394,7 @@
 
 func (m *Module) remove(h *held) {
 	delete(m.all, h.key)
-	m.bytes -= h.Entry.bytes()
+	m.bytes -= h.Record.bytes()
 	heap.Remove(&m.ages, h.place)
 	h.place = -1 // the other two skip it when it comes up
 	m.reads.trim(len(m.all))
--- a/decide/recall/recall_test.go
+++ b/decide/resultcache/recall_test.go
@@ -1,4 +1,4 @@
-package recall
+package resultcache
 
 import (
 	"fmt"
@@ -25,41 +25,41 @@
 // at returns a module whose time is unix at monotonic zero.
 func at(set Settings, unix int64) *Module {
 	m := New(set)
-	m.Begin(0, Reading{Wall: unix}, nil)
+	m.Begin(0, ClockReading{Wall: unix}, nil)
 	return m
 }
 
-func pay(name string, arrived int64) Entry {
-	return Entry{ID: ID{"pay", "acme", name}, Effect: rules.Keyed, Asked: arrived, Window: 5000, Expires: arrived + 5000, Run: "r" + name}
+func pay(name string, arrived int64) Record {
+	return Record{RequestKey: RequestKey{"pay", "acme", name}, Effect: rules.Keyed, Asked: arrived, Window: 5000, Expires: arrived + 5000, Run: "r" + name}
 }
 
-func read(name string, arrived int64) Entry {
-	return Entry{ID: ID{"read", "acme", name}, Effect: rules.Safe, Asked: arrived, Expires: arrived + 1000}
+func read(name string, arrived int64) Record {
+	return Record{RequestKey: RequestKey{"read", "acme", name}, Effect: rules.Safe, Asked: arrived, Expires: arrived + 1000}
 }
 
 func TestKeysAreApart(t *testing.T) {
-	seen := map[string]ID{}
-	for _, id := range []ID{
+	seen := map[string]RequestKey{}
+	for _, id := range []RequestKey{
 		{"a", "b", "c"}, {"a/b", "", "c"}, {"a", "b/c", ""}, {"a%2Fb", "", "c"}, {"a", "", "b/c"}, {"", "a", "b/c"}, {"a%", "2Fb", "c"},
 	} {
-		if was, twice := seen[id.Key()]; twice {
-			t.Errorf("%v and %v share %q", was, id, id.Key())
+		if was, twice := seen[id.Text()]; twice {
+			t.Errorf("%v and %v share %q", was, id, id.Text())
 		}
-		seen[id.Key()] = id
+		seen[id.Text()] = id
 	}
 }
 
 func TestRestore(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*Settings)
-		entry  func(*Entry)
-		drop   Drop
+		entry  func(*Record)
+		drop   DropReason
 		left   int64 // of its life
 		kind   Kind
 	}{
 		"kept":              {nil, nil, Kept, 4000, Result},
-		"1 ms left":         {nil, func(e *Entry) { e.Expires = 11_001 }, Kept, 1, Result},
-		"just aged":         {nil, func(e *Entry) { e.Expires = 11_000 }, Aged, 0, 0},
+		"1 ms left":         {nil, func(e *Record) { e.Expires = 11_001 }, Kept, 1, Result},
+		"just aged":         {nil, func(e *Record) { e.Expires = 11_000 }, Aged, 0, 0},
 		"class gone":        {func(s *Settings) { delete(s.Classes, "pay") }, nil, ClassGone, 0, 0},
 		"tenant gone":       {func(s *Settings) { delete(s.Tenants, "acme") }, nil, TenantGone, 0, 0},
 		"no tenants":        {func(s *Settings) { s.Tenants = nil }, nil, Kept, 4000, Result},
@@ -68,16 +68,16 @@
 		"longer window":     {func(s *Settings) { s.Classes["pay"] = Class{rules.Keyed, 9 * time.Second} }, nil, Kept, 8000, Result},
 		"shorter window":    {func(s *Settings) { s.Classes["pay"] = Class{rules.Keyed, 2 * time.Second} }, nil, Kept, 1000, Result},
 		"window over":       {func(s *Settings) { s.Classes["pay"] = Class{rules.Keyed, time.Second} }, nil, Aged, 0, 0},
-		"clock ran ahead":   {nil, func(e *Entry) { e.Expires += 1e9 }, Kept, 5000 + windowSlack, Result},
-		"result too large":  {nil, func(e *Entry) { e.Size = 20_000 }, Kept, 4000, Lost},
-		"intent":            {nil, func(e *Entry) { e.Kind = Intent }, Kept, 4000, Intent},
-		"unsafe":            {nil, func(e *Entry) { e.Kind, e.Effect = Intent, rules.Unsafe }, Reported, 0, 0},
+		"clock ran ahead":   {nil, func(e *Record) { e.Expires += 1e9 }, Kept, 5000 + windowSlack, Result},
+		"result too large":  {nil, func(e *Record) { e.Size = 20_000 }, Kept, 4000, ResultEvicted},
+		"intent":            {nil, func(e *Record) { e.Kind = Intent }, Kept, 4000, Intent},
+		"unsafe":            {nil, func(e *Record) { e.Kind, e.Effect = Intent, rules.Unsafe }, Reported, 0, 0},
 		"no entries":        {func(s *Settings) { s.Entries = 0 }, nil, NoRoom, 0, 0},
-		"read":              {nil, func(e *Entry) { *e = read("x", 10_500); e.Kind = Result }, Kept, 500, Result},
-		"read, fresh less":  {func(s *Settings) { s.Fresh = 100 * ms }, func(e *Entry) { *e = read("x", 10_500); e.Kind = Result }, Kept, 100, Result},
-		"read, none fresh":  {func(s *Settings) { s.Fresh = 0 }, func(e *Entry) { *e = read("x", 10_500); e.Kind = Result }, Changed, 0, 0},
-		"read cut off":      {nil, func(e *Entry) { *e = read("x", 10_500); e.Kind = Intent }, Aged, 0, 0},
-		"read cut off, bad": {func(s *Settings) { s.FailUnknown = true }, func(e *Entry) { *e = read("x", 10_500); e.Kind = Intent }, Kept, 500, Intent},
+		"read":              {nil, func(e *Record) { *e = read("x", 10_500); e.Kind = Result }, Kept, 500, Result},
+		"read, fresh less":  {func(s *Settings) { s.Fresh = 100 * ms }, func(e *Record) { *e = read("x", 10_500); e.Kind = Result }, Kept, 100, Result},
+		"read, none fresh":  {func(s *Settings) { s.Fresh = 0 }, func(e *Record) { *e = read("x", 10_500); e.Kind = Result }, Changed, 0, 0},
+		"read cut off":      {nil, func(e *Record) { *e = read("x", 10_500); e.Kind = Intent }, Aged, 0, 0},
+		"read cut off, bad": {func(s *Settings) { s.FailUnknown = true }, func(e *Record) { *e = read("x", 10_500); e.Kind = Intent }, Kept, 500, Intent},
 	} {
 		set := settings()
 		if c.change != nil {
@@ -101,19 +101,19 @@
 	fail.FailUnknown = true
 	for name, c := range map[string]struct {
 		set   Settings
-		entry Entry
+		entry Record
 		kind  Kind
 		pool  int64
-		want  Verdict
+		want  RepeatAction
 	}{
-		"result":                        {settings(), pay("k", 100), Result, 500, Earlier},
-		"failed":                        {settings(), pay("k", 100), Failed, 0, Fail},
-		"result had to leave":           {settings(), pay("k", 100), Lost, 0, Fail},
-		"the pool outlived the node":    {settings(), pay("k", 100), Intent, 50, Wait},
-		"the pool went down with it":    {settings(), pay("k", 100), Intent, 101, Fail},
-		"a read, cut off":               {settings(), read("k", 100), Intent, 50, Run},
-		"a read that may have cut off":  {fail, read("k", 100), Intent, 101, Fail},
-		"a read that may still be read": {fail, read("k", 100), Intent, 50, Wait},
+		"result":                        {settings(), pay("k", 100), Result, 500, AnswerEarlier},
+		"failed":                        {settings(), pay("k", 100), Failed, 0, FailRepeat},
+		"result had to leave":           {settings(), pay("k", 100), ResultEvicted, 0, FailRepeat},
+		"the pool outlived the node":    {settings(), pay("k", 100), Intent, 50, WaitForRun},
+		"the pool went down with it":    {settings(), pay("k", 100), Intent, 101, FailRepeat},
+		"a read, cut off":               {settings(), read("k", 100), Intent, 50, RunAgain},
+		"a read that may have cut off":  {fail, read("k", 100), Intent, 101, FailRepeat},
+		"a read that may still be read": {fail, read("k", 100), Intent, 50, WaitForRun},
 	} {
 		c.entry.Kind = c.kind
 		if got := at(c.set, 1000).Judge(c.entry, c.pool); got != c.want {
@@ -125,22 +125,22 @@
 // The clock across a restart: by the machine's own, by the wall, back within the
 // slack, and further back.
 func TestClock(t *testing.T) {
-	was := &Mark{Unix: 50_000, Wall: 60_000, Boot: "a", Up: 7000}
+	was := &ClockCheckpoint{Unix: 50_000, Wall: 60_000, Boot: "a", Up: 7000}
 	for name, c := range map[string]struct {
-		now  Reading
-		was  *Mark
-		step Step
+		now  ClockReading
+		was  *ClockCheckpoint
+		step ClockStep
 		unix int64
 	}{
-		"first":              {Reading{Wall: 9}, nil, First, 9},
-		"same boot":          {Reading{Wall: 1, Boot: "a", Up: 7300}, was, SameBoot, 50_300},
-		"same boot, no time": {Reading{Wall: 1e9, Boot: "a", Up: 7000}, was, SameBoot, 50_000},
-		"other boot":         {Reading{Wall: 64_000, Boot: "b", Up: 100}, was, ByWall, 54_000},
-		"other boot, quick":  {Reading{Wall: 60_010, Boot: "b"}, was, ByWall, 51_000},
-		"boot unknown":       {Reading{Wall: 64_000}, &Mark{Unix: 50_000, Wall: 60_000}, ByWall, 54_000},
-		"up went back":       {Reading{Wall: 64_000, Boot: "a", Up: 10}, was, ByWall, 54_000},
-		"back a little":      {Reading{Wall: 58_000, Boot: "b"}, was, Back, 51_000},
-		"back too far":       {Reading{Wall: 57_999, Boot: "b"}, was, Doubtful, 51_000},
+		"first":              {ClockReading{Wall: 9}, nil, First, 9},
+		"same boot":          {ClockReading{Wall: 1, Boot: "a", Up: 7300}, was, SameBoot, 50_300},
+		"same boot, no time": {ClockReading{Wall: 1e9, Boot: "a", Up: 7000}, was, SameBoot, 50_000},
+		"other boot":         {ClockReading{Wall: 64_000, Boot: "b", Up: 100}, was, ByWall, 54_000},
+		"other boot, quick":  {ClockReading{Wall: 60_010, Boot: "b"}, was, ByWall, 51_000},
+		"boot unknown":       {ClockReading{Wall: 64_000}, &ClockCheckpoint{Unix: 50_000, Wall: 60_000}, ByWall, 54_000},
+		"up went back":       {ClockReading{Wall: 64_000, Boot: "a", Up: 10}, was, ByWall, 54_000},
+		"back a little":      {ClockReading{Wall: 58_000, Boot: "b"}, was, Back, 51_000},
+		"back too far":       {ClockReading{Wall: 57_999, Boot: "b"}, was, Doubtful, 51_000},
 	} {
 		m := New(settings())
 		now := 123 * time.Second
@@ -150,7 +150,7 @@
 		}
 	}
 	m := New(settings())
-	m.Begin(0, Reading{Wall: 1000, Boot: "b"}, was) // 59 s back: in doubt
+	m.Begin(0, ClockReading{Wall: 1000, Boot: "b"}, was) // 59 s back: in doubt
 	e := pay("k", 49_000)
 	e.Kind = Intent
 	if got, drop := m.Restore(0, e); drop != Kept || got.Expires != 51_000+2000 {
@@ -164,9 +164,9 @@
 	set := settings()
 	set.Bytes, set.Entries = 4*overhead+1400, 4
 	m := at(set, 0)
-	store := func(e Entry, size int64) Orders {
+	store := func(e Record, size int64) StoreChanges {
 		t.Helper()
-		_, keep, o := m.Ended(0, e, true, size)
+		_, keep, o := m.RunEnded(0, e, true, size)
 		if !keep {
 			t.Fatalf("%s is not kept", e.Name)
 		}
@@ -179,7 +179,7 @@
 		t.Errorf("the read did not leave first: %+v", o)
 	}
 	o := store(pay("e", 30), 600)
-	if len(o.Delete) != 0 || len(o.Strip) != 1 || o.Strip[0].Name != "d" || o.Strip[0].Kind != Lost {
+	if len(o.Delete) != 0 || len(o.Strip) != 1 || o.Strip[0].Name != "d" || o.Strip[0].Kind != ResultEvicted {
 		t.Errorf("the result that expires first did not leave: %+v", o)
 	}
 	if ok, _ := m.Intend(0, pay("f", 40)); ok {
@@ -188,7 +188,7 @@
 	if ok, o := m.Intend(5006*ms, pay("f", 40)); !ok || len(o.Delete) != 1 || o.Delete[0] != "pay/acme/d" {
 		t.Errorf("what aged out did not leave: %v, %+v", ok, o)
 	}
-	if e, keep, _ := m.Ended(5006*ms, pay("f", 40), true, 1e6); !keep || e.Kind != Lost {
+	if e, keep, _ := m.RunEnded(5006*ms, pay("f", 40), true, 1e6); !keep || e.Kind != ResultEvicted {
 		t.Errorf("a result beyond the bound: %v, %+v", keep, e)
 	}
 }
@@ -196,24 +196,24 @@
 func TestEnded(t *testing.T) {
 	m := at(settings(), 0)
 	m.Intend(0, pay("a", 0))
-	if e, keep, _ := m.Ended(0, pay("a", 0), false, 0); !keep || e.Kind != Failed {
+	if e, keep, _ := m.RunEnded(0, pay("a", 0), false, 0); !keep || e.Kind != Failed {
 		t.Errorf("failed: %v, %+v", keep, e)
 	}
-	if _, keep, _ := m.Ended(0, read("r", 0), false, 0); keep {
+	if _, keep, _ := m.RunEnded(0, read("r", 0), false, 0); keep {
 		t.Error("a failed read is kept")
 	}
-	if e, keep, _ := m.Ended(400*ms, read("r", 0), true, 5); !keep || e.Expires != 1400 {
+	if e, keep, _ := m.RunEnded(400*ms, read("r", 0), true, 5); !keep || e.Expires != 1400 {
 		t.Errorf("a read's freshness counts from its end: %v, %d", keep, e.Expires)
 	}
 	m.Intend(0, pay("b", 0))
-	if o := m.Withdraw(ID{"pay", "acme", "b"}); len(o.Delete) != 1 || m.Len() != 2 {
+	if o := m.Withdraw(RequestKey{"pay", "acme", "b"}); len(o.Delete) != 1 || m.Len() != 2 {
 		t.Errorf("withdrawn: %+v, %d left", o, m.Len())
 	}
-	if o := m.Withdraw(ID{"pay", "acme", "a"}); len(o.Delete) != 0 {
+	if o := m.Withdraw(RequestKey{"pay", "acme", "a"}); len(o.Delete) != 0 {
 		t.Error("an end was withdrawn")
 	}
 	m.Intend(0, pay("c", 0))
-	if _, keep, o := m.Ended(5000*ms, pay("c", 0), true, 1); keep || len(o.Delete) != 1 {
+	if _, keep, o := m.RunEnded(5000*ms, pay("c", 0), true, 1); keep || len(o.Delete) != 1 {
 		t.Error("kept beyond its window")
 	}
 }
@@ -227,11 +227,11 @@
 		set.Entries = rapid.IntRange(1, 6).Draw(r, "entries")
 		m := at(set, 1_000_000)
 		now, wall, up, boot := time.Duration(0), int64(1_000_000), int64(0), 0
-		stored := map[string]Entry{}
+		stored := map[string]Record{}
 		born := map[string]int64{} // when each keyed entry was made, true time
 		gone := map[string]bool{}  // aged out, by name
 		truth := int64(0)          // milliseconds the node was up, and away as far as anybody can know
-		apply := func(o Orders) {
+		apply := func(o StoreChanges) {
 			for _, k := range o.Delete {
 				if e, ok := stored[k]; ok && e.Effect == rules.Keyed && e.Expires > m.Unix(now) {
 					r.Fatalf("%s left %d ms before its window was over", k, e.Expires-m.Unix(now))
@@ -239,14 +239,14 @@
 				delete(stored, k)
 			}
 			for _, e := range o.Strip {
-				stored[e.Key()] = e
+				stored[e.Text()] = e
 			}
 		}
 		pass := func(n int64) {
 			now += time.Duration(n) * ms
 			wall, up, truth = wall+n, up+n, truth+n
 		}
-		mark := m.Mark(0, Reading{wall, "0", up})
+		mark := m.Mark(0, ClockReading{wall, "0", up})
 		for i := range rapid.IntRange(1, 50).Draw(r, "steps") {
 			name := fmt.Sprintf("%d", i)
 			switch rapid.IntRange(0, 6).Draw(r, "what") {
@@ -256,14 +256,14 @@
 				apply(o)
 				if ok {
 					e.Kind = Intent
-					stored[e.Key()], born[e.Key()] = e, truth
+					stored[e.Text()], born[e.Text()] = e, truth
 				}
 			case 2, 3:
 				for k, e := range stored {
 					if e.Kind != Intent {
 						continue
 					}
-					got, keep, o := m.Ended(now, e, rapid.Bool().Draw(r, "good"), int64(rapid.IntRange(0, 900).Draw(r, "size")))
+					got, keep, o := m.RunEnded(now, e, rapid.Bool().Draw(r, "good"), int64(rapid.IntRange(0, 900).Draw(r, "size")))
 					apply(o)
 					if keep {
 						stored[k] = got
@@ -273,14 +273,14 @@
 					break
 				}
 			case 4:
-				e, keep, o := m.Ended(now, read(name, m.Unix(now)), true, int64(rapid.IntRange(0, 900).Draw(r, "size")))
+				e, keep, o := m.RunEnded(now, read(name, m.Unix(now)), true, int64(rapid.IntRange(0, 900).Draw(r, "size")))
 				apply(o)
 				if keep {
-					stored[e.Key()] = e
+					stored[e.Text()] = e
 				}
 			case 5:
 				pass(int64(rapid.IntRange(0, 900).Draw(r, "ms")))
-				mark = m.Mark(now, Reading{wall, fmt.Sprint(boot), up})
+				mark = m.Mark(now, ClockReading{wall, fmt.Sprint(boot), up})
 			default: // a crash, with any wall clock after it
 				before := m.Unix(now)
 				pass(int64(rapid.IntRange(0, 999).Draw(r, "since the mark")))
@@ -301,14 +301,14 @@
 				}
 				m = New(set)
 				now = time.Duration(rapid.IntRange(0, 1000).Draw(r, "now")) * ms
-				step, passed := m.Begin(now, Reading{wall, fmt.Sprint(boot), up}, &mark)
+				step, passed := m.Begin(now, ClockReading{wall, fmt.Sprint(boot), up}, &mark)
 				if m.Unix(now) < last-1 {
 					r.Fatalf("%v: the time went from %d to %d", step, last, m.Unix(now))
 				}
 				truth += m.Unix(now) - last
 				_ = passed
-				mark = m.Mark(now, Reading{wall, fmt.Sprint(boot), up})
-				next := map[string]Entry{}
+				mark = m.Mark(now, ClockReading{wall, fmt.Sprint(boot), up})
+				next := map[string]Record{}
 				for k, e := range stored {
 					if got, drop := m.Restore(now, e); drop == Kept {
 						if gone[k] {
@@ -322,7 +322,7 @@
 			if m.Bytes() > set.Bytes || m.Len() > set.Entries || m.Len() != len(stored) {
 				r.Fatalf("%d entries, %d known, %d bytes", m.Len(), len(stored), m.Bytes())
 			}
-			apply(Orders{Delete: m.Expire(now)})
+			apply(StoreChanges{Delete: m.Expire(now)})
 			for k := range stored {
 				if b, ok := born[k]; ok && truth-b > 5000+set.Slack.Milliseconds()+windowSlack {
 					r.Fatalf("%s lives %d ms after it was made", k, truth-b)
--- a/internal/control/comeback.go
+++ b/internal/control/comeback.go
@@ -10,8 +10,8 @@
 	"math"
 	"time"
 
-	"robinmast/decide/comeback"
 	"robinmast/decide/fleet"
+	"robinmast/decide/recovery"
 	"robinmast/decide/shedding"
 	"robinmast/internal/store"
 )
@@ -24,20 +24,20 @@
 
 // back is the part of a report of a node that watches its way to full service.
 type back struct {
-	State  string          `json:"state"`
-	Memory string          `json:"memory"`
-	Store  *comeback.Heard `json:"store"`
-	Reads  float64         `json:"reads"`
-	Again  float64         `json:"again"`
+	State  string                  `json:"state"`
+	Memory string                  `json:"memory"`
+	Store  *recovery.PreviousStore `json:"store"`
+	Reads  float64                 `json:"reads"`
+	Again  float64                 `json:"again"`
 }
 
 // parse makes a word of it, nil if there is none.
-func (b *back) parse(r *fleet.Report) *comeback.Word {
+func (b *back) parse(r *fleet.Report) *recovery.NodeReport {
 	if b == nil || r == nil {
 		return nil
 	}
-	return &comeback.Word{Name: r.Name, Zone: r.Zone, Incarnation: r.Incarnation, Leaving: r.Phase != fleet.Up,
-		Warm: r.Warm, Limit: r.Limit, Reads: b.Reads, Again: b.Again}
+	return &recovery.NodeReport{Name: r.Name, Zone: r.Zone, Incarnation: r.Incarnation, Leaving: r.Phase != fleet.Up,
+		Warm: r.Warm, Limit: r.Limit, ArrivalRate: b.Reads, FurtherTryShare: b.Again}
 }
 
 // told is the answer to a report: the fleet's digest, and what was heard of the
@@ -50,13 +50,13 @@
 
 // heard is nil in Before where nothing was heard of an earlier life.
 type heard struct {
-	Before *comeback.Heard `json:"before,omitempty"`
+	Before *recovery.PreviousStore `json:"before,omitempty"`
 }
 
 // savedEvents is what is stored of the events.
 type savedEvents struct {
 	Wall   int64            `json:"wall"` // Unix milliseconds at the service's zero
-	Events []comeback.Event `json:"events"`
+	Events []recovery.Event `json:"events"`
 }
 
 // savedHistory is what is stored of the nodes' changes.
@@ -66,8 +66,8 @@
 }
 
 // restoreEvents begins the watch with what an earlier life of the service stored.
-func (s *Service) restoreEvents() (*comeback.Events, *fleet.History) {
-	w, past := comeback.NewEvents(s.now(), 0), fleet.NewHistory()
+func (s *Service) restoreEvents() (*recovery.EventDetector, *fleet.History) {
+	w, past := recovery.NewEventDetector(s.now(), 0), fleet.NewHistory()
 	if s.cfg.Store == nil {
 		return w, past
 	}
@@ -75,7 +75,7 @@
 	if s.get(eventsKey, &events) {
 		w.Restore(events.Events, time.Duration(events.Wall-s.began.UnixMilli())*time.Millisecond)
 	}
-	var lives comeback.Saved
+	var lives recovery.SavedRegistry
 	if s.get(livesKey, &lives) {
 		s.mu.Lock()
 		s.seen.Restore(lives)
--- a/internal/control/comeback_test.go
+++ b/internal/control/comeback_test.go
@@ -9,20 +9,20 @@
 	"testing"
 	"time"
 
-	"robinmast/decide/comeback"
+	"robinmast/decide/recovery"
 	"robinmast/internal/standin"
 	"robinmast/internal/store"
 )
 
 // say reports for a node whose store is known, and returns what was heard before.
-func (g *stage) say(name string, inc uint64, id string, epoch uint64) (status int, heard *struct{ Before *comeback.Heard }) {
+func (g *stage) say(name string, inc uint64, id string, epoch uint64) (status int, heard *struct{ Before *recovery.PreviousStore }) {
 	g.t.Helper()
 	body := fmt.Sprintf(`{"addr":"127.0.0.1:9","incarnation":%d,"seq":%d,"phase":"up","healthy":true,"warm":1,"limit":4,`+
 		`"comeback":{"state":"full","store":{"id":%q,"epoch":%d,"mark":7},"reads":100,"again":0.2}}`, inc, time.Now().UnixNano(), id, epoch)
 	w := httptest.NewRecorder()
 	g.s.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodPut, "/nodes/"+name, strings.NewReader(body)))
 	var out struct {
-		Heard *struct{ Before *comeback.Heard }
+		Heard *struct{ Before *recovery.PreviousStore }
 	}
 	if w.Code == http.StatusOK {
 		if err := json.Unmarshal(w.Body.Bytes(), &out); err != nil {
@@ -48,7 +48,7 @@
 	if code, h := g.say("n0", 1, "a", 1); code != http.StatusOK || h == nil || h.Before != nil {
 		t.Fatalf("a first life is told %d %+v", code, h)
 	}
-	if _, h := g.say("n0", 2, "b", 1); h == nil || h.Before == nil || h.Before.ID != "a" || h.Before.Mark != 7 {
+	if _, h := g.say("n0", 2, "b", 1); h == nil || h.Before == nil || h.Before.ID != "a" || h.Before.Checkpoint != 7 {
 		t.Errorf("the second life is told %+v", h)
 	}
 	for i := range 6 {
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -19,8 +19,8 @@
 	"sync/atomic"
 	"time"
 
-	"robinmast/decide/comeback"
 	"robinmast/decide/fleet"
+	"robinmast/decide/recovery"
 	"robinmast/decide/shedding"
 	"robinmast/internal/store"
 )
@@ -54,11 +54,11 @@
 	mu     sync.Mutex
 	view   fleet.View
 	digest shedding.Digest
-	events []comeback.Event
+	events []recovery.Event
 	past   []fleet.Change
-	kept   fleet.Change      // the last that was stored
-	room   float64           // share of the fleet's usual that is there, 0 = not known
-	seen   *comeback.Witness // guarded by mu: answers are given while reports wait for the loop
+	kept   fleet.Change                  // the last that was stored
+	room   float64                       // share of the fleet's usual that is there, 0 = not known
+	seen   *recovery.IncarnationRegistry // guarded by mu: answers are given while reports wait for the loop
 	follow map[string]follower
 }
 
@@ -72,13 +72,13 @@
 type event struct {
 	report *fleet.Report
 	word   *shedding.LoadReport // of the node that reports
-	back   *comeback.Word       // the same, of its way to full service
+	back   *recovery.NodeReport // the same, of its way to full service
 	load   *fleet.ProxyLoad
 }
 
 // New returns a service; Run runs it.
 func New(cfg Config) *Service {
-	return &Service{Streams: NewStreams(), cfg: cfg, began: time.Now(), queue: make(chan event, queueSize), follow: map[string]follower{}, seen: comeback.NewWitness()}
+	return &Service{Streams: NewStreams(), cfg: cfg, began: time.Now(), queue: make(chan event, queueSize), follow: map[string]follower{}, seen: recovery.NewIncarnationRegistry()}
 }
 
 // View is the latest view; its times count from the service's start.
@@ -144,7 +144,7 @@
 			changes = past.List()
 		}
 		s.mu.Lock()
-		s.view, s.digest, s.events, s.room, s.past = v, d, w.List(), w.Room(), changes
+		s.view, s.digest, s.events, s.room, s.past = v, d, w.List(), w.Capacity(), changes
 		maps.DeleteFunc(s.follow, func(_ string, o follower) bool { return s.now()-o.at > followFor })
 		s.mu.Unlock()
 		if v.Version != published && f.Ready(s.now()) {
@@ -181,7 +181,7 @@
 	}
 }
 
-func (s *Service) feed(f *fleet.Fleet, g *shedding.Aggregator, w *comeback.Events, e event) {
+func (s *Service) feed(f *fleet.Fleet, g *shedding.Aggregator, w *recovery.EventDetector, e event) {
 	switch {
 	case e.report != nil:
 		s.Reports.Add(1)
@@ -189,7 +189,7 @@
 			s.Ignored.Add(1)
 		}
 		if e.back != nil {
-			w.Heard(s.now(), *e.back)
+			w.Observe(s.now(), *e.back)
 		}
 		if e.word != nil {
 			g.Observe(s.now(), e.report.Name, e.report.Incarnation, e.report.Seq, *e.word)
@@ -484,7 +484,7 @@
 		out.Room = math.Round(100*s.room) / 100
 	}
 	if b := more.back; b != nil && b.Store != nil {
-		out.Heard = &heard{Before: s.seen.Said(name, report.Incarnation, *b.Store)}
+		out.Heard = &heard{Before: s.seen.Observe(name, report.Incarnation, *b.Store)}
 	}
 	text2, err := json.Marshal(out) // while the digest stays as it is
 	s.mu.Unlock()
--- a/internal/control/streams.go
+++ b/internal/control/streams.go
@@ -27,8 +27,8 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/types/known/anypb"
 
-	"robinmast/decide/comeback"
 	"robinmast/decide/fleet"
+	"robinmast/decide/recovery"
 	"robinmast/decide/xds"
 )
 
@@ -62,7 +62,7 @@
 
 	began   time.Time
 	turnMu  sync.Mutex // guards the next group
-	turns   *comeback.Turns
+	turns   *recovery.FairScheduler
 	waiting map[uint64]chan struct{} // closed when a turn is granted
 	waker   *time.Timer
 }
@@ -70,7 +70,7 @@
 // NewStreams returns a server that has published nothing.
 func NewStreams() *Streams {
 	return &Streams{streams: map[*stream]struct{}{}, zones: map[string]*published{}, empty: true, began: time.Now(),
-		turns: comeback.NewTurns(wholeAtOnce, wholeFor), waiting: map[uint64]chan struct{}{}}
+		turns: recovery.NewFairScheduler(wholeAtOnce, wholeFor), waiting: map[uint64]chan struct{}{}}
 }
 
 // Publish makes a view the latest. Whoever is behind goes straight to it.
@@ -169,7 +169,7 @@
 
 // step grants turns; turnMu must be held.
 func (s *Streams) step() {
-	granted, again := s.turns.Step(time.Since(s.began))
+	granted, again := s.turns.Grant(time.Since(s.began))
 	for _, turn := range granted {
 		close(s.waiting[turn])
 		delete(s.waiting, turn)
@@ -191,14 +191,14 @@
 // whole waits for a turn to be given a whole answer; done gives it back.
 func (s *Streams) whole(ctx context.Context, name string) (done func(), err error) {
 	s.turnMu.Lock()
-	turn, granted := s.turns.Ask(name), make(chan struct{})
+	turn, granted := s.turns.Request(name), make(chan struct{})
 	s.waiting[turn] = granted
 	s.step()
 	s.turnMu.Unlock()
 	done = func() {
 		s.turnMu.Lock()
 		defer s.turnMu.Unlock()
-		s.turns.Done(turn)
+		s.turns.Release(turn)
 		delete(s.waiting, turn)
 		s.step()
 	}
--- a/internal/node/comeback.go
+++ b/internal/node/comeback.go
@@ -7,7 +7,7 @@
 import (
 	"time"
 
-	"robinmast/decide/comeback"
+	"robinmast/decide/recovery"
 	"robinmast/internal/exchange"
 	"robinmast/rules"
 )
@@ -17,15 +17,15 @@
 type Comeback interface {
 	Begin(now time.Duration)
 	// Bound returns what the module may take as known, nil = nothing.
-	Bound(now, since time.Duration, cold bool) (l *rules.Learned, weight, speed float64)
+	WorkerPoolUp(now, since time.Duration, cold bool) (l *rules.Learned, weight, speed float64)
 	// InDoubt reports whether a request of which nothing is remembered may have run.
 	InDoubt(now time.Duration, class int, key uint64, again bool, age time.Duration) bool
 	Arrived(now time.Duration, again bool)
 	// Ran reports whether what the module took as known is to be forgotten.
-	Ran(now time.Duration, class int, took, hint time.Duration) (forget bool)
+	RunSucceeded(now time.Duration, class int, took, hint time.Duration) (forget bool)
 	Step(now time.Duration, short bool, learned func() rules.Learned) (ask, warm float64)
-	Heard(now time.Duration, h *comeback.Heard)
-	Room(since time.Duration, share float64)
+	ObservePrevious(now time.Duration, h *recovery.PreviousStore)
+	FleetCapacity(since time.Duration, share float64)
 	Close(l rules.Learned)
 }
 
@@ -38,7 +38,7 @@
 
 // Heard takes what a control service has heard of this name's earlier lives, nil =
 // of none.
-func (n *Node) Heard(h *comeback.Heard) { n.post(event{kind: lives, life: h}) }
+func (n *Node) Heard(h *recovery.PreviousStore) { n.post(event{kind: lives, life: h}) }
 
 // Room takes the share of the fleet's usual room that is there, as of the moment since.
 func (n *Node) Room(since time.Time, share float64) {
@@ -51,7 +51,7 @@
 	if n.cfg.Comeback == nil {
 		return
 	}
-	l, weight, speed := n.cfg.Comeback.Bound(n.now, n.now-e.took, e.cold)
+	l, weight, speed := n.cfg.Comeback.WorkerPoolUp(n.now, n.now-e.took, e.cold)
 	if m, ok := n.module.(learner); ok && l != nil {
 		m.WarmStart(*l, weight, speed)
 	}
@@ -113,7 +113,7 @@
 		return
 	}
 	hint := time.Duration(it.x.HintMs * float64(time.Millisecond))
-	if n.cfg.Comeback.Ran(n.now, it.x.Class, e.took, hint) {
+	if n.cfg.Comeback.RunSucceeded(n.now, it.x.Class, e.took, hint) {
 		if m, ok := n.module.(learner); ok {
 			m.DiscardWarmStart()
 		}
--- a/internal/node/keys.go
+++ b/internal/node/keys.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"robinmast/decide/recall"
+	"robinmast/decide/resultcache"
 	"robinmast/internal/exchange"
 	"robinmast/internal/pool"
 	"robinmast/rules"
@@ -65,9 +65,9 @@
 func keyOf(x *exchange.Exchange, set rules.Settings) string {
 	switch {
 	case set.Classes[x.Class].Effect == rules.Keyed:
-		return "u" + recall.ID{Class: x.ClassName, Tenant: x.TenantName, Name: x.Unique}.Key()
+		return "u" + resultcache.RequestKey{Class: x.ClassName, Tenant: x.TenantName, Name: x.Unique}.Text()
 	case x.Safe && set.ReadFreshness > 0 && x.Item != "":
-		return "i" + recall.ID{Class: x.ClassName, Tenant: x.TenantName, Name: x.Item}.Key()
+		return "i" + resultcache.RequestKey{Class: x.ClassName, Tenant: x.TenantName, Name: x.Item}.Text()
 	}
 	return ""
 }
--- a/internal/node/memory.go
+++ b/internal/node/memory.go
@@ -8,10 +8,10 @@
 import (
 	"time"
 
-	"robinmast/decide/recall"
+	"robinmast/decide/resultcache"
 	"robinmast/internal/exchange"
 	"robinmast/internal/pool"
-	memory "robinmast/internal/recall"
+	memory "robinmast/internal/resultcache"
 	"robinmast/rules"
 )
 
@@ -19,17 +19,17 @@
 // any goroutine, or at once.
 type Memory interface {
 	// Restore takes over what earlier lives left; it is called once, before all else.
-	Restore(now time.Duration) ([]memory.Remembered, error)
+	Restore(now time.Duration) ([]memory.RestoredRecord, error)
 	// Wants reports whether a request is remembered, and whether its run must wait for Intend.
 	Wants(x *exchange.Exchange) (remember, intent bool)
-	Intend(now time.Duration, x *exchange.Exchange, expires time.Duration, done func(error))
+	StoreIntent(now time.Duration, x *exchange.Exchange, expires time.Duration, done func(error))
 	// Refused reports whether a run whose intent could not be written goes on.
-	Refused(err error) bool
-	Ended(now time.Duration, x *exchange.Exchange, expires time.Duration, good bool, body []byte, done func(kept bool))
+	RunsUnrecorded(err error) bool
+	RunEnded(now time.Duration, x *exchange.Exchange, expires time.Duration, good bool, body []byte, done func(kept bool))
 	Withdraw(x *exchange.Exchange)
-	Late(now time.Duration, r memory.Remembered, good bool, body []byte)
-	Judge(r memory.Remembered, pool time.Duration) recall.Verdict
-	Told(good bool)
+	LateRunEnded(now time.Duration, r memory.RestoredRecord, good bool, body []byte)
+	DecideRepeat(r memory.RestoredRecord, pool time.Duration) resultcache.RepeatAction
+	CountRepeat(good bool)
 	Fetch(key string, done func(body []byte, err error))
 	// Flush ends a batch.
 	Flush(now time.Duration)
@@ -47,7 +47,7 @@
 
 // earlier is an entry of an earlier life of the node.
 type earlier struct {
-	memory.Remembered
+	memory.RestoredRecord
 	id   rules.RequestID // stands for the request that made it
 	kept *kept
 }
@@ -64,10 +64,10 @@
 	n.byRun = map[string]*earlier{}
 	for _, r := range list {
 		n.nextID++
-		e := &earlier{Remembered: r, id: n.nextID}
+		e := &earlier{RestoredRecord: r, id: n.nextID}
 		n.earlier = append(n.earlier, e)
-		if r.Entry.Kind == recall.Intent {
-			n.byRun[r.Entry.Run] = e
+		if r.Record.Kind == resultcache.Intent {
+			n.byRun[r.Record.Run] = e
 		}
 	}
 	n.relink(-longest) // until the worker pool says since when it is up, it may have outlived us
@@ -85,19 +85,19 @@
 			continue
 		}
 		e := &kept{key: "u" + r.Key, holder: r.id, expires: r.Expires, ref: r.Key}
-		if r.Entry.Effect == rules.Safe {
+		if r.Record.Effect == rules.Safe {
 			e.key = "i" + r.Key
 		}
-		switch n.cfg.Memory.Judge(r.Remembered, pool) {
-		case recall.Run:
+		switch n.cfg.Memory.DecideRepeat(r.RestoredRecord, pool) {
+		case resultcache.RunAgain:
 			continue
-		case recall.Wait:
+		case resultcache.WaitForRun:
 			if n.isBound && r.Class >= 0 {
-				e.awaited = n.now + recall.Awaits(n.usualRun(r.Class), n.cfg.Settings.Classes[r.Class].Deadline)
+				e.awaited = n.now + resultcache.InFlightTimeout(n.usualRun(r.Class), n.cfg.Settings.Classes[r.Class].Deadline)
 			}
-		case recall.Earlier:
+		case resultcache.AnswerEarlier:
 			e.over, e.good, e.stored = true, true, true
-		case recall.Fail:
+		case resultcache.FailRepeat:
 			e.over, e.barred = true, true
 		}
 		r.kept = e
@@ -125,7 +125,7 @@
 		r.kept.barred, r.kept.awaited = true, 0
 		unheard++
 		for _, w := range n.table.settle(r.kept, false, nil, n.now, 0) {
-			n.cfg.Memory.Told(false)
+			n.cfg.Memory.CountRepeat(false)
 			n.reused(w, false, nil)
 		}
 	}
@@ -140,7 +140,7 @@
 	if n.cfg.Memory != nil {
 		if _, intent := n.cfg.Memory.Wants(it.x); intent {
 			it.gate.Store(gateWaiting)
-			n.cfg.Memory.Intend(n.now, it.x, n.expires(it), func(err error) {
+			n.cfg.Memory.StoreIntent(n.now, it.x, n.expires(it), func(err error) {
 				if err == nil && it.gate.CompareAndSwap(gateWaiting, gateOpen) {
 					n.pool.Spawn(it.x)
 					return
@@ -180,7 +180,7 @@
 	case it.gate.Swap(noGate) == gateShut:
 		n.cfg.Memory.Withdraw(it.x)
 		n.finish(event{x: it.x, end: pool.Cancelled, kept: true})
-	case e.err != nil && n.cfg.Memory.Refused(e.err):
+	case e.err != nil && n.cfg.Memory.RunsUnrecorded(e.err):
 		n.pool.Spawn(it.x)
 	default:
 		if it.kept != nil {
@@ -202,7 +202,7 @@
 	}
 	switch e.end {
 	case pool.Complete:
-		n.cfg.Memory.Ended(n.now, it.x, n.expires(it), true, e.body, func(has bool) {
+		n.cfg.Memory.RunEnded(n.now, it.x, n.expires(it), true, e.body, func(has bool) {
 			again := e
 			again.kept, again.has, again.told = true, has, true
 			e.x.Answer(exchange.Answer{Kind: exchange.Served, Body: e.body})
@@ -210,7 +210,7 @@
 		})
 		return true
 	case pool.Error:
-		n.cfg.Memory.Ended(n.now, it.x, n.expires(it), false, nil, nil)
+		n.cfg.Memory.RunEnded(n.now, it.x, n.expires(it), false, nil, nil)
 	default:
 		n.cfg.Memory.Withdraw(it.x)
 	}
@@ -226,10 +226,10 @@
 	}
 	delete(n.byRun, e.run)
 	good := e.end == pool.Complete
-	n.cfg.Memory.Late(n.now, r.Remembered, good, e.body)
+	n.cfg.Memory.LateRunEnded(n.now, r.RestoredRecord, good, e.body)
 	r.kept.barred = !good
 	for _, w := range n.table.settle(r.kept, good, e.body, n.now, 0) {
-		n.cfg.Memory.Told(good)
+		n.cfg.Memory.CountRepeat(good)
 		n.reused(w, good, e.body)
 	}
 }
@@ -247,7 +247,7 @@
 		if err != nil {
 			end = pool.Error
 		}
-		n.cfg.Memory.Told(err == nil)
+		n.cfg.Memory.CountRepeat(err == nil)
 		n.post(event{kind: finished, x: x, end: end, took: n.cfg.Settings.BatchInterval, body: body})
 	})
 }
@@ -255,6 +255,6 @@
 // toldEarlier counts a repeat of an earlier life's request that fails at once.
 func (n *Node) toldEarlier(e *kept, good bool) {
 	if e.barred && !good {
-		n.cfg.Memory.Told(false)
+		n.cfg.Memory.CountRepeat(false)
 	}
 }
--- a/internal/node/memory_test.go
+++ b/internal/node/memory_test.go
@@ -10,11 +10,11 @@
 	"testing"
 	"time"
 
-	decide "robinmast/decide/recall"
+	decide "robinmast/decide/resultcache"
 	"robinmast/internal/config"
 	"robinmast/internal/exchange"
 	"robinmast/internal/pool"
-	"robinmast/internal/recall"
+	"robinmast/internal/resultcache"
 	"robinmast/internal/settings"
 	"robinmast/internal/standin"
 	"robinmast/internal/store/vfs"
@@ -26,7 +26,7 @@
 type life struct {
 	*rig
 	disk *vfs.Mem
-	mem  *recall.Memory
+	mem  *resultcache.Cache
 	up   int64
 }
 
@@ -51,11 +51,11 @@
 		return l.passed
 	}
 	var err error
-	l.mem, err = recall.Open(recall.Config{
+	l.mem, err = resultcache.Open(resultcache.Config{
 		Results: own.Results, Store: own.Store, Settings: set, FS: disk,
 		Names:  settings.Names{Classes: []string{"c0", "c1", "c2"}},
 		Log:    lifeLog,
-		Clocks: func() decide.Reading { return decide.Reading{Boot: "b", Up: l.up + passed().Milliseconds()} }, Elapsed: passed,
+		Clocks: func() decide.ClockReading { return decide.ClockReading{Boot: "b", Up: l.up + passed().Milliseconds()} }, Elapsed: passed,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -194,14 +194,14 @@
 	b := live(t, disk.Clone(), 1030, time.Hour, long)
 	deadline := b.cfg.Settings.Classes[1].Deadline
 	y := b.send(1, key("k"))
-	b.pass(decide.Awaits(0, deadline) - 10*time.Millisecond)
+	b.pass(decide.InFlightTimeout(0, deadline) - 10*time.Millisecond)
 	b.turn()
 	b.none(y)
 	b.pass(20 * time.Millisecond)
 	b.until("the answer", func() bool { return b.answered(y) })
 	b.only(y, exchange.Failed, "")
-	if len(b.spawned) != 0 || decide.Awaits(0, deadline) >= deadline || decide.Awaits(10*time.Millisecond, deadline) > deadline/2 {
-		t.Errorf("ran %v, awaited for %v of %v", b.spawned, decide.Awaits(0, deadline), deadline)
+	if len(b.spawned) != 0 || decide.InFlightTimeout(0, deadline) >= deadline || decide.InFlightTimeout(10*time.Millisecond, deadline) > deadline/2 {
+		t.Errorf("ran %v, awaited for %v of %v", b.spawned, decide.InFlightTimeout(0, deadline), deadline)
 	}
 	b.Stray(x.Txn, pool.Complete, []byte("result"))
 	b.turn()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -15,8 +15,8 @@
 	"sync/atomic"
 	"time"
 
-	"robinmast/decide/comeback"
 	"robinmast/decide/pools"
+	"robinmast/decide/recovery"
 	"robinmast/decide/shedding"
 	"robinmast/internal/exchange"
 	"robinmast/internal/pool"
@@ -176,11 +176,11 @@
 	out  rules.Outcome     // called
 	call uint64            // called: which one
 
-	seen   chan shedding.View // inspect
-	digest *shedding.Digest   // told, took ago
-	src    int                // told, by which service
-	life   *comeback.Heard    // lives, nil = of none
-	share  float64            // roomed, took ago
+	seen   chan shedding.View      // inspect
+	digest *shedding.Digest        // told, took ago
+	src    int                     // told, by which service
+	life   *recovery.PreviousStore // lives, nil = of none
+	share  float64                 // roomed, took ago
 }
 
 // item is a request in hand: what the module calls it, and what is left of it.
@@ -533,11 +533,11 @@
 		}
 	case roomed:
 		if n.cfg.Comeback != nil {
-			n.cfg.Comeback.Room(n.now-e.took, e.share)
+			n.cfg.Comeback.FleetCapacity(n.now-e.took, e.share)
 		}
 	case lives:
 		if n.cfg.Comeback != nil {
-			n.cfg.Comeback.Heard(n.now, e.life)
+			n.cfg.Comeback.ObservePrevious(n.now, e.life)
 		}
 	}
 }
--- a/internal/comeback/keeper.go
+++ b/internal/recovery/keeper.go
@@ -7,7 +7,7 @@
 // The store holds the identity under "life/self", the last count of keys under
 // "life/mark" and the snapshot under "life/learned", all as CBOR (RFC 8949) with
 // numbered fields.
-package comeback
+package recovery
 
 import (
 	"bufio"
@@ -25,7 +25,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	decide "robinmast/decide/comeback"
+	decide "robinmast/decide/recovery"
 	"robinmast/internal/config"
 	"robinmast/internal/settings"
 	"robinmast/internal/store"
@@ -70,13 +70,13 @@
 	log     *slog.Logger
 	self    decide.Identity        // the loop's
 	id      atomic.Pointer[string] // of the store, for reports
-	life    *decide.Life
-	doubt   *decide.Doubt // nil = there are no remembered results
-	found   decide.Found
+	life    *decide.Startup
+	doubt   *decide.StoreCheck // nil = there are no remembered results
+	found   decide.FoundState
 	learned *rules.Learned // the snapshot as taken up
 	weight  float64
-	prior   *decide.Prior
-	pace    decide.Pace
+	prior   *decide.WarmStart
+	pace    decide.SnapshotPacer
 	site    uint64
 	machine string
 	began   time.Time
@@ -106,30 +106,30 @@
 	if cfg.Store == nil {
 		return k, nil
 	}
-	k.found = decide.Found{Keys: cfg.Store.Len(), Holes: len(cfg.Recovery.Damaged), Since: math.MinInt64}
+	k.found = decide.FoundState{Keys: cfg.Store.Len(), UnreadablePlaces: len(cfg.Recovery.Damaged), CompleteSince: math.MinInt64}
 	switch err := k.get(selfKey, &k.self); {
 	case errors.Is(err, store.ErrNotFound):
-		k.found.Made = cfg.Store.Len() == 0
-		if !k.found.Made { // results from before there were identities: whose they are is not known, that they are is
+		k.found.Created = cfg.Store.Len() == 0
+		if !k.found.Created { // results from before there were identities: whose they are is not known, that they are is
 			k.found.Node = cfg.Node
 		}
 		k.self = decide.Identity{ID: newID()}
 	case err != nil:
-		k.found.Holes++
+		k.found.UnreadablePlaces++
 		k.log.Error("the store's identity can't be read", "err", err)
 	default:
 		k.found.Node = k.self.Node
 	}
-	if err := k.get(markKey, &k.found.Mark); err != nil && !errors.Is(err, store.ErrNotFound) {
-		k.found.Holes++
+	if err := k.get(markKey, &k.found.Checkpoint); err != nil && !errors.Is(err, store.ErrNotFound) {
+		k.found.UnreadablePlaces++
 		k.log.Error("the store's mark can't be read", "err", err)
 	}
-	k.markN = k.found.Mark.N
+	k.markN = k.found.Checkpoint.N
 	k.noted.Store(k.markN)
 	k.self.Node = cfg.Node
 	k.self.Epoch++
-	k.found.Self = k.self
-	k.id.Store(&k.found.Self.ID)
+	k.found.Identity = k.self
+	k.id.Store(&k.found.Identity.ID)
 	if err := k.put(selfKey, k.self, store.Durable); err != nil {
 		// The next life will find this one's number again, and doubt its memory.
 		k.log.Error("this life can't be noted in the store: the next start will doubt it", "err", err)
@@ -151,7 +151,7 @@
 		k.log.Warn("snapshot not taken up", "why", err)
 		return
 	}
-	weight, why := decide.Weigh(&s, k.site, k.machine, len(k.cfg.Settings.Classes), k.cfg.Wall())
+	weight, why := decide.SnapshotWeight(&s, k.site, k.machine, len(k.cfg.Settings.Classes), k.cfg.Wall())
 	if weight <= 0 {
 		k.log.Info("snapshot not taken up", "why", why)
 		return
@@ -190,7 +190,7 @@
 	k.cfg.Store.ApplyAsync(&b, store.Soon, func(err error) {
 		if err != nil {
 			k.Counters.Failed.Add(1)
-		} else if m, ok := v.(decide.Mark); ok {
+		} else if m, ok := v.(decide.Checkpoint); ok {
 			k.noted.Store(m.N)
 		}
 	})
@@ -198,25 +198,25 @@
 
 // Begin takes the loop's time, before anything else: the process has now read its store.
 func (k *Keeper) Begin(now time.Duration) {
-	set := decide.LifeSettings{Cores: k.cfg.Settings.Cores, ColdFrom: k.cfg.Settings.ColdSpeed, Ramp: k.cfg.Settings.WarmUpTime}
+	set := decide.StartupSettings{Cores: k.cfg.Settings.Cores, ColdSpeed: k.cfg.Settings.ColdSpeed, WarmUpTime: k.cfg.Settings.WarmUpTime}
 	if k.learned != nil {
 		for _, c := range k.learned.Classes {
-			set.Usual = append(set.Usual, c.Base)
+			set.UsualRuns = append(set.UsualRuns, c.Base)
 		}
 	}
 	start := now - time.Since(k.began)
-	k.life = decide.NewLife(start, now, set)
+	k.life = decide.NewStartup(start, now, set)
 	k.unix = k.cfg.Wall() - now.Milliseconds()
 	if k.cfg.Store == nil || !k.cfg.Results {
 		return
 	}
-	if k.self.Since != 0 {
-		k.found.Since = time.Duration(k.self.Since-k.unix) * time.Millisecond
+	if k.self.CompleteSince != 0 {
+		k.found.CompleteSince = time.Duration(k.self.CompleteSince-k.unix) * time.Millisecond
 	}
-	k.doubt = decide.NewDoubt(start, k.found, k.cfg.Listens)
-	k.since = k.found.Since
-	if s, _ := k.doubt.State(now); s != decide.Whole {
-		k.tell(k.doubt.Line())
+	k.doubt = decide.NewStoreCheck(start, k.found, k.cfg.Listens)
+	k.since = k.found.CompleteSince
+	if s, _ := k.doubt.Integrity(now); s != decide.Intact {
+		k.tell(k.doubt.Describe())
 	}
 }
 
@@ -227,9 +227,9 @@
 		return
 	}
 	k.log.Warn("comeback", "line", line, "store", k.self.ID, "life", k.self.Epoch)
-	if s := k.doubt.Since(); s != k.since {
+	if s := k.doubt.CompleteSince(); s != k.since {
 		k.since = s
-		k.self.Since = k.unix + s.Milliseconds()
+		k.self.CompleteSince = k.unix + s.Milliseconds()
 		id := newID() // its marks go on from a copy's: under the old name they would pass for those that were heard
 		k.self.ID = id
 		k.id.Store(&id)
@@ -246,35 +246,37 @@
 
 // Identity is what reports say of the store, nil where there is none; any goroutine
 // may ask.
-func (k *Keeper) Identity() *decide.Heard {
+func (k *Keeper) Identity() *decide.PreviousStore {
 	if k.cfg.Store == nil || !k.cfg.Results {
 		return nil
 	}
-	return &decide.Heard{ID: *k.id.Load(), Epoch: k.found.Self.Epoch, Mark: k.noted.Load()}
+	return &decide.PreviousStore{ID: *k.id.Load(), Epoch: k.found.Identity.Epoch, Checkpoint: k.noted.Load()}
 }
 
 // Heard takes what a control service has heard of an earlier life, nil = of none.
-func (k *Keeper) Heard(now time.Duration, h *decide.Heard) {
+func (k *Keeper) ObservePrevious(now time.Duration, h *decide.PreviousStore) {
 	if k.doubt != nil {
-		k.tell(k.doubt.Heard(now, h))
+		k.tell(k.doubt.ObservePrevious(now, h))
 	}
 }
 
 // Room takes the share of the fleet's usual room that is there, as told.
-func (k *Keeper) Room(since time.Duration, share float64) { k.life.Room(since, share) }
+func (k *Keeper) FleetCapacity(since time.Duration, share float64) {
+	k.life.FleetCapacity(since, share)
+}
 
 // Bound takes the word that the worker pool is up. It returns what the module may
 // take as known, with its weight and the share of its speed that the node starts at.
-func (k *Keeper) Bound(now, since time.Duration, cold bool) (l *rules.Learned, weight, speed float64) {
-	k.life.Bound(now, since, cold)
+func (k *Keeper) WorkerPoolUp(now, since time.Duration, cold bool) (l *rules.Learned, weight, speed float64) {
+	k.life.WorkerPoolUp(now, since, cold)
 	if k.doubt != nil {
-		k.tell(k.doubt.Pool(since))
+		k.tell(k.doubt.WorkerPoolUp(since))
 	}
 	if k.learned == nil {
 		return nil, 0, 0
 	}
-	speed = k.life.Warm(now)
-	k.prior = decide.NewPrior(*k.learned, speed)
+	speed = k.life.Speed(now)
+	k.prior = decide.NewWarmStart(*k.learned, speed)
 	return k.learned, k.weight, speed
 }
 
@@ -292,7 +294,7 @@
 	if c.Effect == rules.Keyed && k.cfg.Own.RunKeyed || c.Effect == rules.Unsafe && k.cfg.Own.RunUnsafe {
 		return false
 	}
-	if !k.doubt.Asks(now, c.Effect, window, key, again, age) {
+	if !k.doubt.MayHaveRun(now, c.Effect, window, key, again, age) {
 		return false
 	}
 	k.Counters.InDoubt.Add(1)
@@ -304,12 +306,12 @@
 
 // Ran takes the end of a run that went well. It reports whether the module is to
 // forget what it took as known.
-func (k *Keeper) Ran(now time.Duration, class int, took, hint time.Duration) (forget bool) {
-	k.life.Ran(now, class, took, hint)
+func (k *Keeper) RunSucceeded(now time.Duration, class int, took, hint time.Duration) (forget bool) {
+	k.life.RunSucceeded(now, class, took, hint)
 	if k.prior == nil || k.prior.Settled() {
 		return false
 	}
-	if against := k.prior.Ran(class, took, k.life.Warm(now)); against != "" {
+	if against := k.prior.Ran(class, took, k.life.Speed(now)); against != "" {
 		k.Counters.Dropped.Add(1)
 		k.log.Warn("snapshot dropped", "why", against)
 		k.learned = nil
@@ -322,16 +324,16 @@
 // speed that it has reached. learned is called where a snapshot may be due; short
 // tells that the whole fleet is.
 func (k *Keeper) Step(now time.Duration, short bool, learned func() rules.Learned) (ask, warm float64) {
-	k.life.Short(short)
+	k.life.FleetShortage(short)
 	ask, line := k.life.Step(now)
 	if line != "" {
 		k.log.Info("comeback", "line", line, "in_doubt", k.Counters.InDoubt.Load())
 	}
-	warm = k.life.Warm(now)
+	warm = k.life.Speed(now)
 	s, _ := k.life.State()
 	v := View{State: s.String(), Ask: ask, Warm: warm}
 	if k.doubt != nil {
-		m, why := k.doubt.State(now)
+		m, why := k.doubt.Integrity(now)
 		v.Memory, v.Why = m.String(), why
 	}
 	k.view.Store(&v)
@@ -353,13 +355,13 @@
 func (k *Keeper) mark() {
 	if k.cfg.Results {
 		k.markN++
-		k.later(markKey, decide.Mark{N: k.markN, Keys: k.cfg.Store.Len()})
+		k.later(markKey, decide.Checkpoint{N: k.markN, Keys: k.cfg.Store.Len()})
 	}
 }
 
 func (k *Keeper) snapshot(l rules.Learned) {
 	k.Counters.Snapshots.Add(1)
-	k.later(learnedKey, decide.Snapshot{Version: decide.SnapshotVersion, Site: k.site, Machine: k.machine, Taken: k.cfg.Wall(), Learned: l})
+	k.later(learnedKey, decide.Snapshot{Version: decide.SnapshotVersion, SettingsDigest: k.site, Machine: k.machine, Taken: k.cfg.Wall(), Learned: l})
 }
 
 // View shows how the node stands, nil before the first step.
--- a/internal/comeback/keeper_test.go
+++ b/internal/recovery/keeper_test.go
@@ -1,4 +1,4 @@
-package comeback
+package recovery
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	decide "robinmast/decide/comeback"
+	decide "robinmast/decide/recovery"
 	"robinmast/internal/config"
 	"robinmast/internal/settings"
 	"robinmast/internal/standin"
@@ -80,29 +80,29 @@
 	if first.Epoch != 1 || len(first.ID) != 32 || !strings.Contains(w.log.String(), "memory unproven") {
 		t.Fatalf("%+v, says %s", first, w.log.String())
 	}
-	k.Heard(second, nil)
+	k.ObservePrevious(second, nil)
 	copied := w.disk.Clone()
 	for now := second; now <= 4*second; now += second / 2 {
 		k.Step(now, false, learned)
 	}
-	standin.Eventually(t, "marks", func() bool { return k.Identity().Mark >= 3 })
+	standin.Eventually(t, "marks", func() bool { return k.Identity().Checkpoint >= 3 })
 	heard := *k.Identity()
 	w.end(k, s, rules.Learned{})
 	k, s = w.life(false)
-	k.Heard(second, &heard)
-	if m, why := k.doubt.State(second); m != decide.Whole || k.Identity().Epoch != 2 || k.Identity().ID != first.ID {
+	k.ObservePrevious(second, &heard)
+	if m, why := k.doubt.Integrity(second); m != decide.Intact || k.Identity().Epoch != 2 || k.Identity().ID != first.ID {
 		t.Errorf("memory %v (%s), %+v", m, why, k.Identity())
 	}
 	w.end(k, s, rules.Learned{})
 	w.disk = copied
 	k, s = w.life(false)
-	k.Heard(second, &heard)
+	k.ObservePrevious(second, &heard)
 	if !strings.Contains(w.log.String(), "older copy") || !k.InDoubt(2*second, 1, 1, true, 0) || k.InDoubt(2*second, 0, 1, true, 0) || k.Counters.InDoubt.Load() != 1 {
 		t.Errorf("an older copy is not doubted: %s", w.log.String())
 	}
 	standin.Eventually(t, "the doubt is stored", func() bool {
 		var id decide.Identity
-		return k.get(selfKey, &id) == nil && id.Since != 0
+		return k.get(selfKey, &id) == nil && id.CompleteSince != 0
 	})
 	w.end(k, s, rules.Learned{})
 	w.wall += 2000 // the next life, 2 s later, doubts the same
@@ -136,8 +136,8 @@
 	_ = s.Close() // as a crash would leave it
 	w.disk = whole
 	k, s = w.life(false)
-	k.Heard(second, &heard)
-	if m, _ := k.doubt.State(second); m != decide.Lost {
+	k.ObservePrevious(second, &heard)
+	if m, _ := k.doubt.Integrity(second); m != decide.Incomplete {
 		t.Errorf("after a life that could not be noted memory is %v", m)
 	}
 	w.end(k, s, rules.Learned{})
@@ -150,13 +150,13 @@
 	k, s := w.life(true)
 	w.end(k, s, learned())
 	k, s = w.life(true)
-	l, weight, speed := k.Bound(second, second, true)
+	l, weight, speed := k.WorkerPoolUp(second, second, true)
 	if l == nil || weight < 0.9 || speed > 0.4 || !strings.Contains(w.log.String(), "snapshot taken up") {
 		t.Fatalf("%v at %v, speed %v: %s", l, weight, speed, w.log.String())
 	}
 	dropped := false
 	for i := range 12 {
-		dropped = dropped || k.Ran(second+time.Duration(i)*time.Millisecond, 0, second, 20*time.Millisecond)
+		dropped = dropped || k.RunSucceeded(second+time.Duration(i)*time.Millisecond, 0, second, 20*time.Millisecond)
 	}
 	if !dropped || k.Counters.Dropped.Load() != 1 {
 		t.Error("runs sixteen times as long do not speak against it")
@@ -185,7 +185,7 @@
 		w.disk = disk.Clone()
 		change()
 		k, s := w.life(true)
-		if l, _, _ := k.Bound(second, second, false); l != nil || !strings.Contains(w.log.String(), "snapshot not taken up") {
+		if l, _, _ := k.WorkerPoolUp(second, second, false); l != nil || !strings.Contains(w.log.String(), "snapshot not taken up") {
 			t.Errorf("%s: taken up: %s", name, w.log.String())
 		}
 		_ = s.Close()
--- a/internal/comeback/settings_digest.go
+++ b/internal/recovery/settings_digest.go
@@ -1,4 +1,4 @@
-package comeback
+package recovery
 
 import (
 	"fmt"
--- a/internal/recall/recall.go
+++ b/internal/resultcache/recall.go
@@ -5,7 +5,7 @@
 //
 // The store holds, for each entry, its facts under "m/KEY" and its result under
 // "b/KEY", and the clocks' mark under "clock".
-package recall
+package resultcache
 
 import (
 	"errors"
@@ -20,7 +20,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"golang.org/x/sys/unix"
 
-	decide "robinmast/decide/recall"
+	decide "robinmast/decide/resultcache"
 	"robinmast/internal/config"
 	"robinmast/internal/exchange"
 	"robinmast/internal/settings"
@@ -63,15 +63,15 @@
 	Settings rules.Settings
 	Names    settings.Names
 	Log      *slog.Logger
-	Spread   time.Duration         // over which stores that open together begin their upkeep
-	FS       vfs.FS                // nil = the real one
-	Clocks   func() decide.Reading // nil = the system's
-	Elapsed  func() time.Duration  // since Open, on the loop's clock; nil = the system's
+	Spread   time.Duration              // over which stores that open together begin their upkeep
+	FS       vfs.FS                     // nil = the real one
+	Clocks   func() decide.ClockReading // nil = the system's
+	Elapsed  func() time.Duration       // since Open, on the loop's clock; nil = the system's
 }
 
 // Memory is what is remembered. Its methods belong to the node's loop but for
 // Fetch's callback and the counters.
-type Memory struct {
+type Cache struct {
 	Counters Counters
 
 	cfg      Config
@@ -114,8 +114,8 @@
 }
 
 // Open opens the memory in its folder. Nothing is restored yet.
-func Open(cfg Config) (*Memory, error) {
-	m := &Memory{cfg: cfg, log: cfg.Log, fetches: make(chan fetch, fetchQueue), fetched: make(chan struct{})}
+func Open(cfg Config) (*Cache, error) {
+	m := &Cache{cfg: cfg, log: cfg.Log, fetches: make(chan fetch, fetchQueue), fetched: make(chan struct{})}
 	if m.cfg.Clocks == nil {
 		m.cfg.Clocks = systemClocks
 	}
@@ -153,7 +153,7 @@
 
 // unix is the store's clock: the module's own time. Before that is known
 // nothing has expired.
-func (m *Memory) unix() int64 {
+func (m *Cache) unix() int64 {
 	base := m.base.Load()
 	if base == 0 {
 		return 0
@@ -162,8 +162,8 @@
 }
 
 // systemClocks reads the wall clock, and the machine's own since its start.
-func systemClocks() decide.Reading {
-	r := decide.Reading{Wall: time.Now().UnixMilli()}
+func systemClocks() decide.ClockReading {
+	r := decide.ClockReading{Wall: time.Now().UnixMilli()}
 	var ts unix.Timespec
 	id, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts) != nil {
@@ -174,8 +174,8 @@
 }
 
 // Remembered is an entry of an earlier life.
-type Remembered struct {
-	Entry   decide.Entry
+type RestoredRecord struct {
+	Record  decide.Record
 	Class   int           // of the settings
 	Key     string        // as KeyOf gives it
 	Expires time.Duration // on the loop's clock
@@ -183,16 +183,16 @@
 
 // Restore takes over what earlier lives left, now being the loop's time. It is
 // called once, before anything else.
-func (m *Memory) Restore(now time.Duration) ([]Remembered, error) {
+func (m *Cache) Restore(now time.Duration) ([]RestoredRecord, error) {
 	began := time.Now()
-	var was *decide.Mark
+	var was *decide.ClockCheckpoint
 	text, err := m.store.Get(clockKey)
 	switch {
 	case errors.Is(err, store.ErrNotFound):
 	case err != nil:
 		m.log.Warn("remembered clock can't be read: the wall clock has to do", "err", err)
 	default:
-		was = &decide.Mark{}
+		was = &decide.ClockCheckpoint{}
 		if err := cbor.Unmarshal(text, was); err != nil {
 			m.log.Warn("remembered clock can't be read: the wall clock has to do", "err", err)
 			was = nil
@@ -203,8 +203,8 @@
 	if step == decide.Doubtful {
 		m.log.Warn("the wall clock went back across the restart: remembered results live on for the slack only", "slack", m.cfg.Results.Slack)
 	}
-	var kept []Remembered
-	drops := map[decide.Drop]int{}
+	var kept []RestoredRecord
+	drops := map[decide.DropReason]int{}
 	unreadable, doubted := 0, 0
 	var runs []string
 	var b store.Batch
@@ -213,11 +213,11 @@
 	}, func(e store.Entry) error {
 		key := e.Key[len(factsPrefix):]
 		var f facts
-		if err := cbor.Unmarshal(e.Value, &f); err != nil || (decide.ID{Class: f.Class, Tenant: f.Tenant, Name: f.Name}).Key() != key {
+		if err := cbor.Unmarshal(e.Value, &f); err != nil || (decide.RequestKey{Class: f.Class, Tenant: f.Tenant, Name: f.Name}).Text() != key {
 			unreadable++
 			return nil
 		}
-		var entry decide.Entry
+		var entry decide.Record
 		drop := decide.Outdated
 		if e.Doubt {
 			doubted++
@@ -234,7 +234,7 @@
 			b.Delete(bodyPrefix + key)
 			return nil
 		}
-		kept = append(kept, Remembered{Entry: entry, Class: slices.Index(m.cfg.Names.Classes, entry.Class), Key: key, Expires: now + time.Duration(entry.Expires-m.mod.Unix(now))*time.Millisecond})
+		kept = append(kept, RestoredRecord{Record: entry, Class: slices.Index(m.cfg.Names.Classes, entry.Class), Key: key, Expires: now + time.Duration(entry.Expires-m.mod.Unix(now))*time.Millisecond})
 		return nil
 	})
 	if err != nil {
@@ -276,16 +276,16 @@
 	return kept, nil
 }
 
-func (f facts) entry() decide.Entry {
-	return decide.Entry{
-		ID: decide.ID{Class: f.Class, Tenant: f.Tenant, Name: f.Name}, Kind: f.Kind, Effect: f.Effect, Run: f.Run,
+func (f facts) entry() decide.Record {
+	return decide.Record{
+		RequestKey: decide.RequestKey{Class: f.Class, Tenant: f.Tenant, Name: f.Name}, Kind: f.Kind, Effect: f.Effect, Run: f.Run,
 		Asked: f.Asked, Window: f.Window, Expires: f.Expires, Size: f.Size,
 	}
 }
 
 // ID is what x's tries have in common; its Name is empty for a request that has nothing.
-func (m *Memory) ID(x *exchange.Exchange) decide.ID {
-	id := decide.ID{Class: x.ClassName, Tenant: x.TenantName}
+func (m *Cache) RequestKey(x *exchange.Exchange) decide.RequestKey {
+	id := decide.RequestKey{Class: x.ClassName, Tenant: x.TenantName}
 	switch m.cfg.Settings.Classes[x.Class].Effect {
 	case rules.Keyed:
 		id.Name = x.Unique
@@ -298,14 +298,14 @@
 }
 
 // Wants reports whether x is remembered, and whether its run must wait for an intent.
-func (m *Memory) Wants(x *exchange.Exchange) (remember, intent bool) {
-	return m.mod.Wants(m.cfg.Settings.Classes[x.Class].Effect, m.ID(x).Name != "")
+func (m *Cache) Wants(x *exchange.Exchange) (remember, intent bool) {
+	return m.mod.Wants(m.cfg.Settings.Classes[x.Class].Effect, m.RequestKey(x).Name != "")
 }
 
 // entry is what is known of x; expires is on the loop's clock.
-func (m *Memory) entry(now time.Duration, x *exchange.Exchange, expires time.Duration) decide.Entry {
+func (m *Cache) entry(now time.Duration, x *exchange.Exchange, expires time.Duration) decide.Record {
 	c := m.cfg.Settings.Classes[x.Class]
-	e := decide.Entry{ID: m.ID(x), Effect: c.Effect, Run: x.Txn, Asked: m.mod.Unix(now), Expires: m.mod.Unix(expires)}
+	e := decide.Record{RequestKey: m.RequestKey(x), Effect: c.Effect, Run: x.Txn, Asked: m.mod.Unix(now), Expires: m.mod.Unix(expires)}
 	if c.Effect == rules.Keyed {
 		e.Window = c.IdempotencyWindow.Milliseconds()
 	}
@@ -314,7 +314,7 @@
 
 // Intend notes that x is about to run. done is called once the note is as
 // durable as set, or with why it is not; the run must wait for it.
-func (m *Memory) Intend(now time.Duration, x *exchange.Exchange, expires time.Duration, done func(error)) {
+func (m *Cache) StoreIntent(now time.Duration, x *exchange.Exchange, expires time.Duration, done func(error)) {
 	e := m.entry(now, x, expires)
 	ok, orders := m.mod.Intend(now, e)
 	m.obey(orders)
@@ -326,30 +326,30 @@
 	e.Kind = decide.Intent
 	m.Counters.Intents.Add(1)
 	m.put(e)
-	m.batch.Delete(bodyPrefix + e.Key())
+	m.batch.Delete(bodyPrefix + e.Text())
 	m.wait(done)
 }
 
 // Ended notes how x's run ended. With done set it is called once that is as
 // durable as set, or could not be stored; kept tells whether the result is.
-func (m *Memory) Ended(now time.Duration, x *exchange.Exchange, expires time.Duration, good bool, body []byte, done func(kept bool)) {
+func (m *Cache) RunEnded(now time.Duration, x *exchange.Exchange, expires time.Duration, good bool, body []byte, done func(kept bool)) {
 	m.ended(now, m.entry(now, x, expires), good, body, done)
 }
 
 // Late notes the end of a run of an earlier life.
-func (m *Memory) Late(now time.Duration, r Remembered, good bool, body []byte) {
+func (m *Cache) LateRunEnded(now time.Duration, r RestoredRecord, good bool, body []byte) {
 	m.Counters.Late.Add(1)
-	m.ended(now, r.Entry, good, body, nil)
+	m.ended(now, r.Record, good, body, nil)
 }
 
-func (m *Memory) ended(now time.Duration, e decide.Entry, good bool, body []byte, done func(kept bool)) {
-	e, keep, orders := m.mod.Ended(now, e, good, int64(len(body)))
+func (m *Cache) ended(now time.Duration, e decide.Record, good bool, body []byte, done func(kept bool)) {
+	e, keep, orders := m.mod.RunEnded(now, e, good, int64(len(body)))
 	m.obey(orders)
 	if keep {
 		m.put(e)
 		if e.Kind == decide.Result {
 			m.Counters.Stored.Add(1)
-			m.batch.Put(bodyPrefix+e.Key(), body, e.Expires+lateRead.Milliseconds())
+			m.batch.Put(bodyPrefix+e.Text(), body, e.Expires+lateRead.Milliseconds())
 		}
 	}
 	switch {
@@ -362,16 +362,16 @@
 }
 
 // Withdraw forgets the intent of a run that never began.
-func (m *Memory) Withdraw(x *exchange.Exchange) { m.remove(m.mod.Withdraw(m.ID(x)).Delete) }
+func (m *Cache) Withdraw(x *exchange.Exchange) { m.remove(m.mod.Withdraw(m.RequestKey(x)).Delete) }
 
 // Judge says what a repeat of an earlier life's request is told; pool is when
 // the worker pool came up, on the loop's clock.
-func (m *Memory) Judge(r Remembered, pool time.Duration) decide.Verdict {
-	return m.mod.Judge(r.Entry, m.mod.Unix(pool))
+func (m *Cache) DecideRepeat(r RestoredRecord, pool time.Duration) decide.RepeatAction {
+	return m.mod.Judge(r.Record, m.mod.Unix(pool))
 }
 
 // Told counts what a repeat of an earlier life's request was told.
-func (m *Memory) Told(good bool) {
+func (m *Cache) CountRepeat(good bool) {
 	if good {
 		m.Counters.Answered.Add(1)
 		return
@@ -379,7 +379,7 @@
 	m.Counters.Unknown.Add(1)
 }
 
-func (m *Memory) put(e decide.Entry) {
+func (m *Cache) put(e decide.Record) {
 	text, err := m.enc.Marshal(facts{
 		Kind: e.Kind, Effect: e.Effect, Class: e.Class, Tenant: e.Tenant, Name: e.Name, Run: e.Run,
 		Asked: e.Asked, Window: e.Window, Expires: e.Expires, Size: e.Size,
@@ -387,33 +387,33 @@
 	if err != nil { // the type has nothing that can't be encoded
 		panic(err)
 	}
-	m.batch.Put(factsPrefix+e.Key(), text, e.Expires+lateRead.Milliseconds())
+	m.batch.Put(factsPrefix+e.Text(), text, e.Expires+lateRead.Milliseconds())
 }
 
 // obey carries out what a decision brings with it.
-func (m *Memory) obey(o decide.Orders) {
+func (m *Cache) obey(o decide.StoreChanges) {
 	m.Counters.Evicted.Add(int64(len(o.Delete) + len(o.Strip)))
 	m.remove(o.Delete)
 	for _, e := range o.Strip {
 		m.put(e)
-		m.batch.Delete(bodyPrefix + e.Key())
+		m.batch.Delete(bodyPrefix + e.Text())
 	}
 }
 
-func (m *Memory) remove(keys []string) {
+func (m *Cache) remove(keys []string) {
 	for _, k := range keys {
 		m.batch.Delete(factsPrefix + k)
 		m.batch.Delete(bodyPrefix + k)
 	}
 }
 
-func (m *Memory) wait(done func(error)) {
+func (m *Cache) wait(done func(error)) {
 	m.waiting = append(m.waiting, done)
 	m.sync = m.sync || m.cfg.Results.Durable
 }
 
 // mark puts the clocks' mark into the batch.
-func (m *Memory) mark(now time.Duration) {
+func (m *Cache) mark(now time.Duration) {
 	text, err := m.enc.Marshal(m.mod.Mark(now, m.cfg.Clocks()))
 	if err != nil { // the type has nothing that can't be encoded
 		panic(err)
@@ -424,7 +424,7 @@
 
 // Flush hands all that was noted since the last time to the store, as one
 // batch: a tick costs one sync, whatever it holds.
-func (m *Memory) Flush(now time.Duration) {
+func (m *Cache) Flush(now time.Duration) {
 	if now-m.swept > time.Second {
 		m.swept = now
 		old := m.mod.Expire(now - lateRead)
@@ -453,7 +453,7 @@
 }
 
 // failed tells of a write that failed, now and then.
-func (m *Memory) failed(err error) {
+func (m *Cache) failed(err error) {
 	if time.Since(m.told) > failLogGap {
 		m.told = time.Now()
 		m.log.Error("remembered results can't be written", "err", err)
@@ -462,13 +462,13 @@
 
 // Refused tells why an intent could not be written. It reports whether the run
 // goes on unremembered.
-func (m *Memory) Refused(err error) bool {
+func (m *Cache) RunsUnrecorded(err error) bool {
 	m.failed(err)
 	return m.cfg.Results.RunUnwritten
 }
 
 // Fetch reads a stored result; done is called by another goroutine.
-func (m *Memory) Fetch(key string, done func(body []byte, err error)) {
+func (m *Cache) Fetch(key string, done func(body []byte, err error)) {
 	select {
 	case m.fetches <- fetch{key, done}:
 	default:
@@ -476,7 +476,7 @@
 	}
 }
 
-func (m *Memory) fetcher() {
+func (m *Cache) fetcher() {
 	defer close(m.fetched)
 	for f := range m.fetches {
 		f.done(m.store.Get(bodyPrefix + f.key))
@@ -484,16 +484,16 @@
 }
 
 // Count is the number of entries, Bytes what they take; both belong to the loop.
-func (m *Memory) Count() int { return m.mod.Len() }
+func (m *Cache) Count() int { return m.mod.Len() }
 
 // Recovery tells what opening the store found.
-func (m *Memory) Recovery() store.Recovery { return m.recovery }
+func (m *Cache) Recovery() store.Recovery { return m.recovery }
 
 // Store is the store beneath, for its counters.
-func (m *Memory) Store() *store.Store { return m.store }
+func (m *Cache) Store() *store.Store { return m.store }
 
 // Close stores what is still to be stored and closes. The loop must have ended.
-func (m *Memory) Close(now time.Duration) error {
+func (m *Cache) Close(now time.Duration) error {
 	m.mark(now)
 	m.Flush(now)
 	close(m.fetches)
--- a/internal/settings/pools.go
+++ b/internal/settings/pools.go
@@ -18,10 +18,10 @@
 	if err := own.Names(names.Classes); err != nil {
 		return err
 	}
-	ps := pools.Settings{Reserve: own.Pools.Reserve, WorthByWork: set.UtilityPerWork}
+	ps := pools.Settings{Reserve: own.Pools.Reserve, UtilityPerWork: set.UtilityPerWork}
 	for i, c := range set.Classes {
 		name := names.Classes[i]
-		ps.Classes = append(ps.Classes, pools.Class{Worth: c.Utility, Reserve: own.Pools.Classes[name], Name: name})
+		ps.Classes = append(ps.Classes, pools.Class{Utility: c.Utility, Reserve: own.Pools.Classes[name], Name: name})
 	}
 	set.NewPools = func() rules.Pools { return pools.New(ps) }
 	return nil
--- a/internal/standin/fleet/comeback_test.go
+++ b/internal/standin/fleet/comeback_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"robinmast/decide/recall"
+	"robinmast/decide/resultcache"
 	"robinmast/internal/store"
 	"robinmast/rules"
 )
@@ -301,14 +301,14 @@
 	for from := 0; from < n; from += 500 {
 		var b store.Batch
 		for i := from; i < min(from+500, n); i++ {
-			id := recall.ID{Class: "pay", Tenant: "acme", Name: fmt.Sprintf("old%08d", i)}
-			facts, err := cbor.Marshal(map[int]any{1: recall.Result, 2: rules.Keyed, 3: id.Class, 4: id.Tenant, 5: id.Name,
+			id := resultcache.RequestKey{Class: "pay", Tenant: "acme", Name: fmt.Sprintf("old%08d", i)}
+			facts, err := cbor.Marshal(map[int]any{1: resultcache.Result, 2: rules.Keyed, 3: id.Class, 4: id.Tenant, 5: id.Name,
 				6: fmt.Sprintf("%016x", i), 7: expires - 3_600_000, 8: int64(3_600_000), 9: expires, 10: int64(100)})
 			if err != nil {
 				return err
 			}
-			b.Put("m/"+id.Key(), facts, expires)
-			b.Put("b/"+id.Key(), make([]byte, 100), expires)
+			b.Put("m/"+id.Text(), facts, expires)
+			b.Put("b/"+id.Text(), make([]byte, 100), expires)
 		}
 		if err := s.Apply(&b, store.Soon); err != nil {
 			return err
