--- a/cmd/robinmast/control.go
+++ b/cmd/robinmast/control.go
@@ -28,7 +28,7 @@
 // controlReport gathers what the next report says.
 type controlReport struct {
 	links  []*controlLink
-	ledger *exchange.Ledger
+	ledger *exchange.Counters
 
 	told func(since time.Time, src int, d shedding.Digest) // nil = no digest is asked for
 
@@ -121,7 +121,7 @@
 	}, nil
 }
 
-func newControlReport(cfg *platform, ledger *exchange.Ledger, log *slog.Logger) (*controlReport, error) {
+func newControlReport(cfg *platform, ledger *exchange.Counters, log *slog.Logger) (*controlReport, error) {
 	own := cfg.own.Control
 	tlsConfig, err := secure(own)
 	if err != nil {
@@ -133,7 +133,7 @@
 	for i, addr := range own.Address {
 		l := &controlLink{src: i}
 		l.reporter = members.NewControl(addr, cfg.Name, tlsConfig, func() string { return c.next(l) }, log)
-		l.reporter.Answered = func(sent time.Time, body []byte) { c.answered(l, sent, body) }
+		l.reporter.OnAnswer = func(sent time.Time, body []byte) { c.answered(l, sent, body) }
 		c.links = append(c.links, l)
 	}
 	return c, nil
@@ -209,7 +209,7 @@
 	if c.is.Together != nil {
 		c.tell()
 	}
-	read, refused := c.ledger.Read.Load(), c.ledger.Count(exchange.WasRefused)
+	read, refused := c.ledger.Read.Load(), c.ledger.Count(exchange.EndedRefused)
 	if c.is.Refused = 0; read > l.read {
 		c.is.Refused = min(max(float64(refused-l.refused)/float64(read-l.read), 0), 1)
 	}
@@ -230,7 +230,7 @@
 	if c.back == nil {
 		return
 	}
-	now, again := time.Now(), c.ledger.Again.Load()
+	now, again := time.Now(), c.ledger.FurtherTries.Load()
 	b := &controlBack{Store: c.back.Identity()}
 	if v := c.back.View(); v != nil {
 		b.State, b.Memory = v.State, v.Memory
@@ -275,6 +275,6 @@
 // poke has a report sent to every service at once.
 func (c *controlReport) poke() {
 	for _, l := range c.links {
-		l.reporter.Poke()
+		l.reporter.ReportNow()
 	}
 }
--- a/cmd/robinmast/counters.go
+++ b/cmd/robinmast/counters.go
@@ -30,9 +30,9 @@
 	heldConnects, heldProbes := f.Held()
 	args := []any{
 		slog.Group("requests",
-			"read", l.Read.Load(), "served", l.Count(exchange.WasServed), "refused", l.Count(exchange.WasRefused),
-			"failed", l.Count(exchange.WasFailed), "cancelled", l.Count(exchange.WasCancelled),
-			"gone", l.Count(exchange.WasGone), "in_hand", l.InHand(), "late_answers", l.Late.Load()),
+			"read", l.Read.Load(), "served", l.Count(exchange.EndedServed), "refused", l.Count(exchange.EndedRefused),
+			"failed", l.Count(exchange.EndedFailed), "cancelled", l.Count(exchange.EndedCancelled),
+			"gone", l.Count(exchange.EndedCallerGone), "in_hand", l.OpenRequests(), "late_answers", l.Late.Load()),
 		slog.Group("dispatchers",
 			"calls", f.Counters.Calls.Load(), "malformed", f.Counters.Malformed.Load(),
 			"cancels", f.Counters.Cancels.Load(), "cancels_unmatched", f.Counters.Unmatched.Load(),
@@ -40,22 +40,22 @@
 			"held_connections", heldConnects, "held_health", heldProbes, "accept_failures", f.Counters.Accepts.Load(), "open", f.Conns(), traffic(&f.Traffic)),
 		slog.Group("pool",
 			"links", k.Counters.Links.Load(),
-			"spawned", k.Counters.Spawned.Load(), "respawned", k.Counters.Respawns.Load(),
-			"suspended", k.Counters.Suspends.Load(), "complete", k.Counters.Finished[pool.Complete].Load(),
+			"spawned", k.Counters.Started.Load(), "respawned", k.Counters.Restarted.Load(),
+			"suspended", k.Counters.Stopped.Load(), "complete", k.Counters.Finished[pool.Complete].Load(),
 			"error", k.Counters.Finished[pool.Error].Load(), "cancelled", k.Counters.Finished[pool.Cancelled].Load(),
-			"moot", k.Counters.Finished[pool.Moot].Load(), "rejected", k.Counters.Rejected.Load(),
-			"running", k.Runs(), "bad_lines", k.Counters.Bad.Load(), "lost_notices", k.Counters.Gaps.Load(),
-			"repeated_notices", k.Counters.Repeated.Load(),
+			"moot", k.Counters.Finished[pool.NeverStarted].Load(), "rejected", k.Counters.Rejected.Load(),
+			"running", k.OpenRuns(), "bad_lines", k.Counters.BadLines.Load(), "lost_notices", k.Counters.LostNotices.Load(),
+			"repeated_notices", k.Counters.RepeatedNotices.Load(),
 			traffic(&k.Traffic)),
 		slog.Group("members", "sent", p.report.Sent.Load(), "failed", p.report.Failed.Load(), traffic(&p.report.Traffic)),
 		slog.Group("process",
 			"cpu", cpu, "max_rss_kb", use.Maxrss, "heap_kb", m.HeapAlloc>>10, "from_os_kb", m.Sys>>10,
 			"gc", m.NumGC, "goroutines", runtime.NumGoroutine(), "descriptors", descriptors(),
-			"module_resets", p.node.Resets.Load()),
-		slog.Group("keys", "misused", p.node.Misused.Load()),
+			"module_resets", p.node.ModuleResets.Load()),
+		slog.Group("keys", "misused", p.node.KeyConflicts.Load()),
 	}
 	if b := p.below; b != nil {
-		args = append(args, slog.Group("below", "calls", b.Made.Load(), "well", b.Ended[rules.OK].Load(),
+		args = append(args, slog.Group("below", "calls", b.Calls.Load(), "well", b.Ended[rules.OK].Load(),
 			"failed", b.Ended[rules.Failed].Load(), "full", b.Ended[rules.CallRejected].Load(), "timed_out", b.Ended[rules.TimedOut].Load(),
 			"connect_failed", b.Ended[rules.ConnectFailed].Load(), "reset", b.Ended[rules.ConnectionReset].Load(),
 			"given_up", b.Ended[rules.Cancelled].Load(), traffic(&b.Traffic)))
@@ -88,7 +88,7 @@
 		}
 	}
 	if p.cfg.set.NewShedder != nil && line == linePresent {
-		if v, ok := p.node.Together(poolsWait); ok {
+		if v, ok := p.node.Shedding(poolsWait); ok {
 			args = append(args, slog.Group("together", "others_refuse", round(v.PeerRefusalShare), "short", round(v.Shortage), "walks_ended", round(v.StoppedRetries),
 				"advice_spread", round(v.AdviceStretch), "trust", round(v.Trust), "cut", round(v.Threshold), "digest_age", v.DigestAge, "follows", v.Source+1))
 		}
--- a/cmd/robinmast/main.go
+++ b/cmd/robinmast/main.go
@@ -199,7 +199,7 @@
 	cfg    *platform
 	reload func() (*platform, error)
 	log    *slog.Logger
-	ledger *exchange.Ledger
+	ledger *exchange.Counters
 	front  *front.Server
 	pool   *pool.Link
 	report *members.Reporter
@@ -231,10 +231,10 @@
 	memory := int64(cfg.Limits.MemoryMB * (1 << 20))
 	p := &parts{
 		cfg: cfg, reload: reload, log: log, memory: mem, back: back, reloaded: make(chan reloaded, 1),
-		ledger: &exchange.Ledger{}, report: members.New(cfg.Members, cfg.Name, log),
+		ledger: &exchange.Counters{}, report: members.New(cfg.Members, cfg.Name, log),
 	}
 	nc := node.Config{
-		Settings: cfg.set, Seed: cfg.seed, KeyBytes: int(memory / keyShare), Health: p.report.SetUp, Log: log,
+		Settings: cfg.set, Seed: cfg.seed, ResultBytes: int(memory / keyShare), Health: p.report.SetServing, Log: log,
 	}
 	if len(cfg.own.Control.Address) > 0 {
 		var err error
@@ -242,15 +242,15 @@
 			return err
 		}
 		if cfg.own.Together.Enabled {
-			nc.Word = p.control.word
+			nc.LoadReport = p.control.word
 		}
 		nc.Load, nc.Health = p.control.load, func(good bool) {
-			p.report.SetUp(good)
+			p.report.SetServing(good)
 			p.control.health(good)
 		}
 	}
 	if mem != nil { // else the interface would not be nil
-		nc.Memory = mem
+		nc.ResultCache = mem
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -262,14 +262,14 @@
 		sockets -= conns
 	}
 	if back != nil {
-		nc.Comeback = back
+		nc.Recovery = back
 	}
 	p.node = node.New(nc)
 	if p.control != nil && back != nil {
-		p.control.remembers(back, p.node.Heard, p.node.Room)
+		p.control.remembers(back, p.node.ObservePrevious, p.node.FleetCapacity)
 	}
 	if p.control != nil && cfg.own.Together.Enabled && cfg.own.Together.Told {
-		p.control.told = p.node.Told
+		p.control.told = p.node.ReceiveDigest
 	}
 	setup := 0.0
 	if cfg.own.Together.Enabled {
@@ -281,8 +281,8 @@
 	}, p.node, p.ledger)
 	p.pool = pool.New(cfg.Pool, p.node, log)
 	if cfg.own.Together.Enabled { // its own repeats are part of the harm too
-		p.pool.Spread(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
-		p.report.Spread(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+		p.pool.UseBackoff(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+		p.report.UseBackoff(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	}
 	p.node.Attach(p.front, p.pool)
 
@@ -395,10 +395,10 @@
 	p.log.Info("new configuration", "pool", cfg.Pool, "members", cfg.Members,
 		"pool_moves", cfg.Pool != p.cfg.Pool, "members_move", cfg.Members != p.cfg.Members)
 	p.cfg.Pool, p.cfg.Members, p.cfg.DB = cfg.Pool, cfg.Members, cfg.DB
-	p.pool.Move(cfg.Pool)
-	p.report.Move(cfg.Members)
+	p.pool.ChangeAddress(cfg.Pool)
+	p.report.ChangeAddress(cfg.Members)
 	if p.below != nil {
-		p.below.Move(cfg.DB)
+		p.below.ChangeAddress(cfg.DB)
 	}
 }
 
@@ -420,7 +420,7 @@
 	cfg, log := p.cfg, p.log
 	stop := cfg.stop()
 	left := max(stop-exitMargin, stop/2)
-	log.Info("notice to leave", "stop", stop, "in_hand", p.ledger.InHand())
+	log.Info("notice to leave", "stop", stop, "in_hand", p.ledger.OpenRequests())
 	p.node.Drain(left)
 	if p.control != nil {
 		p.control.drain(left)
@@ -445,15 +445,15 @@
 			p.front.StopListening()
 			p.front.Fin()
 		}
-		if now := p.ledger.Read.Load(); now != read || p.ledger.InHand() > 0 || !p.front.Flushed() {
+		if now := p.ledger.Read.Load(); now != read || p.ledger.OpenRequests() > 0 || !p.front.Flushed() {
 			read, quiet = now, time.Now()
 		}
 		if refusing && time.Since(quiet) > quietExit || since >= left+flushTimeout {
 			break
 		}
 	}
-	log.Info("leaving", "after", time.Since(notice), "in_hand", p.ledger.InHand(), "flushed", p.front.Flushed())
+	log.Info("leaving", "after", time.Since(notice), "in_hand", p.ledger.OpenRequests(), "flushed", p.front.Flushed())
 	if most := min(stop-time.Since(notice)-killMargin, leaveMost); !p.front.Leave(most) {
-		log.Warn("connections did not end in time", "most", most, "in_hand", p.ledger.InHand())
+		log.Warn("connections did not end in time", "most", most, "in_hand", p.ledger.OpenRequests())
 	}
 }
--- a/internal/dependency/dependency.go
+++ b/internal/dependency/dependency.go
@@ -40,7 +40,7 @@
 // Client makes calls.
 type Client struct {
 	Traffic stream.Traffic
-	Made    atomic.Int64
+	Calls   atomic.Int64
 	Ended   [rules.NeverStarted + 1]atomic.Int64 // by outcome
 
 	url    atomic.Pointer[string]
@@ -54,7 +54,7 @@
 // most. All calls end with ctx.
 func New(ctx context.Context, addr string, conns int, log *slog.Logger) *Client {
 	c := &Client{log: log, ctx: ctx}
-	c.Move(addr)
+	c.ChangeAddress(addr)
 	c.http = &http.Client{Transport: &http.Transport{
 		Proxy: nil, DialContext: c.dial, DisableCompression: true,
 		MaxConnsPerHost: conns, MaxIdleConnsPerHost: conns, IdleConnTimeout: idleTime,
@@ -64,7 +64,7 @@
 }
 
 // Move takes later calls to another address; those out end where they began.
-func (c *Client) Move(addr string) {
+func (c *Client) ChangeAddress(addr string) {
 	u := "http://" + addr + path
 	if old := c.url.Swap(&u); old != nil && *old != u {
 		c.http.CloseIdleConnections()
@@ -87,7 +87,7 @@
 // goroutine, how it ended and with what; cancel gives the call up, after which done
 // is not told.
 func (c *Client) Call(ref string, statement []byte, timeout time.Duration, done func(o rules.Outcome, result []byte, took time.Duration)) (cancel func()) {
-	c.Made.Add(1)
+	c.Calls.Add(1)
 	ctx, stop := context.WithTimeout(c.ctx, timeout)
 	var given atomic.Bool
 	began := time.Now()
@@ -167,5 +167,5 @@
 	if now-last < int64(logGap) || !c.logged.CompareAndSwap(last, now) {
 		return
 	}
-	c.log.Warn("calls below fail", "outcome", names[o], "err", err, "made", c.Made.Load(), "well", c.Ended[rules.OK].Load())
+	c.log.Warn("calls below fail", "outcome", names[o], "err", err, "made", c.Calls.Load(), "well", c.Ended[rules.OK].Load())
 }
--- a/internal/dependency/dependency_test.go
+++ b/internal/dependency/dependency_test.go
@@ -103,7 +103,7 @@
 			if s := <-seen; s != `POST /v1/exec f00d 1500 "a\x00b"` {
 				t.Errorf("sent %s", s)
 			}
-			if n := cl.Ended[c.want].Load(); n != 1 || cl.Made.Load() != 1 {
+			if n := cl.Ended[c.want].Load(); n != 1 || cl.Calls.Load() != 1 {
 				t.Errorf("counted %d times", n)
 			}
 		})
@@ -141,7 +141,7 @@
 		t.Errorf("told of: %+v", <-got)
 	}
 	addr, open := standin.Away(t)
-	cl.Move(addr)
+	cl.ChangeAddress(addr)
 	got, _ = cl.ask(5 * time.Second)
 	if r := <-got; r.o != rules.ConnectFailed {
 		t.Errorf("away: %+v", r)
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -28,35 +28,35 @@
 }
 
 // Fate is how a request ended.
-type Fate uint32
+type FinalState uint32
 
 // The fates of a request.
 const (
-	Open      Fate = iota
-	WasServed      // answered with its result
-	WasRefused
-	WasFailed
-	WasCancelled // its dispatcher stopped waiting
-	WasGone      // its connection ended before its answer
+	Open        FinalState = iota
+	EndedServed            // answered with its result
+	EndedRefused
+	EndedFailed
+	EndedCancelled  // its dispatcher stopped waiting
+	EndedCallerGone // its connection ended before its answer
 	numFates
 )
 
 // Ledger counts requests by fate; Read is always the sum of the others and of
 // what is open.
-type Ledger struct {
-	Read  atomic.Int64
-	Again atomic.Int64 // of them, marked as further tries
-	fates [numFates]atomic.Int64
-	Late  atomic.Int64 // answers that came after the request had ended
+type Counters struct {
+	Read         atomic.Int64
+	FurtherTries atomic.Int64 // of them, marked as further tries
+	fates        [numFates]atomic.Int64
+	Late         atomic.Int64 // answers that came after the request had ended
 }
 
 // Count is the number of requests that ended so.
-func (l *Ledger) Count(f Fate) int64 { return l.fates[f].Load() }
+func (l *Counters) Count(f FinalState) int64 { return l.fates[f].Load() }
 
 // InHand is the number of requests without an end.
-func (l *Ledger) InHand() int64 {
+func (l *Counters) OpenRequests() int64 {
 	n := l.Read.Load()
-	for f := WasServed; f < numFates; f++ {
+	for f := EndedServed; f < numFates; f++ {
 		n -= l.fates[f].Load()
 	}
 	return n
@@ -69,47 +69,47 @@
 }
 
 // Call is a request as it came; it never changes.
-type Call struct {
-	Txn        string // its name for the worker pool
-	ClassName  string
-	TenantName string // "" where the site has no tenants
-	Body       []byte
-	Class      int
-	Tenant     int
-	Caller     uint32
-	Door       float64 // when it reached the machine, Unix milliseconds
-	Limit      float64 // how long its dispatcher waits from then, milliseconds, 0 = not told
-	HintMs     float64 // expected work, 0 = not told
-	KB         float64
-	Rank       float64
-	Retry      bool
-	Item       string // what a read is about, "" = not told
-	Unique     string // links the tries of a keyed request, "" = none
-	Safe       bool   // may run any number of times
+type Request struct {
+	Txn           string // its name for the worker pool
+	ClassName     string
+	TenantName    string // "" where the site has no tenants
+	Body          []byte
+	Class         int
+	Tenant        int
+	Caller        uint32
+	ArrivedUnixMs float64 // when it reached the machine, Unix milliseconds
+	TimeoutMs     float64 // how long its dispatcher waits from then, milliseconds, 0 = not told
+	HintMs        float64 // expected work, 0 = not told
+	MemoryKB      float64
+	Rank          float64
+	Retry         bool
+	Item          string // what a read is about, "" = not told
+	Unique        string // links the tries of a keyed request, "" = none
+	Safe          bool   // may run any number of times
 }
 
 // Exchange is one request.
 type Exchange struct {
-	Call
+	Request
 	Tag    uint64
 	to     Replier
-	ledger *Ledger
+	ledger *Counters
 	fate   atomic.Uint32
 }
 
 // New notes a request that was read.
-func New(l *Ledger, to Replier, tag uint64, c Call) *Exchange {
+func New(l *Counters, to Replier, tag uint64, c Request) *Exchange {
 	l.Read.Add(1)
 	if c.Retry {
-		l.Again.Add(1)
+		l.FurtherTries.Add(1)
 	}
-	return &Exchange{Call: c, Tag: tag, to: to, ledger: l}
+	return &Exchange{Request: c, Tag: tag, to: to, ledger: l}
 }
 
 // Fate is how it ended, Open while it has not.
-func (x *Exchange) Fate() Fate { return Fate(x.fate.Load()) }
+func (x *Exchange) FinalState() FinalState { return FinalState(x.fate.Load()) }
 
-func (x *Exchange) close(f Fate) bool {
+func (x *Exchange) close(f FinalState) bool {
 	if !x.fate.CompareAndSwap(uint32(Open), uint32(f)) {
 		return false
 	}
@@ -120,12 +120,12 @@
 // Answer gives the final answer, unless the request has ended before. It
 // reports whether this was the answer.
 func (x *Exchange) Answer(a Answer) bool {
-	f := WasFailed
+	f := EndedFailed
 	switch a.Kind {
 	case Served:
-		f = WasServed
+		f = EndedServed
 	case Refused:
-		f = WasRefused
+		f = EndedRefused
 	}
 	if !x.close(f) {
 		x.ledger.Late.Add(1)
@@ -137,4 +137,4 @@
 
 // Abandon ends the request without an answer, as nobody waits for one: f is
 // WasCancelled or WasGone. It reports whether that was its end.
-func (x *Exchange) Abandon(f Fate) bool { return x.close(f) }
+func (x *Exchange) Abandon(f FinalState) bool { return x.close(f) }
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -13,19 +13,19 @@
 // However answers, cancels and ends of connections cross, a request ends once
 // and the ledger adds up.
 func TestEndsOnce(t *testing.T) {
-	var l Ledger
+	var l Counters
 	const requests = 300
 	for i := range requests {
 		c := &counter{}
-		x := New(&l, c, uint64(i+1), Call{})
+		x := New(&l, c, uint64(i+1), Request{})
 		var first atomic.Int64
 		var wg sync.WaitGroup
 		for _, end := range []func() bool{
 			func() bool { return x.Answer(Answer{Kind: Served}) },
 			func() bool { return x.Answer(Answer{Kind: Refused}) },
 			func() bool { return x.Answer(Answer{Kind: Failed}) },
-			func() bool { return x.Abandon(WasCancelled) },
-			func() bool { return x.Abandon(WasGone) },
+			func() bool { return x.Abandon(EndedCancelled) },
+			func() bool { return x.Abandon(EndedCallerGone) },
 		} {
 			wg.Go(func() {
 				if end() {
@@ -34,26 +34,26 @@
 			})
 		}
 		wg.Wait()
-		answered := x.Fate() != WasCancelled && x.Fate() != WasGone
-		if first.Load() != 1 || x.Fate() == Open || (c.replies.Load() == 1) != answered {
-			t.Fatalf("%d ends, fate %v, %d replies", first.Load(), x.Fate(), c.replies.Load())
+		answered := x.FinalState() != EndedCancelled && x.FinalState() != EndedCallerGone
+		if first.Load() != 1 || x.FinalState() == Open || (c.replies.Load() == 1) != answered {
+			t.Fatalf("%d ends, fate %v, %d replies", first.Load(), x.FinalState(), c.replies.Load())
 		}
 	}
 	sum := int64(0)
-	for f := WasServed; f < numFates; f++ {
+	for f := EndedServed; f < numFates; f++ {
 		sum += l.Count(f)
 	}
-	if sum != requests || l.Read.Load() != requests || l.InHand() != 0 {
-		t.Errorf("%d ends of %d requests, %d in hand", sum, l.Read.Load(), l.InHand())
+	if sum != requests || l.Read.Load() != requests || l.OpenRequests() != 0 {
+		t.Errorf("%d ends of %d requests, %d in hand", sum, l.Read.Load(), l.OpenRequests())
 	}
 }
 
 func TestInHand(t *testing.T) {
-	var l Ledger
-	x := New(&l, &counter{}, 1, Call{})
-	New(&l, &counter{}, 2, Call{})
+	var l Counters
+	x := New(&l, &counter{}, 1, Request{})
+	New(&l, &counter{}, 2, Request{})
 	x.Answer(Answer{})
-	if l.InHand() != 1 {
-		t.Errorf("%d in hand, want 1", l.InHand())
+	if l.OpenRequests() != 1 {
+		t.Errorf("%d in hand, want 1", l.OpenRequests())
 	}
 }
--- a/internal/front/call.go
+++ b/internal/front/call.go
@@ -63,8 +63,8 @@
 }
 
 // parseCall reads a request's class, fields and body. All strings are copied.
-func (l *lanes) parseCall(class, fields, body []byte) (exchange.Call, error) {
-	c := exchange.Call{Class: -1, Tenant: -1}
+func (l *lanes) parseCall(class, fields, body []byte) (exchange.Request, error) {
+	c := exchange.Request{Class: -1, Tenant: -1}
 	i, known := l.classes[string(class)]
 	if !known {
 		return c, errors.New("unknown class")
@@ -130,7 +130,7 @@
 func clip(b []byte) []byte { return b[:min(len(b), 24)] }
 
 // parseField reads one field. Names that are not known are skipped.
-func (l *lanes) parseField(c *exchange.Call, name, value string) (err error) {
+func (l *lanes) parseField(c *exchange.Request, name, value string) (err error) {
 	switch name {
 	case "txn":
 		if len(value) != txnDigits {
@@ -141,7 +141,7 @@
 		}
 		c.Txn = value
 	case "door":
-		c.Door, err = number(value, 0, math.MaxInt64)
+		c.ArrivedUnixMs, err = number(value, 0, math.MaxInt64)
 	case "lb":
 		var n uint64
 		n, err = strconv.ParseUint(value, 10, 32)
@@ -156,13 +156,13 @@
 		}
 		c.Tenant = i
 	case "limit":
-		c.Limit, err = number(value, 0, math.MaxInt64)
+		c.TimeoutMs, err = number(value, 0, math.MaxInt64)
 	case "second":
 		c.Retry = value == "1"
 	case "cpu":
 		c.HintMs, err = number(value, 0, 1e9)
 	case "ram":
-		if c.KB, err = number(value, 0, maxRAM); err == nil && (c.KB == 0 || c.KB == maxRAM) {
+		if c.MemoryKB, err = number(value, 0, maxRAM); err == nil && (c.MemoryKB == 0 || c.MemoryKB == maxRAM) {
 			return errors.New("out of bounds")
 		}
 	case "standing":
--- a/internal/front/client.go
+++ b/internal/front/client.go
@@ -55,8 +55,8 @@
 	c.open, c.over = nil, time.Now()
 	c.mu.Unlock()
 	for _, x := range open {
-		if x.Abandon(exchange.WasGone) {
-			c.s.sink.Gone(x)
+		if x.Abandon(exchange.EndedCallerGone) {
+			c.s.sink.CallerGone(x)
 		}
 	}
 	if end == stream.BadFraming || end == stream.TooLong {
@@ -116,7 +116,7 @@
 
 func (c *client) call(tagText []byte, args [][]byte) {
 	tag, err := parseTag(tagText)
-	var call exchange.Call
+	var call exchange.Request
 	if err == nil {
 		switch len(args) {
 		case 4:
@@ -178,8 +178,8 @@
 		c.s.Counters.Unmatched.Add(1)
 		return
 	}
-	if x.Abandon(exchange.WasCancelled) {
-		c.s.sink.Gone(x)
+	if x.Abandon(exchange.EndedCancelled) {
+		c.s.sink.CallerGone(x)
 	}
 }
 
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -52,7 +52,7 @@
 // Sink takes what dispatchers send. Its methods must not block.
 type Sink interface {
 	Arrived(*exchange.Exchange)
-	Gone(*exchange.Exchange)
+	CallerGone(*exchange.Exchange)
 }
 
 // Config is what a Server needs.
@@ -84,7 +84,7 @@
 	cfg    Config
 	lanes  lanes
 	sink   Sink
-	ledger *exchange.Ledger
+	ledger *exchange.Counters
 
 	// The mechanics' constants, but in tests.
 	limits                                  stream.Limits
@@ -113,7 +113,7 @@
 }
 
 // New returns a server that hands what it reads to sink.
-func New(cfg Config, sink Sink, ledger *exchange.Ledger) *Server {
+func New(cfg Config, sink Sink, ledger *exchange.Counters) *Server {
 	s := &Server{
 		cfg: cfg, lanes: newLanes(cfg.Settings, cfg.Names), sink: sink, ledger: ledger,
 		clients: map[*client]struct{}{}, room: make(chan struct{}, 1),
@@ -135,13 +135,13 @@
 func (s *Server) SetHealth(good bool) { s.good.Store(good) }
 
 // Say sets the free value that goes out with every answer and health check.
-func (s *Server) Say(value float64) {
+func (s *Server) PublishLoad(value float64) {
 	text := "feedback=" + strconv.FormatFloat(value, 'f', 4, 64)
 	s.feedback.Store(&text)
 }
 
 // CloseIdle sets how long a connection may carry nothing.
-func (s *Server) CloseIdle(after time.Duration) {
+func (s *Server) SetIdleTimeout(after time.Duration) {
 	if after <= 0 {
 		after = s.cfg.Settings.MaxIdleTimeout
 	}
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func (r *recorder) Gone(x *exchange.Exchange) {
+func (r *recorder) CallerGone(x *exchange.Exchange) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.gone = append(r.gone, x)
@@ -70,7 +70,7 @@
 type bench struct {
 	*Server
 	sink   *recorder
-	ledger *exchange.Ledger
+	ledger *exchange.Counters
 	addr   string
 }
 
@@ -84,7 +84,7 @@
 		MaxIdleTimeout: 30 * time.Second,
 	}
 	names := settings.Names{Classes: []string{"read", "pay"}, Tenants: []string{"acme"}}
-	b := &bench{sink: &recorder{}, ledger: &exchange.Ledger{}}
+	b := &bench{sink: &recorder{}, ledger: &exchange.Counters{}}
 	b.Server = New(Config{Settings: set, Names: names, Log: quiet()}, b.sink, b.ledger)
 	if tune != nil {
 		tune(b.Server)
@@ -108,8 +108,8 @@
 		for _, e := range stream.Ends() {
 			ended += f.Ended[e].Load()
 		}
-		if ended != f.Opened.Load() || b.ledger.InHand() != 0 {
-			t.Errorf("%d connections opened and %d ended, %d requests without an end", f.Opened.Load(), ended, b.ledger.InHand())
+		if ended != f.Opened.Load() || b.ledger.OpenRequests() != 0 {
+			t.Errorf("%d connections opened and %d ended, %d requests without an end", f.Opened.Load(), ended, b.ledger.OpenRequests())
 		}
 	})
 	return b
@@ -130,12 +130,12 @@
 	d.Say("RPC.CALL", "7", "read", fields, body)
 	standin.Eventually(t, "arrival", func() bool { return b.sink.last() != nil })
 	x := b.sink.last()
-	want := exchange.Call{
-		Txn: "9b1f03aa5c7e2d41", ClassName: "read", TenantName: "acme", Class: 0, Tenant: 0, Caller: 4, Door: 1764576000123, Limit: 480,
-		HintMs: 12.5, KB: 24.5, Rank: 0.625, Retry: true, Item: "7f3a9c21e0b4d655", Safe: true, Body: []byte(body),
+	want := exchange.Request{
+		Txn: "9b1f03aa5c7e2d41", ClassName: "read", TenantName: "acme", Class: 0, Tenant: 0, Caller: 4, ArrivedUnixMs: 1764576000123, TimeoutMs: 480,
+		HintMs: 12.5, MemoryKB: 24.5, Rank: 0.625, Retry: true, Item: "7f3a9c21e0b4d655", Safe: true, Body: []byte(body),
 	}
-	if fmt.Sprintf("%+v", x.Call) != fmt.Sprintf("%+v", want) {
-		t.Errorf("read %+v", x.Call)
+	if fmt.Sprintf("%+v", x.Request) != fmt.Sprintf("%+v", want) {
+		t.Errorf("read %+v", x.Request)
 	}
 	// The words of a message live in its reader's buffer; what is kept must not.
 	d.Say("RPC.CALL", "8", "pay", keyed, strings.Repeat("z", 2000))
@@ -143,8 +143,8 @@
 	if string(x.Body) != body || x.Txn != want.Txn {
 		t.Error("a later message changed what was kept")
 	}
-	if y := b.sink.last(); y.Unique != "abc" || y.Safe || y.Retry || y.Limit != 0 {
-		t.Errorf("read %+v", y.Call)
+	if y := b.sink.last(); y.Unique != "abc" || y.Safe || y.Retry || y.TimeoutMs != 0 {
+		t.Errorf("read %+v", y.Request)
 	}
 	x.Answer(exchange.Answer{Kind: exchange.Failed})
 	b.sink.last().Answer(exchange.Answer{Kind: exchange.Failed})
@@ -168,7 +168,7 @@
 		{-1, exchange.Answer{Kind: exchange.Failed}, "FAIL feedback=0.0000 "},
 	} {
 		if c.say >= 0 {
-			b.Say(c.say)
+			b.PublishLoad(c.say)
 		}
 		b.sink.mu.Lock()
 		b.sink.answer = &c.answer
@@ -188,7 +188,7 @@
 		t.Errorf("%q", got)
 	}
 	b.SetHealth(false)
-	b.Say(0.5)
+	b.PublishLoad(0.5)
 	d.Say("RPC.HEALTH", "2")
 	if got := d.Hear(); got != "2 RED feedback=0.5000 " {
 		t.Errorf("%q", got)
@@ -261,7 +261,7 @@
 	if a, g := b.sink.counts(); a != 0 || g != 0 {
 		t.Errorf("%d of them arrived, %d went", a, g)
 	}
-	if c := b.ledger.Count(exchange.WasFailed); c != b.Counters.Malformed.Load() || c == 0 || c != b.ledger.Read.Load() {
+	if c := b.ledger.Count(exchange.EndedFailed); c != b.Counters.Malformed.Load() || c == 0 || c != b.ledger.Read.Load() {
 		t.Errorf("%d failed, %d malformed, %d read", c, b.Counters.Malformed.Load(), b.ledger.Read.Load())
 	}
 }
@@ -288,8 +288,8 @@
 	b.sink.mu.Lock()
 	list := append([]*exchange.Exchange(nil), b.sink.arrived...)
 	b.sink.mu.Unlock()
-	if list[1].Fate() != exchange.WasCancelled || b.Counters.Unmatched.Load() != 2 {
-		t.Errorf("fate %v, %d cancels without a request", list[1].Fate(), b.Counters.Unmatched.Load())
+	if list[1].FinalState() != exchange.EndedCancelled || b.Counters.Unmatched.Load() != 2 {
+		t.Errorf("fate %v, %d cancels without a request", list[1].FinalState(), b.Counters.Unmatched.Load())
 	}
 	for i := len(list) - 1; i >= 0; i-- { // answers may come in any order
 		if list[i].Answer(exchange.Answer{Kind: exchange.Served, Body: []byte("r")}) != (i != 1) {
@@ -364,7 +364,7 @@
 					return slices.ContainsFunc(b.all(), func(c *client) bool { return c.Ending() })
 				})
 				if !open.Answer(exchange.Answer{Kind: exchange.Served, Body: []byte("r")}) {
-					t.Fatalf("the open request is %v", open.Fate())
+					t.Fatalf("the open request is %v", open.FinalState())
 				}
 				if got := d.Hear(); got != "2 ACK  r" {
 					t.Errorf("what was read before: %q", got)
@@ -380,8 +380,8 @@
 				return
 			}
 			standin.Eventually(t, "letting go", func() bool { _, g := b.sink.counts(); return g == 2 })
-			if open.Fate() != exchange.WasGone || b.sink.gone[1] != open {
-				t.Errorf("the open request is %v", open.Fate())
+			if open.FinalState() != exchange.EndedCallerGone || b.sink.gone[1] != open {
+				t.Errorf("the open request is %v", open.FinalState())
 			}
 			if open.Answer(exchange.Answer{}) {
 				t.Error("answered after its connection ended")
@@ -426,10 +426,10 @@
 				t.Errorf("%q", got)
 			}
 			standin.Eventually(t, "letting go", func() bool { _, g := b.sink.counts(); return g == 2 })
-			for i, want := range []exchange.Fate{exchange.WasServed, exchange.WasCancelled, exchange.WasGone} {
+			for i, want := range []exchange.FinalState{exchange.EndedServed, exchange.EndedCancelled, exchange.EndedCallerGone} {
 				x := b.sink.arrived[i]
-				if x.Fate() != want || x.Answer(exchange.Answer{}) {
-					t.Errorf("request %d is %v, want %v", i+1, x.Fate(), want)
+				if x.FinalState() != want || x.Answer(exchange.Answer{}) {
+					t.Errorf("request %d is %v, want %v", i+1, x.FinalState(), want)
 				}
 			}
 			if b.Traffic.Ended[end].Load() != 1 {
@@ -468,7 +468,7 @@
 	b := start(t, func(s *Server) { s.finWait = 50 * time.Millisecond })
 	d, busy := b.dial(t), b.dial(t)
 	busy.Say("RPC.CALL", "1", "read", fields, "x")
-	b.CloseIdle(40 * time.Millisecond)
+	b.SetIdleTimeout(40 * time.Millisecond)
 	if got := d.Hear(); got != "0 FIN" {
 		t.Errorf("%q", got)
 	}
@@ -478,7 +478,7 @@
 	if n := b.Traffic.Ended[stream.IdleClosed].Load(); n != 1 {
 		t.Errorf("%d closed as idle", n)
 	}
-	b.CloseIdle(0) // back to the longest
+	b.SetIdleTimeout(0) // back to the longest
 	b.sink.last().Answer(exchange.Answer{Kind: exchange.Served, Body: []byte("r")})
 	if got := busy.Hear(); got != "1 ACK  r" {
 		t.Errorf("%q", got)
@@ -778,7 +778,7 @@
 		if err != nil {
 			return
 		}
-		if len(c.Txn) != 16 || c.Door < 0 || c.Limit < 0 || c.HintMs < 0 || !(c.KB > 0 && c.KB < 2000) ||
+		if len(c.Txn) != 16 || c.ArrivedUnixMs < 0 || c.TimeoutMs < 0 || c.HintMs < 0 || !(c.MemoryKB > 0 && c.MemoryKB < 2000) ||
 			!(c.Rank >= 0 && c.Rank < 1) || len(c.Body) > 2048 || string(c.Body) != body || c.ClassName != class {
 			t.Fatalf("taken: %+v", c)
 		}
--- a/internal/front/races_test.go
+++ b/internal/front/races_test.go
@@ -374,7 +374,7 @@
 			if done != nil {
 				done()
 			}
-			standin.Eventually(t, "its end", func() bool { return b.Conns() == before && b.ledger.InHand() == 0 })
+			standin.Eventually(t, "its end", func() bool { return b.Conns() == before && b.ledger.OpenRequests() == 0 })
 			a, _ := b.sink.counts()
 			other.Say("RPC.CALL", "1", "read", fields, "x")
 			standin.Eventually(t, "the other's", func() bool { n, _ := b.sink.counts(); return n > a })
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -52,7 +52,7 @@
 
 	// Answered, if set before Run, takes the body of each answer that has one, and
 	// when its report was made. It must not wait.
-	Answered func(sent time.Time, body []byte)
+	OnAnswer func(sent time.Time, body []byte)
 
 	scheme string
 	name   string
@@ -82,7 +82,7 @@
 
 // Spread lets tries after a failure wait random times within a budget: all nodes lose
 // the service at one moment. It must be called before Run.
-func (r *Reporter) Spread(rnd *rand.Rand) {
+func (r *Reporter) UseBackoff(rnd *rand.Rand) {
 	r.again = backoff.New(backoff.Settings{MinWait: backoffMin, InitialSpan: 2 * backoffMin, MaxSpan: backoffMax, Window: controlWindow, Budget: 24}, rnd)
 }
 
@@ -122,7 +122,7 @@
 
 // Move takes the reports to another address, beginning with one at once. A
 // report that is under way ends where it began.
-func (r *Reporter) Move(addr string) {
+func (r *Reporter) ChangeAddress(addr string) {
 	if !r.point(addr) {
 		return
 	}
@@ -148,10 +148,10 @@
 }
 
 // Poke has a report sent at once.
-func (r *Reporter) Poke() { r.poke() }
+func (r *Reporter) ReportNow() { r.poke() }
 
 // SetUp sets the phase and, if it changed, reports it at once.
-func (r *Reporter) SetUp(up bool) {
+func (r *Reporter) SetServing(up bool) {
 	if r.out.Swap(!up) == up {
 		r.poke()
 	}
@@ -223,8 +223,8 @@
 	if err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
-	if res.StatusCode == http.StatusOK && r.Answered != nil {
-		r.Answered(sent, body)
+	if res.StatusCode == http.StatusOK && r.OnAnswer != nil {
+		r.OnAnswer(sent, body)
 		return nil
 	}
 	if res.StatusCode != http.StatusNoContent {
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -52,8 +52,8 @@
 	defer srv.Close()
 	r := run(t, strings.TrimPrefix(srv.URL, "http://"))
 	standin.Eventually(t, "three reports", func() bool { return r.Sent.Load() >= 3 })
-	r.SetUp(true) // no change
-	r.SetUp(false)
+	r.SetServing(true) // no change
+	r.SetServing(false)
 	standin.Eventually(t, "the change", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
@@ -109,8 +109,8 @@
 			r := run(t, ln.Addr().String())
 			standin.Eventually(t, "failure", func() bool { return r.Failed.Load() >= 2 })
 			began := time.Now()
-			r.SetUp(false)
-			r.SetUp(true)
+			r.SetServing(false)
+			r.SetServing(true)
 			if d := time.Since(began); d > time.Second { // it hangs for three
 				t.Errorf("setting the phase took %v", d)
 			}
--- a/internal/node/comeback.go
+++ b/internal/node/comeback.go
@@ -14,7 +14,7 @@
 
 // Comeback is what the loop needs of the way back to full service. All of it
 // belongs to the loop, and none of it waits.
-type Comeback interface {
+type Recovery interface {
 	Begin(now time.Duration)
 	// Bound returns what the module may take as known, nil = nothing.
 	WorkerPoolUp(now, since time.Duration, cold bool) (l *rules.Learned, weight, speed float64)
@@ -38,20 +38,20 @@
 
 // Heard takes what a control service has heard of this name's earlier lives, nil =
 // of none.
-func (n *Node) Heard(h *recovery.PreviousStore) { n.post(event{kind: lives, life: h}) }
+func (n *Node) ObservePrevious(h *recovery.PreviousStore) { n.post(event{kind: lives, life: h}) }
 
 // Room takes the share of the fleet's usual room that is there, as of the moment since.
-func (n *Node) Room(since time.Time, share float64) {
+func (n *Node) FleetCapacity(since time.Time, share float64) {
 	n.post(event{kind: roomed, took: time.Since(since), share: share})
 }
 
 // bindLife tells that the worker pool is up, and gives the new module what an
 // earlier life had learned.
 func (n *Node) bindLife(e event) {
-	if n.cfg.Comeback == nil {
+	if n.cfg.Recovery == nil {
 		return
 	}
-	l, weight, speed := n.cfg.Comeback.WorkerPoolUp(n.now, n.now-e.took, e.cold)
+	l, weight, speed := n.cfg.Recovery.WorkerPoolUp(n.now, n.now-e.took, e.cold)
 	if m, ok := n.module.(learner); ok && l != nil {
 		m.WarmStart(*l, weight, speed)
 	}
@@ -59,19 +59,19 @@
 
 // stepLife moves the way on, and says anew what the node asks for.
 func (n *Node) stepLife() {
-	if n.cfg.Comeback == nil {
+	if n.cfg.Recovery == nil {
 		return
 	}
 	short := false
 	if t := n.together(); t != nil {
 		short = t.View(n.now).Shortage > 0.5
 	}
-	ask, warm := n.cfg.Comeback.Step(n.now, short, n.learned)
+	ask, warm := n.cfg.Recovery.Step(n.now, short, n.learned)
 	n.warm = warm
 	if ask != n.ask {
 		n.ask = ask
 		if n.cfg.Settings.LoadFeedback != rules.FeedbackNone {
-			n.front.Say(n.asked(n.value))
+			n.front.PublishLoad(n.asked(n.value))
 		}
 	}
 }
@@ -84,14 +84,14 @@
 }
 
 func (n *Node) endLife() {
-	if n.cfg.Comeback != nil {
-		n.cfg.Comeback.Close(n.learned())
+	if n.cfg.Recovery != nil {
+		n.cfg.Recovery.Close(n.learned())
 	}
 }
 
 // asked is a free value with what the node asks for on its way in it.
 func (n *Node) asked(value float64) float64 {
-	if n.cfg.Comeback == nil || n.ask >= 1 {
+	if n.cfg.Recovery == nil || n.ask >= 1 {
 		return value
 	}
 	switch n.cfg.Settings.LoadFeedback {
@@ -109,11 +109,11 @@
 
 // ranLife tells of a run that went well.
 func (n *Node) ranLife(it *item, e event, reused bool) {
-	if n.cfg.Comeback == nil || reused || e.took <= 0 {
+	if n.cfg.Recovery == nil || reused || e.took <= 0 {
 		return
 	}
 	hint := time.Duration(it.x.HintMs * float64(time.Millisecond))
-	if n.cfg.Comeback.RunSucceeded(n.now, it.x.Class, e.took, hint) {
+	if n.cfg.Recovery.RunSucceeded(n.now, it.x.Class, e.took, hint) {
 		if m, ok := n.module.(learner); ok {
 			m.DiscardWarmStart()
 		}
@@ -124,8 +124,8 @@
 // not remembered and was answered for it. Keyed work is the module's to fail: it is
 // given an earlier request of which the module knows nothing, which counts as run.
 func (n *Node) doubted(it *item, q *rules.Request) bool {
-	n.cfg.Comeback.Arrived(n.now, q.Retry)
-	if q.RepeatOf != 0 || !n.cfg.Comeback.InDoubt(n.now, q.Class, hash(keyOf(it.x, n.cfg.Settings)), q.Retry, q.Age) {
+	n.cfg.Recovery.Arrived(n.now, q.Retry)
+	if q.RepeatOf != 0 || !n.cfg.Recovery.InDoubt(n.now, q.Class, hash(keyOf(it.x, n.cfg.Settings)), q.Retry, q.Age) {
 		return false
 	}
 	if n.cfg.Settings.Classes[q.Class].Effect == rules.Keyed {
--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -74,7 +74,7 @@
 // Skip lets a run go on without the call it stands at.
 func (h host) SkipCall(id rules.RequestID) {
 	if it := h.items[id]; it != nil {
-		h.pool.Pass(it.x)
+		h.pool.ContinueWithout(it.x)
 	}
 }
 
@@ -129,11 +129,11 @@
 // Say sets the free value.
 func (h host) PublishLoad(value float64) {
 	h.value = value
-	h.front.Say(h.asked(value))
+	h.front.PublishLoad(h.asked(value))
 }
 
 // CloseIdle sets the idle limit of connections.
-func (h host) SetIdleTimeout(after time.Duration) { h.front.CloseIdle(after) }
+func (h host) SetIdleTimeout(after time.Duration) { h.front.SetIdleTimeout(after) }
 
 // Wake sets a timer.
 func (h host) StartTimer(token uint64, in time.Duration) {
--- a/internal/node/keys.go
+++ b/internal/node/keys.go
@@ -139,7 +139,7 @@
 	}
 	t.swept = now
 	for _, e := range t.byKey {
-		e.waiting = slices.DeleteFunc(e.waiting, func(w *item) bool { return w.x.Fate() != exchange.Open })
+		e.waiting = slices.DeleteFunc(e.waiting, func(w *item) bool { return w.x.FinalState() != exchange.Open })
 		if now > e.expires+lateRead && len(e.waiting) == 0 {
 			t.drop(e)
 		}
--- a/internal/node/memory.go
+++ b/internal/node/memory.go
@@ -17,7 +17,7 @@
 
 // Memory is what the loop needs of what outlives the node. Callbacks come from
 // any goroutine, or at once.
-type Memory interface {
+type ResultCache interface {
 	// Restore takes over what earlier lives left; it is called once, before all else.
 	Restore(now time.Duration) ([]memory.RestoredRecord, error)
 	// Wants reports whether a request is remembered, and whether its run must wait for Intend.
@@ -54,10 +54,10 @@
 
 // restore takes over what earlier lives left.
 func (n *Node) restore() error {
-	if n.cfg.Memory == nil {
+	if n.cfg.ResultCache == nil {
 		return nil
 	}
-	list, err := n.cfg.Memory.Restore(n.now)
+	list, err := n.cfg.ResultCache.Restore(n.now)
 	if err != nil {
 		return err
 	}
@@ -88,7 +88,7 @@
 		if r.Record.Effect == rules.Safe {
 			e.key = "i" + r.Key
 		}
-		switch n.cfg.Memory.DecideRepeat(r.RestoredRecord, pool) {
+		switch n.cfg.ResultCache.DecideRepeat(r.RestoredRecord, pool) {
 		case resultcache.RunAgain:
 			continue
 		case resultcache.WaitForRun:
@@ -125,7 +125,7 @@
 		r.kept.barred, r.kept.awaited = true, 0
 		unheard++
 		for _, w := range n.table.settle(r.kept, false, nil, n.now, 0) {
-			n.cfg.Memory.CountRepeat(false)
+			n.cfg.ResultCache.CountRepeat(false)
 			n.reused(w, false, nil)
 		}
 	}
@@ -137,12 +137,12 @@
 // spawn asks for a run, once its intent is durable if it needs one: then it
 // begins at once and does not wait for the loop's next batch.
 func (n *Node) spawn(it *item) {
-	if n.cfg.Memory != nil {
-		if _, intent := n.cfg.Memory.Wants(it.x); intent {
+	if n.cfg.ResultCache != nil {
+		if _, intent := n.cfg.ResultCache.Wants(it.x); intent {
 			it.gate.Store(gateWaiting)
-			n.cfg.Memory.StoreIntent(n.now, it.x, n.expires(it), func(err error) {
+			n.cfg.ResultCache.StoreIntent(n.now, it.x, n.expires(it), func(err error) {
 				if err == nil && it.gate.CompareAndSwap(gateWaiting, gateOpen) {
-					n.pool.Spawn(it.x)
+					n.pool.StartRun(it.x)
 					return
 				}
 				n.post(event{kind: intended, x: it.x, err: err})
@@ -150,7 +150,7 @@
 			return
 		}
 	}
-	n.pool.Spawn(it.x)
+	n.pool.StartRun(it.x)
 }
 
 // suspend stops a run, or keeps one that waits for its intent from beginning.
@@ -158,7 +158,7 @@
 	if it.gate.CompareAndSwap(gateWaiting, gateShut) {
 		return
 	}
-	n.pool.Suspend(it.x)
+	n.pool.StopRun(it.x)
 }
 
 // expires is until when a repeat of the request may come.
@@ -178,31 +178,31 @@
 	}
 	switch {
 	case it.gate.Swap(noGate) == gateShut:
-		n.cfg.Memory.Withdraw(it.x)
+		n.cfg.ResultCache.Withdraw(it.x)
 		n.finish(event{x: it.x, end: pool.Cancelled, kept: true})
-	case e.err != nil && n.cfg.Memory.RunsUnrecorded(e.err):
-		n.pool.Spawn(it.x)
+	case e.err != nil && n.cfg.ResultCache.RunsUnrecorded(e.err):
+		n.pool.StartRun(it.x)
 	default:
 		if it.kept != nil {
 			n.table.drop(it.kept)
 		}
-		n.finish(event{x: it.x, end: pool.Moot, kept: true})
+		n.finish(event{x: it.x, end: pool.NeverStarted, kept: true})
 	}
 }
 
 // store notes how a run ended. It reports whether the answer has to wait for
 // that: finish comes again then.
 func (n *Node) store(it *item, e event) bool {
-	if n.cfg.Memory == nil {
+	if n.cfg.ResultCache == nil {
 		return false
 	}
-	remember, _ := n.cfg.Memory.Wants(it.x)
+	remember, _ := n.cfg.ResultCache.Wants(it.x)
 	if !remember {
 		return false
 	}
 	switch e.end {
 	case pool.Complete:
-		n.cfg.Memory.RunEnded(n.now, it.x, n.expires(it), true, e.body, func(has bool) {
+		n.cfg.ResultCache.RunEnded(n.now, it.x, n.expires(it), true, e.body, func(has bool) {
 			again := e
 			again.kept, again.has, again.told = true, has, true
 			e.x.Answer(exchange.Answer{Kind: exchange.Served, Body: e.body})
@@ -210,9 +210,9 @@
 		})
 		return true
 	case pool.Error:
-		n.cfg.Memory.RunEnded(n.now, it.x, n.expires(it), false, nil, nil)
+		n.cfg.ResultCache.RunEnded(n.now, it.x, n.expires(it), false, nil, nil)
 	default:
-		n.cfg.Memory.Withdraw(it.x)
+		n.cfg.ResultCache.Withdraw(it.x)
 	}
 	return false
 }
@@ -226,28 +226,28 @@
 	}
 	delete(n.byRun, e.run)
 	good := e.end == pool.Complete
-	n.cfg.Memory.LateRunEnded(n.now, r.RestoredRecord, good, e.body)
+	n.cfg.ResultCache.LateRunEnded(n.now, r.RestoredRecord, good, e.body)
 	r.kept.barred = !good
 	for _, w := range n.table.settle(r.kept, good, e.body, n.now, 0) {
-		n.cfg.Memory.CountRepeat(good)
+		n.cfg.ResultCache.CountRepeat(good)
 		n.reused(w, good, e.body)
 	}
 }
 
 // Stray takes the end of a run that this life did not ask for.
-func (n *Node) Stray(run string, end pool.End, result []byte) {
+func (n *Node) UnknownRunEnded(run string, end pool.Outcome, result []byte) {
 	n.post(event{kind: stray, run: run, end: end, body: result})
 }
 
 // fetch serves a request from a result that is only on the disk.
 func (n *Node) fetch(it *item, e *kept) {
 	x := it.x
-	n.cfg.Memory.Fetch(e.ref, func(body []byte, err error) {
+	n.cfg.ResultCache.Fetch(e.ref, func(body []byte, err error) {
 		end := pool.Complete
 		if err != nil {
 			end = pool.Error
 		}
-		n.cfg.Memory.CountRepeat(err == nil)
+		n.cfg.ResultCache.CountRepeat(err == nil)
 		n.post(event{kind: finished, x: x, end: end, took: n.cfg.Settings.BatchInterval, body: body})
 	})
 }
@@ -255,6 +255,6 @@
 // toldEarlier counts a repeat of an earlier life's request that fails at once.
 func (n *Node) toldEarlier(e *kept, good bool) {
 	if e.barred && !good {
-		n.cfg.Memory.CountRepeat(false)
+		n.cfg.ResultCache.CountRepeat(false)
 	}
 }
--- a/internal/node/memory_test.go
+++ b/internal/node/memory_test.go
@@ -60,9 +60,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.rig = newRigWith(t, Config{Settings: set, Memory: l.mem}, false)
+	l.rig = newRigWith(t, Config{Settings: set, ResultCache: l.mem}, false)
 	l.tag = uint64(up) << 16 // a run's name is never used again
-	l.Bound(false, poolUp)
+	l.WorkerPoolUp(false, poolUp)
 	l.turn()
 	t.Cleanup(func() { _ = l.mem.Close(l.now) })
 	return l
@@ -115,7 +115,7 @@
 	}
 	a.until("the run", func() bool { return a.ran(x) })
 	ran := disk.Ops()
-	a.Finished(x, pool.Complete, time.Millisecond, []byte("result"))
+	a.RunEnded(x, pool.Complete, time.Millisecond, []byte("result"))
 	a.until("the answer", func() bool { return a.answered(x) })
 	a.only(x, exchange.Served, "result")
 	done := disk.Ops()
@@ -157,15 +157,15 @@
 	for range 3 {
 		all = append(all, b.send(1, key("k")))
 	}
-	other := b.send(1, func(c *exchange.Call) { c.Unique, c.TenantName = "k", "other" })
+	other := b.send(1, func(c *exchange.Request) { c.Unique, c.TenantName = "k", "other" })
 	b.until("another tenant's run", func() bool { return b.ran(other) })
-	b.Stray("ffffffffffffffff", pool.Complete, []byte("not asked for by anybody"))
-	b.Stray(x.Txn, pool.Complete, []byte("result"))
+	b.UnknownRunEnded("ffffffffffffffff", pool.Complete, []byte("not asked for by anybody"))
+	b.UnknownRunEnded(x.Txn, pool.Complete, []byte("result"))
 	for _, y := range all {
 		b.until("the answer", func() bool { return b.answered(y) })
 		b.only(y, exchange.Served, "result")
 	}
-	b.Stray(x.Txn, pool.Complete, []byte("told twice"))
+	b.UnknownRunEnded(x.Txn, pool.Complete, []byte("told twice"))
 	if len(b.spawned) != 1 {
 		t.Errorf("ran %v", b.spawned)
 	}
@@ -203,7 +203,7 @@
 	if len(b.spawned) != 0 || decide.InFlightTimeout(0, deadline) >= deadline || decide.InFlightTimeout(10*time.Millisecond, deadline) > deadline/2 {
 		t.Errorf("ran %v, awaited for %v of %v", b.spawned, decide.InFlightTimeout(0, deadline), deadline)
 	}
-	b.Stray(x.Txn, pool.Complete, []byte("result"))
+	b.UnknownRunEnded(x.Txn, pool.Complete, []byte("result"))
 	b.turn()
 	z := b.send(1, key("k"))
 	b.until("the answer", func() bool { return b.answered(z) })
@@ -218,7 +218,7 @@
 		a := live(t, disk, 1000, time.Hour, nil)
 		x := a.send(1, key("k"))
 		a.until("the run", func() bool { return a.ran(x) })
-		a.Finished(x, pool.Complete, time.Millisecond, []byte("result"))
+		a.RunEnded(x, pool.Complete, time.Millisecond, []byte("result"))
 		a.until("the answer", func() bool { return a.answered(x) })
 		b := live(t, disk.Clone(), 1200, time.Hour, nil)
 		b.pass(304*time.Millisecond - 200*time.Millisecond + late) // the window, and two ticks
@@ -267,13 +267,13 @@
 		a := live(t, disk, 1000, time.Hour, set)
 		x, cut := a.send(0, about("i")), a.send(0, about("cut"))
 		a.until("both runs", func() bool { return a.ran(x) && a.ran(cut) })
-		a.Finished(x, pool.Complete, time.Millisecond, []byte("read"))
+		a.RunEnded(x, pool.Complete, time.Millisecond, []byte("read"))
 		a.until("the answer", func() bool { return a.answered(x) })
 		b := live(t, disk.Clone(), 1300, 0, set)
 		y := b.send(0, about("i"))
 		b.until("the answer", func() bool { return b.answered(y) })
 		b.only(y, exchange.Served, "read")
-		other := b.send(0, func(c *exchange.Call) { c.Item, c.TenantName = "i", "other" })
+		other := b.send(0, func(c *exchange.Request) { c.Item, c.TenantName = "i", "other" })
 		b.until("another tenant's run", func() bool { return b.ran(other) })
 		z := b.send(0, about("cut"))
 		b.until("a run or an answer", func() bool { return b.ran(z) || b.answered(z) })
@@ -281,7 +281,7 @@
 			t.Errorf("cut off, to fail: %v, ran: %v", fail, b.ran(z))
 		}
 		for _, running := range []*exchange.Exchange{other, z} { // else they would pass for a stall
-			b.Finished(running, pool.Error, time.Millisecond, nil)
+			b.RunEnded(running, pool.Error, time.Millisecond, nil)
 		}
 		b.turn()
 		b.pass(time.Second)
@@ -299,7 +299,7 @@
 	for i := range 6 { // KeyBytes holds two
 		x := a.send(1, key(fmt.Sprint(i)))
 		a.until("the run", func() bool { return a.ran(x) })
-		a.Finished(x, pool.Complete, time.Millisecond, []byte(body(i)))
+		a.RunEnded(x, pool.Complete, time.Millisecond, []byte(body(i)))
 		a.until("the answer", func() bool { return a.answered(x) })
 	}
 	b := live(t, disk.Clone(), 1010, time.Hour, nil)
@@ -349,7 +349,7 @@
 	}
 	a.until("the run", func() bool { return a.ran(x) })
 	cut := disk.Clone()
-	a.Finished(x, pool.Complete, time.Millisecond, []byte("done"))
+	a.RunEnded(x, pool.Complete, time.Millisecond, []byte("done"))
 	a.until("the answer", func() bool { return a.answered(x) })
 	a.turn()
 	if err := a.mem.Store().Sync(); err != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -30,17 +30,17 @@
 // Front is what the loop needs of the side towards dispatchers.
 type Front interface {
 	SetHealth(good bool)
-	Say(value float64)
-	CloseIdle(after time.Duration)
+	PublishLoad(value float64)
+	SetIdleTimeout(after time.Duration)
 }
 
 // Pool is what the loop needs of the worker pool.
 type Pool interface {
-	Spawn(*exchange.Exchange)
-	Suspend(*exchange.Exchange)
-	Supply(x *exchange.Exchange, result []byte)
-	Pass(*exchange.Exchange)
-	Poll()
+	StartRun(*exchange.Exchange)
+	StopRun(*exchange.Exchange)
+	ContinueWithResult(x *exchange.Exchange, result []byte)
+	ContinueWithout(*exchange.Exchange)
+	PollGauges()
 }
 
 // Calls is what the loop needs of what lies below. done is told once, unless the
@@ -51,16 +51,16 @@
 
 // Config is what a Node needs.
 type Config struct {
-	Settings rules.Settings
-	Seed     uint64
-	KeyBytes int // memory for kept results
-	Health   func(good bool)
-	Load     func(Load)                               // told with each timer, nil = nobody wants to know
-	Word     func(shedding.LoadReport, shedding.View) // the same, where the module thinks of the fleet
-	Calls    Calls                                    // what lies below, nil = nothing
-	Memory   Memory                                   // what outlives the node, nil = nothing
-	Comeback Comeback                                 // the way back to full service, nil = it is not looked at
-	Log      *slog.Logger
+	Settings    rules.Settings
+	Seed        uint64
+	ResultBytes int // memory for kept results
+	Health      func(good bool)
+	Load        func(Load)                               // told with each timer, nil = nobody wants to know
+	LoadReport  func(shedding.LoadReport, shedding.View) // the same, where the module thinks of the fleet
+	Calls       Calls                                    // what lies below, nil = nothing
+	ResultCache ResultCache                              // what outlives the node, nil = nothing
+	Recovery    Recovery                                 // the way back to full service, nil = it is not looked at
+	Log         *slog.Logger
 }
 
 // Load is how the node stands.
@@ -85,15 +85,15 @@
 	if s := n.cfg.Settings; s.ColdStart && s.WarmUpTime > 0 {
 		l.Warm = min(1, s.ColdSpeed+(1-s.ColdSpeed)*float64(n.now-n.born)/float64(s.WarmUpTime))
 	}
-	if n.cfg.Comeback != nil {
+	if n.cfg.Recovery != nil {
 		l.Warm = n.warm
 	}
 	n.cfg.Load(l)
-	if n.cfg.Word == nil {
+	if n.cfg.LoadReport == nil {
 		return
 	}
 	if t := n.together(); t != nil {
-		n.cfg.Word(t.LoadReport(), t.View(n.now))
+		n.cfg.LoadReport(t.LoadReport(), t.View(n.now))
 	}
 }
 
@@ -111,13 +111,13 @@
 }
 
 // Told takes the fleet's digest of one of the services, as of the moment since.
-func (n *Node) Told(since time.Time, src int, d shedding.Digest) {
+func (n *Node) ReceiveDigest(since time.Time, src int, d shedding.Digest) {
 	n.post(event{kind: told, digest: &d, src: src, took: time.Since(since)})
 }
 
 // Together shows how the module thinks of the fleet, if it does and the loop
 // answers in time.
-func (n *Node) Together(most time.Duration) (shedding.View, bool) {
+func (n *Node) Shedding(most time.Duration) (shedding.View, bool) {
 	show := make(chan shedding.View, 1)
 	n.post(event{kind: inspect, seen: show})
 	select {
@@ -163,7 +163,7 @@
 type event struct {
 	kind kind
 	x    *exchange.Exchange
-	end  pool.End
+	end  pool.Outcome
 	took time.Duration
 	body []byte
 	cold bool
@@ -200,8 +200,8 @@
 
 // Node is one node's loop. Its exported methods may be called by any goroutine.
 type Node struct {
-	Resets  atomic.Int64 // times that the module failed and was made anew
-	Misused atomic.Int64 // requests under a key that stood for another one
+	ModuleResets atomic.Int64 // times that the module failed and was made anew
+	KeyConflicts atomic.Int64 // requests under a key that stood for another one
 
 	cfg   Config
 	front Front
@@ -250,7 +250,7 @@
 		clock: func() time.Duration { return time.Since(began) },
 		unix:  func() float64 { return float64(time.Now().UnixMicro()) / 1000 },
 		items: map[rules.RequestID]*item{}, byX: map[*exchange.Exchange]*item{},
-		byTxn: map[string]struct{}{}, table: newTable(cfg.KeyBytes),
+		byTxn: map[string]struct{}{}, table: newTable(cfg.ResultBytes),
 	}
 }
 
@@ -271,27 +271,27 @@
 func (n *Node) Arrived(x *exchange.Exchange) { n.post(event{kind: arrived, x: x}) }
 
 // Gone takes the word that nobody waits for a request.
-func (n *Node) Gone(x *exchange.Exchange) { n.post(event{kind: gone, x: x}) }
+func (n *Node) CallerGone(x *exchange.Exchange) { n.post(event{kind: gone, x: x}) }
 
 // Finished takes the end of a run.
-func (n *Node) Finished(x *exchange.Exchange, end pool.End, took time.Duration, result []byte) {
+func (n *Node) RunEnded(x *exchange.Exchange, end pool.Outcome, took time.Duration, result []byte) {
 	n.post(event{kind: finished, x: x, end: end, took: took, body: result})
 }
 
 // Bound takes the word that the worker pool is up.
-func (n *Node) Bound(cold bool, since time.Duration) {
+func (n *Node) WorkerPoolUp(cold bool, since time.Duration) {
 	n.post(event{kind: bound, cold: cold, took: since})
 }
 
 // Polled takes the gauges; the next timer brings them to the module.
-func (n *Node) Polled(values []float64) {
+func (n *Node) GaugesRead(values []float64) {
 	n.mu.Lock()
 	n.gauges = values
 	n.mu.Unlock()
 }
 
 // Blocked takes the word that a run stands at a call below.
-func (n *Node) Blocked(x *exchange.Exchange, statement []byte) {
+func (n *Node) CallNeeded(x *exchange.Exchange, statement []byte) {
 	n.post(event{kind: blocked, x: x, body: statement})
 }
 
@@ -304,8 +304,8 @@
 	if err := n.restore(); err != nil {
 		return err
 	}
-	if n.cfg.Comeback != nil {
-		n.cfg.Comeback.Begin(n.now)
+	if n.cfg.Recovery != nil {
+		n.cfg.Recovery.Begin(n.now)
 		n.ask, n.warm = 1, 1
 	}
 	if err := n.build(n.now, n.cfg.Settings.ColdStart); err != nil {
@@ -313,11 +313,11 @@
 	}
 	n.loop(ctx)
 	n.endLife()
-	if n.cfg.Memory == nil {
+	if n.cfg.ResultCache == nil {
 		return nil
 	}
 	n.tick()
-	if err := n.cfg.Memory.Close(n.now); err != nil { // the next start finds what a crash would leave
+	if err := n.cfg.ResultCache.Close(n.now); err != nil { // the next start finds what a crash would leave
 		n.cfg.Log.Error("remembered results were not closed in order", "err", err)
 	}
 	return nil
@@ -386,13 +386,13 @@
 	})
 	n.guard(func() { n.module.FinishBatch(n.now) })
 	n.table.expire(n.now)
-	if n.cfg.Memory != nil {
+	if n.cfg.ResultCache != nil {
 		n.endWaits()
-		n.cfg.Memory.Flush(n.now)
+		n.cfg.ResultCache.Flush(n.now)
 	}
 	if !n.polled && len(n.timers) > 0 && n.timers[0].at-pollLead <= n.now {
 		n.polled = true
-		n.pool.Poll()
+		n.pool.PollGauges()
 	}
 }
 
@@ -443,7 +443,7 @@
 		if p == nil {
 			return
 		}
-		if resets := n.Resets.Add(1); resets&(resets-1) == 0 { // the 1st, 2nd, 4th, 8th ...
+		if resets := n.ModuleResets.Add(1); resets&(resets-1) == 0 { // the 1st, 2nd, 4th, 8th ...
 			n.cfg.Log.Error("the module failed and is made anew", "panic", fmt.Sprint(p),
 				"resets", resets, "stack", string(debug.Stack()))
 		}
@@ -532,12 +532,12 @@
 			t.ReceiveDigestFrom(n.now, n.now-e.took, e.src, *e.digest)
 		}
 	case roomed:
-		if n.cfg.Comeback != nil {
-			n.cfg.Comeback.FleetCapacity(n.now-e.took, e.share)
+		if n.cfg.Recovery != nil {
+			n.cfg.Recovery.FleetCapacity(n.now-e.took, e.share)
 		}
 	case lives:
-		if n.cfg.Comeback != nil {
-			n.cfg.Comeback.ObservePrevious(n.now, e.life)
+		if n.cfg.Recovery != nil {
+			n.cfg.Recovery.ObservePrevious(n.now, e.life)
 		}
 	}
 }
@@ -565,11 +565,11 @@
 	}
 	n.bindLife(e)
 	n.drain()
-	n.table = newTable(n.cfg.KeyBytes)
+	n.table = newTable(n.cfg.ResultBytes)
 	n.relink(n.now - e.took)
 	for _, it := range waiting {
 		n.forget(it)
-		if it.x.Fate() == exchange.Open {
+		if it.x.FinalState() == exchange.Open {
 			n.arrive(it.x)
 		}
 	}
@@ -578,7 +578,7 @@
 // arrive gives a request to the module. Its age counts from the machine's door,
 // by the Unix clock; both clocks are read now.
 func (n *Node) arrive(x *exchange.Exchange) {
-	if x.Fate() != exchange.Open { // its caller left before it was taken up
+	if x.FinalState() != exchange.Open { // its caller left before it was taken up
 		return
 	}
 	if _, twice := n.byTxn[x.Txn]; twice { // the worker pool could not tell them apart
@@ -594,7 +594,7 @@
 	switch {
 	case earlier == it.id:
 	case other:
-		if c := n.Misused.Add(1); c&(c-1) == 0 { // the 1st, 2nd, 4th, 8th ...
+		if c := n.KeyConflicts.Add(1); c&(c-1) == 0 { // the 1st, 2nd, 4th, 8th ...
 			n.cfg.Log.Warn("a key that stands for another request", "class", x.ClassName, "caller", x.Caller, "so_far", c)
 		}
 		x.Answer(exchange.Answer{Kind: exchange.Failed})
@@ -603,7 +603,7 @@
 	default:
 		q.RepeatOf = earlier
 	}
-	if n.cfg.Comeback != nil && n.doubted(it, &q) {
+	if n.cfg.Recovery != nil && n.doubted(it, &q) {
 		return
 	}
 	n.module.Arrive(n.now, q)
@@ -619,10 +619,10 @@
 	}
 	q := rules.Request{
 		ID: id, Rank: x.Rank, WorkHint: clamp(x.HintMs, 0), Tenant: x.Tenant, Caller: x.Caller,
-		Age: clamp(max(unix-x.Door, 0), 0), MemoryKB: x.KB, Class: x.Class, Retry: x.Retry, Key: hash(x.Item),
+		Age: clamp(max(unix-x.ArrivedUnixMs, 0), 0), MemoryKB: x.MemoryKB, Class: x.Class, Retry: x.Retry, Key: hash(x.Item),
 	}
-	if x.Limit > 0 { // a time already past is still told: 0 would mean that nothing is known
-		q.CallerTimeout = min(clamp(max(x.Door+x.Limit-unix, 0), time.Microsecond), clamp(x.Limit, time.Microsecond))
+	if x.TimeoutMs > 0 { // a time already past is still told: 0 would mean that nothing is known
+		q.CallerTimeout = min(clamp(max(x.ArrivedUnixMs+x.TimeoutMs-unix, 0), time.Microsecond), clamp(x.TimeoutMs, time.Microsecond))
 	}
 	return q
 }
@@ -635,7 +635,7 @@
 	}
 	it.call, it.hangUp = 0, nil
 	if e.out == rules.OK {
-		n.pool.Supply(it.x, e.body)
+		n.pool.ContinueWithResult(it.x, e.body)
 	}
 	n.module.CallEnded(n.now, it.id, e.out, e.took)
 }
@@ -680,7 +680,7 @@
 		it.x.Answer(exchange.Answer{Kind: exchange.Failed})
 		n.settleKept(it, false, nil)
 		o := rules.Failed
-		if e.end == pool.Moot {
+		if e.end == pool.NeverStarted {
 			o = rules.NeverStarted
 			if it.kept != nil && !reused {
 				it.kept.moot = true
@@ -693,7 +693,7 @@
 
 // leave forgets a request of which nothing is left.
 func (n *Node) leave(it *item) {
-	if it.running || it.x.Fate() == exchange.Open {
+	if it.running || it.x.FinalState() == exchange.Open {
 		return
 	}
 	n.settleKept(it, false, nil)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -25,20 +25,20 @@
 	said               float64
 }
 
-func (s *side) Spawn(x *exchange.Exchange) {
+func (s *side) StartRun(x *exchange.Exchange) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.spawned = append(s.spawned, x.Txn)
 }
-func (s *side) Suspend(x *exchange.Exchange) { s.suspended = append(s.suspended, x.Txn) }
-func (s *side) Pass(x *exchange.Exchange)    { s.passed = append(s.passed, x.Txn) }
-func (s *side) Supply(x *exchange.Exchange, result []byte) {
+func (s *side) StopRun(x *exchange.Exchange)         { s.suspended = append(s.suspended, x.Txn) }
+func (s *side) ContinueWithout(x *exchange.Exchange) { s.passed = append(s.passed, x.Txn) }
+func (s *side) ContinueWithResult(x *exchange.Exchange, result []byte) {
 	s.supplied = append(s.supplied, x.Txn+" "+string(result))
 }
-func (s *side) Poll()                   { s.polls++ }
-func (s *side) SetHealth(good bool)     { s.good = good }
-func (s *side) Say(v float64)           { s.said = v }
-func (s *side) CloseIdle(time.Duration) {}
+func (s *side) PollGauges()                  { s.polls++ }
+func (s *side) SetHealth(good bool)          { s.good = good }
+func (s *side) PublishLoad(v float64)        { s.said = v }
+func (s *side) SetIdleTimeout(time.Duration) {}
 func (s *side) Reply(tag uint64, a exchange.Answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -50,7 +50,7 @@
 	*Node
 	*side
 	t      *testing.T
-	ledger exchange.Ledger
+	ledger exchange.Counters
 	tag    uint64
 	passed time.Duration // what both clocks say
 }
@@ -80,7 +80,7 @@
 func newRigWith(t *testing.T, cfg Config, bindNow bool) *rig {
 	t.Helper()
 	r := &rig{t: t, side: &side{answers: map[uint64][]exchange.Answer{}}}
-	cfg.KeyBytes, cfg.Log = 1<<10, slog.New(slog.NewTextHandler(io.Discard, nil))
+	cfg.ResultBytes, cfg.Log = 1<<10, slog.New(slog.NewTextHandler(io.Discard, nil))
 	r.Node = New(cfg)
 	r.clock = func() time.Duration { return r.passed }
 	r.unix = r.unixMs
@@ -93,7 +93,7 @@
 		t.Fatal(err)
 	}
 	if bindNow {
-		r.Bound(false, time.Hour)
+		r.WorkerPoolUp(false, time.Hour)
 	}
 	r.turn()
 	return r
@@ -108,11 +108,11 @@
 }
 
 // send makes a request arrive and turns the loop.
-func (r *rig) send(class int, more func(*exchange.Call)) *exchange.Exchange {
+func (r *rig) send(class int, more func(*exchange.Request)) *exchange.Exchange {
 	r.tag++
-	c := exchange.Call{
+	c := exchange.Request{
 		Txn: fmt.Sprintf("%016x", r.tag), Class: class, ClassName: fmt.Sprint("c", class), Safe: class == 0,
-		Door: r.unixMs(), Limit: 5000, KB: 10,
+		ArrivedUnixMs: r.unixMs(), TimeoutMs: 5000, MemoryKB: 10,
 	}
 	if more != nil {
 		more(&c)
@@ -123,8 +123,8 @@
 	return x
 }
 
-func (r *rig) end(x *exchange.Exchange, e pool.End, body string) {
-	r.Finished(x, e, time.Millisecond, []byte(body))
+func (r *rig) end(x *exchange.Exchange, e pool.Outcome, body string) {
+	r.RunEnded(x, e, time.Millisecond, []byte(body))
 	r.turn()
 }
 
@@ -146,13 +146,13 @@
 // empty checks that nothing is left of any request.
 func (r *rig) empty() {
 	r.t.Helper()
-	if len(r.items) != 0 || len(r.byX) != 0 || len(r.byTxn) != 0 || r.ledger.InHand() != 0 {
-		r.t.Errorf("left over: %d items, %d requests in hand", len(r.items), r.ledger.InHand())
+	if len(r.items) != 0 || len(r.byX) != 0 || len(r.byTxn) != 0 || r.ledger.OpenRequests() != 0 {
+		r.t.Errorf("left over: %d items, %d requests in hand", len(r.items), r.ledger.OpenRequests())
 	}
 }
 
-func key(k string) func(*exchange.Call)   { return func(c *exchange.Call) { c.Unique = k } }
-func about(k string) func(*exchange.Call) { return func(c *exchange.Call) { c.Item = k } }
+func key(k string) func(*exchange.Request)   { return func(c *exchange.Request) { c.Unique = k } }
+func about(k string) func(*exchange.Request) { return func(c *exchange.Request) { c.Item = k } }
 
 // Every way in which a run can end is answered once, and nothing stays behind.
 func TestRunEnds(t *testing.T) {
@@ -166,7 +166,7 @@
 	r.end(a, pool.Complete, "again") // harmless
 	r.end(b, pool.Error, "")
 	r.only(b, exchange.Failed, "")
-	r.end(c, pool.Moot, "") // odd, as it was not over: it is answered all the same
+	r.end(c, pool.NeverStarted, "") // odd, as it was not over: it is answered all the same
 	r.only(a, exchange.Served, "result")
 	r.only(c, exchange.Failed, "")
 	r.empty()
@@ -202,12 +202,12 @@
 // A caller that leaves gets no answer; its safe run is stopped, and whichever
 // way the run then ends, nothing stays behind.
 func TestGone(t *testing.T) {
-	for _, end := range []pool.End{pool.Complete, pool.Error, pool.Cancelled, pool.Moot} {
+	for _, end := range []pool.Outcome{pool.Complete, pool.Error, pool.Cancelled, pool.NeverStarted} {
 		r := newRig(t, usual(), true)
 		held := []*exchange.Exchange{r.send(0, nil), r.send(0, nil), r.send(0, nil)}
 		for _, x := range held {
-			x.Abandon(exchange.WasGone)
-			r.Gone(x)
+			x.Abandon(exchange.EndedCallerGone)
+			r.CallerGone(x)
 		}
 		r.turn()
 		if len(r.spawned) != 2 || len(r.suspended) != 2 {
@@ -224,10 +224,10 @@
 // A cancel may come before the loop has even taken the request up.
 func TestGoneBeforeArrival(t *testing.T) {
 	r := newRig(t, usual(), true)
-	x := exchange.New(&r.ledger, r.side, 1, exchange.Call{Txn: "x", Door: r.unixMs(), KB: 1, Safe: true})
+	x := exchange.New(&r.ledger, r.side, 1, exchange.Request{Txn: "x", ArrivedUnixMs: r.unixMs(), MemoryKB: 1, Safe: true})
 	r.Arrived(x)
-	x.Abandon(exchange.WasCancelled)
-	r.Gone(x)
+	x.Abandon(exchange.EndedCancelled)
+	r.CallerGone(x)
 	r.turn()
 	if len(r.spawned) != 0 {
 		t.Error("it was run")
@@ -239,7 +239,7 @@
 // and the run's own end, much later, gives no second one.
 func TestSilentPool(t *testing.T) {
 	r := newRig(t, usual(), true)
-	x := r.send(1, func(c *exchange.Call) { c.Unique, c.Limit = "k", 300 })
+	x := r.send(1, func(c *exchange.Request) { c.Unique, c.TimeoutMs = "k", 300 })
 	for len(r.answers[x.Tag]) == 0 && r.passed < 2*time.Second {
 		r.pass(2 * time.Millisecond)
 		r.turn()
@@ -276,7 +276,7 @@
 	}
 	// A repeat that came within the window and is read after it still counts.
 	r.pass(320 * time.Millisecond)
-	late := r.send(1, func(c *exchange.Call) { c.Unique, c.Door = "k", c.Door-200 })
+	late := r.send(1, func(c *exchange.Request) { c.Unique, c.ArrivedUnixMs = "k", c.ArrivedUnixMs-200 })
 	r.only(late, exchange.Served, "result")
 	r.empty()
 	r.pass(320 * time.Millisecond)
@@ -293,11 +293,11 @@
 func TestKeyedOutlivesItsCaller(t *testing.T) {
 	r := newRig(t, usual(), true)
 	first := r.send(1, key("k"))
-	first.Abandon(exchange.WasGone)
-	r.Gone(first)
+	first.Abandon(exchange.EndedCallerGone)
+	r.CallerGone(first)
 	second := r.send(1, key("k"))
-	second.Abandon(exchange.WasCancelled)
-	r.Gone(second)
+	second.Abandon(exchange.EndedCancelled)
+	r.CallerGone(second)
 	third := r.send(1, key("k"))
 	r.end(first, pool.Complete, "result")
 	r.none(first)
@@ -312,7 +312,7 @@
 // Work that was turned away before it ran leaves its key free.
 func TestKeyedRefusedMayRun(t *testing.T) {
 	r := newRig(t, usual(), true)
-	first := r.send(1, func(c *exchange.Call) { c.Unique, c.Limit = "k", 1 }) // too late when it comes
+	first := r.send(1, func(c *exchange.Request) { c.Unique, c.TimeoutMs = "k", 1 }) // too late when it comes
 	r.only(first, exchange.Refused, "")
 	second := r.send(1, key("k"))
 	if len(r.spawned) != 1 {
@@ -386,13 +386,13 @@
 	set.ColdStart, set.ColdSpeed, set.WarmUpTime = false, 0.2, 10*time.Second
 	r := newRig(t, set, false)
 	early, left := r.send(0, nil), r.send(0, nil)
-	left.Abandon(exchange.WasCancelled)
-	r.Gone(left)
+	left.Abandon(exchange.EndedCancelled)
+	r.CallerGone(left)
 	r.turn()
 	if len(r.spawned) != 0 || len(r.suspended) != 0 {
 		t.Fatalf("said to a worker pool that is not up: %v %v", r.spawned, r.suspended)
 	}
-	r.Bound(true, 4*time.Second)
+	r.WorkerPoolUp(true, 4*time.Second)
 	r.turn()
 	if !r.cfg.Settings.ColdStart || r.now-r.born < 4*time.Second || r.now-r.born > 5*time.Second {
 		t.Errorf("cold %v since %v", r.cfg.Settings.ColdStart, r.now-r.born)
@@ -400,7 +400,7 @@
 	if len(r.spawned) != 1 || r.spawned[0] != early.Txn {
 		t.Errorf("spawned %v", r.spawned)
 	}
-	r.Bound(false, time.Hour) // a new link is no new worker pool
+	r.WorkerPoolUp(false, time.Hour) // a new link is no new worker pool
 	r.turn()
 	if !r.cfg.Settings.ColdStart {
 		t.Error("a new link changed what is known")
@@ -432,7 +432,7 @@
 func TestDrainOutlivesTheModule(t *testing.T) {
 	for name, anew := range map[string]func(*rig){
 		"after a defect": func(r *rig) { r.guard(func() { panic("defect") }) },
-		"bound late":     func(r *rig) { r.Bound(false, time.Hour); r.turn() },
+		"bound late":     func(r *rig) { r.WorkerPoolUp(false, time.Hour); r.turn() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, usual(), name != "bound late")
@@ -454,7 +454,7 @@
 func TestSameTxn(t *testing.T) {
 	r := newRig(t, usual(), true)
 	a := r.send(0, nil)
-	b := r.send(0, func(c *exchange.Call) { c.Txn = a.Txn })
+	b := r.send(0, func(c *exchange.Request) { c.Txn = a.Txn })
 	r.only(b, exchange.Failed, "")
 	r.none(a)
 	r.end(a, pool.Complete, "r")
@@ -483,8 +483,8 @@
 	r.only(running, exchange.Failed, "")
 	r.end(after, pool.Complete, "r")
 	r.only(after, exchange.Served, "r")
-	if r.Resets.Load() != 1 {
-		t.Errorf("%d resets", r.Resets.Load())
+	if r.ModuleResets.Load() != 1 {
+		t.Errorf("%d resets", r.ModuleResets.Load())
 	}
 	r.empty()
 }
@@ -500,13 +500,13 @@
 	r := newRig(t, usual(), true)
 	first := r.send(0, nil)
 	r.module = faulty{r.module}
-	first.Abandon(exchange.WasGone)
-	r.Gone(first)
-	behind := exchange.New(&r.ledger, r.side, 77, exchange.Call{Txn: "behind", Door: r.unixMs(), Limit: 5000, KB: 1, Safe: true})
+	first.Abandon(exchange.EndedCallerGone)
+	r.CallerGone(first)
+	behind := exchange.New(&r.ledger, r.side, 77, exchange.Request{Txn: "behind", ArrivedUnixMs: r.unixMs(), TimeoutMs: 5000, MemoryKB: 1, Safe: true})
 	r.Arrived(behind)
 	r.turn()
-	if r.Resets.Load() != 1 {
-		t.Fatalf("%d resets", r.Resets.Load())
+	if r.ModuleResets.Load() != 1 {
+		t.Fatalf("%d resets", r.ModuleResets.Load())
 	}
 	r.end(first, pool.Cancelled, "")
 	r.end(behind, pool.Complete, "r")
@@ -518,7 +518,7 @@
 // The module's timer brings the gauges, which are asked for a little earlier.
 func TestGauges(t *testing.T) {
 	r := newRig(t, usual(), true)
-	r.Polled([]float64{0.5, 3})
+	r.GaugesRead([]float64{0.5, 3})
 	for r.polls < 3 {
 		if r.passed > 2*time.Second {
 			t.Fatal("gauges not asked for")
@@ -558,7 +558,7 @@
 	r := newRig(t, usual(), true)
 	s := &spy{decisions: r.module}
 	r.module = s
-	r.Polled([]float64{0.5, 3})
+	r.GaugesRead([]float64{0.5, 3})
 	for s.gauges == nil && r.passed < 2*time.Second {
 		r.pass(r.untilTimer())
 		r.turn()
@@ -583,7 +583,7 @@
 	go func() { r.loop(ctx); close(done) }()
 	const requests = 200
 	for i := range requests {
-		r.Arrived(exchange.New(&r.ledger, r.side, uint64(i+1), exchange.Call{Txn: fmt.Sprint(i), Door: r.unixMs(), Safe: true, KB: 1}))
+		r.Arrived(exchange.New(&r.ledger, r.side, uint64(i+1), exchange.Request{Txn: fmt.Sprint(i), ArrivedUnixMs: r.unixMs(), Safe: true, MemoryKB: 1}))
 		time.Sleep(100 * time.Microsecond)
 	}
 	time.Sleep(20 * time.Millisecond)
@@ -614,7 +614,7 @@
 		{now, 1e300, 0, longest},
 		{1e18, 1e-9, 0, time.Microsecond},
 	} {
-		x := exchange.New(&exchange.Ledger{}, nil, 1, exchange.Call{Door: c.door, Limit: c.limit, HintMs: 12.5})
+		x := exchange.New(&exchange.Counters{}, nil, 1, exchange.Request{ArrivedUnixMs: c.door, TimeoutMs: c.limit, HintMs: 12.5})
 		q := request(x, 1, now)
 		if q.Age != c.age || q.CallerTimeout != c.patience || q.WorkHint != 12500*time.Microsecond {
 			t.Errorf("door %v, limit %v: age %v, patience %v", c.door, c.limit, q.Age, q.CallerTimeout)
@@ -626,15 +626,15 @@
 // nothing of the other's result, at no point of the other's life, its request does
 // not run, and the other is served as if it had not come.
 func TestKeyOfAnother(t *testing.T) {
-	body := func(k, b string) func(*exchange.Call) {
-		return func(c *exchange.Call) { c.Unique, c.Body = k, []byte(b) }
+	body := func(k, b string) func(*exchange.Request) {
+		return func(c *exchange.Request) { c.Unique, c.Body = k, []byte(b) }
 	}
 	stranger := func(r *rig) { r.t.Helper(); r.only(r.send(1, body("k", "theirs")), exchange.Failed, "") }
 	t.Run("held", func(t *testing.T) {
 		r := newRig(t, usual(), false) // before the worker pool is bound nothing is run
 		x := r.send(1, body("k", "mine"))
 		stranger(r)
-		r.Bound(false, time.Hour)
+		r.WorkerPoolUp(false, time.Hour)
 		r.turn()
 		stranger(r)
 		r.end(x, pool.Complete, "result")
@@ -651,15 +651,15 @@
 		r.only(x, exchange.Served, "result")
 		r.only(same, exchange.Served, "result")
 		r.only(r.send(1, body("k", "mine")), exchange.Served, "result")
-		if len(r.spawned) != 1 || r.Misused.Load() != 2 {
-			t.Errorf("%d runs, %d told of", len(r.spawned), r.Misused.Load())
+		if len(r.spawned) != 1 || r.KeyConflicts.Load() != 2 {
+			t.Errorf("%d runs, %d told of", len(r.spawned), r.KeyConflicts.Load())
 		}
 		r.empty()
 	})
 	t.Run("the stranger first", func(t *testing.T) {
 		r := newRig(t, usual(), true)
 		x := r.send(1, body("k", "theirs"))
-		r.end(x, pool.Moot, "") // the worker pool knows no such request
+		r.end(x, pool.NeverStarted, "") // the worker pool knows no such request
 		r.only(x, exchange.Failed, "")
 		x = r.send(1, body("k", "mine"))
 		r.end(x, pool.Complete, "result")
@@ -696,7 +696,7 @@
 		below.done[i](o, []byte(text), time.Millisecond)
 		r.turn()
 	}
-	blocked := func(x *exchange.Exchange, statement string) { r.Blocked(x, []byte(statement)); r.turn() }
+	blocked := func(x *exchange.Exchange, statement string) { r.CallNeeded(x, []byte(statement)); r.turn() }
 	x := r.send(0, nil)
 	blocked(x, "q1")
 	answer(0, rules.OK, "rows")
@@ -723,8 +723,8 @@
 
 	gone := r.send(0, nil)
 	blocked(gone, "q")
-	gone.Abandon(exchange.WasGone)
-	r.Gone(gone)
+	gone.Abandon(exchange.EndedCallerGone)
+	r.CallerGone(gone)
 	r.turn()
 	r.end(gone, pool.Cancelled, "")
 	if below.hungUp != 1 {
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -42,45 +42,45 @@
 )
 
 // End is how a run ended.
-type End uint8
+type Outcome uint8
 
 // The ends of a run.
 const (
-	Complete  End = iota // with its result
-	Error                // it failed
-	Cancelled            // it was stopped
-	Moot                 // nothing was started, as the request is over
+	Complete     Outcome = iota // with its result
+	Error                       // it failed
+	Cancelled                   // it was stopped
+	NeverStarted                // nothing was started, as the request is over
 )
 
-var ends = map[string]End{"complete": Complete, "error": Error, "cancelled": Cancelled, "unknown": Moot}
+var ends = map[string]Outcome{"complete": Complete, "error": Error, "cancelled": Cancelled, "unknown": NeverStarted}
 
 // Sink takes what the worker pool tells. Its methods must not block.
 type Sink interface {
 	// Bound tells that the worker pool is up, since how long, and whether it began cold.
-	Bound(cold bool, since time.Duration)
+	WorkerPoolUp(cold bool, since time.Duration)
 	// Finished tells that a run is over; result is set if it is Complete.
-	Finished(x *exchange.Exchange, end End, took time.Duration, result []byte)
+	RunEnded(x *exchange.Exchange, end Outcome, took time.Duration, result []byte)
 	// Blocked tells that a run stands at a call below, with this statement, until
 	// Supply or Pass.
-	Blocked(x *exchange.Exchange, statement []byte)
+	CallNeeded(x *exchange.Exchange, statement []byte)
 	// Polled brings the gauges.
-	Polled(values []float64)
+	GaugesRead(values []float64)
 	// Stray tells of the end of a run that this process did not ask for: one of
 	// an earlier life, if the worker pool outlived it.
-	Stray(run string, end End, result []byte)
+	UnknownRunEnded(run string, end Outcome, result []byte)
 }
 
 // Counters are what the link counts besides its traffic.
 type Counters struct {
-	Links    atomic.Int64 // links that were bound
-	Spawned  atomic.Int64 // runs asked for
-	Respawns atomic.Int64 // of those, asked for again on a new link
-	Suspends atomic.Int64
-	Finished [4]atomic.Int64 // by End
-	Rejected atomic.Int64    // spawns that were not carried out
-	Bad      atomic.Int64    // lines that made no sense
-	Gaps     atomic.Int64    // notices that were lost
-	Repeated atomic.Int64    // notices that came again
+	Links           atomic.Int64 // links that were bound
+	Started         atomic.Int64 // runs asked for
+	Restarted       atomic.Int64 // of those, asked for again on a new link
+	Stopped         atomic.Int64
+	Finished        [4]atomic.Int64 // by End
+	Rejected        atomic.Int64    // spawns that were not carried out
+	BadLines        atomic.Int64    // lines that made no sense
+	LostNotices     atomic.Int64    // notices that were lost
+	RepeatedNotices atomic.Int64    // notices that came again
 }
 
 // run is a run that was asked for and is not known to be over.
@@ -133,13 +133,13 @@
 
 // Spread lets tries to connect wait random times within a budget, as many nodes that
 // lose what their pools share should; it must be called before Run.
-func (l *Link) Spread(rnd *rand.Rand) {
+func (l *Link) UseBackoff(rnd *rand.Rand) {
 	l.again = backoff.New(backoff.Settings{MinWait: backoffMin, InitialSpan: 4 * backoffMin, MaxSpan: backoffMax, Window: 10 * time.Second, Budget: 60}, rnd)
 }
 
 // Move takes the link to another address. The present link serves until a
 // connection to the new one is open; runs and the count of notices go on.
-func (l *Link) Move(addr string) {
+func (l *Link) ChangeAddress(addr string) {
 	l.mu.Lock()
 	same := l.addr == addr
 	l.addr = addr
@@ -186,10 +186,10 @@
 }
 
 // Spawn asks for a run.
-func (l *Link) Spawn(x *exchange.Exchange) {
+func (l *Link) StartRun(x *exchange.Exchange) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.Counters.Spawned.Add(1)
+	l.Counters.Started.Add(1)
 	l.order++
 	r := &run{x: x, order: l.order}
 	l.runs[x.Txn] = r
@@ -208,20 +208,20 @@
 }
 
 // Suspend stops a run. One that was never sent ends here.
-func (l *Link) Suspend(x *exchange.Exchange) {
+func (l *Link) StopRun(x *exchange.Exchange) {
 	l.mu.Lock()
 	r := l.runs[x.Txn]
 	if r == nil || r.x != x || r.stopped {
 		l.mu.Unlock()
 		return
 	}
-	l.Counters.Suspends.Add(1)
+	l.Counters.Stopped.Add(1)
 	r.stopped = true
 	if !r.sent {
 		delete(l.runs, x.Txn)
 		l.Counters.Finished[Cancelled].Add(1)
 		l.mu.Unlock()
-		l.sink.Finished(x, Cancelled, 0, nil)
+		l.sink.RunEnded(x, Cancelled, 0, nil)
 		return
 	}
 	if l.ready {
@@ -231,7 +231,7 @@
 }
 
 // Supply lets a run that stands at a call go on with the call's result.
-func (l *Link) Supply(x *exchange.Exchange, result []byte) {
+func (l *Link) ContinueWithResult(x *exchange.Exchange, result []byte) {
 	if result == nil {
 		result = []byte{}
 	}
@@ -239,7 +239,7 @@
 }
 
 // Pass lets a run that stands at a call go on without it.
-func (l *Link) Pass(x *exchange.Exchange) { l.tell(x, command{Op: "pass", ID: x.Txn}) }
+func (l *Link) ContinueWithout(x *exchange.Exchange) { l.tell(x, command{Op: "pass", ID: x.Txn}) }
 
 // tell says a word on a call. It is kept until the run is heard of again, as it may
 // be lost with its link.
@@ -258,7 +258,7 @@
 }
 
 // Poll asks for the gauges, if there is a link to ask on.
-func (l *Link) Poll() {
+func (l *Link) PollGauges() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.ready {
@@ -286,12 +286,12 @@
 			}
 		}
 		if end == stream.LeftByUs {
-			l.log.Info("worker pool link moved", "runs", l.Runs())
+			l.log.Info("worker pool link moved", "runs", l.OpenRuns())
 			continue
 		}
 		if links := l.Counters.Links.Load(); links != logged || time.Since(at) > downGap {
 			logged, at = links, time.Now()
-			l.log.Warn("worker pool link ended", "end", end.String(), "err", err, "runs", l.Runs())
+			l.log.Warn("worker pool link ended", "end", end.String(), "err", err, "runs", l.OpenRuns())
 		}
 		if l.again != nil {
 			wait = l.again.Failed(time.Since(start))
@@ -308,7 +308,7 @@
 }
 
 // Runs is the number of runs asked for and not known to be over.
-func (l *Link) Runs() int {
+func (l *Link) OpenRuns() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.runs)
@@ -439,7 +439,7 @@
 }
 
 func (l *Link) complain(what string, args ...any) {
-	l.Counters.Bad.Add(1)
+	l.Counters.BadLines.Add(1)
 	if time.Since(l.complained) < complainGap {
 		l.muted++
 		return
@@ -477,7 +477,7 @@
 			l.heard = max(l.heard, order) // commands are read in order: those before the poll were
 		}
 		l.mu.Unlock()
-		l.sink.Polled(n.Values)
+		l.sink.GaugesRead(n.Values)
 	case "unknown":
 		l.rejected(n)
 	default:
@@ -503,7 +503,7 @@
 	l.mu.Unlock()
 	l.Counters.Links.Add(1)
 	l.log.Info("worker pool bound", "began", n.End, "up_ms", n.Ms, "after", last)
-	l.sink.Bound(n.End == "chilly", milliseconds(n.Ms))
+	l.sink.WorkerPoolUp(n.End == "chilly", milliseconds(n.Ms))
 }
 
 // resume says again what the worker pool may not have heard, and lets new
@@ -519,7 +519,7 @@
 	for _, r := range again {
 		if !r.sent || r.order > l.heard || l.broke.Sub(r.at) < lostTail {
 			if r.sent {
-				l.Counters.Respawns.Add(1)
+				l.Counters.Restarted.Add(1)
 			}
 			l.spawn(r)
 		}
@@ -542,7 +542,7 @@
 	}
 	l.mu.Unlock()
 	if n.Seq <= last {
-		l.Counters.Repeated.Add(1) // the protocol has them
+		l.Counters.RepeatedNotices.Add(1) // the protocol has them
 		return false
 	}
 	if n.Seq > last+1 {
@@ -554,7 +554,7 @@
 // gap fails what may have finished unnoticed and must not run again. Safe work
 // is simply asked for again: if it still runs, nothing happens.
 func (l *Link) gap(missed int64) {
-	l.Counters.Gaps.Add(missed)
+	l.Counters.LostNotices.Add(missed)
 	l.mu.Lock()
 	l.heard = 0 // what was heard of may have ended unnoticed
 	var lost []*run
@@ -569,7 +569,7 @@
 	slices.SortFunc(lost, func(a, b *run) int { return cmp.Compare(a.order, b.order) })
 	for _, r := range lost {
 		l.Counters.Finished[Error].Add(1)
-		l.sink.Finished(r.x, Error, 0, nil)
+		l.sink.RunEnded(r.x, Error, 0, nil)
 	}
 }
 
@@ -590,11 +590,11 @@
 	r := l.take(n.ID)
 	if r == nil {
 		l.complain("end of a run that was not asked for", "id", clip(n.ID))
-		l.sink.Stray(n.ID, end, n.Body)
+		l.sink.UnknownRunEnded(n.ID, end, n.Body)
 		return
 	}
 	l.Counters.Finished[end].Add(1)
-	l.sink.Finished(r.x, end, milliseconds(n.Ms), n.Body)
+	l.sink.RunEnded(r.x, end, milliseconds(n.Ms), n.Body)
 }
 
 // blocked takes the word that a run stands at a call. A word on an earlier call of
@@ -610,7 +610,7 @@
 		l.complain("call of a run that was not asked for", "id", clip(n.ID))
 		return
 	}
-	l.sink.Blocked(r.x, n.Body)
+	l.sink.CallNeeded(r.x, n.Body)
 }
 
 // rejected takes the word that a command was not carried out. A spawn that was
@@ -622,8 +622,8 @@
 	}
 	if r := l.take(n.ID); r != nil {
 		l.Counters.Rejected.Add(1)
-		l.Counters.Finished[Moot].Add(1)
-		l.sink.Finished(r.x, Moot, 0, nil) // an error would pass for a sign of work during a hang
+		l.Counters.Finished[NeverStarted].Add(1)
+		l.sink.RunEnded(r.x, NeverStarted, 0, nil) // an error would pass for a sign of work during a hang
 	}
 }
 
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -21,7 +21,7 @@
 
 type finish struct {
 	x    *exchange.Exchange
-	end  End
+	end  Outcome
 	took time.Duration
 	body string
 }
@@ -35,19 +35,19 @@
 	gauges []float64
 }
 
-func (r *recorder) Bound(cold bool, since time.Duration) {
+func (r *recorder) WorkerPoolUp(cold bool, since time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.bound, r.since = append(r.bound, cold), since
 }
 
-func (r *recorder) Finished(x *exchange.Exchange, end End, took time.Duration, result []byte) {
+func (r *recorder) RunEnded(x *exchange.Exchange, end Outcome, took time.Duration, result []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.done = append(r.done, finish{x, end, took, string(result)})
 }
 
-func (r *recorder) Blocked(x *exchange.Exchange, statement []byte) {
+func (r *recorder) CallNeeded(x *exchange.Exchange, statement []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.calls = append(r.calls, x.Txn+" "+string(statement))
@@ -59,8 +59,8 @@
 	return append([]string(nil), r.calls...)
 }
 
-func (r *recorder) Stray(string, End, []byte) {}
-func (r *recorder) Polled(v []float64) {
+func (r *recorder) UnknownRunEnded(string, Outcome, []byte) {}
+func (r *recorder) GaugesRead(v []float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.gauges = v
@@ -114,8 +114,8 @@
 		for i := range l.Counters.Finished {
 			over += l.Counters.Finished[i].Load()
 		}
-		if l.Counters.Spawned.Load() != over+int64(l.Runs()) {
-			t.Errorf("%d spawned, %d over, %d running", l.Counters.Spawned.Load(), over, l.Runs())
+		if l.Counters.Started.Load() != over+int64(l.OpenRuns()) {
+			t.Errorf("%d spawned, %d over, %d running", l.Counters.Started.Load(), over, l.OpenRuns())
 		}
 	})
 	return l, sink, w
@@ -173,14 +173,14 @@
 	w.say(fmt.Sprintf(`{"op":"polled","tag":"r%d","values":[0,0]}`, link))
 }
 
-var ledger exchange.Ledger
+var ledger exchange.Counters
 
 type nobody struct{}
 
 func (nobody) Reply(uint64, exchange.Answer) {}
 
 func request(txn string, safe bool) *exchange.Exchange {
-	return exchange.New(&ledger, nobody{}, 1, exchange.Call{
+	return exchange.New(&ledger, nobody{}, 1, exchange.Request{
 		Txn: txn, ClassName: "read", Safe: safe, Body: []byte("\x00body\n\"\xff"),
 	})
 }
@@ -198,7 +198,7 @@
 	w.say(`{"op":"bound","end":"chilly","ms":1234.5}`)
 	w.expect(`{"op":"poll","tag":"r1"}`)
 	a := request("a", true)
-	l.Spawn(a) // waits for the replay to end
+	l.StartRun(a) // waits for the replay to end
 	w.silent()
 	w.say(`{"op":"polled","tag":"r1","values":[0.5,3,0.1,7]}`)
 	w.expect(spawnLine("a"))
@@ -206,15 +206,15 @@
 		t.Errorf("bound %v since %v", sink.bound, sink.since)
 	}
 	standin.Eventually(t, "gauges", func() bool { sink.mu.Lock(); defer sink.mu.Unlock(); return len(sink.gauges) == 4 })
-	ends := map[string]End{"b": Error, "c": Cancelled, "d": Moot}
+	ends := map[string]Outcome{"b": Error, "c": Cancelled, "d": NeverStarted}
 	for _, id := range []string{"b", "c", "d"} {
-		l.Spawn(request(id, true))
+		l.StartRun(request(id, true))
 		w.expect(spawnLine(id))
 	}
-	l.Suspend(a)
-	l.Suspend(a) // once is enough
+	l.StopRun(a)
+	l.StopRun(a) // once is enough
 	w.expect(`{"op":"suspend","id":"a"}`)
-	l.Poll()
+	l.PollGauges()
 	w.expect(`{"op":"poll","tag":"g4"}`)
 	result := base64.StdEncoding.EncodeToString([]byte(strings.Repeat("\x00\xfe", 2000)))
 	w.say(`{"op":"chatter","seq":1,"end":"hello"}`,
@@ -241,18 +241,18 @@
 	w.open(1, 0)
 	a, b, c := request("a", false), request("b", true), request("c", true)
 	for _, x := range []*exchange.Exchange{a, b} {
-		l.Spawn(x)
+		l.StartRun(x)
 		w.expect(spawnLine(x.Txn))
 	}
 	w.say(`{"op":"chatter","seq":1,"end":""}`)
 	standin.Eventually(t, "first notice", func() bool { l.mu.Lock(); defer l.mu.Unlock(); return l.last == 1 })
 	w.c.Close()
 	standin.Eventually(t, "loss", func() bool { l.mu.Lock(); defer l.mu.Unlock(); return !l.ready })
-	l.Spawn(c)
+	l.StartRun(c)
 	d := request("d", true)
-	l.Spawn(d)
-	l.Suspend(d) // never sent: it ends here
-	l.Suspend(b) // may run: it must be said
+	l.StartRun(d)
+	l.StopRun(d) // never sent: it ends here
+	l.StopRun(b) // may run: it must be said
 	w.accept(1)
 	w.silent()
 	w.say(`{"op":"bound","end":"hot","ms":5}`, `{"op":"finished","seq":2,"id":"a","end":"complete","ms":3,"body":"cg=="}`)
@@ -269,8 +269,8 @@
 	if len(got) != 2 || got[0].x != d || got[0].end != Cancelled || got[1].x != a || got[1].body != "r" {
 		t.Errorf("ended: %+v", got)
 	}
-	if l.Counters.Links.Load() != 2 || l.Counters.Respawns.Load() != 1 {
-		t.Errorf("%d links, %d runs asked for again", l.Counters.Links.Load(), l.Counters.Respawns.Load())
+	if l.Counters.Links.Load() != 2 || l.Counters.Restarted.Load() != 1 {
+		t.Errorf("%d links, %d runs asked for again", l.Counters.Links.Load(), l.Counters.Restarted.Load())
 	}
 }
 
@@ -280,18 +280,18 @@
 func TestHeardRunsAreNotAskedForAgain(t *testing.T) {
 	l, _, w := start(t)
 	w.open(1, 0)
-	l.Spawn(request("a", false))
+	l.StartRun(request("a", false))
 	w.expect(spawnLine("a"))
-	l.Spawn(request("b", true))
+	l.StartRun(request("b", true))
 	w.expect(spawnLine("b"))
-	l.Poll()
+	l.PollGauges()
 	w.expect(`{"op":"poll","tag":"g2"}`)
 	w.say(`{"op":"polled","tag":"g2","values":[0,0]}`)
 	standin.Eventually(t, "word of both", func() bool { l.mu.Lock(); defer l.mu.Unlock(); return l.heard == 2 })
 	time.Sleep(lostTail + 50*time.Millisecond)
-	l.Spawn(request("c", true))
+	l.StartRun(request("c", true))
 	w.expect(spawnLine("c"))
-	l.Poll()
+	l.PollGauges()
 	w.expect(`{"op":"poll","tag":"g3"}`)
 	w.say(`{"op":"polled","tag":"g3","values":[0,0]}`)
 	standin.Eventually(t, "word of c", func() bool { l.mu.Lock(); defer l.mu.Unlock(); return l.heard == 3 })
@@ -320,7 +320,7 @@
 	w.open(1, 0)
 	a, b := request("a", false), request("b", true)
 	for _, x := range []*exchange.Exchange{a, b} {
-		l.Spawn(x)
+		l.StartRun(x)
 		w.expect(spawnLine(x.Txn))
 	}
 	w.c.Close()
@@ -340,8 +340,8 @@
 	l, sink, w := start(t)
 	w.open(1, 0)
 	a, b := request("a", true), request("b", true)
-	l.Spawn(a)
-	l.Spawn(b)
+	l.StartRun(a)
+	l.StartRun(b)
 	w.expect(spawnLine("a"))
 	w.expect(spawnLine("b"))
 	w.say(`not JSON`, `[]`, `{}`, ``, `{"op":"sing"}`, `{"op":7}`, `{"op":"bound","end":"hot","ms":5}`,
@@ -354,7 +354,7 @@
 		`{"op":"finished","seq":2,"id":"a","end":"complete","ms":-5,"body":"cg=="}`)
 	standin.Eventually(t, "ends", func() bool { return len(sink.finished()) == 2 })
 	got := sink.finished()
-	if got[0].x != b || got[0].end != Moot { // not carried out: it has no run, and is no sign of work
+	if got[0].x != b || got[0].end != NeverStarted { // not carried out: it has no run, and is no sign of work
 		t.Errorf("b ended: %+v", got[0])
 	}
 	if got[1].x != a || got[1].end != Complete || got[1].body != "r" || got[1].took != 0 {
@@ -412,7 +412,7 @@
 	standin.Eventually(t, "tries", func() bool { return l.Traffic.Ended[stream.DialRefused].Load() >= 2 })
 	w := &workers{t: t, ln: open()}
 	w.open(1, 0)
-	l.Poll()
+	l.PollGauges()
 	standin.Eventually(t, "link", func() bool { l.mu.Lock(); defer l.mu.Unlock(); return l.ready })
 	cancel()
 	<-done
@@ -435,14 +435,14 @@
 		c := stream.New(near, &stream.Lines{Longest: longestLine}, stream.Limits{In: inLimit, Out: outLimit, Stall: time.Second}, &l.Traffic, nil)
 		defer func() { c.Close(); far.Close(); <-c.Done() }()
 		l.conn = c
-		l.Spawn(request("a", true))
+		l.StartRun(request("a", true))
 		l.line(c, line)
 		var n notice
 		if json.Unmarshal(line, &n) != nil && len(sink.done) > 0 {
 			t.Fatal("a line that can't be read ended a run")
 		}
-		if l.Runs()+len(sink.done) != 1 {
-			t.Fatalf("%d runs, %d ended", l.Runs(), len(sink.done))
+		if l.OpenRuns()+len(sink.done) != 1 {
+			t.Fatalf("%d runs, %d ended", l.OpenRuns(), len(sink.done))
 		}
 	})
 }
@@ -452,9 +452,9 @@
 	l, _, w := start(t)
 	w.open(1, 0)
 	w.say(`{"op":"chatter","seq":1,"end":""}`, `{"op":"chatter","seq":1,"end":""}`, `{"op":"sing"}`)
-	standin.Eventually(t, "all lines", func() bool { return l.Counters.Bad.Load() > 0 })
-	if l.Counters.Repeated.Load() != 1 || l.Counters.Bad.Load() != 1 {
-		t.Errorf("%d repeated, %d bad", l.Counters.Repeated.Load(), l.Counters.Bad.Load())
+	standin.Eventually(t, "all lines", func() bool { return l.Counters.BadLines.Load() > 0 })
+	if l.Counters.RepeatedNotices.Load() != 1 || l.Counters.BadLines.Load() != 1 {
+		t.Errorf("%d repeated, %d bad", l.Counters.RepeatedNotices.Load(), l.Counters.BadLines.Load())
 	}
 }
 
@@ -473,7 +473,7 @@
 	w.open(1, 0)
 	a, b, c := request("a", true), request("b", false), request("c", true)
 	for _, x := range []*exchange.Exchange{a, b, c} {
-		l.Spawn(x)
+		l.StartRun(x)
 		w.expect(spawnLine(x.Txn))
 	}
 	w.say(blockedLine(1, "a", "q1"), blockedLine(2, "b", "q2"), blockedLine(3, "c", "q3"), blockedLine(4, "stranger", "q"), blockedLine(2, "b", "again"))
@@ -481,18 +481,18 @@
 	if got := strings.Join(sink.blocked(), ","); got != "a q1,b q2,c q3" {
 		t.Errorf("calls %s", got)
 	}
-	l.Supply(a, []byte("rows"))
+	l.ContinueWithResult(a, []byte("rows"))
 	w.expect(supplyLine("a", "rows"))
-	l.Pass(c)
+	l.ContinueWithout(c)
 	w.expect(`{"op":"pass","id":"c"}`)
 	w.say(blockedLine(5, "a", "q4"), `{"op":"finished","seq":6,"id":"c","end":"complete","ms":1,"body":""}`)
 	standin.Eventually(t, "a second call", func() bool { return len(sink.blocked()) == 4 && len(sink.finished()) == 1 })
-	l.Supply(b, nil)
+	l.ContinueWithResult(b, nil)
 	w.expect(supplyLine("b", ""))
 	w.c.Close() // at once, so that it may not have read that
 	w.accept(6)
-	l.Supply(c, []byte("late")) // it is over
-	l.Supply(a, []byte("more")) // waits for the replay to end
+	l.ContinueWithResult(c, []byte("late")) // it is over
+	l.ContinueWithResult(a, []byte("more")) // waits for the replay to end
 	w.say(`{"op":"bound","end":"hot","ms":5}`)
 	w.expect(`{"op":"poll","tag":"r2"}`)
 	w.say(`{"op":"polled","tag":"r2","values":[0,0]}`)
@@ -509,7 +509,7 @@
 		}
 	}
 	w.silent()
-	l.Suspend(a)
+	l.StopRun(a)
 	w.expect(`{"op":"suspend","id":"a"}`)
 }
 
@@ -521,7 +521,7 @@
 	link := 1
 	for cut, whole := 0, 1; cut < whole; cut++ {
 		txn := fmt.Sprintf("%016x", cut)
-		l.Spawn(request(txn, false))
+		l.StartRun(request(txn, false))
 		w.expect(spawnLine(txn))
 		w.say(fmt.Sprintf(`{"op":"polled","tag":"g%d","values":[0,0]}`, cut+1)) // so it has been heard of
 		line := fmt.Sprintf(`{"op":"finished","seq":%d,"id":%q,"end":"complete","ms":3,"body":"cm93cw=="}`, cut+1, txn)
@@ -545,7 +545,7 @@
 		}
 		standin.Eventually(t, "the link", l.isReady)
 	}
-	if n := l.Counters.Respawns.Load(); n != 0 {
+	if n := l.Counters.Restarted.Load(); n != 0 {
 		t.Errorf("%d runs were asked for again", n)
 	}
 }
