--- a/cmd/robinmast/counters.go
+++ b/cmd/robinmast/counters.go
@@ -27,7 +27,7 @@
 	var use syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &use) // zeros, should it fail
 	cpu := time.Duration(use.Utime.Nano() + use.Stime.Nano())
-	heldConnects, heldProbes := f.Held()
+	heldConnects, heldProbes := f.Delayed()
 	args := []any{
 		slog.Group("requests",
 			"read", l.Read.Load(), "served", l.Count(exchange.EndedServed), "refused", l.Count(exchange.EndedRefused),
@@ -127,7 +127,7 @@
 		"opened", t.Opened.Load(), "bytes_in", t.BytesIn.Load(), "bytes_out", t.BytesOut.Load(),
 		"queued", t.Queued.Load(), "sent", t.Sent.Load(), "dropped", t.Dropped.Load(),
 	}
-	for _, e := range stream.Ends() {
+	for _, e := range stream.CloseReasons() {
 		if n := t.Ended[e].Load(); n > 0 {
 			args = append(args, "end_"+e.String(), n)
 		}
--- a/cmd/robinmast/main.go
+++ b/cmd/robinmast/main.go
@@ -75,7 +75,7 @@
 	}
 	limit(cfg)
 	cfg.own, cfg.began = own, began
-	settings.UseTogether(&cfg.set, own)
+	settings.UseShedding(&cfg.set, own)
 	if err := settings.UsePools(&cfg.set, cfg.names, own); err != nil {
 		return failure{error: err, status: statusConfig}
 	}
@@ -145,7 +145,7 @@
 		return nil, nil
 	}
 	spread := time.Duration(0)
-	if cfg.own.Comeback.Enabled {
+	if cfg.own.Recovery.Enabled {
 		spread = upkeepSpread
 	}
 	mem, err := resultcache.Open(resultcache.Config{
@@ -162,7 +162,7 @@
 // shut closes what it opened itself.
 func comeBack(cfg *platform, mem *resultcache.Cache, began time.Time, log *slog.Logger) (k *recovery.Keeper, shut func(), err error) {
 	shut = func() {}
-	own := cfg.own.Comeback
+	own := cfg.own.Recovery
 	if !own.Enabled {
 		return nil, shut, nil
 	}
@@ -241,7 +241,7 @@
 		if p.control, err = newControlReport(cfg, p.ledger, log); err != nil {
 			return err
 		}
-		if cfg.own.Together.Enabled {
+		if cfg.own.Shedding.Enabled {
 			nc.LoadReport = p.control.word
 		}
 		nc.Load, nc.Health = p.control.load, func(good bool) {
@@ -268,19 +268,19 @@
 	if p.control != nil && back != nil {
 		p.control.remembers(back, p.node.ObservePrevious, p.node.FleetCapacity)
 	}
-	if p.control != nil && cfg.own.Together.Enabled && cfg.own.Together.Told {
+	if p.control != nil && cfg.own.Shedding.Enabled && cfg.own.Shedding.Told {
 		p.control.told = p.node.ReceiveDigest
 	}
 	setup := 0.0
-	if cfg.own.Together.Enabled {
-		setup = cfg.own.Together.Setup * cfg.Limits.Cores
+	if cfg.own.Shedding.Enabled {
+		setup = cfg.own.Shedding.Setup * cfg.Limits.Cores
 	}
 	p.front = front.New(front.Config{
 		Settings: cfg.set, Names: cfg.names, MaxConns: max(sockets, 1),
 		OutBytes: memory / outShare, Setup: setup, Log: log,
 	}, p.node, p.ledger)
 	p.pool = pool.New(cfg.Pool, p.node, log)
-	if cfg.own.Together.Enabled { // its own repeats are part of the harm too
+	if cfg.own.Shedding.Enabled { // its own repeats are part of the harm too
 		p.pool.UseBackoff(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 		p.report.UseBackoff(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	}
--- a/cmd/simhost/fleet.go
+++ b/cmd/simhost/fleet.go
@@ -112,7 +112,7 @@
 	n.build(func() error {
 		set, names, err := settings.ParseNamed(text)
 		if err == nil {
-			settings.UseTogether(&set, f.own)
+			settings.UseShedding(&set, f.own)
 			err = settings.UsePools(&set, names, f.own)
 		}
 		if err != nil {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -30,8 +30,8 @@
 	Control Control
 	Store   Store
 
-	Together Together
-	Comeback Comeback
+	Shedding Shedding
+	Recovery Recovery
 
 	name   string // of the file, for faults found later
 	places places
@@ -75,14 +75,14 @@
 }
 
 // Together is what [together] says.
-type Together struct {
+type Shedding struct {
 	Enabled bool
 	Told    bool    // take the fleet's digest from the control service
 	Setup   float64 // share of a core for new connections and health checks, 0 = as they come
 }
 
 // Comeback is what [comeback] says.
-type Comeback struct {
+type Recovery struct {
 	Enabled   bool
 	Snapshot  bool   // what was learned outlives the process
 	Dir       string // of a store for it where [results] is off
@@ -262,10 +262,10 @@
 			}
 		}
 	}
-	if c.Together.Enabled && c.Together.Told && len(c.Control.Address) == 0 {
+	if c.Shedding.Enabled && c.Shedding.Told && len(c.Control.Address) == 0 {
 		faults = append(faults, Fault{Section: "together", Key: "told", What: "digests come with the answers of a control service: [control] address is required"})
 	}
-	if k := c.Comeback; k.Enabled && k.Snapshot && !c.Results.Enabled && k.Dir == "" {
+	if k := c.Recovery; k.Enabled && k.Snapshot && !c.Results.Enabled && k.Dir == "" {
 		faults = append(faults, Fault{Section: "comeback", Key: "dir", What: "a snapshot needs a folder: dir, or [results] enabled"})
 	}
 	sum, last := c.Pools.Reserve, Fault{Section: "pools", Key: "reserve"}
--- a/internal/dependency/dependency.go
+++ b/internal/dependency/dependency.go
@@ -79,7 +79,7 @@
 		return nil, fmt.Errorf("dial what lies below: %w", err)
 	}
 	return stream.New(raw, stream.Bytes{}, stream.Limits{
-		In: ringLimit, Out: ringLimit, Stall: stream.StallLimit, Linger: lingerTime,
+		In: ringLimit, Out: ringLimit, StallTimeout: stream.StallLimit, Linger: lingerTime,
 	}, &c.Traffic, nil), nil
 }
 
--- a/internal/front/client.go
+++ b/internal/front/client.go
@@ -49,7 +49,7 @@
 }
 
 // ended lets go of what was open when the connection ended.
-func (c *client) ended(end stream.End) {
+func (c *client) ended(end stream.CloseReason) {
 	c.mu.Lock()
 	open := c.open
 	c.open, c.over = nil, time.Now()
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -118,7 +118,7 @@
 		cfg: cfg, lanes: newLanes(cfg.Settings, cfg.Names), sink: sink, ledger: ledger,
 		clients: map[*client]struct{}{}, room: make(chan struct{}, 1),
 		stopped: make(chan struct{}),
-		limits:  stream.Limits{In: inLimit, Out: outLimit, Stall: stream.StallLimit, Linger: linger},
+		limits:  stream.Limits{In: inLimit, Out: outLimit, StallTimeout: stream.StallLimit, Linger: linger},
 		finWait: finWait, partialSoft: partialLimit, partialMax: partialMost, first: firstLimit,
 	}
 	s.Traffic.HeldLimit = cfg.OutBytes
@@ -190,7 +190,7 @@
 			cl := l.s.wrap(c)
 			l.s.took(connlimit.Connect, began)
 			if l.ctx.Err() != nil { // it waited until the end
-				cl.Shut(stream.LeftByUs)
+				cl.Abort(stream.ClosedLocally)
 			}
 			return cl, nil
 		case errors.Is(err, net.ErrClosed):
@@ -263,7 +263,7 @@
 }
 
 // Held is how many connections and health checks had to wait at the door.
-func (s *Server) Held() (connects, probes int) {
+func (s *Server) Delayed() (connects, probes int) {
 	if s.door == nil {
 		return 0, 0
 	}
@@ -316,7 +316,7 @@
 	if best == nil || lingering >= lingerMost {
 		return false
 	}
-	if !best.Said() { // nothing was sent on it that a reset could take away
+	if !best.HasSent() { // nothing was sent on it that a reset could take away
 		best.Hurry()
 	}
 	best.Retire(stream.IdleClosed)
@@ -336,7 +336,7 @@
 		cl.sayFin()
 	}
 	if shut {
-		cl.Leave(stream.LeftByUs)
+		cl.Leave(stream.ClosedLocally)
 	}
 	return cl
 }
@@ -367,7 +367,7 @@
 // unless redcon takes for broken what the framing let through.
 func (s *Server) closed(conn redcon.Conn, _ error) {
 	if c, ok := conn.Context().(*client); ok {
-		c.Shut(stream.BadFraming)
+		c.Abort(stream.BadFraming)
 	}
 }
 
@@ -478,7 +478,7 @@
 	s.shut = true
 	s.mu.Unlock()
 	for _, c := range s.all() {
-		c.Leave(stream.LeftByUs)
+		c.Leave(stream.ClosedLocally)
 	}
 	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(leavePoll) {
 		select {
@@ -491,7 +491,7 @@
 	}
 	for _, c := range s.all() {
 		c.Hurry()
-		c.Shut(stream.LeftByUs)
+		c.Abort(stream.ClosedLocally)
 	}
 	return false
 }
@@ -509,6 +509,6 @@
 // Shut ends every connection.
 func (s *Server) Shut() {
 	for _, c := range s.all() {
-		c.Shut(stream.LeftByUs)
+		c.Abort(stream.ClosedLocally)
 	}
 }
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -105,7 +105,7 @@
 			return f.Queued.Load() == f.Sent.Load()+f.Dropped.Load() && f.Held.Load() == 0
 		})
 		ended := int64(0)
-		for _, e := range stream.Ends() {
+		for _, e := range stream.CloseReasons() {
 			ended += f.Ended[e].Load()
 		}
 		if ended != f.Opened.Load() || b.ledger.OpenRequests() != 0 {
@@ -330,7 +330,7 @@
 	}
 	for name, c := range map[string]struct {
 		do   func(*standin.Dispatcher)
-		want stream.End
+		want stream.CloseReason
 	}{
 		"reset":          {func(d *standin.Dispatcher) { d.SetLinger(0); d.Close() }, stream.PeerReset},
 		"inline command": {func(d *standin.Dispatcher) { d.Write([]byte("PING\r\n")) }, stream.BadFraming},
@@ -400,7 +400,7 @@
 // By whichever End a connection goes, at each point of a request's life: what is
 // open is let go once, what has ended stays as it ended, others are untouched.
 func TestEveryEnd(t *testing.T) {
-	for _, end := range stream.Ends() {
+	for _, end := range stream.CloseReasons() {
 		if end.Outcome() == rules.ConnectFailed { // nothing was ever open on it
 			continue
 		}
@@ -418,8 +418,8 @@
 			}
 			for _, c := range b.all() {
 				if c.RemoteAddr().String() == d.LocalAddr().String() {
-					c.Shut(end)
-					c.Shut(stream.PeerReset)
+					c.Abort(end)
+					c.Abort(stream.PeerReset)
 				}
 			}
 			if got := d.Hear(); got != "EOF" {
@@ -516,7 +516,7 @@
 			slowest = max(slowest, time.Since(began))
 		}
 		calling.Wait()
-		held, _ = b.Held()
+		held, _ = b.Delayed()
 		return b.Traffic.Opened.Load(), slowest, held
 	}
 	open, _, _ := flood(0)
@@ -547,8 +547,8 @@
 	later := time.Now().Add(time.Minute)
 	b.excuse(later)
 	b.sweepOnce(later)
-	if c.Ended() != stream.StillOpen {
-		t.Fatalf("ended by %v", c.Ended())
+	if c.CloseReason() != stream.StillOpen {
+		t.Fatalf("ended by %v", c.CloseReason())
 	}
 	d.Write(half[9:])
 	if got := d.Hear(); got != "1 GREEN  " {
@@ -651,7 +651,7 @@
 	if d := time.Since(began); d < 3*acceptPause || b.Counters.Accepts.Load() != 3 {
 		t.Errorf("accepted after %v and %d failures", d, b.Counters.Accepts.Load())
 	}
-	got.(*client).Shut(stream.LeftByUs)
+	got.(*client).Abort(stream.ClosedLocally)
 	cancel()
 	if _, err := (&listener{Listener: &starved{ln, 9}, s: b.Server, ctx: ctx}).Accept(); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("after the end: %v", err)
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -144,7 +144,7 @@
 		r.Traffic.NeverOpened(err)
 		return nil, err
 	}
-	return stream.New(raw, stream.Bytes{}, stream.Limits{In: ringLimit, Out: ringLimit, Stall: timeout, Linger: lingerTime}, &r.Traffic, nil), nil
+	return stream.New(raw, stream.Bytes{}, stream.Limits{In: ringLimit, Out: ringLimit, StallTimeout: timeout, Linger: lingerTime}, &r.Traffic, nil), nil
 }
 
 // Poke has a report sent at once.
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -30,7 +30,7 @@
 		<-done
 		standin.Eventually(t, "every connection's end", func() bool {
 			ended := int64(0)
-			for _, e := range stream.Ends() {
+			for _, e := range stream.CloseReasons() {
 				ended += r.Traffic.Ended[e].Load()
 			}
 			return ended == r.Traffic.Opened.Load() && r.Traffic.Held.Load() == 0
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -285,7 +285,7 @@
 				l.again.Succeeded()
 			}
 		}
-		if end == stream.LeftByUs {
+		if end == stream.ClosedLocally {
 			l.log.Info("worker pool link moved", "runs", l.OpenRuns())
 			continue
 		}
@@ -315,14 +315,14 @@
 }
 
 // once opens a link and reads from it until it ends.
-func (l *Link) once(ctx context.Context) (stream.End, error) {
+func (l *Link) once(ctx context.Context) (stream.CloseReason, error) {
 	raw, err := l.dial(ctx)
 	if err != nil {
 		return l.Traffic.NeverOpened(err), err
 	}
 	c := stream.New(raw, &stream.Lines{Longest: longestLine},
-		stream.Limits{In: inLimit, Out: outLimit, Stall: l.await, Linger: lingerTime}, &l.Traffic, nil)
-	stop := context.AfterFunc(ctx, func() { c.Shut(stream.LeftByUs) })
+		stream.Limits{In: inLimit, Out: outLimit, StallTimeout: l.await, Linger: lingerTime}, &l.Traffic, nil)
+	stop := context.AfterFunc(ctx, func() { c.Abort(stream.ClosedLocally) })
 	defer stop()
 	linked, unlink := context.WithCancel(ctx)
 	followed := make(chan struct{})
@@ -341,12 +341,12 @@
 	l.mu.Lock()
 	l.conn, l.ready, l.broke = nil, false, time.Now()
 	l.mu.Unlock()
-	c.Shut(stream.EndOf(err, stream.ReadFailed))
+	c.Abort(stream.CloseReasonOf(err, stream.ReadFailed))
 	<-c.Done()
 	if ctx.Err() != nil {
 		<-c.WhenClosed() // the process ends: nobody else would read on
 	}
-	return c.Ended(), err
+	return c.CloseReason(), err
 }
 
 // dial opens a connection to the worker pool, or takes the one that follow opened.
@@ -391,7 +391,7 @@
 			l.mu.Lock()
 			l.next = raw
 			l.mu.Unlock()
-			c.Shut(stream.LeftByUs)
+			c.Abort(stream.ClosedLocally)
 			return
 		}
 		l.Traffic.NeverOpened(err)
@@ -424,10 +424,10 @@
 	}
 	err := lines.Err()
 	if ne, ok := err.(net.Error); ok && ne.Timeout() {
-		return &stream.Error{End: stream.ReadStalled, Cause: err}
+		return &stream.Error{Reason: stream.ReadStalled, Cause: err}
 	}
 	if err == nil {
-		err = &stream.Error{End: stream.PeerClosed}
+		err = &stream.Error{Reason: stream.PeerClosed}
 	}
 	return err
 }
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -104,7 +104,7 @@
 			w.c.Close()
 		}
 		ended := int64(0)
-		for _, e := range stream.Ends() {
+		for _, e := range stream.CloseReasons() {
 			ended += l.Traffic.Ended[e].Load()
 		}
 		if ended != l.Traffic.Opened.Load() || l.Traffic.Queued.Load() != l.Traffic.Sent.Load()+l.Traffic.Dropped.Load() {
@@ -369,7 +369,7 @@
 func TestLinkReplaced(t *testing.T) {
 	for name, c := range map[string]struct {
 		do   func(w *workers)
-		want stream.End
+		want stream.CloseReason
 	}{
 		"closed":             {func(w *workers) { w.c.Close() }, stream.PeerClosed},
 		"reset":              {func(w *workers) { w.c.(*net.TCPConn).SetLinger(0); w.c.Close() }, stream.PeerReset},
@@ -432,7 +432,7 @@
 		l := New("", sink, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		near, far := net.Pipe()
 		go io.Copy(io.Discard, far)
-		c := stream.New(near, &stream.Lines{Longest: longestLine}, stream.Limits{In: inLimit, Out: outLimit, Stall: time.Second}, &l.Traffic, nil)
+		c := stream.New(near, &stream.Lines{Longest: longestLine}, stream.Limits{In: inLimit, Out: outLimit, StallTimeout: time.Second}, &l.Traffic, nil)
 		defer func() { c.Close(); far.Close(); <-c.Done() }()
 		l.conn = c
 		l.StartRun(request("a", true))
--- a/internal/recovery/keeper.go
+++ b/internal/recovery/keeper.go
@@ -49,7 +49,7 @@
 
 // Config is what a Keeper needs.
 type Config struct {
-	Own      config.Comeback
+	Own      config.Recovery
 	Store    *store.Store   // nil = nothing outlives the node
 	Recovery store.Recovery // of its opening
 	Results  bool           // the store holds remembered results: what is missing there is in doubt
--- a/internal/recovery/keeper_test.go
+++ b/internal/recovery/keeper_test.go
@@ -48,7 +48,7 @@
 		w.disk.Fail(func(vfs.Op) error { return syscall.ENOSPC })
 	}
 	w.log.Reset()
-	k, err = Open(Config{Own: config.Comeback{Enabled: true, Snapshot: snapshot}, Store: s, Recovery: rec, Results: true, Node: w.name, Listens: 1,
+	k, err = Open(Config{Own: config.Recovery{Enabled: true, Snapshot: snapshot}, Store: s, Recovery: rec, Results: true, Node: w.name, Listens: 1,
 		Settings: w.set, Names: settings.Names{Classes: []string{"a", "b", "c"}}, Log: slog.New(slog.NewTextHandler(&w.log, nil)),
 		Wall: func() int64 { return w.wall }}, time.Now())
 	if err != nil {
--- a/internal/settings/together.go
+++ b/internal/settings/together.go
@@ -12,10 +12,10 @@
 )
 
 // UseTogether lets the module refuse with the fleet in mind, if own switches it on.
-func UseTogether(set *rules.Settings, own *config.Config) {
-	if !own.Together.Enabled {
+func UseShedding(set *rules.Settings, own *config.Config) {
+	if !own.Shedding.Enabled {
 		return
 	}
-	told := own.Together.Told
+	told := own.Shedding.Told
 	set.NewShedder = func(now time.Duration) rules.Shedder { return shedding.New(now, told) }
 }
--- a/internal/stream/close.go
+++ b/internal/stream/close.go
@@ -34,16 +34,16 @@
 
 // Retire ends a connection that carries nothing. Input that is there by then
 // keeps it.
-func (c *Conn) Retire(end End) { c.planned(retiring, end) }
+func (c *Conn) Retire(end CloseReason) { c.planned(retiring, end) }
 
 // Leave ends the connection at the first moment at which all that was read is
 // answered and nothing more has come.
-func (c *Conn) Leave(end End) { c.planned(leaving, end) }
+func (c *Conn) Leave(end CloseReason) { c.planned(leaving, end) }
 
 // Stop takes no more requests, and ends the connection once those read are answered.
-func (c *Conn) Stop(end End) { c.planned(stopping, end) }
+func (c *Conn) Stop(end CloseReason) { c.planned(stopping, end) }
 
-func (c *Conn) planned(p plan, end End) {
+func (c *Conn) planned(p plan, end CloseReason) {
 	c.mu.Lock()
 	if c.end == StillOpen && uint32(p) > c.plan.Load() {
 		c.plan.Store(uint32(p))
@@ -54,7 +54,7 @@
 }
 
 // Ending tells whether an end is planned or has come.
-func (c *Conn) Ending() bool { return plan(c.plan.Load()) != serving || c.Ended() != StillOpen }
+func (c *Conn) Ending() bool { return plan(c.plan.Load()) != serving || c.CloseReason() != StillOpen }
 
 // Nudge lets the reader look again whether a planned end can come: something that
 // it waits for has changed.
@@ -89,7 +89,7 @@
 }
 
 // Said tells whether anything was ever sent on it.
-func (c *Conn) Said() bool {
+func (c *Conn) HasSent() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.queued > 0
@@ -98,7 +98,7 @@
 // Hurry ends the lingering of a connection now; its descriptor is needed.
 func (c *Conn) Hurry() {
 	c.hurried.Store(true)
-	if c.Ended() != StillOpen {
+	if c.CloseReason() != StillOpen {
 		_ = c.Conn.SetReadDeadline(time.Unix(1, 0))
 	}
 }
@@ -111,8 +111,8 @@
 		return c.plainly(space)
 	}
 	for {
-		if end := c.Ended(); end != StillOpen {
-			return 0, &Error{End: end}
+		if end := c.CloseReason(); end != StillOpen {
+			return 0, &Error{Reason: end}
 		}
 		n, err := 0, error(nil)
 		p := plan(c.plan.Load())
@@ -144,10 +144,10 @@
 			c.readEnd.CompareAndSwap(uint32(StillOpen), uint32(PeerClosed))
 			c.Stop(PeerClosed)
 		case err != nil && n == 0:
-			end := EndOf(err, ReadFailed)
-			c.Shut(end)
-			return 0, &Error{End: end, Cause: err}
-		case plan(c.plan.Load()) == stopping || c.Ended() != StillOpen:
+			end := CloseReasonOf(err, ReadFailed)
+			c.Abort(end)
+			return 0, &Error{Reason: end, Cause: err}
+		case plan(c.plan.Load()) == stopping || c.CloseReason() != StillOpen:
 			c.wasted += n
 			c.traffic.Discarded.Add(int64(n))
 		default:
@@ -161,13 +161,13 @@
 func (c *Conn) plainly(space []byte) (int, error) {
 	c.reading.Lock()
 	defer c.reading.Unlock()
-	if end := c.Ended(); end != StillOpen {
-		return 0, &Error{End: end}
+	if end := c.CloseReason(); end != StillOpen {
+		return 0, &Error{Reason: end}
 	}
 	n, err := c.Conn.Read(space)
-	if end := c.Ended(); end != StillOpen {
+	if end := c.CloseReason(); end != StillOpen {
 		c.traffic.Discarded.Add(int64(n))
-		return 0, &Error{End: end}
+		return 0, &Error{Reason: end}
 	}
 	return n, err
 }
@@ -199,7 +199,7 @@
 	if c.limits.BeforeFIN != nil {
 		c.limits.BeforeFIN()
 	}
-	c.Shut(end)
+	c.Abort(end)
 	return true
 }
 
@@ -236,7 +236,7 @@
 
 // Shut ends the connection now; what is queued and not sent is dropped. The first
 // End counts, later ones do nothing.
-func (c *Conn) Shut(end End) {
+func (c *Conn) Abort(end CloseReason) {
 	c.mu.Lock()
 	if c.end != StillOpen {
 		c.mu.Unlock()
@@ -262,17 +262,17 @@
 
 // Close ends the connection: in the way that reading ended, else from this side.
 func (c *Conn) Close() error {
-	end := c.ReadEnd()
+	end := c.ReadCloseReason()
 	if end == StillOpen {
-		end = LeftByUs
+		end = ClosedLocally
 	}
-	c.Shut(end)
+	c.Abort(end)
 	return nil
 }
 
 // hangUp is the last of a connection: FIN, reading on until the peer has ended its
 // side or the bound is reached, close.
-func (c *Conn) hangUp(end End) {
+func (c *Conn) hangUp(end CloseReason) {
 	defer close(c.closed)
 	if c.Owes == nil { // the reader first lets go: it may wait for what never comes
 		_ = c.Conn.SetReadDeadline(time.Unix(1, 0))
--- a/internal/stream/conn.go
+++ b/internal/stream/conn.go
@@ -22,9 +22,9 @@
 
 // Limits bound what a connection may hold and wait for.
 type Limits struct {
-	In    int           // bytes of the in ring, more than any message
-	Out   int           // bytes of the out ring
-	Stall time.Duration // how long the peer may take nothing
+	In           int           // bytes of the in ring, more than any message
+	Out          int           // bytes of the out ring
+	StallTimeout time.Duration // how long the peer may take nothing
 
 	// Linger is how long an ended connection is still read, what comes being
 	// discarded, until the peer has ended its side too. 0 = it is closed at once.
@@ -48,8 +48,8 @@
 }
 
 // NeverOpened counts a try to connect that came to nothing.
-func (t *Traffic) NeverOpened(err error) End {
-	end := EndOf(err, DialFailed)
+func (t *Traffic) NeverOpened(err error) CloseReason {
+	end := CloseReasonOf(err, DialFailed)
 	if end.Outcome() != rules.ConnectFailed {
 		end = DialFailed
 	}
@@ -67,7 +67,7 @@
 	frame   Framer
 	in      *Ring         // owned by the reader
 	ready   int           // bytes at its front that are whole messages
-	broken  End           // what comes after them is no message
+	broken  CloseReason   // what comes after them is no message
 	eof     bool          // the peer has ended its side
 	wasted  int           // bytes read and discarded
 	readEnd atomic.Uint32 // how reading ended, for Close
@@ -86,21 +86,21 @@
 
 	mu     sync.Mutex
 	out    *Ring
-	queued uint64   // bytes ever queued
-	sent   uint64   // bytes ever sent
-	marks  []uint64 // where queued messages end, oldest first
-	held   int64    // its part of traffic.Held
-	why    End      // what the plan ends it by
-	end    End
+	queued uint64      // bytes ever queued
+	sent   uint64      // bytes ever sent
+	marks  []uint64    // where queued messages end, oldest first
+	held   int64       // its part of traffic.Held
+	why    CloseReason // what the plan ends it by
+	end    CloseReason
 	wake   chan struct{}
 	done   chan struct{} // closed when the writer has ended
 	closed chan struct{} // closed when the descriptor is free
-	onEnd  func(End)
+	onEnd  func(CloseReason)
 }
 
 // New wraps a connection and starts its writer. onEnd is called once, when the
 // connection has ended, by the goroutine that ended it; it may be nil.
-func New(c net.Conn, frame Framer, l Limits, t *Traffic, onEnd func(End)) *Conn {
+func New(c net.Conn, frame Framer, l Limits, t *Traffic, onEnd func(CloseReason)) *Conn {
 	t.Opened.Add(1)
 	s := &Conn{
 		Conn: c, traffic: t, limits: l, frame: frame, in: NewRing(l.In), out: NewRing(l.Out),
@@ -116,19 +116,19 @@
 func (c *Conn) Read(p []byte) (int, error) {
 	n, err := c.read(p)
 	if err != nil {
-		c.readEnd.CompareAndSwap(uint32(StillOpen), uint32(EndOf(err, ReadFailed)))
+		c.readEnd.CompareAndSwap(uint32(StillOpen), uint32(CloseReasonOf(err, ReadFailed)))
 	}
 	return n, err
 }
 
 // ReadEnd is how reading ended, StillOpen while it has not.
-func (c *Conn) ReadEnd() End { return End(c.readEnd.Load()) }
+func (c *Conn) ReadCloseReason() CloseReason { return CloseReason(c.readEnd.Load()) }
 
 func (c *Conn) read(p []byte) (int, error) {
 	for c.ready == 0 {
 		if c.broken != StillOpen {
 			if c.Owes == nil {
-				return 0, &Error{End: c.broken}
+				return 0, &Error{Reason: c.broken}
 			}
 			c.in.Discard(c.in.Len())
 			c.partial.Store(0)
@@ -154,7 +154,7 @@
 }
 
 // scan queues what was read up to the first broken byte.
-func (c *Conn) scan(p []byte) End {
+func (c *Conn) scan(p []byte) CloseReason {
 	c.traffic.BytesIn.Add(int64(len(p)))
 	before := c.in.Len()
 	whole, end := c.frame.Scan(p)
@@ -215,7 +215,7 @@
 			c.traffic.Dropped.Add(1)
 		}
 		c.mu.Unlock()
-		c.Shut(Overflow)
+		c.Abort(Overflow)
 		return false
 	}
 	c.queued += uint64(len(msg))
@@ -248,7 +248,7 @@
 }
 
 // Ended is how the connection ended, StillOpen while it has not.
-func (c *Conn) Ended() End {
+func (c *Conn) CloseReason() CloseReason {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.end
@@ -289,8 +289,8 @@
 		}
 		var err error
 		if !now.Before(renew) {
-			err = c.Conn.SetWriteDeadline(now.Add(c.limits.Stall / 4))
-			renew = now.Add(c.limits.Stall / 8)
+			err = c.Conn.SetWriteDeadline(now.Add(c.limits.StallTimeout / 4))
+			renew = now.Add(c.limits.StallTimeout / 8)
 		}
 		if err == nil {
 			n, err = c.Conn.Write(chunk)
@@ -307,13 +307,13 @@
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			renew = time.Time{}
-			if time.Since(waiting) < c.limits.Stall {
+			if time.Since(waiting) < c.limits.StallTimeout {
 				continue
 			}
-			c.Shut(WriteStalled)
+			c.Abort(WriteStalled)
 			return
 		}
-		c.Shut(EndOf(err, WriteFailed))
+		c.Abort(CloseReasonOf(err, WriteFailed))
 		return
 	}
 }
--- a/internal/stream/conn_test.go
+++ b/internal/stream/conn_test.go
@@ -14,7 +14,7 @@
 )
 
 // pair is a loopback connection: one end wrapped, the other bare.
-func pair(t *testing.T, l Limits, tr *Traffic, onEnd func(End)) (*Conn, *net.TCPConn) {
+func pair(t *testing.T, l Limits, tr *Traffic, onEnd func(CloseReason)) (*Conn, *net.TCPConn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -34,7 +34,7 @@
 	return c, peer.(*net.TCPConn)
 }
 
-var usual = Limits{In: 8 << 10, Out: 64 << 10, Stall: 10 * time.Second}
+var usual = Limits{In: 8 << 10, Out: 64 << 10, StallTimeout: 10 * time.Second}
 
 func (t *Traffic) balance() error {
 	if q, s, d := t.Queued.Load(), t.Sent.Load(), t.Dropped.Load(); q != s+d {
@@ -66,7 +66,7 @@
 		}
 		all = append(all, buf[:n]...)
 		if err != nil {
-			if EndOf(err, ReadFailed) != PeerClosed {
+			if CloseReasonOf(err, ReadFailed) != PeerClosed {
 				t.Errorf("ended with %v", err)
 			}
 			break
@@ -119,7 +119,7 @@
 				time.Sleep(time.Millisecond)
 			}
 		}
-		c.Leave(LeftByUs)
+		c.Leave(ClosedLocally)
 	}()
 	got, err := io.ReadAll(peer)
 	if err != nil || !bytes.Equal(got, want.Bytes()) {
@@ -134,23 +134,23 @@
 // Each way in which a peer can end a connection, or be ended for, gets its name,
 // once, and nothing that was queued is left uncounted.
 func TestEnds(t *testing.T) {
-	small := Limits{In: 8 << 10, Out: 2 << 10, Stall: 200 * time.Millisecond}
+	small := Limits{In: 8 << 10, Out: 2 << 10, StallTimeout: 200 * time.Millisecond}
 	flood := make([]byte, 1<<10)
 	for name, c := range map[string]struct {
 		limits Limits
 		do     func(c *Conn, peer *net.TCPConn)
-		want   End
+		want   CloseReason
 	}{
 		"closes":   {usual, func(_ *Conn, p *net.TCPConn) { p.CloseWrite() }, PeerClosed},
 		"resets":   {usual, func(_ *Conn, p *net.TCPConn) { p.SetLinger(0); p.Close() }, PeerReset},
 		"too long": {usual, func(_ *Conn, p *net.TCPConn) { p.Write(make([]byte, 6<<10)) }, TooLong},
 		"finished": {usual, func(c *Conn, _ *net.TCPConn) { c.Send([]byte("x\n")); c.Retire(IdleClosed) }, IdleClosed},
-		"closed":   {usual, func(c *Conn, _ *net.TCPConn) { c.Close() }, LeftByUs},
+		"closed":   {usual, func(c *Conn, _ *net.TCPConn) { c.Close() }, ClosedLocally},
 		"overflows": {small, func(c *Conn, _ *net.TCPConn) {
 			for c.Send(flood) {
 			}
 		}, Overflow},
-		"takes nothing": {Limits{In: 8 << 10, Out: 32 << 20, Stall: 200 * time.Millisecond}, func(c *Conn, _ *net.TCPConn) {
+		"takes nothing": {Limits{In: 8 << 10, Out: 32 << 20, StallTimeout: 200 * time.Millisecond}, func(c *Conn, _ *net.TCPConn) {
 			for range 16 << 10 {
 				c.Send(flood)
 			}
@@ -158,8 +158,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var tr Traffic
-			ended := make(chan End, 8)
-			conn, peer := pair(t, c.limits, &tr, func(e End) { ended <- e })
+			ended := make(chan CloseReason, 8)
+			conn, peer := pair(t, c.limits, &tr, func(e CloseReason) { ended <- e })
 			if name == "finished" {
 				conn.Owes = func() bool { return false }
 			}
@@ -167,8 +167,8 @@
 				buf := make([]byte, 64)
 				for {
 					if _, err := conn.Read(buf); err != nil {
-						if conn.Ended() == StillOpen {
-							conn.Shut(EndOf(err, ReadFailed))
+						if conn.CloseReason() == StillOpen {
+							conn.Abort(CloseReasonOf(err, ReadFailed))
 						}
 						return
 					}
@@ -183,10 +183,10 @@
 			case <-time.After(10 * time.Second):
 				t.Fatal("did not end")
 			}
-			conn.Shut(DialFailed) // the first end counts
+			conn.Abort(DialFailed) // the first end counts
 			<-conn.Done()
-			if conn.Ended() != c.want || tr.Ended[c.want].Load() != 1 || tr.Ended[DialFailed].Load() != 0 || len(ended) != 0 {
-				t.Errorf("ended again: %v", conn.Ended())
+			if conn.CloseReason() != c.want || tr.Ended[c.want].Load() != 1 || tr.Ended[DialFailed].Load() != 0 || len(ended) != 0 {
+				t.Errorf("ended again: %v", conn.CloseReason())
 			}
 			if conn.Send([]byte("late\n")) {
 				t.Error("took a message after its end")
@@ -202,14 +202,14 @@
 // ends, the others go on.
 func TestSharedMemoryBound(t *testing.T) {
 	tr := &Traffic{HeldLimit: 256 << 10}
-	limits := Limits{In: 8 << 10, Out: 8 << 20, Stall: 10 * time.Second}
+	limits := Limits{In: 8 << 10, Out: 8 << 20, StallTimeout: 10 * time.Second}
 	slow, _ := pair(t, limits, tr, nil)
 	other, peer := pair(t, limits, tr, nil)
 	chunk := make([]byte, 16<<10)
 	for slow.Send(chunk) {
 	}
-	if slow.Ended() != Overflow {
-		t.Fatalf("ended as %v", slow.Ended())
+	if slow.CloseReason() != Overflow {
+		t.Fatalf("ended as %v", slow.CloseReason())
 	}
 	if !other.Send([]byte("still here\n")) {
 		t.Fatal("the other connection takes nothing")
@@ -223,13 +223,13 @@
 func TestEndOf(t *testing.T) {
 	for _, c := range []struct {
 		err  error
-		want End
+		want CloseReason
 	}{
 		{nil, StillOpen}, {io.EOF, PeerClosed}, {fmt.Errorf("x: %w", syscall.ECONNRESET), PeerReset},
-		{syscall.EPIPE, PeerReset}, {io.ErrClosedPipe, PeerReset}, {net.ErrClosed, LeftByUs},
-		{syscall.ECONNREFUSED, DialRefused}, {&Error{End: TooLong}, TooLong}, {errors.New("odd"), WriteFailed},
+		{syscall.EPIPE, PeerReset}, {io.ErrClosedPipe, PeerReset}, {net.ErrClosed, ClosedLocally},
+		{syscall.ECONNREFUSED, DialRefused}, {&Error{Reason: TooLong}, TooLong}, {errors.New("odd"), WriteFailed},
 	} {
-		if got := EndOf(c.err, WriteFailed); got != c.want {
+		if got := CloseReasonOf(c.err, WriteFailed); got != c.want {
 			t.Errorf("%v is %v, want %v", c.err, got, c.want)
 		}
 	}
@@ -239,7 +239,7 @@
 // open what it carried, and only a dial proves that nothing was reached.
 func TestOutcomes(t *testing.T) {
 	names := map[string]bool{}
-	for _, e := range Ends() {
+	for _, e := range CloseReasons() {
 		if names[e.String()] || e.String() == "unknown" || e.String() == "" {
 			t.Errorf("%d has no name of its own", e)
 		}
@@ -275,14 +275,14 @@
 		t.Fatalf("%q, %v", r.text, r.err)
 	}
 	go next() // waits for more, or is about to
-	c.Shut(LeftByUs)
+	c.Abort(ClosedLocally)
 	if n, err := peer.Read(make([]byte, 1)); err != io.EOF {
 		t.Fatalf("no FIN: %d bytes, %v", n, err)
 	}
 	peer.Write([]byte("two\n"))
 	select {
 	case r := <-reads:
-		if EndOf(r.err, StillOpen) != LeftByUs || r.text != "" {
+		if CloseReasonOf(r.err, StillOpen) != ClosedLocally || r.text != "" {
 			t.Errorf("read %q, %v", r.text, r.err)
 		}
 	case <-time.After(8 * time.Second):
@@ -315,7 +315,7 @@
 			peer.Write(bytes)
 			select {
 			case err := <-read:
-				if e := EndOf(err, StillOpen); e != BadFraming && e != TooLong {
+				if e := CloseReasonOf(err, StillOpen); e != BadFraming && e != TooLong {
 					t.Error(err)
 				}
 			case <-time.After(8 * time.Second):
--- a/internal/stream/end.go
+++ b/internal/stream/end.go
@@ -16,24 +16,24 @@
 // End is how a connection ended. Every connection of the node, to dispatchers,
 // to the worker pool and to the membership service, ends in exactly one of
 // these ways.
-type End uint8
+type CloseReason uint8
 
 // The ways a connection can end.
 const (
-	StillOpen    End = iota
-	PeerClosed       // the peer has sent all it had to say, and closed in order
-	PeerReset        // the peer broke the connection off
-	ReadFailed       // any other trouble while reading
-	WriteFailed      // any other trouble while writing
-	BadFraming       // bytes that are no message
-	TooLong          // a message, or a part of one, beyond its bound
-	ReadStalled      // a message began and did not go on, or an awaited one never came
-	WriteStalled     // the peer took nothing for too long
-	Overflow         // the peer left more unread than is kept for it
-	IdleClosed       // closed here, as it carried nothing for too long
-	LeftByUs         // closed here, as the node leaves or uses another connection
-	DialRefused      // never opened: nobody listens
-	DialFailed       // never opened: any other trouble
+	StillOpen     CloseReason = iota
+	PeerClosed                // the peer has sent all it had to say, and closed in order
+	PeerReset                 // the peer broke the connection off
+	ReadFailed                // any other trouble while reading
+	WriteFailed               // any other trouble while writing
+	BadFraming                // bytes that are no message
+	TooLong                   // a message, or a part of one, beyond its bound
+	ReadStalled               // a message began and did not go on, or an awaited one never came
+	WriteStalled              // the peer took nothing for too long
+	Overflow                  // the peer left more unread than is kept for it
+	IdleClosed                // closed here, as it carried nothing for too long
+	ClosedLocally             // closed here, as the node leaves or uses another connection
+	DialRefused               // never opened: nobody listens
+	DialFailed                // never opened: any other trouble
 	numEnds
 )
 
@@ -43,7 +43,7 @@
 }
 
 // String is the name that logs and counters use.
-func (e End) String() string {
+func (e CloseReason) String() string {
 	if e < numEnds {
 		return endNames[e]
 	}
@@ -51,8 +51,8 @@
 }
 
 // Ends lists every way a connection can end.
-func Ends() []End {
-	all := make([]End, 0, numEnds-1)
+func CloseReasons() []CloseReason {
+	all := make([]CloseReason, 0, numEnds-1)
 	for e := StillOpen + 1; e < numEnds; e++ {
 		all = append(all, e)
 	}
@@ -62,7 +62,7 @@
 // Outcome is the one place that maps an End to the decision module's outcomes,
 // for whatever was open on the connection. OK means that it stays open: a peer
 // that closed its side in order may still read what it is owed.
-func (e End) Outcome() rules.Outcome {
+func (e CloseReason) Outcome() rules.Outcome {
 	switch e {
 	case StillOpen, PeerClosed:
 		return rules.OK
@@ -70,14 +70,14 @@
 		return rules.ConnectFailed
 	case ReadStalled, WriteStalled, Overflow:
 		return rules.TimedOut
-	case IdleClosed, LeftByUs:
+	case IdleClosed, ClosedLocally:
 		return rules.Cancelled
 	}
 	return rules.ConnectionReset
 }
 
 // lingers tells whether the peer may still be sending, and hear what was sent to it.
-func (e End) lingers() bool {
+func (e CloseReason) lingers() bool {
 	switch e {
 	case PeerClosed, PeerReset, ReadFailed, WriteFailed, DialRefused, DialFailed:
 		return false
@@ -87,15 +87,15 @@
 
 // Error is an End as an error, with its cause.
 type Error struct {
-	End   End
-	Cause error
+	Reason CloseReason
+	Cause  error
 }
 
 func (e *Error) Error() string {
 	if e.Cause == nil {
-		return e.End.String()
+		return e.Reason.String()
 	}
-	return e.End.String() + ": " + e.Cause.Error()
+	return e.Reason.String() + ": " + e.Cause.Error()
 }
 
 // Unwrap is the cause.
@@ -103,19 +103,19 @@
 
 // EndOf says which End an error of a connection stands for; other is taken
 // where the error itself does not tell.
-func EndOf(err error, other End) End {
+func CloseReasonOf(err error, other CloseReason) CloseReason {
 	var own *Error
 	switch {
 	case err == nil:
 		return StillOpen
 	case errors.As(err, &own):
-		return own.End
+		return own.Reason
 	case errors.Is(err, io.EOF):
 		return PeerClosed
 	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE), errors.Is(err, io.ErrClosedPipe):
 		return PeerReset
 	case errors.Is(err, net.ErrClosed):
-		return LeftByUs
+		return ClosedLocally
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return DialRefused
 	}
--- a/internal/stream/frame.go
+++ b/internal/stream/frame.go
@@ -11,14 +11,14 @@
 	// Scan takes the next bytes. It returns how many of them, from the first,
 	// belong to messages that are now whole (0 if none became whole), and the
 	// End that broken bytes after those deserve, else StillOpen.
-	Scan(p []byte) (whole int, end End)
+	Scan(p []byte) (whole int, end CloseReason)
 }
 
 // Bytes frames nothing: every byte is handed on as it comes.
 type Bytes struct{}
 
 // Scan takes all.
-func (Bytes) Scan(p []byte) (int, End) { return len(p), StillOpen }
+func (Bytes) Scan(p []byte) (int, CloseReason) { return len(p), StillOpen }
 
 // Lines frames messages that end in a line feed.
 type Lines struct {
@@ -27,7 +27,7 @@
 }
 
 // Scan looks for the last line feed and bounds every line.
-func (l *Lines) Scan(p []byte) (int, End) {
+func (l *Lines) Scan(p []byte) (int, CloseReason) {
 	whole := 0
 	for {
 		i := bytes.IndexByte(p[whole:], '\n')
@@ -80,7 +80,7 @@
 )
 
 // Scan follows the framing byte by byte, except inside bulks.
-func (f *RESP) Scan(p []byte) (int, End) {
+func (f *RESP) Scan(p []byte) (int, CloseReason) {
 	whole := 0
 	for i := 0; i < len(p); i++ {
 		c := p[i]
--- a/internal/stream/frame_test.go
+++ b/internal/stream/frame_test.go
@@ -13,7 +13,7 @@
 	for name, c := range map[string]struct {
 		in    string
 		whole int
-		end   End
+		end   CloseReason
 	}{
 		"whole":             {"*2\r\n$2\r\nab\r\n$0\r\n\r\n", 18, StillOpen},
 		"one and a half":    {"*1\r\n$1\r\na\r\n*1\r\n$1", 11, StillOpen},
@@ -46,7 +46,7 @@
 	for _, c := range []struct {
 		in    string
 		whole int
-		end   End
+		end   CloseReason
 	}{{"ab", 0, StillOpen}, {"cd\ne", 3, StillOpen}, {"\n\nabcd", 2, StillOpen}, {"e", 0, TooLong}} {
 		if whole, end := f.Scan([]byte(c.in)); whole != c.whole || end != c.end {
 			t.Errorf("%q: %d bytes whole and %v, want %d and %v", c.in, whole, end, c.whole, c.end)
