--- a/cmd/robinmast/customers_test.go
+++ b/cmd/robinmast/customers_test.go
@@ -77,7 +77,7 @@
 				if len(tenants) > 0 {
 					team = ",team=" + tenants[tag%len(tenants)]
 				}
-				d.Say("RPC.CALL", fmt.Sprint(tag), class, fmt.Sprintf("txn=%016x,door=%d,lb=%d,ram=1,standing=0.5%s%s",
+				d.Send("RPC.CALL", fmt.Sprint(tag), class, fmt.Sprintf("txn=%016x,door=%d,lb=%d,ram=1,standing=0.5%s%s",
 					txns.Add(1), time.Now().UnixMilli(), tag, team, more), "1")
 				want[fmt.Sprint(tag)] = true
 			}
@@ -95,7 +95,7 @@
 			ask(tag+1, "no class of theirs", "")
 			served := 0
 			for len(want) > 0 {
-				tagged, word, _ := strings.Cut(d.Hear(), " ")
+				tagged, word, _ := strings.Cut(d.Receive(), " ")
 				if !want[tagged] {
 					t.Fatalf("answer %q to %q", word, tagged)
 				}
@@ -136,12 +136,12 @@
 	standin.Eventually(t, "the run", func() bool { return runs() == 1 })
 	second.call(1, 100, ",unique=k,second=1")
 	for _, d := range []dispatcher{first, second} {
-		if got := d.Hear(); !strings.HasPrefix(got, "1 ACK") {
+		if got := d.Receive(); !strings.HasPrefix(got, "1 ACK") {
 			t.Errorf("%q", got)
 		}
 	}
 	third.call(1, 100, ",unique=k")
-	if got := third.Hear(); !strings.HasPrefix(got, "1 ACK") {
+	if got := third.Receive(); !strings.HasPrefix(got, "1 ACK") {
 		t.Errorf("remembered: %q", got)
 	}
 	if n := runs(); time.Since(began) < window && n != 1 {
@@ -149,7 +149,7 @@
 	}
 	standin.Eventually(t, "the end of the window", func() bool { return time.Since(began) > 2*window })
 	third.call(2, 100, ",unique=k")
-	if got := third.Hear(); !strings.HasPrefix(got, "2 ACK") || runs() != 2 {
+	if got := third.Receive(); !strings.HasPrefix(got, "2 ACK") || runs() != 2 {
 		t.Errorf("after the window: %q, %d runs", got, runs())
 	}
 }
--- a/cmd/robinmast/lifecycle_test.go
+++ b/cmd/robinmast/lifecycle_test.go
@@ -133,8 +133,8 @@
 	former.Close()
 	p.says("worker pool bound")
 	d := standin.Dial(t, addr)
-	d.Say("RPC.HEALTH", "1", "")
-	if got := d.Hear(); !strings.HasPrefix(got, "1 GREEN") {
+	d.Send("RPC.HEALTH", "1", "")
+	if got := d.Receive(); !strings.HasPrefix(got, "1 GREEN") {
 		t.Errorf("%q", got)
 	}
 	d.Close()
@@ -160,11 +160,11 @@
 	p.says("node started")
 	d, rests := standin.Dial(t, addr), standin.Dial(t, addr)
 	for tag := 1; tag <= 3; tag++ {
-		d.Say("RPC.CALL", fmt.Sprint(tag), "read", fmt.Sprintf("txn=%016x,door=%d,lb=1,team=acme,limit=9000,ram=10,standing=0.5", tag, time.Now().UnixMilli()), "5")
+		d.Send("RPC.CALL", fmt.Sprint(tag), "read", fmt.Sprintf("txn=%016x,door=%d,lb=1,team=acme,limit=9000,ram=10,standing=0.5", tag, time.Now().UnixMilli()), "5")
 	}
 	for _, c := range []*standin.Dispatcher{rests, d} { // so all was read
-		c.Say("RPC.HEALTH", "9", "")
-		if got := c.Hear(); !strings.HasPrefix(got, "9 ") {
+		c.Send("RPC.HEALTH", "9", "")
+		if got := c.Receive(); !strings.HasPrefix(got, "9 ") {
 			t.Fatalf("%q", got)
 		}
 	}
@@ -177,7 +177,7 @@
 	p.signal(syscall.SIGTERM, syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGINT)
 	answers := map[string]int{}
 	for {
-		got := d.Hear()
+		got := d.Receive()
 		if got == "EOF" {
 			break
 		}
@@ -227,8 +227,8 @@
 	p.signal(syscall.SIGHUP)
 	p.says("worker pool link moved")
 	d := standin.Dial(t, addr)
-	d.Say("RPC.CALL", "1", "read", fmt.Sprintf("txn=00000000000000aa,door=%d,lb=1,team=acme,ram=10,standing=0.5", time.Now().UnixMilli()), "5")
-	if got := d.Hear(); !strings.HasPrefix(got, "1 ACK") {
+	d.Send("RPC.CALL", "1", "read", fmt.Sprintf("txn=00000000000000aa,door=%d,lb=1,team=acme,ram=10,standing=0.5", time.Now().UnixMilli()), "5")
+	if got := d.Receive(); !strings.HasPrefix(got, "1 ACK") {
 		t.Errorf("%q", got)
 	}
 	if next.Began()["00000000000000aa"] != 1 {
@@ -251,7 +251,7 @@
 			former := launch(t, config)
 			former.says("worker pool bound")
 			call := func(d *standin.Dispatcher, tag, txn, ms int) {
-				d.Say("RPC.CALL", fmt.Sprint(tag), "pay", fmt.Sprintf("txn=%016x,door=%d,lb=1,team=acme,limit=3500,ram=10,standing=0.5,unique=k%d",
+				d.Send("RPC.CALL", fmt.Sprint(tag), "pay", fmt.Sprintf("txn=%016x,door=%d,lb=1,team=acme,limit=3500,ram=10,standing=0.5,unique=k%d",
 					txn, time.Now().UnixMilli(), txn), fmt.Sprint(ms))
 			}
 			began := func(txn int) int { return pool.Began()[fmt.Sprintf("%016x", txn)] }
@@ -262,20 +262,20 @@
 			successor.says("another process holds the address")
 			former.signal(sig)
 			if sig == syscall.SIGTERM {
-				got := d.Hear()
+				got := d.Receive()
 				for got == "0 FIN" {
-					got = d.Hear()
+					got = d.Receive()
 				}
 				if got != "1 ACK  "+fmt.Sprintf("%016x ran 700", 1) && !strings.HasSuffix(got, "ran 700") {
 					t.Errorf("%q", got)
 				}
-				if got := d.Hear(); got != "EOF" && got != "0 FIN" {
+				if got := d.Receive(); got != "EOF" && got != "0 FIN" {
 					t.Errorf("%q", got)
 				}
 				d.Close()
 				former.leaves(3500 * time.Millisecond)
 			} else {
-				if got := d.Hear(); got != "EOF" {
+				if got := d.Receive(); got != "EOF" {
 					t.Errorf("%q", got)
 				}
 				<-former.exited
@@ -283,14 +283,14 @@
 			successor.says("worker pool bound")
 			d = standin.Dial(t, addr)
 			call(d, 1, 2, 30) // the tag of the former's request
-			if got := d.Hear(); !strings.HasSuffix(got, fmt.Sprintf("%016x ran 30", 2)) {
+			if got := d.Receive(); !strings.HasSuffix(got, fmt.Sprintf("%016x ran 30", 2)) {
 				t.Errorf("%q", got)
 			}
 			standin.Eventually(t, "the word about the former's run", func() bool {
 				return strings.Contains(successor.out.String(), "end of a run that was not asked for")
 			})
 			call(d, 2, 3, 30)
-			if got := d.Hear(); !strings.HasSuffix(got, fmt.Sprintf("%016x ran 30", 3)) {
+			if got := d.Receive(); !strings.HasSuffix(got, fmt.Sprintf("%016x ran 30", 3)) {
 				t.Errorf("%q", got)
 			}
 			for txn := 1; txn <= 3; txn++ {
--- a/cmd/robinmast/main_test.go
+++ b/cmd/robinmast/main_test.go
@@ -86,8 +86,8 @@
 	}
 	r.Close() // from now on nobody reads the log
 	d := standin.Dial(t, addr)
-	d.Say("RPC.HEALTH", "1", "")
-	if got := d.Hear(); !strings.HasPrefix(got, "1 GREEN") {
+	d.Send("RPC.HEALTH", "1", "")
+	if got := d.Receive(); !strings.HasPrefix(got, "1 GREEN") {
 		t.Errorf("%q", got)
 	}
 	for _, sig := range []os.Signal{syscall.SIGUSR1, syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGHUP} {
@@ -100,7 +100,7 @@
 	if err := c.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if got := d.Hear(); got != "0 FIN" {
+	if got := d.Receive(); got != "0 FIN" {
 		t.Errorf("%q", got)
 	}
 	select {
--- a/cmd/robinmast/serve_test.go
+++ b/cmd/robinmast/serve_test.go
@@ -215,8 +215,8 @@
 	})
 	d := s.dial()
 	standin.Eventually(t, "a bound worker pool", func() bool { return s.log.line("worker pool bound") != nil })
-	d.Say("RPC.HEALTH", "1", "")
-	if got := d.Hear(); !strings.HasPrefix(got, "1 GREEN") {
+	d.Send("RPC.HEALTH", "1", "")
+	if got := d.Receive(); !strings.HasPrefix(got, "1 GREEN") {
 		t.Fatalf("%q", got)
 	}
 	d.Close()
@@ -287,7 +287,7 @@
 	if strings.Contains(more, "unique=") {
 		class = "pay"
 	}
-	d.Say("RPC.CALL", fmt.Sprint(tag), class, fmt.Sprintf("txn=%s,door=%d,lb=1,team=acme,limit=4000,cpu=5,ram=10,standing=0.5%s",
+	d.Send("RPC.CALL", fmt.Sprint(tag), class, fmt.Sprintf("txn=%s,door=%d,lb=1,team=acme,limit=4000,cpu=5,ram=10,standing=0.5%s",
 		txn, time.Now().UnixMilli(), more), fmt.Sprint(ms))
 	return txn
 }
@@ -303,8 +303,8 @@
 			if i == 7 { // breaks off with everything open
 				d.call(1, 500, "")
 				d.call(2, 500, "")
-				d.Say("RPC.HEALTH", "3", "")
-				d.Hear() // so both were read
+				d.Send("RPC.HEALTH", "3", "")
+				d.Receive() // so both were read
 				d.SetLinger(0)
 				d.Close()
 				return
@@ -314,13 +314,13 @@
 				d.call(tag, 1+tag%5, "")
 				open[fmt.Sprint(tag)] = true
 				if tag%7 == 0 {
-					d.Say("RPC.CANCEL", fmt.Sprint(tag))
+					d.Send("RPC.CANCEL", fmt.Sprint(tag))
 				}
 			}
 			seen := map[string]bool{}
-			d.Say("RPC.HEALTH", "99", "")
+			d.Send("RPC.HEALTH", "99", "")
 			for missing := 18; missing > 0; { // two were cancelled and may be answered or not
-				tag, word, _ := strings.Cut(d.Hear(), " ")
+				tag, word, _ := strings.Cut(d.Receive(), " ")
 				switch {
 				case tag == "99":
 					continue
@@ -340,8 +340,8 @@
 	standin.Eventually(t, "counters on the signal", func() bool { return s.log.line("counters") != nil })
 	last := s.dial()
 	last.call(1, 1200, "") // keeps the node until the report of its leaving is out
-	last.Say("RPC.HEALTH", "2", "")
-	last.Hear() // so it was read
+	last.Send("RPC.HEALTH", "2", "")
+	last.Receive() // so it was read
 	c := s.stop()
 	r := c["requests"].(map[string]any)
 	if r["read"].(float64) != 7*20+3 || r["served"].(float64) == 0 || r["gone"].(float64) != 2 {
@@ -374,7 +374,7 @@
 		time.Sleep(30 * time.Millisecond)
 	}
 	for range all {
-		if got := d.Hear(); !strings.Contains(got, " ACK ") || !strings.HasSuffix(got, "did 30") {
+		if got := d.Receive(); !strings.Contains(got, " ACK ") || !strings.HasSuffix(got, "did 30") {
 			t.Errorf("%q", got)
 		}
 	}
@@ -402,10 +402,10 @@
 	go func() { ended <- s.stop() }()
 	standin.Eventually(t, "the notice", func() bool { return s.log.line("notice to leave") != nil })
 	d.call(2, 10, "")
-	if got := d.Hear(); !strings.HasPrefix(got, "2 ACK") {
+	if got := d.Receive(); !strings.HasPrefix(got, "2 ACK") {
 		t.Errorf("within the grace: %q", got)
 	}
-	if got := d.Hear(); got != "0 FIN" {
+	if got := d.Receive(); got != "0 FIN" {
 		t.Errorf("at its end: %q", got)
 	}
 	standin.Eventually(t, "the end of listening", func() bool {
@@ -415,10 +415,10 @@
 		}
 		return err != nil
 	})
-	if got := d.Hear(); !strings.HasPrefix(got, "1 ACK") {
+	if got := d.Receive(); !strings.HasPrefix(got, "1 ACK") {
 		t.Errorf("what ran: %q", got)
 	}
-	if got := d.Hear(); got != "EOF" {
+	if got := d.Receive(); got != "EOF" {
 		t.Errorf("at the exit: %q", got)
 	}
 	<-ended
@@ -472,7 +472,7 @@
 	})
 	d.call(7, 1, "")
 	for range 7 {
-		if got := d.Hear(); !strings.Contains(got, " ACK ") {
+		if got := d.Receive(); !strings.Contains(got, " ACK ") {
 			t.Errorf("%q", got)
 		}
 	}
@@ -499,18 +499,18 @@
 	own.call(1, 150, ",unique=k")
 	standin.Eventually(t, "the run", func() bool { s.workers.mu.Lock(); defer s.workers.mu.Unlock(); return len(s.workers.runs) == 1 })
 	other.call(1, 151, ",unique=k")
-	if got := other.Hear(); !strings.HasPrefix(got, "1 FAIL") {
+	if got := other.Receive(); !strings.HasPrefix(got, "1 FAIL") {
 		t.Errorf("while it runs: %q", got)
 	}
-	if got := own.Hear(); !strings.HasPrefix(got, "1 ACK") || !strings.HasSuffix(got, "did 150") {
+	if got := own.Receive(); !strings.HasPrefix(got, "1 ACK") || !strings.HasSuffix(got, "did 150") {
 		t.Errorf("%q", got)
 	}
 	other.call(2, 151, ",unique=k")
-	if got := other.Hear(); !strings.HasPrefix(got, "2 FAIL") {
+	if got := other.Receive(); !strings.HasPrefix(got, "2 FAIL") {
 		t.Errorf("after it: %q", got)
 	}
 	other.call(3, 150, ",unique=k,second=1")
-	if got := other.Hear(); !strings.HasPrefix(got, "3 ACK") || !strings.HasSuffix(got, "did 150") {
+	if got := other.Receive(); !strings.HasPrefix(got, "3 ACK") || !strings.HasSuffix(got, "did 150") {
 		t.Errorf("a repeat: %q", got)
 	}
 	if c := s.stop(); c["keys"].(map[string]any)["misused"].(float64) != 2 || c["pool"].(map[string]any)["spawned"].(float64) != 1 {
@@ -538,11 +538,11 @@
 	})
 	d := s.dial()
 	ask := func(tag int) {
-		d.Say("RPC.CALL", fmt.Sprint(tag), "read", fmt.Sprintf("txn=%016x,door=%d,lb=1,team=acme,limit=4000,cpu=5,ram=10,standing=0.5",
+		d.Send("RPC.CALL", fmt.Sprint(tag), "read", fmt.Sprintf("txn=%016x,door=%d,lb=1,team=acme,limit=4000,cpu=5,ram=10,standing=0.5",
 			txns.Add(1), time.Now().UnixMilli()), "call rows")
 	}
 	ask(1)
-	if got := d.Hear(); !strings.HasPrefix(got, "1 ACK") || !strings.HasSuffix(got, "from rows of one") {
+	if got := d.Receive(); !strings.HasPrefix(got, "1 ACK") || !strings.HasSuffix(got, "from rows of one") {
 		t.Errorf("%q", got)
 	}
 	text := strings.Replace(*s.config.Load(), first, next, 1)
@@ -550,7 +550,7 @@
 	s.signals <- syscall.SIGHUP
 	standin.Eventually(t, "the new configuration", func() bool { return s.log.line("new configuration") != nil })
 	ask(2)
-	if got := d.Hear(); !strings.HasPrefix(got, "2 ACK") || !strings.HasSuffix(got, "from rows of two") {
+	if got := d.Receive(); !strings.HasPrefix(got, "2 ACK") || !strings.HasSuffix(got, "from rows of two") {
 		t.Errorf("%q", got)
 	}
 	if b := s.stop()["below"].(map[string]any); asked.Load() != 1 || then.Load() != 1 || b["calls"].(float64) != 2 || b["well"].(float64) != 2 {
--- a/internal/dependency/dependency_test.go
+++ b/internal/dependency/dependency_test.go
@@ -140,7 +140,7 @@
 	if len(got) != 0 {
 		t.Errorf("told of: %+v", <-got)
 	}
-	addr, open := standin.Away(t)
+	addr, open := standin.ClosedAddress(t)
 	cl.ChangeAddress(addr)
 	got, _ = cl.ask(5 * time.Second)
 	if r := <-got; r.o != rules.ConnectFailed {
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -127,7 +127,7 @@
 	b := start(t, nil)
 	d := b.dial(t)
 	body := strings.Repeat("\r\n*1\x00", 300)
-	d.Say("RPC.CALL", "7", "read", fields, body)
+	d.Send("RPC.CALL", "7", "read", fields, body)
 	standin.Eventually(t, "arrival", func() bool { return b.sink.last() != nil })
 	x := b.sink.last()
 	want := exchange.Request{
@@ -138,7 +138,7 @@
 		t.Errorf("read %+v", x.Request)
 	}
 	// The words of a message live in its reader's buffer; what is kept must not.
-	d.Say("RPC.CALL", "8", "pay", keyed, strings.Repeat("z", 2000))
+	d.Send("RPC.CALL", "8", "pay", keyed, strings.Repeat("z", 2000))
 	standin.Eventually(t, "second arrival", func() bool { a, _ := b.sink.counts(); return a == 2 })
 	if string(x.Body) != body || x.Txn != want.Txn {
 		t.Error("a later message changed what was kept")
@@ -173,8 +173,8 @@
 		b.sink.mu.Lock()
 		b.sink.answer = &c.answer
 		b.sink.mu.Unlock()
-		d.Say("RPC.CALL", fmt.Sprint(i+1), "read", fields, "x")
-		if got := d.Hear(); got != fmt.Sprint(i+1, " ", c.want) {
+		d.Send("RPC.CALL", fmt.Sprint(i+1), "read", fields, "x")
+		if got := d.Receive(); got != fmt.Sprint(i+1, " ", c.want) {
 			t.Errorf("answer %q, want %q", got, c.want)
 		}
 	}
@@ -183,14 +183,14 @@
 func TestHealth(t *testing.T) {
 	b := start(t, nil)
 	d := b.dial(t)
-	d.Say("RPC.HEALTH", "1", "")
-	if got := d.Hear(); got != "1 GREEN  " {
+	d.Send("RPC.HEALTH", "1", "")
+	if got := d.Receive(); got != "1 GREEN  " {
 		t.Errorf("%q", got)
 	}
 	b.SetHealth(false)
 	b.PublishLoad(0.5)
-	d.Say("RPC.HEALTH", "2")
-	if got := d.Hear(); got != "2 RED feedback=0.5000 " {
+	d.Send("RPC.HEALTH", "2")
+	if got := d.Receive(); got != "2 RED feedback=0.5000 " {
 		t.Errorf("%q", got)
 	}
 }
@@ -248,13 +248,13 @@
 		"keyed, no key":    {[]string{"RPC.CALL", "5", "pay", fields, "x"}, "5"},
 		"health, tag of 0": {[]string{"RPC.HEALTH", "0", ""}, "0"},
 	} {
-		d.Say(c.msg...)
-		if got := d.Hear(); got != c.tag+" FAIL  " {
+		d.Send(c.msg...)
+		if got := d.Receive(); got != c.tag+" FAIL  " {
 			t.Errorf("%s: %q", name, got)
 		}
 		good++
-		d.Say("RPC.HEALTH", "9")
-		if got := d.Hear(); got != "9 GREEN  " {
+		d.Send("RPC.HEALTH", "9")
+		if got := d.Receive(); got != "9 GREEN  " {
 			t.Fatalf("%s: the connection is of no more use: %q", name, got)
 		}
 	}
@@ -270,20 +270,20 @@
 	b := start(t, nil)
 	d := b.dial(t)
 	for i := range maxOpen {
-		d.Say("RPC.CALL", fmt.Sprint(i+1), "read", fields, "x")
+		d.Send("RPC.CALL", fmt.Sprint(i+1), "read", fields, "x")
 	}
-	d.Say("RPC.CALL", "33", "read", fields, "x")
-	if got := d.Hear(); got != "33 FAIL  " {
+	d.Send("RPC.CALL", "33", "read", fields, "x")
+	if got := d.Receive(); got != "33 FAIL  " {
 		t.Errorf("over the bound: %q", got)
 	}
-	d.Say("RPC.CANCEL", "999")
-	d.Say("RPC.CANCEL", "")
-	d.Say("RPC.CANCEL", "2")
-	d.Say("RPC.CALL", "3", "read", fields, "x")
-	if got := d.Hear(); got != "3 FAIL  " {
+	d.Send("RPC.CANCEL", "999")
+	d.Send("RPC.CANCEL", "")
+	d.Send("RPC.CANCEL", "2")
+	d.Send("RPC.CALL", "3", "read", fields, "x")
+	if got := d.Receive(); got != "3 FAIL  " {
 		t.Errorf("open tag: %q", got)
 	}
-	d.Say("RPC.CALL", "34", "read", fields, "x") // 2 left room
+	d.Send("RPC.CALL", "34", "read", fields, "x") // 2 left room
 	standin.Eventually(t, "arrivals", func() bool { a, g := b.sink.counts(); return a == maxOpen+1 && g == 1 })
 	b.sink.mu.Lock()
 	list := append([]*exchange.Exchange(nil), b.sink.arrived...)
@@ -304,13 +304,13 @@
 		if i == maxOpen {
 			tag = 34
 		}
-		if got := d.Hear(); got != fmt.Sprint(tag, " ACK  r") {
+		if got := d.Receive(); got != fmt.Sprint(tag, " ACK  r") {
 			t.Errorf("%q, want tag %d", got, tag)
 		}
 	}
-	d.Say("RPC.CANCEL", "1") // crossed its answer
-	d.Say("RPC.HEALTH", "50")
-	if got := d.Hear(); got != "50 GREEN  " {
+	d.Send("RPC.CANCEL", "1") // crossed its answer
+	d.Send("RPC.HEALTH", "50")
+	if got := d.Receive(); got != "50 GREEN  " {
 		t.Errorf("%q", got)
 	}
 }
@@ -345,16 +345,16 @@
 				s.limits.Out = 4 << 10
 			})
 			other, d := b.dial(t), b.dial(t)
-			other.Say("RPC.CALL", "1", "read", fields, "x")
+			other.Send("RPC.CALL", "1", "read", fields, "x")
 			standin.Eventually(t, "first arrival", func() bool { a, _ := b.sink.counts(); return a == 1 })
 			kept := b.sink.last()
-			d.Say("RPC.CALL", "1", "read", fields, "x") // answered and heard
-			d.Say("RPC.CALL", "2", "read", fields, "x") // open
-			d.Say("RPC.CALL", "3", "read", fields, "x") // cancelled
-			d.Say("RPC.CANCEL", "3")
+			d.Send("RPC.CALL", "1", "read", fields, "x") // answered and heard
+			d.Send("RPC.CALL", "2", "read", fields, "x") // open
+			d.Send("RPC.CALL", "3", "read", fields, "x") // cancelled
+			d.Send("RPC.CANCEL", "3")
 			standin.Eventually(t, "arrivals", func() bool { a, g := b.sink.counts(); return a == 4 && g == 1 })
 			b.sink.arrived[1].Answer(exchange.Answer{Kind: exchange.Refused})
-			if got := d.Hear(); got != "1 NAK  " {
+			if got := d.Receive(); got != "1 NAK  " {
 				t.Fatalf("%q", got)
 			}
 			c.do(d)
@@ -366,15 +366,15 @@
 				if !open.Answer(exchange.Answer{Kind: exchange.Served, Body: []byte("r")}) {
 					t.Fatalf("the open request is %v", open.FinalState())
 				}
-				if got := d.Hear(); got != "2 ACK  r" {
+				if got := d.Receive(); got != "2 ACK  r" {
 					t.Errorf("what was read before: %q", got)
 				}
-				if got := d.Hear(); got != "EOF" {
+				if got := d.Receive(); got != "EOF" {
 					t.Errorf("then %q", got)
 				}
 				standin.Eventually(t, "the end", func() bool { return b.Traffic.Ended[c.want].Load() == 1 })
 				kept.Answer(exchange.Answer{Kind: exchange.Served, Body: []byte("r")})
-				if got := other.Hear(); got != "1 ACK  r" {
+				if got := other.Receive(); got != "1 ACK  r" {
 					t.Errorf("the other connection: %q", got)
 				}
 				return
@@ -390,7 +390,7 @@
 				t.Errorf("no end by %v", c.want)
 			}
 			kept.Answer(exchange.Answer{Kind: exchange.Served, Body: []byte("r")})
-			if got := other.Hear(); got != "1 ACK  r" {
+			if got := other.Receive(); got != "1 ACK  r" {
 				t.Errorf("the other connection: %q", got)
 			}
 		})
@@ -408,12 +408,12 @@
 			b := start(t, nil)
 			d, other := b.dial(t), b.dial(t)
 			for i := range 3 {
-				d.Say("RPC.CALL", fmt.Sprint(i+1), "read", fields, "x")
+				d.Send("RPC.CALL", fmt.Sprint(i+1), "read", fields, "x")
 			}
-			d.Say("RPC.CANCEL", "2")
+			d.Send("RPC.CANCEL", "2")
 			standin.Eventually(t, "arrivals", func() bool { a, g := b.sink.counts(); return a == 3 && g == 1 })
 			b.sink.arrived[0].Answer(exchange.Answer{Kind: exchange.Served, Body: []byte("r")})
-			if got := d.Hear(); got != "1 ACK  r" {
+			if got := d.Receive(); got != "1 ACK  r" {
 				t.Fatalf("%q", got)
 			}
 			for _, c := range b.all() {
@@ -422,7 +422,7 @@
 					c.Abort(stream.PeerReset)
 				}
 			}
-			if got := d.Hear(); got != "EOF" {
+			if got := d.Receive(); got != "EOF" {
 				t.Errorf("%q", got)
 			}
 			standin.Eventually(t, "letting go", func() bool { _, g := b.sink.counts(); return g == 2 })
@@ -435,8 +435,8 @@
 			if b.Traffic.Ended[end].Load() != 1 {
 				t.Errorf("no end by %v", end)
 			}
-			other.Say("RPC.HEALTH", "1")
-			if got := other.Hear(); got != "1 GREEN  " {
+			other.Send("RPC.HEALTH", "1")
+			if got := other.Receive(); got != "1 GREEN  " {
 				t.Errorf("the other connection: %q", got)
 			}
 		})
@@ -448,15 +448,15 @@
 func TestHalfClosedIsStillAnswered(t *testing.T) {
 	b := start(t, nil)
 	d := b.dial(t)
-	d.Say("RPC.CALL", "1", "read", fields, "x")
+	d.Send("RPC.CALL", "1", "read", fields, "x")
 	d.CloseWrite()
 	standin.Eventually(t, "arrival", func() bool { return b.sink.last() != nil })
 	time.Sleep(20 * time.Millisecond)
 	b.sink.last().Answer(exchange.Answer{Kind: exchange.Served, Body: []byte("r")})
-	if got := d.Hear(); got != "1 ACK  r" {
+	if got := d.Receive(); got != "1 ACK  r" {
 		t.Errorf("%q", got)
 	}
-	if got := d.Hear(); got != "EOF" {
+	if got := d.Receive(); got != "EOF" {
 		t.Errorf("%q", got)
 	}
 	standin.Eventually(t, "end", func() bool { return b.Traffic.Ended[stream.PeerClosed].Load() == 1 })
@@ -467,12 +467,12 @@
 func TestIdle(t *testing.T) {
 	b := start(t, func(s *Server) { s.finWait = 50 * time.Millisecond })
 	d, busy := b.dial(t), b.dial(t)
-	busy.Say("RPC.CALL", "1", "read", fields, "x")
+	busy.Send("RPC.CALL", "1", "read", fields, "x")
 	b.SetIdleTimeout(40 * time.Millisecond)
-	if got := d.Hear(); got != "0 FIN" {
+	if got := d.Receive(); got != "0 FIN" {
 		t.Errorf("%q", got)
 	}
-	if got := d.Hear(); got != "EOF" {
+	if got := d.Receive(); got != "EOF" {
 		t.Errorf("%q", got)
 	}
 	if n := b.Traffic.Ended[stream.IdleClosed].Load(); n != 1 {
@@ -480,7 +480,7 @@
 	}
 	b.SetIdleTimeout(0) // back to the longest
 	b.sink.last().Answer(exchange.Answer{Kind: exchange.Served, Body: []byte("r")})
-	if got := busy.Hear(); got != "1 ACK  r" {
+	if got := busy.Receive(); got != "1 ACK  r" {
 		t.Errorf("%q", got)
 	}
 }
@@ -496,8 +496,8 @@
 		})
 		b.sink.answer = &exchange.Answer{Kind: exchange.Refused}
 		d := b.dial(t)
-		d.Write(standin.Words("RPC.HEALTH", "1", ""))
-		d.Hear()
+		d.Write(standin.EncodeMessage("RPC.HEALTH", "1", ""))
+		d.Receive()
 		stop := time.Now().Add(400 * time.Millisecond)
 		var calling sync.WaitGroup
 		for range 4 {
@@ -511,8 +511,8 @@
 		}
 		for tag := 2; time.Now().Before(stop); tag++ {
 			began := time.Now()
-			d.Write(standin.Words("RPC.CALL", fmt.Sprint(tag), "read", fields))
-			d.Hear()
+			d.Write(standin.EncodeMessage("RPC.CALL", fmt.Sprint(tag), "read", fields))
+			d.Receive()
 			slowest = max(slowest, time.Since(began))
 		}
 		calling.Wait()
@@ -534,7 +534,7 @@
 func TestPauseIsExcused(t *testing.T) {
 	b := start(t, func(s *Server) { s.partialSoft = 10 * time.Second })
 	d := b.dial(t)
-	half := standin.Words("RPC.HEALTH", "1", "")
+	half := standin.EncodeMessage("RPC.HEALTH", "1", "")
 	d.Write(half[:9])
 	var c *client
 	standin.Eventually(t, "half a message", func() bool {
@@ -551,12 +551,12 @@
 		t.Fatalf("ended by %v", c.CloseReason())
 	}
 	d.Write(half[9:])
-	if got := d.Hear(); got != "1 GREEN  " {
+	if got := d.Receive(); got != "1 GREEN  " {
 		t.Errorf("%q", got)
 	}
 	standin.Eventually(t, "the answer is off", func() bool { return c.Unsent() == 0 }) // heard is before noted as sent
 	b.sweepOnce(later.Add(time.Minute))                                                // idle for a minute that was not excused
-	if got := d.Hear(); got != "0 FIN" {
+	if got := d.Receive(); got != "0 FIN" {
 		t.Errorf("%q", got)
 	}
 }
@@ -566,17 +566,17 @@
 func TestLeaving(t *testing.T) {
 	b := start(t, nil)
 	d := b.dial(t)
-	d.Say("RPC.CALL", "1", "read", fields, "x")
+	d.Send("RPC.CALL", "1", "read", fields, "x")
 	standin.Eventually(t, "arrival", func() bool { return b.sink.last() != nil })
 	b.StopListening()
 	b.Fin()
 	b.Fin()
-	if got := d.Hear(); got != "0 FIN" {
+	if got := d.Receive(); got != "0 FIN" {
 		t.Errorf("%q", got)
 	}
 	time.Sleep(20 * time.Millisecond)
 	b.sink.last().Answer(exchange.Answer{Kind: exchange.Served, Body: []byte("r")})
-	if got := d.Hear(); got != "1 ACK  r" {
+	if got := d.Receive(); got != "1 ACK  r" {
 		t.Errorf("%q", got)
 	}
 	standin.Eventually(t, "flush", b.Flushed)
@@ -592,25 +592,25 @@
 func TestRoomForConnections(t *testing.T) {
 	b := start(t, func(s *Server) { s.cfg.MaxConns = 2 })
 	busy, idle := b.dial(t), b.dial(t)
-	busy.Say("RPC.CALL", "1", "read", fields, "x")
+	busy.Send("RPC.CALL", "1", "read", fields, "x")
 	standin.Eventually(t, "arrival", func() bool { return b.sink.last() != nil && b.Conns() == 2 })
 	third := b.dial(t)
-	third.Say("RPC.CALL", "1", "read", fields, "x")
-	if got := idle.Hear(); got != "EOF" {
+	third.Send("RPC.CALL", "1", "read", fields, "x")
+	if got := idle.Receive(); got != "EOF" {
 		t.Errorf("the idle one hears %q", got)
 	}
 	standin.Eventually(t, "second arrival", func() bool { a, _ := b.sink.counts(); return a == 2 })
 	fourth := b.dial(t)
-	fourth.Say("RPC.HEALTH", "1")
+	fourth.Send("RPC.HEALTH", "1")
 	time.Sleep(30 * time.Millisecond)
 	if b.Conns() != 2 {
 		t.Errorf("%d connections", b.Conns())
 	}
 	b.sink.arrived[0].Answer(exchange.Answer{Kind: exchange.Failed})
-	if got := busy.Hear(); got != "1 FAIL  " {
+	if got := busy.Receive(); got != "1 FAIL  " {
 		t.Errorf("%q", got)
 	}
-	if got := fourth.Hear(); got != "1 GREEN  " {
+	if got := fourth.Receive(); got != "1 GREEN  " {
 		t.Errorf("%q", got)
 	}
 	b.sink.arrived[1].Answer(exchange.Answer{Kind: exchange.Failed})
@@ -672,10 +672,10 @@
 	const conns = 200
 	for i := range conns {
 		d := b.dial(t)
-		d.Say("RPC.CALL", "1", "read", fields, strings.Repeat("x", 2000))
+		d.Send("RPC.CALL", "1", "read", fields, strings.Repeat("x", 2000))
 		standin.Eventually(t, "arrival", func() bool { a, _ := b.sink.counts(); return a == i+1 })
 		b.sink.last().Answer(exchange.Answer{Kind: exchange.Served, Body: make([]byte, 4096)})
-		d.Hear()
+		d.Receive()
 	}
 	b.sink.mu.Lock()
 	b.sink.arrived = nil
@@ -692,7 +692,7 @@
 func TestHalfMessagesMakeRoom(t *testing.T) {
 	b := start(t, func(s *Server) { s.cfg.MaxConns = 2 })
 	busy, half := b.dial(t), b.dial(t)
-	busy.Say("RPC.CALL", "1", "read", fields, "x")
+	busy.Send("RPC.CALL", "1", "read", fields, "x")
 	half.Write([]byte("*2\r\n$10\r\nRPC"))
 	standin.Eventually(t, "both", func() bool {
 		for _, c := range b.all() {
@@ -713,11 +713,11 @@
 	if !b.makeRoom() || b.makeRoom() {
 		t.Error("not one connection was closed")
 	}
-	if got := half.Hear(); got != "EOF" {
+	if got := half.Receive(); got != "EOF" {
 		t.Errorf("%q", got)
 	}
 	b.sink.last().Answer(exchange.Answer{Kind: exchange.Failed})
-	if got := busy.Hear(); got != "1 FAIL  " {
+	if got := busy.Receive(); got != "1 FAIL  " {
 		t.Errorf("%q", got)
 	}
 }
@@ -728,19 +728,19 @@
 func TestSilentStrangersAreClosed(t *testing.T) {
 	b := start(t, func(s *Server) { s.first = 150 * time.Millisecond })
 	d, silent, half := b.dial(t), b.dial(t), b.dial(t)
-	d.Say("RPC.HEALTH", "1", "")
-	if got := d.Hear(); got != "1 GREEN  " {
+	d.Send("RPC.HEALTH", "1", "")
+	if got := d.Receive(); got != "1 GREEN  " {
 		t.Errorf("%q", got)
 	}
 	half.Write([]byte("*2\r\n$10\r\nRPC"))
-	if got := silent.Hear(); got != "EOF" {
+	if got := silent.Receive(); got != "EOF" {
 		t.Errorf("silent: %q", got)
 	}
-	if got := half.Hear(); got != "EOF" {
+	if got := half.Receive(); got != "EOF" {
 		t.Errorf("half: %q", got)
 	}
-	d.Say("RPC.HEALTH", "2", "")
-	if got := d.Hear(); got != "2 GREEN  " || b.Traffic.Ended[stream.ReadStalled].Load() != 2 {
+	d.Send("RPC.HEALTH", "2", "")
+	if got := d.Receive(); got != "2 GREEN  " || b.Traffic.Ended[stream.ReadStalled].Load() != 2 {
 		t.Errorf("%q, %d closed", got, b.Traffic.Ended[stream.ReadStalled].Load())
 	}
 }
@@ -750,18 +750,18 @@
 func TestStrangersMakeRoomFirst(t *testing.T) {
 	b := start(t, func(s *Server) { s.cfg.MaxConns = 2 })
 	d := b.dial(t)
-	d.Say("RPC.HEALTH", "1", "")
-	d.Hear()
+	d.Send("RPC.HEALTH", "1", "")
+	d.Receive()
 	silent := b.dial(t)
 	standin.Eventually(t, "both", func() bool { return b.Conns() == 2 })
 	if !b.makeRoom() {
 		t.Error("no room")
 	}
-	if got := silent.Hear(); got != "EOF" {
+	if got := silent.Receive(); got != "EOF" {
 		t.Errorf("%q", got)
 	}
-	d.Say("RPC.HEALTH", "2", "")
-	if got := d.Hear(); got != "2 GREEN  " {
+	d.Send("RPC.HEALTH", "2", "")
+	if got := d.Receive(); got != "2 GREEN  " {
 		t.Errorf("%q", got)
 	}
 }
--- a/internal/front/races_test.go
+++ b/internal/front/races_test.go
@@ -52,7 +52,7 @@
 // and its FIN. It is not handed on, since nobody could answer it, and the
 // connection is not reset over it.
 func TestInputInTheInstantOfTheEnd(t *testing.T) {
-	whole := standin.Words("RPC.CALL", "2", "read", fields, "x")
+	whole := standin.EncodeMessage("RPC.CALL", "2", "read", fields, "x")
 	for name, late := range map[string][]byte{"a request": whole, "half a request": whole[:40], "many": []byte(strings.Repeat(string(whole), 200))} {
 		t.Run(name, func(t *testing.T) {
 			var d *standin.Dispatcher
@@ -66,13 +66,13 @@
 			b.sink.answer = &served
 			d = b.dial(t)
 			c = b.only(t)
-			d.Say("RPC.CALL", "1", "read", fields, "x")
+			d.Send("RPC.CALL", "1", "read", fields, "x")
 			standin.Eventually(t, "the answer is off", func() bool { a, _ := b.sink.counts(); return a == 1 && c.Unsent() == 0 && !c.owes() })
 			c.Retire(stream.IdleClosed)
-			if got := d.Hear(); got != "1 ACK  r" {
+			if got := d.Receive(); got != "1 ACK  r" {
 				t.Errorf("%q", got)
 			}
-			if got := d.Hear(); got != "EOF" {
+			if got := d.Receive(); got != "EOF" {
 				t.Errorf("%q", got)
 			}
 			if err := rest(d); err != nil {
@@ -94,22 +94,22 @@
 	b.sink.gate = make(chan struct{})
 	d := b.dial(t)
 	c := b.only(t)
-	d.Say("RPC.CALL", "1", "read", fields, "x")
+	d.Send("RPC.CALL", "1", "read", fields, "x")
 	standin.Eventually(t, "arrival", func() bool { return b.sink.last() != nil })
 	b.sink.last().Answer(served) // the reader still stands at handing it on
 	c.Retire(stream.IdleClosed)
-	d.Say("RPC.CALL", "2", "read", fields, "x")
+	d.Send("RPC.CALL", "2", "read", fields, "x")
 	unread(t, c)
 	close(b.sink.gate)
 	standin.Eventually(t, "the second", func() bool { a, _ := b.sink.counts(); return a == 2 })
 	b.sink.last().Answer(served)
 	for tag := 1; tag <= 2; tag++ {
-		if got := d.Hear(); got != fmt.Sprint(tag, " ACK  r") {
+		if got := d.Receive(); got != fmt.Sprint(tag, " ACK  r") {
 			t.Errorf("%q", got)
 		}
 	}
-	d.Say("RPC.HEALTH", "3", "")
-	if got := d.Hear(); got != "3 GREEN  " {
+	d.Send("RPC.HEALTH", "3", "")
+	if got := d.Receive(); got != "3 GREEN  " {
 		t.Errorf("the connection is of no more use: %q", got)
 	}
 }
@@ -137,9 +137,9 @@
 	mu.Unlock()
 	b.sink.gate = make(chan struct{})
 	d := b.dial(t)
-	d.Say("RPC.CALL", "1", "read", fields, "x")
+	d.Send("RPC.CALL", "1", "read", fields, "x")
 	standin.Eventually(t, "arrival", func() bool { return b.sink.last() != nil })
-	d.Say("RPC.CALL", "2", "read", fields, "x")
+	d.Send("RPC.CALL", "2", "read", fields, "x")
 	for _, c := range b.all() {
 		if c.RemoteAddr().String() == d.LocalAddr().String() {
 			unread(t, c)
@@ -158,7 +158,7 @@
 		x.Answer(served)
 	}
 	for range 2 {
-		if got := d.Hear(); !strings.HasSuffix(got, " ACK  r") {
+		if got := d.Receive(); !strings.HasSuffix(got, " ACK  r") {
 			t.Errorf("%q", got)
 		}
 	}
@@ -176,8 +176,8 @@
 func TestEndIsBounded(t *testing.T) {
 	b := start(t, func(s *Server) { s.limits.Linger = 50 * time.Millisecond })
 	rests, floods := b.dial(t), b.dial(t)
-	rests.Say("RPC.HEALTH", "1", "")
-	rests.Hear()
+	rests.Send("RPC.HEALTH", "1", "")
+	rests.Receive()
 	standin.Eventually(t, "both", func() bool { return b.Conns() == 2 })
 	b.StopListening()
 	go func() {
@@ -200,11 +200,11 @@
 func TestBrokenInputBehindARequest(t *testing.T) {
 	b := start(t, nil)
 	d := b.dial(t)
-	d.Write(append(standin.Words("RPC.CALL", "1", "read", fields, "x"), strings.Repeat("FROB\r\n", 10<<10)...))
+	d.Write(append(standin.EncodeMessage("RPC.CALL", "1", "read", fields, "x"), strings.Repeat("FROB\r\n", 10<<10)...))
 	standin.Eventually(t, "the request before it", func() bool { return b.sink.last() != nil })
 	standin.Eventually(t, "no more are taken", func() bool { return b.all()[0].Ending() })
 	b.sink.last().Answer(served)
-	if got := d.Hear(); got != "1 ACK  r" {
+	if got := d.Receive(); got != "1 ACK  r" {
 		t.Errorf("%q", got)
 	}
 	if err := rest(d); err != nil {
@@ -220,12 +220,12 @@
 func TestStopListeningTakesWhatIsAccepted(t *testing.T) {
 	b := start(t, func(s *Server) { s.cfg.MaxConns = 1 })
 	busy := b.dial(t)
-	busy.Say("RPC.CALL", "1", "read", fields, "x")
+	busy.Send("RPC.CALL", "1", "read", fields, "x")
 	standin.Eventually(t, "arrival", func() bool { return b.sink.last() != nil })
 	var more []*standin.Dispatcher
 	for range 3 { // the first of them waits for room, behind it nothing is accepted
 		d := b.dial(t)
-		d.Say("RPC.CALL", "1", "read", fields, "x")
+		d.Send("RPC.CALL", "1", "read", fields, "x")
 		more = append(more, d)
 	}
 	b.StopListening()
@@ -238,7 +238,7 @@
 	b.sink.last().Answer(served)
 	for i, d := range append(more, busy) {
 		for {
-			got := d.Hear()
+			got := d.Receive()
 			if got == "0 FIN" {
 				continue
 			}
@@ -266,7 +266,7 @@
 	b := start(t, nil)
 	b.sink.answer = &exchange.Answer{Kind: exchange.Served, Body: []byte(strings.Repeat("r", 4096))}
 	d := b.dial(t)
-	for _, c := range standin.Words("RPC.CALL", "1", "read", fields, "x") {
+	for _, c := range standin.EncodeMessage("RPC.CALL", "1", "read", fields, "x") {
 		d.Write([]byte{c})
 	}
 	var got []byte
@@ -305,14 +305,14 @@
 	b := start(t, nil)
 	d := b.dial(t)
 	c := b.only(t)
-	whole := standin.Words("RPC.CALL", "2", "read", fields, "x")
-	d.Write(append(standin.Words("RPC.CALL", "1", "read", fields, "x"), whole[:30]...))
+	whole := standin.EncodeMessage("RPC.CALL", "2", "read", fields, "x")
+	d.Write(append(standin.EncodeMessage("RPC.CALL", "1", "read", fields, "x"), whole[:30]...))
 	standin.Eventually(t, "half of the second", func() bool { a, _ := b.sink.counts(); return a == 1 && c.Partial(time.Now()) > 0 })
 	c.Stop(stream.ReadStalled)
-	d.Write(append(append([]byte{}, whole[30:]...), standin.Words("RPC.CALL", "3", "read", fields, "x")...))
+	d.Write(append(append([]byte{}, whole[30:]...), standin.EncodeMessage("RPC.CALL", "3", "read", fields, "x")...))
 	standin.Eventually(t, "the rest is discarded", func() bool { return b.Traffic.Discarded.Load() > int64(len(whole)) })
 	b.sink.last().Answer(served)
-	if got := d.Hear(); got != "1 ACK  r" {
+	if got := d.Receive(); got != "1 ACK  r" {
 		t.Errorf("%q", got)
 	}
 	if err := rest(d); err != nil {
@@ -326,11 +326,11 @@
 // A dispatcher breaks off at each point of a request's life. Nothing of its is left, and
 // another's request beside it is served.
 func TestResetAtEachPoint(t *testing.T) {
-	whole := standin.Words("RPC.CALL", "1", "read", fields, "x")
+	whole := standin.EncodeMessage("RPC.CALL", "1", "read", fields, "x")
 	b := start(t, nil)
 	other := b.dial(t)
-	other.Say("RPC.HEALTH", "1", "")
-	other.Hear() // so it counts, and is no silent stranger
+	other.Send("RPC.HEALTH", "1", "")
+	other.Receive() // so it counts, and is no silent stranger
 	for name, bring := range map[string]func(d *standin.Dispatcher) (done func()){
 		"connected":    func(*standin.Dispatcher) func() { return nil },
 		"half written": func(d *standin.Dispatcher) func() { d.Write(whole[:40]); return nil },
@@ -342,7 +342,7 @@
 			b.sink.mu.Unlock()
 			d.Write(whole)
 			standin.Eventually(t, "one handed on", func() bool { a, _ := b.sink.counts(); return a > n })
-			d.Say("RPC.CALL", "2", "read", fields, "x")
+			d.Send("RPC.CALL", "2", "read", fields, "x")
 			return func() {
 				b.sink.mu.Lock()
 				b.sink.gate = nil
@@ -376,10 +376,10 @@
 			}
 			standin.Eventually(t, "its end", func() bool { return b.Conns() == before && b.ledger.OpenRequests() == 0 })
 			a, _ := b.sink.counts()
-			other.Say("RPC.CALL", "1", "read", fields, "x")
+			other.Send("RPC.CALL", "1", "read", fields, "x")
 			standin.Eventually(t, "the other's", func() bool { n, _ := b.sink.counts(); return n > a })
 			b.sink.last().Answer(served)
-			if got := other.Hear(); got != "1 ACK  r" {
+			if got := other.Receive(); got != "1 ACK  r" {
 				t.Errorf("%q", got)
 			}
 		})
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -123,7 +123,7 @@
 
 // A service that is away is asked again until it is there.
 func TestAway(t *testing.T) {
-	addr, open := standin.Away(t)
+	addr, open := standin.ClosedAddress(t)
 	r := run(t, addr)
 	standin.Eventually(t, "refused reports", func() bool { return r.Traffic.Ended[stream.DialRefused].Load() >= 3 })
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })}
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -404,7 +404,7 @@
 
 // The worker pool may be away or come up long after the node.
 func TestPoolAway(t *testing.T) {
-	addr, open := standin.Away(t)
+	addr, open := standin.ClosedAddress(t)
 	l := New(addr, &recorder{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -63,7 +63,7 @@
 
 // Away takes an address on loopback at which nobody listens until open is
 // called. The port is held meanwhile, so that no other test can take it.
-func Away(t *testing.T) (addr string, open func() net.Listener) {
+func ClosedAddress(t *testing.T) (addr string, open func() net.Listener) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -110,7 +110,7 @@
 }
 
 // Words encodes a message.
-func Words(parts ...string) []byte {
+func EncodeMessage(parts ...string) []byte {
 	b := redcon.AppendArray(nil, len(parts))
 	for _, p := range parts {
 		b = redcon.AppendBulkString(b, p)
@@ -119,16 +119,16 @@
 }
 
 // Say sends a message.
-func (d *Dispatcher) Say(parts ...string) {
+func (d *Dispatcher) Send(parts ...string) {
 	d.t.Helper()
-	if _, err := d.Write(Words(parts...)); err != nil {
+	if _, err := d.Write(EncodeMessage(parts...)); err != nil {
 		d.t.Error(err)
 	}
 }
 
 // Hear reads one answer, its parts with spaces between; "EOF" if the connection
 // ended instead.
-func (d *Dispatcher) Hear() string {
+func (d *Dispatcher) Receive() string {
 	d.t.Helper()
 	_ = d.SetReadDeadline(time.Now().Add(patience))
 	n, err := d.number('*')
