--- a/cmd/robinmastctl/fleet.go
+++ b/cmd/robinmastctl/fleet.go
@@ -164,7 +164,7 @@
 	return w.Flush()
 }
 
-// eventView is one of GET /events of docs/comeback.md.
+// eventView is one of GET /events of docs/recovery.md.
 type eventView struct {
 	Number, Lost, Of int
 	Began            time.Time
--- a/decide/recovery/comeback.go
+++ b/decide/recovery/comeback.go
@@ -22,7 +22,7 @@
 type State uint8
 
 // The states, in their order. What is allowed in each, and what ends it, stands in
-// docs/comeback.md.
+// docs/recovery.md.
 const (
 	Recovering State = iota // its store is read; it does not listen
 	Listening               // it listens, and its worker pool has not been heard: nothing runs
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -56,12 +56,12 @@
 
 var sections = []section{
 	{"log", "Log lines of the node, on standard error."},
-	{"results", "Remembered results across restarts; see docs/recall.md. Needs a disk that outlives the node."},
+	{"results", "Remembered results across restarts; see docs/result-cache.md. Needs a disk that outlives the node."},
 	{"pools", "Pools by class with a reserve; see docs/pools.md."},
 	{"pool.*", "One class by its name, [pool.NAME]: a reserve of its own, whatever its runs cost."},
 	{"control", "Reports to a control service; see docs/control.md. Needs talk beyond the platform's."},
-	{"together", "Refusals with the whole fleet in mind; see docs/together.md."},
-	{"comeback", "Coming back after a restart, or after stored state was lost; see docs/comeback.md."},
+	{"together", "Refusals with the whole fleet in mind; see docs/shedding.md."},
+	{"comeback", "Coming back after a restart, or after stored state was lost; see docs/recovery.md."},
 	{"store", "The store beneath [results]; see docs/store.md. The defaults suit most disks."},
 }
 
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -254,7 +254,7 @@
 	Comeback *back `json:"comeback"`
 }
 
-// word is the part of a report of a node that thinks of the fleet (docs/together.md).
+// word is the part of a report of a node that thinks of the fleet (docs/shedding.md).
 type word struct {
 	Drain  float64            `json:"drain"`
 	Short  float64            `json:"short"`
--- a/internal/standin/fleet/lives_test.go
+++ b/internal/standin/fleet/lives_test.go
@@ -8,16 +8,16 @@
 	"testing"
 )
 
-// Every fact that anybody acts on stands in the table of docs/comeback.md with its life,
+// Every fact that anybody acts on stands in the table of docs/recovery.md with its life,
 // what happens at its end, and a test that is there.
 func TestEveryFactHasALife(t *testing.T) {
-	text, err := os.ReadFile("../../../docs/comeback.md")
+	text, err := os.ReadFile("../../../docs/recovery.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, table, ok := strings.Cut(string(text), "| fact | who acts on it | its life | at its end | test |\n| --- | --- | --- | --- | --- |\n")
 	if !ok {
-		t.Fatal("docs/comeback.md has no table of lives")
+		t.Fatal("docs/recovery.md has no table of lives")
 	}
 	tests := map[string]bool{}
 	name := regexp.MustCompile(`(?m)^func (Test\w+)\(`)
