--- a/cmd/robinmast/counters.go
+++ b/cmd/robinmast/counters.go
@@ -37,7 +37,7 @@
 			"calls", f.Counters.Calls.Load(), "malformed", f.Counters.Malformed.Load(),
 			"cancels", f.Counters.Cancels.Load(), "cancels_unmatched", f.Counters.Unmatched.Load(),
 			"health", f.Counters.Health.Load(), "unknown", f.Counters.Unknown.Load(),
-			"held_connections", heldConnects, "held_health", heldProbes, "accept_failures", f.Counters.Accepts.Load(), "open", f.Conns(), traffic(&f.Traffic)),
+			"held_connections", heldConnects, "held_health", heldProbes, "accept_failures", f.Counters.AcceptFailures.Load(), "open", f.Conns(), traffic(&f.Traffic)),
 		slog.Group("pool",
 			"links", k.Counters.Links.Load(),
 			"spawned", k.Counters.Started.Load(), "respawned", k.Counters.Restarted.Load(),
--- a/cmd/robinmast/main.go
+++ b/cmd/robinmast/main.go
@@ -277,7 +277,7 @@
 	}
 	p.front = front.New(front.Config{
 		Settings: cfg.set, Names: cfg.names, MaxConns: max(sockets, 1),
-		OutBytes: memory / outShare, Setup: setup, Log: log,
+		OutBytes: memory / outShare, SetupCPUShare: setup, Log: log,
 	}, p.node, p.ledger)
 	p.pool = pool.New(cfg.Pool, p.node, log)
 	if cfg.own.Shedding.Enabled { // its own repeats are part of the harm too
@@ -443,7 +443,7 @@
 		if !refusing && since >= grace { // what comes from now on would not run
 			refusing = true
 			p.front.StopListening()
-			p.front.Fin()
+			p.front.SendFin()
 		}
 		if now := p.ledger.Read.Load(); now != read || p.ledger.OpenRequests() > 0 || !p.front.Flushed() {
 			read, quiet = now, time.Now()
@@ -453,7 +453,7 @@
 		}
 	}
 	log.Info("leaving", "after", time.Since(notice), "in_hand", p.ledger.OpenRequests(), "flushed", p.front.Flushed())
-	if most := min(stop-time.Since(notice)-killMargin, leaveMost); !p.front.Leave(most) {
+	if most := min(stop-time.Since(notice)-killMargin, leaveMost); !p.front.Drain(most) {
 		log.Warn("connections did not end in time", "most", most, "in_hand", p.ledger.OpenRequests())
 	}
 }
--- a/internal/front/client.go
+++ b/internal/front/client.go
@@ -173,7 +173,7 @@
 	}
 	c.used = time.Now()
 	c.mu.Unlock()
-	c.Nudge()
+	c.RecheckClose()
 	if x == nil { // its answer and the cancel crossed, or it never was
 		c.s.Counters.Unmatched.Add(1)
 		return
@@ -251,7 +251,7 @@
 	delete(c.open, tag)
 	c.used = time.Now()
 	c.mu.Unlock()
-	c.Nudge() // it may have been the last that was owed
+	c.RecheckClose() // it may have been the last that was owed
 }
 
 // sayFin asks the dispatcher to send no new request here and to close.
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -57,23 +57,23 @@
 
 // Config is what a Server needs.
 type Config struct {
-	Settings rules.Settings
-	Names    settings.Names
-	MaxConns int     // connections held at once; more wait to be accepted
-	OutBytes int64   // memory of all out rings together
-	Setup    float64 // share of a core that new connections and health checks may take, 0 = as they come
-	Log      *slog.Logger
+	Settings      rules.Settings
+	Names         settings.Names
+	MaxConns      int     // connections held at once; more wait to be accepted
+	OutBytes      int64   // memory of all out rings together
+	SetupCPUShare float64 // share of a core that new connections and health checks may take, 0 = as they come
+	Log           *slog.Logger
 }
 
 // Counters are what the front counts besides its traffic.
 type Counters struct {
-	Calls     atomic.Int64 // CALL messages
-	Cancels   atomic.Int64 // CANCEL messages
-	Unmatched atomic.Int64 // of those, for a tag that is not open
-	Health    atomic.Int64 // HEALTH messages
-	Malformed atomic.Int64 // requests that could not be read, each answered as failed
-	Unknown   atomic.Int64 // other commands
-	Accepts   atomic.Int64 // failures to accept
+	Calls          atomic.Int64 // CALL messages
+	Cancels        atomic.Int64 // CANCEL messages
+	Unmatched      atomic.Int64 // of those, for a tag that is not open
+	Health         atomic.Int64 // HEALTH messages
+	Malformed      atomic.Int64 // requests that could not be read, each answered as failed
+	Unknown        atomic.Int64 // other commands
+	AcceptFailures atomic.Int64 // failures to accept
 }
 
 // Server is the side towards dispatchers.
@@ -123,8 +123,8 @@
 	}
 	s.Traffic.HeldLimit = cfg.OutBytes
 	s.began = time.Now()
-	if cfg.Setup > 0 {
-		s.door = connlimit.New(0, cfg.Setup)
+	if cfg.SetupCPUShare > 0 {
+		s.door = connlimit.New(0, cfg.SetupCPUShare)
 	}
 	s.good.Store(true)
 	s.idle.Store(int64(cfg.Settings.MaxIdleTimeout))
@@ -196,7 +196,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return nil, err
 		}
-		l.s.Counters.Accepts.Add(1)
+		l.s.Counters.AcceptFailures.Add(1)
 		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
 			l.s.complain("no descriptor for a new connection", err)
 		} else {
@@ -295,14 +295,14 @@
 			rank = 1
 		}
 		c.mu.Unlock()
-		if c.Ending() {
+		if c.Closing() {
 			lingering++
 			if !over.IsZero() && now.Sub(over) >= crossing {
-				c.Hurry()
+				c.StopLingering()
 			}
 			continue
 		}
-		part := c.Partial(now) > 0
+		part := c.PartialAge(now) > 0
 		if !free || c.Unsent() > 0 || part && now.Sub(used) < roomPartial {
 			continue
 		}
@@ -317,9 +317,9 @@
 		return false
 	}
 	if !best.HasSent() { // nothing was sent on it that a reset could take away
-		best.Hurry()
+		best.StopLingering()
 	}
-	best.Retire(stream.IdleClosed)
+	best.CloseIfIdle(stream.IdleClosed)
 	return true
 }
 
@@ -327,7 +327,7 @@
 func (s *Server) wrap(c net.Conn) *client {
 	cl := &client{s: s, open: map[uint64]*exchange.Exchange{}, used: time.Now()}
 	cl.Conn = stream.New(c, &stream.RESP{}, s.limits, &s.Traffic, cl.ended)
-	cl.Owes, cl.Closed = cl.owes, cl.closed
+	cl.AnswersPending, cl.OnDescriptorClosed = cl.owes, cl.closed
 	s.mu.Lock()
 	s.clients[cl] = struct{}{}
 	leaving, shut := s.leaving, s.shut
@@ -336,7 +336,7 @@
 		cl.sayFin()
 	}
 	if shut {
-		cl.Leave(stream.ClosedLocally)
+		cl.CloseWhenIdle(stream.ClosedLocally)
 	}
 	return cl
 }
@@ -395,7 +395,7 @@
 // and that its peers were not heard meanwhile is nobody's fault.
 func (s *Server) excuse(now time.Time) {
 	for _, c := range s.all() {
-		c.Excuse(now)
+		c.RestartPartialTimer(now)
 		c.mu.Lock()
 		c.used = now
 		c.mu.Unlock()
@@ -408,17 +408,17 @@
 		c.mu.Lock()
 		idle, open, fin, spoke := now.Sub(c.used), len(c.open), c.fin, c.spoke
 		c.mu.Unlock()
-		partial := c.Partial(now)
+		partial := c.PartialAge(now)
 		switch {
 		// Whoever says nothing whole after connecting is no dispatcher: those connect
 		// to send. Should one be that slow, it only has to connect again.
 		case !spoke && idle > s.first:
-			c.Retire(stream.ReadStalled)
+			c.CloseIfIdle(stream.ReadStalled)
 		case partial > s.partialMax, partial > s.partialSoft && open == 0:
-			c.Stop(stream.ReadStalled)
+			c.CloseAfterAnswers(stream.ReadStalled)
 		case open > 0 || partial > 0 || c.Unsent() > 0:
 		case !fin.IsZero() && now.Sub(fin) > s.finWait && idle > s.finWait:
-			c.Retire(stream.IdleClosed)
+			c.CloseIfIdle(stream.IdleClosed)
 		case limit > 0 && idle > limit:
 			c.sayFin()
 		}
@@ -444,7 +444,7 @@
 
 // Fin tells every dispatcher, and whoever connects later, to send no new
 // request on its connection and to close it.
-func (s *Server) Fin() {
+func (s *Server) SendFin() {
 	s.mu.Lock()
 	s.leaving = true
 	s.mu.Unlock()
@@ -473,12 +473,12 @@
 // Leave ends every connection as soon as all that was read from it is answered,
 // and returns when none is left, or after most: what is open then is let go. The
 // listener must have been stopped. It reports whether all ended in order.
-func (s *Server) Leave(most time.Duration) bool {
+func (s *Server) Drain(most time.Duration) bool {
 	s.mu.Lock()
 	s.shut = true
 	s.mu.Unlock()
 	for _, c := range s.all() {
-		c.Leave(stream.ClosedLocally)
+		c.CloseWhenIdle(stream.ClosedLocally)
 	}
 	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(leavePoll) {
 		select {
@@ -490,7 +490,7 @@
 		}
 	}
 	for _, c := range s.all() {
-		c.Hurry()
+		c.StopLingering()
 		c.Abort(stream.ClosedLocally)
 	}
 	return false
@@ -507,7 +507,7 @@
 }
 
 // Shut ends every connection.
-func (s *Server) Shut() {
+func (s *Server) AbortAll() {
 	for _, c := range s.all() {
 		c.Abort(stream.ClosedLocally)
 	}
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -96,7 +96,7 @@
 	go func() { served <- b.Serve(ctx, ln) }()
 	t.Cleanup(func() {
 		cancel()
-		b.Shut()
+		b.AbortAll()
 		if err := <-served; err != nil {
 			t.Error(err)
 		}
@@ -361,7 +361,7 @@
 			open := b.sink.arrived[2]
 			if c.want == stream.BadFraming || c.want == stream.TooLong || c.want == stream.ReadStalled {
 				standin.Eventually(t, "no more requests are taken", func() bool {
-					return slices.ContainsFunc(b.all(), func(c *client) bool { return c.Ending() })
+					return slices.ContainsFunc(b.all(), func(c *client) bool { return c.Closing() })
 				})
 				if !open.Answer(exchange.Answer{Kind: exchange.Served, Body: []byte("r")}) {
 					t.Fatalf("the open request is %v", open.FinalState())
@@ -542,7 +542,7 @@
 		if len(list) == 1 {
 			c = list[0]
 		}
-		return c != nil && c.Partial(time.Now()) > 0
+		return c != nil && c.PartialAge(time.Now()) > 0
 	})
 	later := time.Now().Add(time.Minute)
 	b.excuse(later)
@@ -569,8 +569,8 @@
 	d.Send("RPC.CALL", "1", "read", fields, "x")
 	standin.Eventually(t, "arrival", func() bool { return b.sink.last() != nil })
 	b.StopListening()
-	b.Fin()
-	b.Fin()
+	b.SendFin()
+	b.SendFin()
 	if got := d.Receive(); got != "0 FIN" {
 		t.Errorf("%q", got)
 	}
@@ -648,8 +648,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d := time.Since(began); d < 3*acceptPause || b.Counters.Accepts.Load() != 3 {
-		t.Errorf("accepted after %v and %d failures", d, b.Counters.Accepts.Load())
+	if d := time.Since(began); d < 3*acceptPause || b.Counters.AcceptFailures.Load() != 3 {
+		t.Errorf("accepted after %v and %d failures", d, b.Counters.AcceptFailures.Load())
 	}
 	got.(*client).Abort(stream.ClosedLocally)
 	cancel()
@@ -696,7 +696,7 @@
 	half.Write([]byte("*2\r\n$10\r\nRPC"))
 	standin.Eventually(t, "both", func() bool {
 		for _, c := range b.all() {
-			if c.Partial(time.Now()) > 0 {
+			if c.PartialAge(time.Now()) > 0 {
 				return b.sink.last() != nil
 			}
 		}
--- a/internal/front/races_test.go
+++ b/internal/front/races_test.go
@@ -68,7 +68,7 @@
 			c = b.only(t)
 			d.Send("RPC.CALL", "1", "read", fields, "x")
 			standin.Eventually(t, "the answer is off", func() bool { a, _ := b.sink.counts(); return a == 1 && c.Unsent() == 0 && !c.owes() })
-			c.Retire(stream.IdleClosed)
+			c.CloseIfIdle(stream.IdleClosed)
 			if got := d.Receive(); got != "1 ACK  r" {
 				t.Errorf("%q", got)
 			}
@@ -97,7 +97,7 @@
 	d.Send("RPC.CALL", "1", "read", fields, "x")
 	standin.Eventually(t, "arrival", func() bool { return b.sink.last() != nil })
 	b.sink.last().Answer(served) // the reader still stands at handing it on
-	c.Retire(stream.IdleClosed)
+	c.CloseIfIdle(stream.IdleClosed)
 	d.Send("RPC.CALL", "2", "read", fields, "x")
 	unread(t, c)
 	close(b.sink.gate)
@@ -147,7 +147,7 @@
 	}
 	b.StopListening()
 	left := make(chan bool)
-	go func() { left <- b.Leave(5 * time.Second) }()
+	go func() { left <- b.Drain(5 * time.Second) }()
 	if err := rest(rests); err != nil {
 		t.Errorf("half a line: %v", err)
 	}
@@ -187,7 +187,7 @@
 			}
 		}
 	}()
-	if !b.Leave(5 * time.Second) {
+	if !b.Drain(5 * time.Second) {
 		t.Error("did not end")
 	}
 	if n := b.Traffic.Discarded.Load(); n > 2*(256<<10)+64<<10 {
@@ -202,7 +202,7 @@
 	d := b.dial(t)
 	d.Write(append(standin.EncodeMessage("RPC.CALL", "1", "read", fields, "x"), strings.Repeat("FROB\r\n", 10<<10)...))
 	standin.Eventually(t, "the request before it", func() bool { return b.sink.last() != nil })
-	standin.Eventually(t, "no more are taken", func() bool { return b.all()[0].Ending() })
+	standin.Eventually(t, "no more are taken", func() bool { return b.all()[0].Closing() })
 	b.sink.last().Answer(served)
 	if got := d.Receive(); got != "1 ACK  r" {
 		t.Errorf("%q", got)
@@ -229,9 +229,9 @@
 		more = append(more, d)
 	}
 	b.StopListening()
-	b.Fin()
+	b.SendFin()
 	left := make(chan bool)
-	go func() { left <- b.Leave(5 * time.Second) }()
+	go func() { left <- b.Drain(5 * time.Second) }()
 	b.sink.mu.Lock()
 	b.sink.answer = &served
 	b.sink.mu.Unlock()
@@ -307,8 +307,8 @@
 	c := b.only(t)
 	whole := standin.EncodeMessage("RPC.CALL", "2", "read", fields, "x")
 	d.Write(append(standin.EncodeMessage("RPC.CALL", "1", "read", fields, "x"), whole[:30]...))
-	standin.Eventually(t, "half of the second", func() bool { a, _ := b.sink.counts(); return a == 1 && c.Partial(time.Now()) > 0 })
-	c.Stop(stream.ReadStalled)
+	standin.Eventually(t, "half of the second", func() bool { a, _ := b.sink.counts(); return a == 1 && c.PartialAge(time.Now()) > 0 })
+	c.CloseAfterAnswers(stream.ReadStalled)
 	d.Write(append(append([]byte{}, whole[30:]...), standin.EncodeMessage("RPC.CALL", "3", "read", fields, "x")...))
 	standin.Eventually(t, "the rest is discarded", func() bool { return b.Traffic.Discarded.Load() > int64(len(whole)) })
 	b.sink.last().Answer(served)
--- a/internal/stream/close.go
+++ b/internal/stream/close.go
@@ -34,14 +34,14 @@
 
 // Retire ends a connection that carries nothing. Input that is there by then
 // keeps it.
-func (c *Conn) Retire(end CloseReason) { c.planned(retiring, end) }
+func (c *Conn) CloseIfIdle(end CloseReason) { c.planned(retiring, end) }
 
 // Leave ends the connection at the first moment at which all that was read is
 // answered and nothing more has come.
-func (c *Conn) Leave(end CloseReason) { c.planned(leaving, end) }
+func (c *Conn) CloseWhenIdle(end CloseReason) { c.planned(leaving, end) }
 
 // Stop takes no more requests, and ends the connection once those read are answered.
-func (c *Conn) Stop(end CloseReason) { c.planned(stopping, end) }
+func (c *Conn) CloseAfterAnswers(end CloseReason) { c.planned(stopping, end) }
 
 func (c *Conn) planned(p plan, end CloseReason) {
 	c.mu.Lock()
@@ -54,11 +54,11 @@
 }
 
 // Ending tells whether an end is planned or has come.
-func (c *Conn) Ending() bool { return plan(c.plan.Load()) != serving || c.CloseReason() != StillOpen }
+func (c *Conn) Closing() bool { return plan(c.plan.Load()) != serving || c.CloseReason() != StillOpen }
 
 // Nudge lets the reader look again whether a planned end can come: something that
 // it waits for has changed.
-func (c *Conn) Nudge() {
+func (c *Conn) RecheckClose() {
 	if plan(c.plan.Load()) == serving {
 		return
 	}
@@ -96,7 +96,7 @@
 }
 
 // Hurry ends the lingering of a connection now; its descriptor is needed.
-func (c *Conn) Hurry() {
+func (c *Conn) StopLingering() {
 	c.hurried.Store(true)
 	if c.CloseReason() != StillOpen {
 		_ = c.Conn.SetReadDeadline(time.Unix(1, 0))
@@ -107,7 +107,7 @@
 // that ends the connection: between its last look, which found nothing, and the
 // FIN nobody else reads, so that nothing can slip through between the two.
 func (c *Conn) receive(space []byte) (int, error) {
-	if c.Owes == nil {
+	if c.AnswersPending == nil {
 		return c.plainly(space)
 	}
 	for {
@@ -142,7 +142,7 @@
 		case err == io.EOF:
 			c.eof = true
 			c.readEnd.CompareAndSwap(uint32(StillOpen), uint32(PeerClosed))
-			c.Stop(PeerClosed)
+			c.CloseAfterAnswers(PeerClosed)
 		case err != nil && n == 0:
 			end := CloseReasonOf(err, ReadFailed)
 			c.Abort(end)
@@ -184,7 +184,7 @@
 // quiet ends the connection if nothing is owed and all is sent; it reports whether
 // the plan needs no more waiting. The reader calls it, having found nothing to read.
 func (c *Conn) quiet() bool {
-	if c.Owes() {
+	if c.AnswersPending() {
 		c.keep()
 		return plan(c.plan.Load()) == serving
 	}
@@ -274,7 +274,7 @@
 // side or the bound is reached, close.
 func (c *Conn) hangUp(end CloseReason) {
 	defer close(c.closed)
-	if c.Owes == nil { // the reader first lets go: it may wait for what never comes
+	if c.AnswersPending == nil { // the reader first lets go: it may wait for what never comes
 		_ = c.Conn.SetReadDeadline(time.Unix(1, 0))
 		c.reading.Lock()
 		//lint:ignore SA2001 it is only waited for: the next one to hold it sees the end
@@ -284,8 +284,8 @@
 		c.discard()
 	}
 	_ = c.Conn.Close() // nothing more can be done for it
-	if c.Closed != nil {
-		c.Closed()
+	if c.OnDescriptorClosed != nil {
+		c.OnDescriptorClosed()
 	}
 }
 
--- a/internal/stream/conn.go
+++ b/internal/stream/conn.go
@@ -76,13 +76,13 @@
 	// Owes tells whether answers to what was read are still to come. It makes this
 	// a connection whose end can be planned: Retire, Leave and Stop are for its
 	// like only. Set before the first Read; it may lock, but not send.
-	Owes func() bool
+	AnswersPending func() bool
 	// Closed, if set, is called once the descriptor is free.
-	Closed  func()
-	plan    atomic.Uint32 // a plan
-	turn    chan struct{} // poked when a plan, or what it waits for, has changed
-	hurried atomic.Bool
-	reading sync.Mutex // held by whoever reads, where Owes is nil
+	OnDescriptorClosed func()
+	plan               atomic.Uint32 // a plan
+	turn               chan struct{} // poked when a plan, or what it waits for, has changed
+	hurried            atomic.Bool
+	reading            sync.Mutex // held by whoever reads, where Owes is nil
 
 	mu     sync.Mutex
 	out    *Ring
@@ -127,12 +127,12 @@
 func (c *Conn) read(p []byte) (int, error) {
 	for c.ready == 0 {
 		if c.broken != StillOpen {
-			if c.Owes == nil {
+			if c.AnswersPending == nil {
 				return 0, &Error{Reason: c.broken}
 			}
 			c.in.Discard(c.in.Len())
 			c.partial.Store(0)
-			c.Stop(c.broken)
+			c.CloseAfterAnswers(c.broken)
 		}
 		space := c.in.Space()
 		if len(space) == 0 {
@@ -181,7 +181,7 @@
 func since(t time.Time) int64 { return int64(t.Sub(begin)) | 1 }
 
 // Partial is how long a message has been begun and not finished, 0 if none is.
-func (c *Conn) Partial(now time.Time) time.Duration {
+func (c *Conn) PartialAge(now time.Time) time.Duration {
 	from := c.partial.Load()
 	if from == 0 {
 		return 0
@@ -190,7 +190,7 @@
 }
 
 // Excuse lets the time of a message that is not finished count from now on.
-func (c *Conn) Excuse(now time.Time) {
+func (c *Conn) RestartPartialTimer(now time.Time) {
 	if from := c.partial.Load(); from != 0 {
 		c.partial.CompareAndSwap(from, since(now))
 	}
--- a/internal/stream/conn_test.go
+++ b/internal/stream/conn_test.go
@@ -92,12 +92,12 @@
 		}
 	}()
 	peer.Write([]byte("ab"))
-	for c.Partial(time.Now()) == 0 {
+	for c.PartialAge(time.Now()) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	peer.Write([]byte("c\n"))
 	<-read
-	if p := c.Partial(time.Now()); p != 0 {
+	if p := c.PartialAge(time.Now()); p != 0 {
 		t.Errorf("partial for %v after the message became whole", p)
 	}
 }
@@ -106,7 +106,7 @@
 	var tr Traffic
 	c, peer := pair(t, usual, &tr, nil)
 	var want bytes.Buffer
-	c.Owes = func() bool { return false }
+	c.AnswersPending = func() bool { return false }
 	go c.Read(make([]byte, 64)) // it is the reader that ends a connection
 	go func() {
 		for i := range 500 {
@@ -119,7 +119,7 @@
 				time.Sleep(time.Millisecond)
 			}
 		}
-		c.Leave(ClosedLocally)
+		c.CloseWhenIdle(ClosedLocally)
 	}()
 	got, err := io.ReadAll(peer)
 	if err != nil || !bytes.Equal(got, want.Bytes()) {
@@ -144,7 +144,7 @@
 		"closes":   {usual, func(_ *Conn, p *net.TCPConn) { p.CloseWrite() }, PeerClosed},
 		"resets":   {usual, func(_ *Conn, p *net.TCPConn) { p.SetLinger(0); p.Close() }, PeerReset},
 		"too long": {usual, func(_ *Conn, p *net.TCPConn) { p.Write(make([]byte, 6<<10)) }, TooLong},
-		"finished": {usual, func(c *Conn, _ *net.TCPConn) { c.Send([]byte("x\n")); c.Retire(IdleClosed) }, IdleClosed},
+		"finished": {usual, func(c *Conn, _ *net.TCPConn) { c.Send([]byte("x\n")); c.CloseIfIdle(IdleClosed) }, IdleClosed},
 		"closed":   {usual, func(c *Conn, _ *net.TCPConn) { c.Close() }, ClosedLocally},
 		"overflows": {small, func(c *Conn, _ *net.TCPConn) {
 			for c.Send(flood) {
@@ -161,7 +161,7 @@
 			ended := make(chan CloseReason, 8)
 			conn, peer := pair(t, c.limits, &tr, func(e CloseReason) { ended <- e })
 			if name == "finished" {
-				conn.Owes = func() bool { return false }
+				conn.AnswersPending = func() bool { return false }
 			}
 			go func() {
 				buf := make([]byte, 64)
@@ -306,7 +306,7 @@
 			if name == "without an end" {
 				c.frame = &Lines{Longest: 4 << 10}
 			}
-			c.Owes = func() bool { return false }
+			c.AnswersPending = func() bool { return false }
 			read := make(chan error, 1)
 			go func() {
 				n, err := c.Read(make([]byte, 64))
