--- a/internal/front/client.go
+++ b/internal/front/client.go
@@ -22,14 +22,14 @@
 // client is one dispatcher's connection.
 type client struct {
 	*stream.Conn
-	s *Server
+	server *Server
 
-	mu    sync.Mutex
-	open  map[uint64]*exchange.Exchange
-	used  time.Time // when it last carried something
-	spoke bool      // a whole message, and one of the protocol's
-	fin   time.Time // when it was told that no new request may come
-	over  time.Time // when it ended
+	mu        sync.Mutex
+	open      map[uint64]*exchange.Exchange
+	lastUsed  time.Time // when it last carried something
+	sentValid bool      // a whole message, and one of the protocol's
+	finSentAt time.Time // when it was told that no new request may come
+	endedAt   time.Time // when it ended
 }
 
 // Write takes what redcon itself would send, which is nothing but replies to
@@ -42,39 +42,39 @@
 func (c *client) Close() error { return nil }
 
 // owes tells whether a request is open.
-func (c *client) owes() bool {
+func (c *client) hasOpen() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.open) > 0
 }
 
 // ended lets go of what was open when the connection ended.
-func (c *client) ended(end stream.CloseReason) {
+func (c *client) connEnded(end stream.CloseReason) {
 	c.mu.Lock()
 	open := c.open
-	c.open, c.over = nil, time.Now()
+	c.open, c.endedAt = nil, time.Now()
 	c.mu.Unlock()
 	for _, x := range open {
 		if x.Abandon(exchange.EndedCallerGone) {
-			c.s.sink.CallerGone(x)
+			c.server.sink.CallerGone(x)
 		}
 	}
 	if end == stream.BadFraming || end == stream.TooLong {
-		c.s.complain("broken input from a dispatcher", nil, "end", end.String(), "from", c.RemoteAddr().String())
+		c.server.warnLimited("broken input from a dispatcher", nil, "end", end.String(), "from", c.RemoteAddr().String())
 		return
 	}
 	if len(open) > 0 || end == stream.Overflow || end == stream.ReadStalled || end == stream.WriteStalled {
-		c.s.complain("dispatcher's connection ended badly", nil, "end", end.String(), "open", len(open))
+		c.server.warnLimited("dispatcher's connection ended badly", nil, "end", end.String(), "open", len(open))
 	}
 }
 
 // closed gives the connection's place free.
-func (c *client) closed() {
-	c.s.mu.Lock()
-	delete(c.s.clients, c)
-	c.s.mu.Unlock()
+func (c *client) connDescriptorClosed() {
+	c.server.mu.Lock()
+	delete(c.server.clients, c)
+	c.server.mu.Unlock()
 	select {
-	case c.s.room <- struct{}{}:
+	case c.server.connClosed <- struct{}{}:
 	default:
 	}
 }
@@ -100,7 +100,7 @@
 		c.health(tag)
 	default:
 		s.Counters.Unknown.Add(1)
-		s.complain("unknown command", fmt.Errorf("%q", clip(cmd.Args[0])))
+		s.warnLimited("unknown command", fmt.Errorf("%q", truncate(cmd.Args[0])))
 		c.reject(tag)
 	}
 }
@@ -120,9 +120,9 @@
 	if err == nil {
 		switch len(args) {
 		case 4:
-			call, err = c.s.lanes.parseCall(args[2], args[3], nil)
+			call, err = c.server.parser.parseCall(args[2], args[3], nil)
 		case 5:
-			call, err = c.s.lanes.parseCall(args[2], args[3], args[4])
+			call, err = c.server.parser.parseCall(args[2], args[3], args[4])
 		default:
 			err = fmt.Errorf("a request of %d parts", len(args))
 		}
@@ -130,30 +130,30 @@
 	c.mu.Lock()
 	gone := c.open == nil
 	if err == nil && !gone {
-		if len(c.open) >= maxOpen {
+		if len(c.open) >= maxOpenRequests {
 			err = errors.New("more requests open than allowed")
 		} else if c.open[tag] != nil {
 			err = errors.New("a tag that is open")
 		}
 	}
-	c.used = time.Now()
+	c.lastUsed = time.Now()
 	if err != nil || gone {
 		c.mu.Unlock()
 		if gone { // the connection ended before this was read
 			return
 		}
-		c.s.Counters.Calls.Add(1)
-		c.s.Counters.Malformed.Add(1)
-		c.s.complain("request not understood", err)
-		exchange.New(c.s.ledger, rejecter{c, tagText}, tag, call).Answer(exchange.Answer{Kind: exchange.Failed})
+		c.server.Counters.Calls.Add(1)
+		c.server.Counters.Malformed.Add(1)
+		c.server.warnLimited("request not understood", err)
+		exchange.New(c.server.ledger, rejecter{c, tagText}, tag, call).Answer(exchange.Answer{Kind: exchange.Failed})
 		return
 	}
-	c.spoke = true
-	c.s.Counters.Calls.Add(1)
-	x := exchange.New(c.s.ledger, c, tag, call)
+	c.sentValid = true
+	c.server.Counters.Calls.Add(1)
+	x := exchange.New(c.server.ledger, c, tag, call)
 	c.open[tag] = x
 	c.mu.Unlock()
-	c.s.sink.Arrived(x)
+	c.server.sink.Arrived(x)
 }
 
 // rejecter answers a request that never became open.
@@ -171,34 +171,34 @@
 	if x != nil {
 		delete(c.open, tag)
 	}
-	c.used = time.Now()
+	c.lastUsed = time.Now()
 	c.mu.Unlock()
 	c.RecheckClose()
 	if x == nil { // its answer and the cancel crossed, or it never was
-		c.s.Counters.Unmatched.Add(1)
+		c.server.Counters.Unmatched.Add(1)
 		return
 	}
 	if x.Abandon(exchange.EndedCancelled) {
-		c.s.sink.CallerGone(x)
+		c.server.sink.CallerGone(x)
 	}
 }
 
 func (c *client) health(tag []byte) {
 	c.mu.Lock()
-	c.used, c.spoke = time.Now(), true
+	c.lastUsed, c.sentValid = time.Now(), true
 	c.mu.Unlock()
 	if _, err := parseTag(tag); err != nil {
 		c.reject(tag)
 		return
 	}
-	c.s.pause(context.Background(), connlimit.HealthCheck) // this connection's reader alone waits: checks come on one of their own
+	c.server.awaitAdmission(context.Background(), connlimit.HealthCheck) // this connection's reader alone waits: checks come on one of their own
 	began := time.Now()
-	defer c.s.took(connlimit.HealthCheck, began)
+	defer c.server.chargeAdmission(connlimit.HealthCheck, began)
 	word := "RED"
-	if c.s.good.Load() {
+	if c.server.healthy.Load() {
 		word = "GREEN"
 	}
-	c.Send(message(tag, word, c.s.fields(nil, exchange.Answer{}), nil))
+	c.Send(message(tag, word, c.server.fields(nil, exchange.Answer{}), nil))
 }
 
 // fields writes an answer's fields.
@@ -244,22 +244,22 @@
 	case exchange.Refused:
 		word = "NAK"
 	}
-	var room [tagDigits + 2]byte
+	var room [maxTagDigits + 2]byte
 	var more [64]byte
-	c.Send(message(strconv.AppendUint(room[:0], tag, 10), word, c.s.fields(more[:0], a), a.Body))
+	c.Send(message(strconv.AppendUint(room[:0], tag, 10), word, c.server.fields(more[:0], a), a.Body))
 	c.mu.Lock()
 	delete(c.open, tag)
-	c.used = time.Now()
+	c.lastUsed = time.Now()
 	c.mu.Unlock()
 	c.RecheckClose() // it may have been the last that was owed
 }
 
 // sayFin asks the dispatcher to send no new request here and to close.
-func (c *client) sayFin() {
+func (c *client) sendFin() {
 	c.mu.Lock()
-	first := c.fin.IsZero()
+	first := c.finSentAt.IsZero()
 	if first {
-		c.fin = time.Now()
+		c.finSentAt = time.Now()
 	}
 	c.mu.Unlock()
 	if first {
--- a/internal/front/races_test.go
+++ b/internal/front/close_test.go
@@ -20,7 +20,7 @@
 // the reader, or a hook the end, at the point where the other side has to act.
 
 // unread waits until the node's machine has bytes of this peer that the node has not read.
-func unread(t *testing.T, c *client) {
+func waitForUnread(t *testing.T, c *client) {
 	t.Helper()
 	raw, err := c.Conn.Conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -33,41 +33,41 @@
 	})
 }
 
-func (b *bench) only(t *testing.T) *client {
+func (b *harness) onlyConnection(t *testing.T) *client {
 	t.Helper()
 	standin.Eventually(t, "one connection", func() bool { return b.Conns() == 1 })
-	return b.all()[0]
+	return b.connections()[0]
 }
 
 // rest reads all that is left: nil if the connection ended in order, as nothing was closed over.
-func rest(d *standin.Dispatcher) error {
+func readToEnd(d *standin.Dispatcher) error {
 	_ = d.SetReadDeadline(time.Now().Add(5 * time.Second))
 	_, err := io.Copy(io.Discard, d.TCPConn)
 	return err
 }
 
-var served = exchange.Answer{Kind: exchange.Served, Body: []byte("r")}
+var servedAnswer = exchange.Answer{Kind: exchange.Served, Body: []byte("r")}
 
 // A request or half of one comes between the last look at a resting connection
 // and its FIN. It is not handed on, since nobody could answer it, and the
 // connection is not reset over it.
 func TestInputInTheInstantOfTheEnd(t *testing.T) {
-	whole := standin.EncodeMessage("RPC.CALL", "2", "read", fields, "x")
+	whole := standin.EncodeMessage("RPC.CALL", "2", "read", safeFields, "x")
 	for name, late := range map[string][]byte{"a request": whole, "half a request": whole[:40], "many": []byte(strings.Repeat(string(whole), 200))} {
 		t.Run(name, func(t *testing.T) {
 			var d *standin.Dispatcher
 			var c *client
-			b := start(t, func(s *Server) {
+			b := startServer(t, func(s *Server) {
 				s.limits.BeforeFIN = func() {
 					d.Write(late)
-					unread(t, c)
+					waitForUnread(t, c)
 				}
 			})
-			b.sink.answer = &served
+			b.sink.answer = &servedAnswer
 			d = b.dial(t)
-			c = b.only(t)
-			d.Send("RPC.CALL", "1", "read", fields, "x")
-			standin.Eventually(t, "the answer is off", func() bool { a, _ := b.sink.counts(); return a == 1 && c.Unsent() == 0 && !c.owes() })
+			c = b.onlyConnection(t)
+			d.Send("RPC.CALL", "1", "read", safeFields, "x")
+			standin.Eventually(t, "the answer is off", func() bool { a, _ := b.sink.counts(); return a == 1 && c.Unsent() == 0 && !c.hasOpen() })
 			c.CloseIfIdle(stream.IdleClosed)
 			if got := d.Receive(); got != "1 ACK  r" {
 				t.Errorf("%q", got)
@@ -75,7 +75,7 @@
 			if got := d.Receive(); got != "EOF" {
 				t.Errorf("%q", got)
 			}
-			if err := rest(d); err != nil {
+			if err := readToEnd(d); err != nil {
 				t.Errorf("the connection did not end in order: %v", err)
 			}
 			d.Close()
@@ -90,19 +90,19 @@
 // A request has reached the machine before a resting connection is retired, and
 // the reader has not come to it: the connection is in use, and stays.
 func TestRetiredWithARequestUnread(t *testing.T) {
-	b := start(t, nil)
+	b := startServer(t, nil)
 	b.sink.gate = make(chan struct{})
 	d := b.dial(t)
-	c := b.only(t)
-	d.Send("RPC.CALL", "1", "read", fields, "x")
+	c := b.onlyConnection(t)
+	d.Send("RPC.CALL", "1", "read", safeFields, "x")
 	standin.Eventually(t, "arrival", func() bool { return b.sink.last() != nil })
-	b.sink.last().Answer(served) // the reader still stands at handing it on
+	b.sink.last().Answer(servedAnswer) // the reader still stands at handing it on
 	c.CloseIfIdle(stream.IdleClosed)
-	d.Send("RPC.CALL", "2", "read", fields, "x")
-	unread(t, c)
+	d.Send("RPC.CALL", "2", "read", safeFields, "x")
+	waitForUnread(t, c)
 	close(b.sink.gate)
 	standin.Eventually(t, "the second", func() bool { a, _ := b.sink.counts(); return a == 2 })
-	b.sink.last().Answer(served)
+	b.sink.last().Answer(servedAnswer)
 	for tag := 1; tag <= 2; tag++ {
 		if got := d.Receive(); got != fmt.Sprint(tag, " ACK  r") {
 			t.Errorf("%q", got)
@@ -120,7 +120,7 @@
 func TestLeaveAnswersWhatCame(t *testing.T) {
 	var mu sync.Mutex
 	var half *standin.Dispatcher
-	b := start(t, func(s *Server) {
+	b := startServer(t, func(s *Server) {
 		s.limits.BeforeFIN = func() {
 			mu.Lock()
 			defer mu.Unlock()
@@ -131,38 +131,38 @@
 		}
 	})
 	rests := b.dial(t)
-	b.only(t)
+	b.onlyConnection(t)
 	mu.Lock()
 	half = rests
 	mu.Unlock()
 	b.sink.gate = make(chan struct{})
 	d := b.dial(t)
-	d.Send("RPC.CALL", "1", "read", fields, "x")
+	d.Send("RPC.CALL", "1", "read", safeFields, "x")
 	standin.Eventually(t, "arrival", func() bool { return b.sink.last() != nil })
-	d.Send("RPC.CALL", "2", "read", fields, "x")
-	for _, c := range b.all() {
+	d.Send("RPC.CALL", "2", "read", safeFields, "x")
+	for _, c := range b.connections() {
 		if c.RemoteAddr().String() == d.LocalAddr().String() {
-			unread(t, c)
+			waitForUnread(t, c)
 		}
 	}
 	b.StopListening()
 	left := make(chan bool)
 	go func() { left <- b.Drain(5 * time.Second) }()
-	if err := rest(rests); err != nil {
+	if err := readToEnd(rests); err != nil {
 		t.Errorf("half a line: %v", err)
 	}
 	rests.Close()
 	close(b.sink.gate)
 	standin.Eventually(t, "the second", func() bool { a, _ := b.sink.counts(); return a == 2 })
 	for _, x := range b.sink.arrived {
-		x.Answer(served)
+		x.Answer(servedAnswer)
 	}
 	for range 2 {
 		if got := d.Receive(); !strings.HasSuffix(got, " ACK  r") {
 			t.Errorf("%q", got)
 		}
 	}
-	if err := rest(d); err != nil {
+	if err := readToEnd(d); err != nil {
 		t.Errorf("%v", err)
 	}
 	d.Close()
@@ -174,7 +174,7 @@
 // Peers that rest, and one that sends without end, hold the end up no longer than
 // its bounds in time and bytes.
 func TestEndIsBounded(t *testing.T) {
-	b := start(t, func(s *Server) { s.limits.Linger = 50 * time.Millisecond })
+	b := startServer(t, func(s *Server) { s.limits.Linger = 50 * time.Millisecond })
 	rests, floods := b.dial(t), b.dial(t)
 	rests.Send("RPC.HEALTH", "1", "")
 	rests.Receive()
@@ -198,16 +198,16 @@
 // What comes behind broken bytes, or with them, does not reset the connection
 // before the answers that are owed on it are read.
 func TestBrokenInputBehindARequest(t *testing.T) {
-	b := start(t, nil)
+	b := startServer(t, nil)
 	d := b.dial(t)
-	d.Write(append(standin.EncodeMessage("RPC.CALL", "1", "read", fields, "x"), strings.Repeat("FROB\r\n", 10<<10)...))
+	d.Write(append(standin.EncodeMessage("RPC.CALL", "1", "read", safeFields, "x"), strings.Repeat("FROB\r\n", 10<<10)...))
 	standin.Eventually(t, "the request before it", func() bool { return b.sink.last() != nil })
-	standin.Eventually(t, "no more are taken", func() bool { return b.all()[0].Closing() })
-	b.sink.last().Answer(served)
+	standin.Eventually(t, "no more are taken", func() bool { return b.connections()[0].Closing() })
+	b.sink.last().Answer(servedAnswer)
 	if got := d.Receive(); got != "1 ACK  r" {
 		t.Errorf("%q", got)
 	}
-	if err := rest(d); err != nil {
+	if err := readToEnd(d); err != nil {
 		t.Errorf("ended by %v", err)
 	}
 	if a, _ := b.sink.counts(); a != 1 {
@@ -218,14 +218,14 @@
 // Connections that the machine has accepted and the node has not may carry
 // requests when it stops listening: all are answered.
 func TestStopListeningTakesWhatIsAccepted(t *testing.T) {
-	b := start(t, func(s *Server) { s.cfg.MaxConns = 1 })
+	b := startServer(t, func(s *Server) { s.cfg.MaxConns = 1 })
 	busy := b.dial(t)
-	busy.Send("RPC.CALL", "1", "read", fields, "x")
+	busy.Send("RPC.CALL", "1", "read", safeFields, "x")
 	standin.Eventually(t, "arrival", func() bool { return b.sink.last() != nil })
 	var more []*standin.Dispatcher
 	for range 3 { // the first of them waits for room, behind it nothing is accepted
 		d := b.dial(t)
-		d.Send("RPC.CALL", "1", "read", fields, "x")
+		d.Send("RPC.CALL", "1", "read", safeFields, "x")
 		more = append(more, d)
 	}
 	b.StopListening()
@@ -233,9 +233,9 @@
 	left := make(chan bool)
 	go func() { left <- b.Drain(5 * time.Second) }()
 	b.sink.mu.Lock()
-	b.sink.answer = &served
+	b.sink.answer = &servedAnswer
 	b.sink.mu.Unlock()
-	b.sink.last().Answer(served)
+	b.sink.last().Answer(servedAnswer)
 	for i, d := range append(more, busy) {
 		for {
 			got := d.Receive()
@@ -247,7 +247,7 @@
 			}
 			break
 		}
-		if err := rest(d); err != nil {
+		if err := readToEnd(d); err != nil {
 			t.Errorf("connection %d ended by %v", i, err)
 		}
 		d.Close()
@@ -263,10 +263,10 @@
 
 // A dispatcher of one byte at a time, in both directions, is served like any other.
 func TestByteByByte(t *testing.T) {
-	b := start(t, nil)
+	b := startServer(t, nil)
 	b.sink.answer = &exchange.Answer{Kind: exchange.Served, Body: []byte(strings.Repeat("r", 4096))}
 	d := b.dial(t)
-	for _, c := range standin.EncodeMessage("RPC.CALL", "1", "read", fields, "x") {
+	for _, c := range standin.EncodeMessage("RPC.CALL", "1", "read", safeFields, "x") {
 		d.Write([]byte{c})
 	}
 	var got []byte
@@ -284,9 +284,9 @@
 
 // Small answers are not held back by the system, from the first byte on.
 func TestNoDelay(t *testing.T) {
-	b := start(t, nil)
+	b := startServer(t, nil)
 	b.dial(t)
-	raw, err := b.only(t).Conn.Conn.(*net.TCPConn).SyscallConn()
+	raw, err := b.onlyConnection(t).Conn.Conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -302,20 +302,20 @@
 // A connection that was stopped with half a message on it takes no request any
 // more, not even the rest of that one, and is answered what was open.
 func TestStoppedTakesNoMore(t *testing.T) {
-	b := start(t, nil)
+	b := startServer(t, nil)
 	d := b.dial(t)
-	c := b.only(t)
-	whole := standin.EncodeMessage("RPC.CALL", "2", "read", fields, "x")
-	d.Write(append(standin.EncodeMessage("RPC.CALL", "1", "read", fields, "x"), whole[:30]...))
+	c := b.onlyConnection(t)
+	whole := standin.EncodeMessage("RPC.CALL", "2", "read", safeFields, "x")
+	d.Write(append(standin.EncodeMessage("RPC.CALL", "1", "read", safeFields, "x"), whole[:30]...))
 	standin.Eventually(t, "half of the second", func() bool { a, _ := b.sink.counts(); return a == 1 && c.PartialAge(time.Now()) > 0 })
 	c.CloseAfterAnswers(stream.ReadStalled)
-	d.Write(append(append([]byte{}, whole[30:]...), standin.EncodeMessage("RPC.CALL", "3", "read", fields, "x")...))
+	d.Write(append(append([]byte{}, whole[30:]...), standin.EncodeMessage("RPC.CALL", "3", "read", safeFields, "x")...))
 	standin.Eventually(t, "the rest is discarded", func() bool { return b.Traffic.Discarded.Load() > int64(len(whole)) })
-	b.sink.last().Answer(served)
+	b.sink.last().Answer(servedAnswer)
 	if got := d.Receive(); got != "1 ACK  r" {
 		t.Errorf("%q", got)
 	}
-	if err := rest(d); err != nil {
+	if err := readToEnd(d); err != nil {
 		t.Errorf("ended by %v", err)
 	}
 	if a, _ := b.sink.counts(); a != 1 {
@@ -326,8 +326,8 @@
 // A dispatcher breaks off at each point of a request's life. Nothing of its is left, and
 // another's request beside it is served.
 func TestResetAtEachPoint(t *testing.T) {
-	whole := standin.EncodeMessage("RPC.CALL", "1", "read", fields, "x")
-	b := start(t, nil)
+	whole := standin.EncodeMessage("RPC.CALL", "1", "read", safeFields, "x")
+	b := startServer(t, nil)
 	other := b.dial(t)
 	other.Send("RPC.HEALTH", "1", "")
 	other.Receive() // so it counts, and is no silent stranger
@@ -342,7 +342,7 @@
 			b.sink.mu.Unlock()
 			d.Write(whole)
 			standin.Eventually(t, "one handed on", func() bool { a, _ := b.sink.counts(); return a > n })
-			d.Send("RPC.CALL", "2", "read", fields, "x")
+			d.Send("RPC.CALL", "2", "read", safeFields, "x")
 			return func() {
 				b.sink.mu.Lock()
 				b.sink.gate = nil
@@ -360,7 +360,7 @@
 			a, _ := b.sink.counts()
 			d.Write(whole)
 			standin.Eventually(t, "arrival", func() bool { n, _ := b.sink.counts(); return n > a })
-			b.sink.last().Answer(served)
+			b.sink.last().Answer(servedAnswer)
 			return nil
 		},
 	} {
@@ -376,9 +376,9 @@
 			}
 			standin.Eventually(t, "its end", func() bool { return b.Conns() == before && b.ledger.OpenRequests() == 0 })
 			a, _ := b.sink.counts()
-			other.Send("RPC.CALL", "1", "read", fields, "x")
+			other.Send("RPC.CALL", "1", "read", safeFields, "x")
 			standin.Eventually(t, "the other's", func() bool { n, _ := b.sink.counts(); return n > a })
-			b.sink.last().Answer(served)
+			b.sink.last().Answer(servedAnswer)
 			if got := other.Receive(); got != "1 ACK  r" {
 				t.Errorf("%q", got)
 			}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -29,24 +29,24 @@
 
 // Mechanics of connections; none of them decides about a request.
 const (
-	maxOpen      = 32                     // requests open on one connection
-	inLimit      = 16 << 10               // in ring: one message and what was read beyond it
-	outLimit     = 160 << 10              // out ring: the answers of all open requests
-	sweepEvery   = 50 * time.Millisecond  // idle and stalled connections are looked for
-	pauseOver    = 500 * time.Millisecond // a sweep this late means that the process stood still
-	roomPartial  = time.Second            // for half a message, while connections are short
-	finWait      = 2 * time.Second        // for a dispatcher to close after `0 FIN`
-	partialLimit = 10 * time.Second       // for the rest of a message, if nothing is open
-	partialMost  = 30 * time.Second       // and in any case
-	firstLimit   = 2 * time.Second        // for a new connection's first whole message: its dispatcher has one to send
-	acceptPause  = 20 * time.Millisecond  // while no descriptor is free
-	complainGap  = 2 * time.Second        // between log lines about bad input
-	linger       = 500 * time.Millisecond // for a dispatcher to hear of the end and close its side
-	crossing     = 50 * time.Millisecond  // of that at least, where something was sent on it: what crosses a close is sent again
-	lingerMost   = 8                      // connections that linger while room is short; more are not ended
-	lastAccept   = time.Millisecond       // a wait for connections that the machine has accepted
-	leavePoll    = 2 * time.Millisecond   // how often it is looked whether all connections have ended
-	lastAccepts  = 2                      // such waits in vain before the listener closes
+	maxOpenRequests     = 32                     // requests open on one connection
+	inRingBytes         = 16 << 10               // in ring: one message and what was read beyond it
+	outRingBytes        = 160 << 10              // out ring: the answers of all open requests
+	sweepInterval       = 50 * time.Millisecond  // idle and stalled connections are looked for
+	sweepLateLimit      = 500 * time.Millisecond // a sweep this late means that the process stood still
+	partialCloseAfter   = time.Second            // for half a message, while connections are short
+	finTimeout          = 2 * time.Second        // for a dispatcher to close after `0 FIN`
+	partialIdleLimit    = 10 * time.Second       // for the rest of a message, if nothing is open
+	partialMaxLimit     = 30 * time.Second       // and in any case
+	firstMessageLimit   = 2 * time.Second        // for a new connection's first whole message: its dispatcher has one to send
+	acceptRetryDelay    = 20 * time.Millisecond  // while no descriptor is free
+	warnInterval        = 2 * time.Second        // between log lines about bad input
+	lingerTimeout       = 500 * time.Millisecond // for a dispatcher to hear of the end and close its side
+	minLinger           = 50 * time.Millisecond  // of that at least, where something was sent on it: what crosses a close is sent again
+	maxLingering        = 8                      // connections that linger while room is short; more are not ended
+	finalAcceptTimeout  = time.Millisecond       // a wait for connections that the machine has accepted
+	drainPollInterval   = 2 * time.Millisecond   // how often it is looked whether all connections have ended
+	finalAcceptTimeouts = 2                      // such waits in vain before the listener closes
 )
 
 // Sink takes what dispatchers send. Its methods must not block.
@@ -82,57 +82,57 @@
 	Traffic  stream.Traffic
 
 	cfg    Config
-	lanes  lanes
+	parser requestParser
 	sink   Sink
 	ledger *exchange.Counters
 
 	// The mechanics' constants, but in tests.
-	limits                                  stream.Limits
-	finWait, partialSoft, partialMax, first time.Duration
+	limits                                                           stream.Limits
+	finTimeout, partialIdleLimit, partialMaxLimit, firstMessageLimit time.Duration
 
-	good     atomic.Bool
-	feedback atomic.Pointer[string]
-	idle     atomic.Int64 // idle limit, nanoseconds
+	healthy     atomic.Bool
+	feedback    atomic.Pointer[string]
+	idleTimeout atomic.Int64 // idle limit, nanoseconds
 
-	mu      sync.Mutex
-	clients map[*client]struct{}
-	room    chan struct{} // poked when a connection ends
-	leaving bool          // no new request may come
-	shut    bool          // connections end as soon as they owe nothing
-	listen  net.Listener
-	stopped chan struct{} // closed when no connection is accepted any more
+	mu            sync.Mutex
+	clients       map[*client]struct{}
+	connClosed    chan struct{} // poked when a connection ends
+	finAnnounced  bool          // no new request may come
+	draining      bool          // connections end as soon as they owe nothing
+	baseListener   net.Listener
+	acceptingDone chan struct{} // closed when no connection is accepted any more
 
-	unlisten atomic.Bool
+	stopAccepting atomic.Bool
 
-	began  time.Time
-	doorMu sync.Mutex
-	door   *connlimit.Limiter // nil = nothing is held
+	started   time.Time
+	limiterMu sync.Mutex
+	limiter   *connlimit.Limiter // nil = nothing is held
 
-	complained atomic.Int64
-	muted      atomic.Int64
+	lastWarning atomic.Int64
+	suppressed  atomic.Int64
 }
 
 // New returns a server that hands what it reads to sink.
 func New(cfg Config, sink Sink, ledger *exchange.Counters) *Server {
 	s := &Server{
-		cfg: cfg, lanes: newLanes(cfg.Settings, cfg.Names), sink: sink, ledger: ledger,
-		clients: map[*client]struct{}{}, room: make(chan struct{}, 1),
-		stopped: make(chan struct{}),
-		limits:  stream.Limits{In: inLimit, Out: outLimit, StallTimeout: stream.StallLimit, Linger: linger},
-		finWait: finWait, partialSoft: partialLimit, partialMax: partialMost, first: firstLimit,
+		cfg: cfg, parser: newRequestParser(cfg.Settings, cfg.Names), sink: sink, ledger: ledger,
+		clients: map[*client]struct{}{}, connClosed: make(chan struct{}, 1),
+		acceptingDone: make(chan struct{}),
+		limits:        stream.Limits{In: inRingBytes, Out: outRingBytes, StallTimeout: stream.StallLimit, Linger: lingerTimeout},
+		finTimeout:    finTimeout, partialIdleLimit: partialIdleLimit, partialMaxLimit: partialMaxLimit, firstMessageLimit: firstMessageLimit,
 	}
 	s.Traffic.HeldLimit = cfg.OutBytes
-	s.began = time.Now()
+	s.started = time.Now()
 	if cfg.SetupCPUShare > 0 {
-		s.door = connlimit.New(0, cfg.SetupCPUShare)
+		s.limiter = connlimit.New(0, cfg.SetupCPUShare)
 	}
-	s.good.Store(true)
-	s.idle.Store(int64(cfg.Settings.MaxIdleTimeout))
+	s.healthy.Store(true)
+	s.idleTimeout.Store(int64(cfg.Settings.MaxIdleTimeout))
 	return s
 }
 
 // SetHealth sets what health checks are told.
-func (s *Server) SetHealth(good bool) { s.good.Store(good) }
+func (s *Server) SetHealth(good bool) { s.healthy.Store(good) }
 
 // Say sets the free value that goes out with every answer and health check.
 func (s *Server) PublishLoad(value float64) {
@@ -145,19 +145,19 @@
 	if after <= 0 {
 		after = s.cfg.Settings.MaxIdleTimeout
 	}
-	s.idle.Store(int64(after))
+	s.idleTimeout.Store(int64(after))
 }
 
 // Serve accepts connections from ln until ctx ends or the server leaves.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
 	s.mu.Lock()
-	s.listen = ln
+	s.baseListener = ln
 	s.mu.Unlock()
 	stop := context.AfterFunc(ctx, func() { _ = ln.Close() })
 	defer stop()
 	go s.sweep(ctx)
-	defer close(s.stopped)
-	rs := redcon.NewServer(ln.Addr().String(), s.command, s.accepted, s.closed)
+	defer close(s.acceptingDone)
+	rs := redcon.NewServer(ln.Addr().String(), s.command, s.redconAccepted, s.redconClosed)
 	if err := rs.Serve(&listener{Listener: ln, s: s, ctx: ctx}); err != nil {
 		return fmt.Errorf("serve dispatchers: %w", err)
 	}
@@ -177,18 +177,18 @@
 		c, err := l.next()
 		switch {
 		case err == nil:
-			for l.ctx.Err() == nil && l.s.full() {
-				l.s.makeRoom()
+			for l.ctx.Err() == nil && l.s.atCapacity() {
+				l.s.freeConnectionSlot()
 				select {
-				case <-l.s.room:
+				case <-l.s.connClosed:
 				case <-l.ctx.Done():
-				case <-time.After(acceptPause):
+				case <-time.After(acceptRetryDelay):
 				}
 			}
-			l.s.pause(l.ctx, connlimit.Connect)
+			l.s.awaitAdmission(l.ctx, connlimit.Connect)
 			began := time.Now()
-			cl := l.s.wrap(c)
-			l.s.took(connlimit.Connect, began)
+			cl := l.s.newClient(c)
+			l.s.chargeAdmission(connlimit.Connect, began)
 			if l.ctx.Err() != nil { // it waited until the end
 				cl.Abort(stream.ClosedLocally)
 			}
@@ -198,14 +198,14 @@
 		}
 		l.s.Counters.AcceptFailures.Add(1)
 		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
-			l.s.complain("no descriptor for a new connection", err)
+			l.s.warnLimited("no descriptor for a new connection", err)
 		} else {
-			l.s.complain("accept failed", err)
+			l.s.warnLimited("accept failed", err)
 		}
 		select {
 		case <-l.ctx.Done():
 			return nil, net.ErrClosed
-		case <-time.After(acceptPause):
+		case <-time.After(acceptRetryDelay):
 		}
 	}
 }
@@ -216,9 +216,9 @@
 func (l *listener) next() (net.Conn, error) {
 	d, ok := l.Listener.(interface{ SetDeadline(time.Time) error })
 	for vain := 0; ; {
-		last := ok && l.s.unlisten.Load()
+		last := ok && l.s.stopAccepting.Load()
 		if last {
-			_ = d.SetDeadline(time.Now().Add(lastAccept))
+			_ = d.SetDeadline(time.Now().Add(finalAcceptTimeout))
 		}
 		c, err := l.Listener.Accept()
 		if err == nil || !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -227,7 +227,7 @@
 		if !last {
 			continue // told just now
 		}
-		if vain++; vain >= lastAccepts {
+		if vain++; vain >= finalAcceptTimeouts {
 			_ = l.Listener.Close()
 			return nil, net.ErrClosed
 		}
@@ -235,13 +235,13 @@
 }
 
 // pause waits until the door lets an event in; what is on open connections goes on.
-func (s *Server) pause(ctx context.Context, k connlimit.Kind) {
-	if s.door == nil {
+func (s *Server) awaitAdmission(ctx context.Context, k connlimit.Kind) {
+	if s.limiter == nil {
 		return
 	}
-	s.doorMu.Lock()
-	wait := s.door.Delay(time.Since(s.began), k)
-	s.doorMu.Unlock()
+	s.limiterMu.Lock()
+	wait := s.limiter.Delay(time.Since(s.started), k)
+	s.limiterMu.Unlock()
 	if wait <= 0 {
 		return
 	}
@@ -252,27 +252,27 @@
 }
 
 // took tells the door what an event has taken.
-func (s *Server) took(k connlimit.Kind, began time.Time) {
-	if s.door == nil {
+func (s *Server) chargeAdmission(k connlimit.Kind, began time.Time) {
+	if s.limiter == nil {
 		return
 	}
 	seen := time.Since(began)
-	s.doorMu.Lock()
-	s.door.Charge(k, seen)
-	s.doorMu.Unlock()
+	s.limiterMu.Lock()
+	s.limiter.Charge(k, seen)
+	s.limiterMu.Unlock()
 }
 
 // Held is how many connections and health checks had to wait at the door.
 func (s *Server) Delayed() (connects, probes int) {
-	if s.door == nil {
+	if s.limiter == nil {
 		return 0, 0
 	}
-	s.doorMu.Lock()
-	defer s.doorMu.Unlock()
-	return s.door.Delayed[connlimit.Connect], s.door.Delayed[connlimit.HealthCheck]
+	s.limiterMu.Lock()
+	defer s.limiterMu.Unlock()
+	return s.limiter.Delayed[connlimit.Connect], s.limiter.Delayed[connlimit.HealthCheck]
 }
 
-func (s *Server) full() bool {
+func (s *Server) atCapacity() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.cfg.MaxConns > 0 && len(s.clients) >= s.cfg.MaxConns
@@ -283,27 +283,27 @@
 // a message only if there is no other. A connection that the machine has accepted
 // and the node has not may carry requests already, which nobody would answer.
 // It reports whether one was asked to end.
-func (s *Server) makeRoom() bool {
+func (s *Server) freeConnectionSlot() bool {
 	var best *client
 	var bestUsed time.Time
 	bestRank, lingering := 0, 0
 	now := time.Now()
-	for _, c := range s.all() {
+	for _, c := range s.connections() {
 		c.mu.Lock()
-		free, used, rank, over := len(c.open) == 0, c.used, 0, c.over
-		if c.spoke {
+		free, used, rank, over := len(c.open) == 0, c.lastUsed, 0, c.endedAt
+		if c.sentValid {
 			rank = 1
 		}
 		c.mu.Unlock()
 		if c.Closing() {
 			lingering++
-			if !over.IsZero() && now.Sub(over) >= crossing {
+			if !over.IsZero() && now.Sub(over) >= minLinger {
 				c.StopLingering()
 			}
 			continue
 		}
 		part := c.PartialAge(now) > 0
-		if !free || c.Unsent() > 0 || part && now.Sub(used) < roomPartial {
+		if !free || c.Unsent() > 0 || part && now.Sub(used) < partialCloseAfter {
 			continue
 		}
 		if part {
@@ -313,7 +313,7 @@
 			best, bestUsed, bestRank = c, used, rank
 		}
 	}
-	if best == nil || lingering >= lingerMost {
+	if best == nil || lingering >= maxLingering {
 		return false
 	}
 	if !best.HasSent() { // nothing was sent on it that a reset could take away
@@ -324,16 +324,16 @@
 }
 
 // wrap makes an accepted connection a dispatcher's.
-func (s *Server) wrap(c net.Conn) *client {
-	cl := &client{s: s, open: map[uint64]*exchange.Exchange{}, used: time.Now()}
-	cl.Conn = stream.New(c, &stream.RESP{}, s.limits, &s.Traffic, cl.ended)
-	cl.AnswersPending, cl.OnDescriptorClosed = cl.owes, cl.closed
+func (s *Server) newClient(c net.Conn) *client {
+	cl := &client{server: s, open: map[uint64]*exchange.Exchange{}, lastUsed: time.Now()}
+	cl.Conn = stream.New(c, &stream.RESP{}, s.limits, &s.Traffic, cl.connEnded)
+	cl.AnswersPending, cl.OnDescriptorClosed = cl.hasOpen, cl.connDescriptorClosed
 	s.mu.Lock()
 	s.clients[cl] = struct{}{}
-	leaving, shut := s.leaving, s.shut
+	leaving, shut := s.finAnnounced, s.draining
 	s.mu.Unlock()
 	if leaving {
-		cl.sayFin()
+		cl.sendFin()
 	}
 	if shut {
 		cl.CloseWhenIdle(stream.ClosedLocally)
@@ -342,19 +342,19 @@
 }
 
 // complain logs bad input at a bounded rate.
-func (s *Server) complain(what string, err error, more ...any) {
-	now, last := time.Now().UnixNano(), s.complained.Load()
-	if now-last < int64(complainGap) || !s.complained.CompareAndSwap(last, now) {
-		s.muted.Add(1)
+func (s *Server) warnLimited(what string, err error, more ...any) {
+	now, last := time.Now().UnixNano(), s.lastWarning.Load()
+	if now-last < int64(warnInterval) || !s.lastWarning.CompareAndSwap(last, now) {
+		s.suppressed.Add(1)
 		return
 	}
 	if err != nil {
 		more = append(more, "err", err)
 	}
-	s.cfg.Log.Warn(what, append(more, "muted", s.muted.Swap(0))...)
+	s.cfg.Log.Warn(what, append(more, "muted", s.suppressed.Swap(0))...)
 }
 
-func (s *Server) accepted(conn redcon.Conn) bool {
+func (s *Server) redconAccepted(conn redcon.Conn) bool {
 	cl, ok := conn.NetConn().(*client)
 	if !ok {
 		return false
@@ -365,7 +365,7 @@
 
 // closed is told when redcon reads a connection no more. By then it has ended,
 // unless redcon takes for broken what the framing let through.
-func (s *Server) closed(conn redcon.Conn, _ error) {
+func (s *Server) redconClosed(conn redcon.Conn, _ error) {
 	if c, ok := conn.Context().(*client); ok {
 		c.Abort(stream.BadFraming)
 	}
@@ -373,7 +373,7 @@
 
 // sweep looks for connections to close, until ctx ends.
 func (s *Server) sweep(ctx context.Context) {
-	tick := time.NewTicker(sweepEvery)
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	last := time.Now()
 	for {
@@ -383,8 +383,8 @@
 		case <-tick.C:
 		}
 		now := time.Now()
-		if now.Sub(last) > pauseOver {
-			s.excuse(now)
+		if now.Sub(last) > sweepLateLimit {
+			s.restartTimers(now)
 		}
 		last = now
 		s.sweepOnce(now)
@@ -393,39 +393,39 @@
 
 // excuse lets every connection's times count from now: the process stood still,
 // and that its peers were not heard meanwhile is nobody's fault.
-func (s *Server) excuse(now time.Time) {
-	for _, c := range s.all() {
+func (s *Server) restartTimers(now time.Time) {
+	for _, c := range s.connections() {
 		c.RestartPartialTimer(now)
 		c.mu.Lock()
-		c.used = now
+		c.lastUsed = now
 		c.mu.Unlock()
 	}
 }
 
 func (s *Server) sweepOnce(now time.Time) {
-	limit := time.Duration(s.idle.Load())
-	for _, c := range s.all() {
+	limit := time.Duration(s.idleTimeout.Load())
+	for _, c := range s.connections() {
 		c.mu.Lock()
-		idle, open, fin, spoke := now.Sub(c.used), len(c.open), c.fin, c.spoke
+		idle, open, fin, spoke := now.Sub(c.lastUsed), len(c.open), c.finSentAt, c.sentValid
 		c.mu.Unlock()
 		partial := c.PartialAge(now)
 		switch {
 		// Whoever says nothing whole after connecting is no dispatcher: those connect
 		// to send. Should one be that slow, it only has to connect again.
-		case !spoke && idle > s.first:
+		case !spoke && idle > s.firstMessageLimit:
 			c.CloseIfIdle(stream.ReadStalled)
-		case partial > s.partialMax, partial > s.partialSoft && open == 0:
+		case partial > s.partialMaxLimit, partial > s.partialIdleLimit && open == 0:
 			c.CloseAfterAnswers(stream.ReadStalled)
 		case open > 0 || partial > 0 || c.Unsent() > 0:
-		case !fin.IsZero() && now.Sub(fin) > s.finWait && idle > s.finWait:
+		case !fin.IsZero() && now.Sub(fin) > s.finTimeout && idle > s.finTimeout:
 			c.CloseIfIdle(stream.IdleClosed)
 		case limit > 0 && idle > limit:
-			c.sayFin()
+			c.sendFin()
 		}
 	}
 }
 
-func (s *Server) all() []*client {
+func (s *Server) connections() []*client {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := make([]*client, 0, len(s.clients))
@@ -446,10 +446,10 @@
 // request on its connection and to close it.
 func (s *Server) SendFin() {
 	s.mu.Lock()
-	s.leaving = true
+	s.finAnnounced = true
 	s.mu.Unlock()
-	for _, c := range s.all() {
-		c.sayFin()
+	for _, c := range s.connections() {
+		c.sendFin()
 	}
 }
 
@@ -457,12 +457,12 @@
 // accepted by then are still taken.
 func (s *Server) StopListening() {
 	s.mu.Lock()
-	ln := s.listen
+	ln := s.baseListener
 	s.mu.Unlock()
 	if ln == nil {
 		return
 	}
-	s.unlisten.Store(true)
+	s.stopAccepting.Store(true)
 	if d, ok := ln.(interface{ SetDeadline(time.Time) error }); ok {
 		_ = d.SetDeadline(time.Unix(1, 0))
 		return
@@ -475,21 +475,21 @@
 // listener must have been stopped. It reports whether all ended in order.
 func (s *Server) Drain(most time.Duration) bool {
 	s.mu.Lock()
-	s.shut = true
+	s.draining = true
 	s.mu.Unlock()
-	for _, c := range s.all() {
+	for _, c := range s.connections() {
 		c.CloseWhenIdle(stream.ClosedLocally)
 	}
-	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(leavePoll) {
+	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(drainPollInterval) {
 		select {
-		case <-s.stopped:
+		case <-s.acceptingDone:
 			if s.Conns() == 0 {
 				return true
 			}
 		default:
 		}
 	}
-	for _, c := range s.all() {
+	for _, c := range s.connections() {
 		c.StopLingering()
 		c.Abort(stream.ClosedLocally)
 	}
@@ -498,7 +498,7 @@
 
 // Flushed reports whether every answer given was taken by the network.
 func (s *Server) Flushed() bool {
-	for _, c := range s.all() {
+	for _, c := range s.connections() {
 		if c.Unsent() > 0 {
 			return false
 		}
@@ -508,7 +508,7 @@
 
 // Shut ends every connection.
 func (s *Server) AbortAll() {
-	for _, c := range s.all() {
+	for _, c := range s.connections() {
 		c.Abort(stream.ClosedLocally)
 	}
 }
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -25,7 +25,7 @@
 )
 
 // recorder is a sink that keeps what it is told.
-type recorder struct {
+type recordingSink struct {
 	mu      sync.Mutex
 	arrived []*exchange.Exchange
 	gone    []*exchange.Exchange
@@ -33,7 +33,7 @@
 	gate    chan struct{}    // holds the reader at the point where it hands a request on
 }
 
-func (r *recorder) Arrived(x *exchange.Exchange) {
+func (r *recordingSink) Arrived(x *exchange.Exchange) {
 	r.mu.Lock()
 	r.arrived = append(r.arrived, x)
 	a, gate := r.answer, r.gate
@@ -46,19 +46,19 @@
 	}
 }
 
-func (r *recorder) CallerGone(x *exchange.Exchange) {
+func (r *recordingSink) CallerGone(x *exchange.Exchange) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.gone = append(r.gone, x)
 }
 
-func (r *recorder) counts() (arrived, gone int) {
+func (r *recordingSink) counts() (arrived, gone int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.arrived), len(r.gone)
 }
 
-func (r *recorder) last() *exchange.Exchange {
+func (r *recordingSink) last() *exchange.Exchange {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.arrived) == 0 {
@@ -67,16 +67,16 @@
 	return r.arrived[len(r.arrived)-1]
 }
 
-type bench struct {
+type harness struct {
 	*Server
-	sink   *recorder
+	sink   *recordingSink
 	ledger *exchange.Counters
 	addr   string
 }
 
-func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-func start(t *testing.T, tune func(*Server)) *bench {
+func startServer(t *testing.T, tune func(*Server)) *harness {
 	t.Helper()
 	set := rules.Settings{
 		Classes:        []rules.Class{{Effect: rules.Safe}, {Effect: rules.Keyed}},
@@ -84,8 +84,8 @@
 		MaxIdleTimeout: 30 * time.Second,
 	}
 	names := settings.Names{Classes: []string{"read", "pay"}, Tenants: []string{"acme"}}
-	b := &bench{sink: &recorder{}, ledger: &exchange.Counters{}}
-	b.Server = New(Config{Settings: set, Names: names, Log: quiet()}, b.sink, b.ledger)
+	b := &harness{sink: &recordingSink{}, ledger: &exchange.Counters{}}
+	b.Server = New(Config{Settings: set, Names: names, Log: discardLogger()}, b.sink, b.ledger)
 	if tune != nil {
 		tune(b.Server)
 	}
@@ -115,19 +115,19 @@
 	return b
 }
 
-func (b *bench) dial(t *testing.T) *standin.Dispatcher { return standin.Dial(t, b.addr) }
+func (b *harness) dial(t *testing.T) *standin.Dispatcher { return standin.Dial(t, b.addr) }
 
 const (
-	fields = "txn=9b1f03aa5c7e2d41,door=1764576000123,lb=4,team=acme,limit=480,second=1,cpu=12.50,ram=24.5," +
+	safeFields = "txn=9b1f03aa5c7e2d41,door=1764576000123,lb=4,team=acme,limit=480,second=1,cpu=12.50,ram=24.5," +
 		"standing=0.6250,item=7f3a9c21e0b4d655,later=never"
-	keyed = "txn=9b1f03aa5c7e2d41,door=1764576000123,lb=4,team=acme,ram=24.5,standing=0.6250,unique=abc"
+	keyedFields = "txn=9b1f03aa5c7e2d41,door=1764576000123,lb=4,team=acme,ram=24.5,standing=0.6250,unique=abc"
 )
 
 func TestCallIsReadWhole(t *testing.T) {
-	b := start(t, nil)
+	b := startServer(t, nil)
 	d := b.dial(t)
 	body := strings.Repeat("\r\n*1\x00", 300)
-	d.Send("RPC.CALL", "7", "read", fields, body)
+	d.Send("RPC.CALL", "7", "read", safeFields, body)
 	standin.Eventually(t, "arrival", func() bool { return b.sink.last() != nil })
 	x := b.sink.last()
 	want := exchange.Request{
@@ -138,7 +138,7 @@
 		t.Errorf("read %+v", x.Request)
 	}
 	// The words of a message live in its reader's buffer; what is kept must not.
-	d.Send("RPC.CALL", "8", "pay", keyed, strings.Repeat("z", 2000))
+	d.Send("RPC.CALL", "8", "pay", keyedFields, strings.Repeat("z", 2000))
 	standin.Eventually(t, "second arrival", func() bool { a, _ := b.sink.counts(); return a == 2 })
 	if string(x.Body) != body || x.Txn != want.Txn {
 		t.Error("a later message changed what was kept")
@@ -151,7 +151,7 @@
 }
 
 func TestAnswers(t *testing.T) {
-	b := start(t, nil)
+	b := startServer(t, nil)
 	d := b.dial(t)
 	result := strings.Repeat("\x00\r\n", 1300)
 	for i, c := range []struct {
@@ -173,7 +173,7 @@
 		b.sink.mu.Lock()
 		b.sink.answer = &c.answer
 		b.sink.mu.Unlock()
-		d.Send("RPC.CALL", fmt.Sprint(i+1), "read", fields, "x")
+		d.Send("RPC.CALL", fmt.Sprint(i+1), "read", safeFields, "x")
 		if got := d.Receive(); got != fmt.Sprint(i+1, " ", c.want) {
 			t.Errorf("answer %q, want %q", got, c.want)
 		}
@@ -181,7 +181,7 @@
 }
 
 func TestHealth(t *testing.T) {
-	b := start(t, nil)
+	b := startServer(t, nil)
 	d := b.dial(t)
 	d.Send("RPC.HEALTH", "1", "")
 	if got := d.Receive(); got != "1 GREEN  " {
@@ -198,11 +198,11 @@
 // What can't be read as a request is answered as failed, never reaches the
 // decisions, and leaves the connection usable.
 func TestBadRequests(t *testing.T) {
-	b := start(t, nil)
+	b := startServer(t, nil)
 	d := b.dial(t)
 	without := func(name string) string {
 		var keep []string
-		for _, f := range strings.Split(fields, ",") {
+		for _, f := range strings.Split(safeFields, ",") {
 			if !strings.HasPrefix(f, name+"=") {
 				keep = append(keep, f)
 			}
@@ -217,17 +217,17 @@
 	}{
 		"unknown command":  {[]string{"RPC.SHOUT", "5", "x"}, "5"},
 		"lone word":        {[]string{"PING"}, "0"},
-		"tag 0":            {[]string{"RPC.CALL", "0", "read", fields, "x"}, "0"},
-		"tag of letters":   {[]string{"RPC.CALL", "x7", "read", fields, "x"}, "0"},
-		"negative tag":     {[]string{"RPC.CALL", "-7", "read", fields, "x"}, "0"},
-		"endless tag":      {[]string{"RPC.CALL", "99999999999999999999", "read", fields, "x"}, "0"},
+		"tag 0":            {[]string{"RPC.CALL", "0", "read", safeFields, "x"}, "0"},
+		"tag of letters":   {[]string{"RPC.CALL", "x7", "read", safeFields, "x"}, "0"},
+		"negative tag":     {[]string{"RPC.CALL", "-7", "read", safeFields, "x"}, "0"},
+		"endless tag":      {[]string{"RPC.CALL", "99999999999999999999", "read", safeFields, "x"}, "0"},
 		"no class":         {[]string{"RPC.CALL", "5"}, "5"},
-		"too many parts":   {[]string{"RPC.CALL", "5", "read", fields, "x", "y"}, "5"},
-		"unknown class":    {[]string{"RPC.CALL", "5", "write", fields, "x"}, "5"},
-		"big body":         {[]string{"RPC.CALL", "5", "read", fields, strings.Repeat("x", 2049)}, "5"},
+		"too many parts":   {[]string{"RPC.CALL", "5", "read", safeFields, "x", "y"}, "5"},
+		"unknown class":    {[]string{"RPC.CALL", "5", "write", safeFields, "x"}, "5"},
+		"big body":         {[]string{"RPC.CALL", "5", "read", safeFields, strings.Repeat("x", 2049)}, "5"},
 		"no fields":        {[]string{"RPC.CALL", "5", "read", "", "x"}, "5"},
-		"field alone":      {[]string{"RPC.CALL", "5", "read", fields + ",second", "x"}, "5"},
-		"field twice":      {[]string{"RPC.CALL", "5", "read", fields + ",lb=4", "x"}, "5"},
+		"field alone":      {[]string{"RPC.CALL", "5", "read", safeFields + ",second", "x"}, "5"},
+		"field twice":      {[]string{"RPC.CALL", "5", "read", safeFields + ",lb=4", "x"}, "5"},
 		"no txn":           {[]string{"RPC.CALL", "5", "read", without("txn"), "x"}, "5"},
 		"short txn":        {[]string{"RPC.CALL", "5", "read", with("txn", "9b1f"), "x"}, "5"},
 		"txn not hex":      {[]string{"RPC.CALL", "5", "read", with("txn", `9b1f03aa5c7e2d4"`), "x"}, "5"},
@@ -245,7 +245,7 @@
 		"standing of 1":    {[]string{"RPC.CALL", "5", "read", with("standing", "1"), "x"}, "5"},
 		"unknown tenant":   {[]string{"RPC.CALL", "5", "read", with("team", "nobody"), "x"}, "5"},
 		"no tenant":        {[]string{"RPC.CALL", "5", "read", without("team"), "x"}, "5"},
-		"keyed, no key":    {[]string{"RPC.CALL", "5", "pay", fields, "x"}, "5"},
+		"keyed, no key":    {[]string{"RPC.CALL", "5", "pay", safeFields, "x"}, "5"},
 		"health, tag of 0": {[]string{"RPC.HEALTH", "0", ""}, "0"},
 	} {
 		d.Send(c.msg...)
@@ -267,24 +267,24 @@
 }
 
 func TestOpenTags(t *testing.T) {
-	b := start(t, nil)
+	b := startServer(t, nil)
 	d := b.dial(t)
-	for i := range maxOpen {
-		d.Send("RPC.CALL", fmt.Sprint(i+1), "read", fields, "x")
+	for i := range maxOpenRequests {
+		d.Send("RPC.CALL", fmt.Sprint(i+1), "read", safeFields, "x")
 	}
-	d.Send("RPC.CALL", "33", "read", fields, "x")
+	d.Send("RPC.CALL", "33", "read", safeFields, "x")
 	if got := d.Receive(); got != "33 FAIL  " {
 		t.Errorf("over the bound: %q", got)
 	}
 	d.Send("RPC.CANCEL", "999")
 	d.Send("RPC.CANCEL", "")
 	d.Send("RPC.CANCEL", "2")
-	d.Send("RPC.CALL", "3", "read", fields, "x")
+	d.Send("RPC.CALL", "3", "read", safeFields, "x")
 	if got := d.Receive(); got != "3 FAIL  " {
 		t.Errorf("open tag: %q", got)
 	}
-	d.Send("RPC.CALL", "34", "read", fields, "x") // 2 left room
-	standin.Eventually(t, "arrivals", func() bool { a, g := b.sink.counts(); return a == maxOpen+1 && g == 1 })
+	d.Send("RPC.CALL", "34", "read", safeFields, "x") // 2 left room
+	standin.Eventually(t, "arrivals", func() bool { a, g := b.sink.counts(); return a == maxOpenRequests+1 && g == 1 })
 	b.sink.mu.Lock()
 	list := append([]*exchange.Exchange(nil), b.sink.arrived...)
 	b.sink.mu.Unlock()
@@ -301,7 +301,7 @@
 			continue
 		}
 		tag := i + 1
-		if i == maxOpen {
+		if i == maxOpenRequests {
 			tag = 34
 		}
 		if got := d.Receive(); got != fmt.Sprint(tag, " ACK  r") {
@@ -319,9 +319,9 @@
 // peer is gone, at every point of a request's life, and of nothing else. One that
 // is ended for what it sent is still answered what was read before.
 func TestEndsLetGo(t *testing.T) {
-	var b *bench
+	var b *harness
 	flood := func(d *standin.Dispatcher) { // it reads nothing, and ever more is sent to it
-		for _, c := range b.all() {
+		for _, c := range b.connections() {
 			if c.RemoteAddr().String() == d.LocalAddr().String() {
 				for c.Send(make([]byte, 2<<10)) {
 				}
@@ -340,17 +340,17 @@
 		"takes nothing":  {flood, stream.Overflow},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b = start(t, func(s *Server) {
-				s.partialSoft, s.partialMax = 50*time.Millisecond, 100*time.Millisecond
+			b = startServer(t, func(s *Server) {
+				s.partialIdleLimit, s.partialMaxLimit = 50*time.Millisecond, 100*time.Millisecond
 				s.limits.Out = 4 << 10
 			})
 			other, d := b.dial(t), b.dial(t)
-			other.Send("RPC.CALL", "1", "read", fields, "x")
+			other.Send("RPC.CALL", "1", "read", safeFields, "x")
 			standin.Eventually(t, "first arrival", func() bool { a, _ := b.sink.counts(); return a == 1 })
 			kept := b.sink.last()
-			d.Send("RPC.CALL", "1", "read", fields, "x") // answered and heard
-			d.Send("RPC.CALL", "2", "read", fields, "x") // open
-			d.Send("RPC.CALL", "3", "read", fields, "x") // cancelled
+			d.Send("RPC.CALL", "1", "read", safeFields, "x") // answered and heard
+			d.Send("RPC.CALL", "2", "read", safeFields, "x") // open
+			d.Send("RPC.CALL", "3", "read", safeFields, "x") // cancelled
 			d.Send("RPC.CANCEL", "3")
 			standin.Eventually(t, "arrivals", func() bool { a, g := b.sink.counts(); return a == 4 && g == 1 })
 			b.sink.arrived[1].Answer(exchange.Answer{Kind: exchange.Refused})
@@ -361,7 +361,7 @@
 			open := b.sink.arrived[2]
 			if c.want == stream.BadFraming || c.want == stream.TooLong || c.want == stream.ReadStalled {
 				standin.Eventually(t, "no more requests are taken", func() bool {
-					return slices.ContainsFunc(b.all(), func(c *client) bool { return c.Closing() })
+					return slices.ContainsFunc(b.connections(), func(c *client) bool { return c.Closing() })
 				})
 				if !open.Answer(exchange.Answer{Kind: exchange.Served, Body: []byte("r")}) {
 					t.Fatalf("the open request is %v", open.FinalState())
@@ -405,10 +405,10 @@
 			continue
 		}
 		t.Run(end.String(), func(t *testing.T) {
-			b := start(t, nil)
+			b := startServer(t, nil)
 			d, other := b.dial(t), b.dial(t)
 			for i := range 3 {
-				d.Send("RPC.CALL", fmt.Sprint(i+1), "read", fields, "x")
+				d.Send("RPC.CALL", fmt.Sprint(i+1), "read", safeFields, "x")
 			}
 			d.Send("RPC.CANCEL", "2")
 			standin.Eventually(t, "arrivals", func() bool { a, g := b.sink.counts(); return a == 3 && g == 1 })
@@ -416,7 +416,7 @@
 			if got := d.Receive(); got != "1 ACK  r" {
 				t.Fatalf("%q", got)
 			}
-			for _, c := range b.all() {
+			for _, c := range b.connections() {
 				if c.RemoteAddr().String() == d.LocalAddr().String() {
 					c.Abort(end)
 					c.Abort(stream.PeerReset)
@@ -446,9 +446,9 @@
 // A dispatcher that closes its side in order may still read; it gets what it is
 // owed, and then the connection ends.
 func TestHalfClosedIsStillAnswered(t *testing.T) {
-	b := start(t, nil)
+	b := startServer(t, nil)
 	d := b.dial(t)
-	d.Send("RPC.CALL", "1", "read", fields, "x")
+	d.Send("RPC.CALL", "1", "read", safeFields, "x")
 	d.CloseWrite()
 	standin.Eventually(t, "arrival", func() bool { return b.sink.last() != nil })
 	time.Sleep(20 * time.Millisecond)
@@ -465,9 +465,9 @@
 // An idle connection is asked to close, and closed if it doesn't; one that
 // carries something is left alone.
 func TestIdle(t *testing.T) {
-	b := start(t, func(s *Server) { s.finWait = 50 * time.Millisecond })
+	b := startServer(t, func(s *Server) { s.finTimeout = 50 * time.Millisecond })
 	d, busy := b.dial(t), b.dial(t)
-	busy.Send("RPC.CALL", "1", "read", fields, "x")
+	busy.Send("RPC.CALL", "1", "read", safeFields, "x")
 	b.SetIdleTimeout(40 * time.Millisecond)
 	if got := d.Receive(); got != "0 FIN" {
 		t.Errorf("%q", got)
@@ -489,9 +489,9 @@
 // answered at once meanwhile; with the door open the same flood is let in as it comes.
 func TestFloodAtTheDoor(t *testing.T) {
 	flood := func(share float64) (opened int64, slowest time.Duration, held int) {
-		b := start(t, func(s *Server) {
+		b := startServer(t, func(s *Server) {
 			if share > 0 {
-				s.door = connlimit.New(0, share)
+				s.limiter = connlimit.New(0, share)
 			}
 		})
 		b.sink.answer = &exchange.Answer{Kind: exchange.Refused}
@@ -511,7 +511,7 @@
 		}
 		for tag := 2; time.Now().Before(stop); tag++ {
 			began := time.Now()
-			d.Write(standin.EncodeMessage("RPC.CALL", fmt.Sprint(tag), "read", fields))
+			d.Write(standin.EncodeMessage("RPC.CALL", fmt.Sprint(tag), "read", safeFields))
 			d.Receive()
 			slowest = max(slowest, time.Since(began))
 		}
@@ -532,20 +532,20 @@
 // A process that stood still must not take its own silence for its peers': a
 // message that was half read then, and connections that were idle, stay.
 func TestPauseIsExcused(t *testing.T) {
-	b := start(t, func(s *Server) { s.partialSoft = 10 * time.Second })
+	b := startServer(t, func(s *Server) { s.partialIdleLimit = 10 * time.Second })
 	d := b.dial(t)
 	half := standin.EncodeMessage("RPC.HEALTH", "1", "")
 	d.Write(half[:9])
 	var c *client
 	standin.Eventually(t, "half a message", func() bool {
-		list := b.all()
+		list := b.connections()
 		if len(list) == 1 {
 			c = list[0]
 		}
 		return c != nil && c.PartialAge(time.Now()) > 0
 	})
 	later := time.Now().Add(time.Minute)
-	b.excuse(later)
+	b.restartTimers(later)
 	b.sweepOnce(later)
 	if c.CloseReason() != stream.StillOpen {
 		t.Fatalf("ended by %v", c.CloseReason())
@@ -564,9 +564,9 @@
 // Leaving: every connection is told once, answers still go out, and closing the
 // listener ends none of them (redcon would close all it knows).
 func TestLeaving(t *testing.T) {
-	b := start(t, nil)
+	b := startServer(t, nil)
 	d := b.dial(t)
-	d.Send("RPC.CALL", "1", "read", fields, "x")
+	d.Send("RPC.CALL", "1", "read", safeFields, "x")
 	standin.Eventually(t, "arrival", func() bool { return b.sink.last() != nil })
 	b.StopListening()
 	b.SendFin()
@@ -580,8 +580,8 @@
 		t.Errorf("%q", got)
 	}
 	standin.Eventually(t, "flush", b.Flushed)
-	<-b.stopped
-	if err := b.listen.(*net.TCPListener).SetDeadline(time.Now()); !errors.Is(err, net.ErrClosed) {
+	<-b.acceptingDone
+	if err := b.baseListener.(*net.TCPListener).SetDeadline(time.Now()); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("still listening: %v", err)
 	}
 }
@@ -590,12 +590,12 @@
 // requests on a connection which only the machine has accepted get read; busy
 // ones stay, and a new one then waits.
 func TestRoomForConnections(t *testing.T) {
-	b := start(t, func(s *Server) { s.cfg.MaxConns = 2 })
+	b := startServer(t, func(s *Server) { s.cfg.MaxConns = 2 })
 	busy, idle := b.dial(t), b.dial(t)
-	busy.Send("RPC.CALL", "1", "read", fields, "x")
+	busy.Send("RPC.CALL", "1", "read", safeFields, "x")
 	standin.Eventually(t, "arrival", func() bool { return b.sink.last() != nil && b.Conns() == 2 })
 	third := b.dial(t)
-	third.Send("RPC.CALL", "1", "read", fields, "x")
+	third.Send("RPC.CALL", "1", "read", safeFields, "x")
 	if got := idle.Receive(); got != "EOF" {
 		t.Errorf("the idle one hears %q", got)
 	}
@@ -617,14 +617,14 @@
 }
 
 // starved is a listener that has no descriptor at first.
-type starved struct {
+type noDescriptorListener struct {
 	net.Listener
-	left int
+	failures int
 }
 
-func (l *starved) Accept() (net.Conn, error) {
-	if l.left > 0 {
-		l.left--
+func (l *noDescriptorListener) Accept() (net.Conn, error) {
+	if l.failures > 0 {
+		l.failures--
 		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
 	}
 	return l.Listener.Accept()
@@ -633,11 +633,11 @@
 // Without a descriptor the node waits a moment before it accepts again: redcon
 // would try at once and take the whole core, and to give up would end the node.
 func TestNoDescriptors(t *testing.T) {
-	b := start(t, nil)
+	b := startServer(t, nil)
 	ln := standin.Listen(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	l := &listener{Listener: &starved{ln, 3}, s: b.Server, ctx: ctx}
+	l := &listener{Listener: &noDescriptorListener{ln, 3}, s: b.Server, ctx: ctx}
 	c, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -648,12 +648,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d := time.Since(began); d < 3*acceptPause || b.Counters.AcceptFailures.Load() != 3 {
+	if d := time.Since(began); d < 3*acceptRetryDelay || b.Counters.AcceptFailures.Load() != 3 {
 		t.Errorf("accepted after %v and %d failures", d, b.Counters.AcceptFailures.Load())
 	}
 	got.(*client).Abort(stream.ClosedLocally)
 	cancel()
-	if _, err := (&listener{Listener: &starved{ln, 9}, s: b.Server, ctx: ctx}).Accept(); !errors.Is(err, net.ErrClosed) {
+	if _, err := (&listener{Listener: &noDescriptorListener{ln, 9}, s: b.Server, ctx: ctx}).Accept(); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("after the end: %v", err)
 	}
 }
@@ -661,7 +661,7 @@
 // Connections are many and the memory small: what one costs while it is quiet,
 // goroutines, rings and redcon's buffers together, has a bound.
 func TestQuietConnectionsAreSmall(t *testing.T) {
-	b := start(t, nil)
+	b := startServer(t, nil)
 	memory := func() uint64 {
 		runtime.GC()
 		var m runtime.MemStats
@@ -672,7 +672,7 @@
 	const conns = 200
 	for i := range conns {
 		d := b.dial(t)
-		d.Send("RPC.CALL", "1", "read", fields, strings.Repeat("x", 2000))
+		d.Send("RPC.CALL", "1", "read", safeFields, strings.Repeat("x", 2000))
 		standin.Eventually(t, "arrival", func() bool { a, _ := b.sink.counts(); return a == i+1 })
 		b.sink.last().Answer(exchange.Answer{Kind: exchange.Served, Body: make([]byte, 4096)})
 		d.Receive()
@@ -690,27 +690,27 @@
 // While connections are short, half a message holds no place for long, and what
 // has something open keeps its own.
 func TestHalfMessagesMakeRoom(t *testing.T) {
-	b := start(t, func(s *Server) { s.cfg.MaxConns = 2 })
+	b := startServer(t, func(s *Server) { s.cfg.MaxConns = 2 })
 	busy, half := b.dial(t), b.dial(t)
-	busy.Send("RPC.CALL", "1", "read", fields, "x")
+	busy.Send("RPC.CALL", "1", "read", safeFields, "x")
 	half.Write([]byte("*2\r\n$10\r\nRPC"))
 	standin.Eventually(t, "both", func() bool {
-		for _, c := range b.all() {
+		for _, c := range b.connections() {
 			if c.PartialAge(time.Now()) > 0 {
 				return b.sink.last() != nil
 			}
 		}
 		return false
 	})
-	if b.makeRoom() {
+	if b.freeConnectionSlot() {
 		t.Error("half a message was given no time")
 	}
-	for _, c := range b.all() {
+	for _, c := range b.connections() {
 		c.mu.Lock()
-		c.used = c.used.Add(-2 * roomPartial)
+		c.lastUsed = c.lastUsed.Add(-2 * partialCloseAfter)
 		c.mu.Unlock()
 	}
-	if !b.makeRoom() || b.makeRoom() {
+	if !b.freeConnectionSlot() || b.freeConnectionSlot() {
 		t.Error("not one connection was closed")
 	}
 	if got := half.Receive(); got != "EOF" {
@@ -726,7 +726,7 @@
 // closed soon, while a dispatcher that has spoken keeps its connection. Without
 // the limit they would hold every descriptor for the longest idle limit.
 func TestSilentStrangersAreClosed(t *testing.T) {
-	b := start(t, func(s *Server) { s.first = 150 * time.Millisecond })
+	b := startServer(t, func(s *Server) { s.firstMessageLimit = 150 * time.Millisecond })
 	d, silent, half := b.dial(t), b.dial(t), b.dial(t)
 	d.Send("RPC.HEALTH", "1", "")
 	if got := d.Receive(); got != "1 GREEN  " {
@@ -748,13 +748,13 @@
 // A full table makes room by a connection that never spoke, however long one
 // that did has been idle: it may be a dispatcher's, and costs a new one.
 func TestStrangersMakeRoomFirst(t *testing.T) {
-	b := start(t, func(s *Server) { s.cfg.MaxConns = 2 })
+	b := startServer(t, func(s *Server) { s.cfg.MaxConns = 2 })
 	d := b.dial(t)
 	d.Send("RPC.HEALTH", "1", "")
 	d.Receive()
 	silent := b.dial(t)
 	standin.Eventually(t, "both", func() bool { return b.Conns() == 2 })
-	if !b.makeRoom() {
+	if !b.freeConnectionSlot() {
 		t.Error("no room")
 	}
 	if got := silent.Receive(); got != "EOF" {
@@ -768,10 +768,10 @@
 
 // Any fields at all are either understood within their bounds or turned down.
 func FuzzCall(f *testing.F) {
-	f.Add("read", fields, "x")
-	f.Add("pay", keyed, "")
+	f.Add("read", safeFields, "x")
+	f.Add("pay", keyedFields, "")
 	f.Add("read", "txn=,door=1e999,limit=-0,ram=NaN", "x")
-	l := newLanes(rules.Settings{Classes: []rules.Class{{}, {Effect: rules.Keyed}}, Tenants: []rules.Tenant{{}}},
+	l := newRequestParser(rules.Settings{Classes: []rules.Class{{}, {Effect: rules.Keyed}}, Tenants: []rules.Tenant{{}}},
 		settings.Names{Classes: []string{"read", "pay"}, Tenants: []string{"acme"}})
 	f.Fuzz(func(t *testing.T, class, fields, body string) {
 		c, err := l.parseCall([]byte(class), []byte(fields), []byte(body))
--- a/internal/front/call.go
+++ b/internal/front/request.go
@@ -18,23 +18,23 @@
 
 // Bounds of the protocol.
 const (
-	maxBody   = 2 << 10
-	maxRAM    = 2000 // a request books less, kilobytes
-	txnDigits = 16
-	tagDigits = 18 // more would not fit a tag
+	maxBodyBytes = 2 << 10
+	maxMemoryKB  = 2000 // a request books less, kilobytes
+	txnDigits    = 16
+	maxTagDigits = 18 // more would not fit a tag
 
-	mostFields = 64 // the protocol names twelve; those it does not name are skipped
+	maxFields = 64 // the protocol names twelve; those it does not name are skipped
 )
 
 // lanes resolves the names that requests use.
-type lanes struct {
-	classes map[string]int
-	tenants map[string]int
-	set     rules.Settings
+type requestParser struct {
+	classes  map[string]int
+	tenants  map[string]int
+	settings rules.Settings
 }
 
-func newLanes(set rules.Settings, names settings.Names) lanes {
-	l := lanes{classes: map[string]int{}, tenants: map[string]int{}, set: set}
+func newRequestParser(set rules.Settings, names settings.Names) requestParser {
+	l := requestParser{classes: map[string]int{}, tenants: map[string]int{}, settings: set}
 	for i, n := range names.Classes {
 		l.classes[n] = i
 	}
@@ -46,7 +46,7 @@
 
 // parseTag reads a tag: a decimal number from 1 up.
 func parseTag(b []byte) (uint64, error) {
-	if len(b) == 0 || len(b) > tagDigits {
+	if len(b) == 0 || len(b) > maxTagDigits {
 		return 0, errors.New("tag of no or too many digits")
 	}
 	n := uint64(0)
@@ -63,17 +63,17 @@
 }
 
 // parseCall reads a request's class, fields and body. All strings are copied.
-func (l *lanes) parseCall(class, fields, body []byte) (exchange.Request, error) {
+func (l *requestParser) parseCall(class, fields, body []byte) (exchange.Request, error) {
 	c := exchange.Request{Class: -1, Tenant: -1}
 	i, known := l.classes[string(class)]
 	if !known {
 		return c, errors.New("unknown class")
 	}
-	if len(body) > maxBody {
+	if len(body) > maxBodyBytes {
 		return c, fmt.Errorf("body of %d bytes", len(body))
 	}
-	c.Class, c.ClassName, c.Safe = i, string(class), l.set.Classes[i].Effect == rules.Safe
-	var seen [mostFields][]byte // a request has a dozen fields: looking through them is cheaper than a map
+	c.Class, c.ClassName, c.Safe = i, string(class), l.settings.Classes[i].Effect == rules.Safe
+	var seen [maxFields][]byte // a request has a dozen fields: looking through them is cheaper than a map
 	n, need := 0, 0
 	for len(fields) > 0 {
 		var field []byte
@@ -83,18 +83,18 @@
 			return c, errors.New("field without a value")
 		}
 		if slices.ContainsFunc(seen[:n], func(o []byte) bool { return bytes.Equal(o, name) }) {
-			return c, fmt.Errorf("field %q twice", clip(name))
+			return c, fmt.Errorf("field %q twice", truncate(name))
 		}
-		if n == mostFields {
+		if n == maxFields {
 			return c, errors.New("too many fields")
 		}
 		seen[n] = name
 		n++
-		if required(name) {
+		if isRequired(name) {
 			need++
 		}
 		if err := l.parseField(&c, string(name), string(value)); err != nil {
-			return c, fmt.Errorf("field %q: %w", clip(name), err)
+			return c, fmt.Errorf("field %q: %w", truncate(name), err)
 		}
 	}
 	if need < len(requiredFields) {
@@ -110,7 +110,7 @@
 		}
 		c.Tenant = 0
 	}
-	if l.set.Classes[i].Effect == rules.Keyed && c.Unique == "" {
+	if l.settings.Classes[i].Effect == rules.Keyed && c.Unique == "" {
 		return c, errors.New("no key to know its tries by")
 	}
 	c.Body = bytes.Clone(body)
@@ -119,7 +119,7 @@
 
 var requiredFields = [...]string{"txn", "door", "lb", "ram", "standing"}
 
-func required(name []byte) bool {
+func isRequired(name []byte) bool {
 	switch string(name) {
 	case "txn", "door", "lb", "ram", "standing":
 		return true
@@ -127,10 +127,10 @@
 	return false
 }
 
-func clip(b []byte) []byte { return b[:min(len(b), 24)] }
+func truncate(b []byte) []byte { return b[:min(len(b), 24)] }
 
 // parseField reads one field. Names that are not known are skipped.
-func (l *lanes) parseField(c *exchange.Request, name, value string) (err error) {
+func (l *requestParser) parseField(c *exchange.Request, name, value string) (err error) {
 	switch name {
 	case "txn":
 		if len(value) != txnDigits {
@@ -141,7 +141,7 @@
 		}
 		c.Txn = value
 	case "door":
-		c.ArrivedUnixMs, err = number(value, 0, math.MaxInt64)
+		c.ArrivedUnixMs, err = parseNumber(value, 0, math.MaxInt64)
 	case "lb":
 		var n uint64
 		n, err = strconv.ParseUint(value, 10, 32)
@@ -156,17 +156,17 @@
 		}
 		c.Tenant = i
 	case "limit":
-		c.TimeoutMs, err = number(value, 0, math.MaxInt64)
+		c.TimeoutMs, err = parseNumber(value, 0, math.MaxInt64)
 	case "second":
 		c.Retry = value == "1"
 	case "cpu":
-		c.HintMs, err = number(value, 0, 1e9)
+		c.HintMs, err = parseNumber(value, 0, 1e9)
 	case "ram":
-		if c.MemoryKB, err = number(value, 0, maxRAM); err == nil && (c.MemoryKB == 0 || c.MemoryKB == maxRAM) {
+		if c.MemoryKB, err = parseNumber(value, 0, maxMemoryKB); err == nil && (c.MemoryKB == 0 || c.MemoryKB == maxMemoryKB) {
 			return errors.New("out of bounds")
 		}
 	case "standing":
-		if c.Rank, err = number(value, 0, 1); err == nil && c.Rank == 1 {
+		if c.Rank, err = parseNumber(value, 0, 1); err == nil && c.Rank == 1 {
 			return errors.New("out of bounds")
 		}
 	case "item":
@@ -177,7 +177,7 @@
 	return err
 }
 
-func number(text string, least, most float64) (float64, error) {
+func parseNumber(text string, least, most float64) (float64, error) {
 	x, err := strconv.ParseFloat(text, 64)
 	switch {
 	case err != nil:
--- a/internal/stream/close.go
+++ b/internal/stream/close.go
@@ -18,71 +18,73 @@
 
 // lingerBytes is how much is read from a peer that goes on sending after its
 // connection was stopped or ended; one that sends more is reset.
-const lingerBytes = 256 << 10
+const maxLingerBytes = 256 << 10
 
 // plan is how a connection is to end. A higher one replaces a lower.
-type plan uint32
+type closePlan uint32
 
 const (
-	serving  plan = iota
-	retiring      // once nothing is owed, unless there is something to read: then it goes on
-	leaving       // once nothing is owed and nothing is there to read
-	stopping      // once nothing is owed; what is read from now on is discarded
+	noClose           closePlan = iota
+	closeIfIdle                 // once nothing is owed, unless there is something to read: then it goes on
+	closeWhenIdle               // once nothing is owed and nothing is there to read
+	closeAfterAnswers           // once nothing is owed; what is read from now on is discarded
 )
 
-var errNothing = errors.New("nothing to read")
+var errNoInput = errors.New("nothing to read")
 
 // Retire ends a connection that carries nothing. Input that is there by then
 // keeps it.
-func (c *Conn) CloseIfIdle(end CloseReason) { c.planned(retiring, end) }
+func (c *Conn) CloseIfIdle(end CloseReason) { c.planClose(closeIfIdle, end) }
 
 // Leave ends the connection at the first moment at which all that was read is
 // answered and nothing more has come.
-func (c *Conn) CloseWhenIdle(end CloseReason) { c.planned(leaving, end) }
+func (c *Conn) CloseWhenIdle(end CloseReason) { c.planClose(closeWhenIdle, end) }
 
 // Stop takes no more requests, and ends the connection once those read are answered.
-func (c *Conn) CloseAfterAnswers(end CloseReason) { c.planned(stopping, end) }
+func (c *Conn) CloseAfterAnswers(end CloseReason) { c.planClose(closeAfterAnswers, end) }
 
-func (c *Conn) planned(p plan, end CloseReason) {
+func (c *Conn) planClose(p closePlan, end CloseReason) {
 	c.mu.Lock()
-	if c.end == StillOpen && uint32(p) > c.plan.Load() {
+	if c.closeReason == StillOpen && uint32(p) > c.plan.Load() {
 		c.plan.Store(uint32(p))
-		c.why = end
-		c.nudge()
+		c.plannedReason = end
+		c.recheckCloseLocked()
 	}
 	c.mu.Unlock()
 }
 
 // Ending tells whether an end is planned or has come.
-func (c *Conn) Closing() bool { return plan(c.plan.Load()) != serving || c.CloseReason() != StillOpen }
+func (c *Conn) Closing() bool {
+	return closePlan(c.plan.Load()) != noClose || c.CloseReason() != StillOpen
+}
 
 // Nudge lets the reader look again whether a planned end can come: something that
 // it waits for has changed.
 func (c *Conn) RecheckClose() {
-	if plan(c.plan.Load()) == serving {
+	if closePlan(c.plan.Load()) == noClose {
 		return
 	}
 	c.mu.Lock()
-	c.nudge()
+	c.recheckCloseLocked()
 	c.mu.Unlock()
 }
 
 // nudge is Nudge with the lock held. After the end the read deadline is hangUp's.
-func (c *Conn) nudge() {
-	if plan(c.plan.Load()) == serving || c.end != StillOpen {
+func (c *Conn) recheckCloseLocked() {
+	if closePlan(c.plan.Load()) == noClose || c.closeReason != StillOpen {
 		return
 	}
 	_ = c.Conn.SetReadDeadline(time.Unix(1, 0))
 	select {
-	case c.turn <- struct{}{}:
+	case c.recheck <- struct{}{}:
 	default:
 	}
 }
 
 // unnudge takes the deadline of a nudge back.
-func (c *Conn) unnudge() {
+func (c *Conn) clearReadDeadline() {
 	c.mu.Lock()
-	if c.end == StillOpen {
+	if c.closeReason == StillOpen {
 		_ = c.Conn.SetReadDeadline(time.Time{})
 	}
 	c.mu.Unlock()
@@ -92,12 +94,12 @@
 func (c *Conn) HasSent() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.queued > 0
+	return c.queuedBytes > 0
 }
 
 // Hurry ends the lingering of a connection now; its descriptor is needed.
 func (c *Conn) StopLingering() {
-	c.hurried.Store(true)
+	c.lingerStopped.Store(true)
 	if c.CloseReason() != StillOpen {
 		_ = c.Conn.SetReadDeadline(time.Unix(1, 0))
 	}
@@ -106,49 +108,49 @@
 // receive reads once from the network. Where the end is planned it is the reader
 // that ends the connection: between its last look, which found nothing, and the
 // FIN nobody else reads, so that nothing can slip through between the two.
-func (c *Conn) receive(space []byte) (int, error) {
+func (c *Conn) readNetwork(space []byte) (int, error) {
 	if c.AnswersPending == nil {
-		return c.plainly(space)
+		return c.readUnplanned(space)
 	}
 	for {
 		if end := c.CloseReason(); end != StillOpen {
 			return 0, &Error{Reason: end}
 		}
 		n, err := 0, error(nil)
-		p := plan(c.plan.Load())
+		p := closePlan(c.plan.Load())
 		switch {
-		case p == serving:
+		case p == noClose:
 			n, err = c.Conn.Read(space)
-		case c.eof || c.wasted > lingerBytes:
-			if c.quiet() {
+		case c.peerClosed || c.discarded > maxLingerBytes:
+			if c.tryClose() {
 				continue
 			}
-			<-c.turn
+			<-c.recheck
 			continue
 		default:
-			c.unnudge()
-			if n, err = c.look(space); err == errNothing {
-				if c.quiet() {
+			c.clearReadDeadline()
+			if n, err = c.readAvailable(space); err == errNoInput {
+				if c.tryClose() {
 					continue
 				}
 				n, err = c.Conn.Read(space) // until more comes, or a nudge
-			} else if p == retiring {
-				c.keep()
+			} else if p == closeIfIdle {
+				c.cancelCloseIfIdle()
 			}
 		}
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded) && n == 0:
-			c.unnudge()
+			c.clearReadDeadline()
 		case err == io.EOF:
-			c.eof = true
-			c.readEnd.CompareAndSwap(uint32(StillOpen), uint32(PeerClosed))
+			c.peerClosed = true
+			c.readCloseReason.CompareAndSwap(uint32(StillOpen), uint32(PeerClosed))
 			c.CloseAfterAnswers(PeerClosed)
 		case err != nil && n == 0:
 			end := CloseReasonOf(err, ReadFailed)
 			c.Abort(end)
 			return 0, &Error{Reason: end, Cause: err}
-		case plan(c.plan.Load()) == stopping || c.CloseReason() != StillOpen:
-			c.wasted += n
+		case closePlan(c.plan.Load()) == closeAfterAnswers || c.CloseReason() != StillOpen:
+			c.discarded += n
 			c.traffic.Discarded.Add(int64(n))
 		default:
 			return n, nil
@@ -158,7 +160,7 @@
 
 // plainly reads where no end is planned. Once the connection has ended only hangUp
 // reads: if both did, what is handed on would have holes.
-func (c *Conn) plainly(space []byte) (int, error) {
+func (c *Conn) readUnplanned(space []byte) (int, error) {
 	c.reading.Lock()
 	defer c.reading.Unlock()
 	if end := c.CloseReason(); end != StillOpen {
@@ -173,28 +175,28 @@
 }
 
 // keep gives a retirement up.
-func (c *Conn) keep() {
+func (c *Conn) cancelCloseIfIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if plan(c.plan.Load()) == retiring {
-		c.plan.Store(uint32(serving))
+	if closePlan(c.plan.Load()) == closeIfIdle {
+		c.plan.Store(uint32(noClose))
 	}
 }
 
 // quiet ends the connection if nothing is owed and all is sent; it reports whether
 // the plan needs no more waiting. The reader calls it, having found nothing to read.
-func (c *Conn) quiet() bool {
+func (c *Conn) tryClose() bool {
 	if c.AnswersPending() {
-		c.keep()
-		return plan(c.plan.Load()) == serving
+		c.cancelCloseIfIdle()
+		return closePlan(c.plan.Load()) == noClose
 	}
 	c.mu.Lock()
-	if len(c.marks) > 0 || c.end != StillOpen {
-		done := c.end != StillOpen
+	if len(c.messageEnds) > 0 || c.closeReason != StillOpen {
+		done := c.closeReason != StillOpen
 		c.mu.Unlock()
 		return done
 	}
-	end := c.why
+	end := c.plannedReason
 	c.mu.Unlock()
 	if c.limits.BeforeFIN != nil {
 		c.limits.BeforeFIN()
@@ -204,10 +206,10 @@
 }
 
 // look reads what is there, without waiting.
-func (c *Conn) look(p []byte) (n int, err error) {
+func (c *Conn) readAvailable(p []byte) (n int, err error) {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
-		return 0, errNothing
+		return 0, errNoInput
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
@@ -225,7 +227,7 @@
 	case err != nil:
 		return 0, err
 	case failed == syscall.EAGAIN:
-		return 0, errNothing
+		return 0, errNoInput
 	case failed != nil:
 		return 0, os.NewSyscallError("read", failed)
 	case n == 0:
@@ -238,26 +240,26 @@
 // End counts, later ones do nothing.
 func (c *Conn) Abort(end CloseReason) {
 	c.mu.Lock()
-	if c.end != StillOpen {
+	if c.closeReason != StillOpen {
 		c.mu.Unlock()
 		return
 	}
-	c.end = end
-	c.traffic.Dropped.Add(int64(len(c.marks)))
-	c.marks = nil
-	c.traffic.Held.Add(-c.held)
-	c.held = 0
+	c.closeReason = end
+	c.traffic.Dropped.Add(int64(len(c.messageEnds)))
+	c.messageEnds = nil
+	c.traffic.Held.Add(-c.heldBytes)
+	c.heldBytes = 0
 	c.mu.Unlock()
 	c.traffic.Ended[end].Add(1)
-	c.poke()
+	c.wakeWriter()
 	select {
-	case c.turn <- struct{}{}: // for a reader that waits for answers only
+	case c.recheck <- struct{}{}: // for a reader that waits for answers only
 	default:
 	}
-	if c.onEnd != nil {
-		c.onEnd(end)
+	if c.onClose != nil {
+		c.onClose(end)
 	}
-	go c.hangUp(end)
+	go c.closeDescriptor(end)
 }
 
 // Close ends the connection: in the way that reading ended, else from this side.
@@ -272,8 +274,8 @@
 
 // hangUp is the last of a connection: FIN, reading on until the peer has ended its
 // side or the bound is reached, close.
-func (c *Conn) hangUp(end CloseReason) {
-	defer close(c.closed)
+func (c *Conn) closeDescriptor(end CloseReason) {
+	defer close(c.descriptorClosed)
 	if c.AnswersPending == nil { // the reader first lets go: it may wait for what never comes
 		_ = c.Conn.SetReadDeadline(time.Unix(1, 0))
 		c.reading.Lock()
@@ -281,7 +283,7 @@
 		c.reading.Unlock()
 	}
 	if w, ok := c.Conn.(interface{ CloseWrite() error }); ok && end.lingers() && c.limits.Linger > 0 && w.CloseWrite() == nil {
-		c.discard()
+		c.discardInput()
 	}
 	_ = c.Conn.Close() // nothing more can be done for it
 	if c.OnDescriptorClosed != nil {
@@ -290,16 +292,16 @@
 }
 
 // discard reads on, for what the peer sent before it heard of the end.
-func (c *Conn) discard() {
+func (c *Conn) discardInput() {
 	_ = c.Conn.SetReadDeadline(time.Now().Add(c.limits.Linger))
 	p := make([]byte, 4<<10)
-	for most := lingerBytes; most > 0; {
+	for most := maxLingerBytes; most > 0; {
 		n, err := 0, error(nil)
-		if c.hurried.Load() {
+		if c.lingerStopped.Load() {
 			_ = c.Conn.SetReadDeadline(time.Time{})
-			n, err = c.look(p)
+			n, err = c.readAvailable(p)
 		} else if n, err = c.Conn.Read(p); errors.Is(err, os.ErrDeadlineExceeded) {
-			c.hurried.Store(true) // one last look
+			c.lingerStopped.Store(true) // one last look
 			continue
 		}
 		c.traffic.Discarded.Add(int64(n))
@@ -311,6 +313,6 @@
 }
 
 // WhenClosed is closed once the descriptor is free.
-func (c *Conn) WhenClosed() <-chan struct{} { return c.closed }
+func (c *Conn) WhenClosed() <-chan struct{} { return c.descriptorClosed }
 
 var _ net.Conn = (*Conn)(nil)
--- a/internal/stream/end.go
+++ b/internal/stream/closereason.go
@@ -34,26 +34,26 @@
 	ClosedLocally             // closed here, as the node leaves or uses another connection
 	DialRefused               // never opened: nobody listens
 	DialFailed                // never opened: any other trouble
-	numEnds
+	numCloseReasons
 )
 
-var endNames = [numEnds]string{
+var closeReasonNames = [numCloseReasons]string{
 	"open", "peer_closed", "peer_reset", "read_failed", "write_failed", "bad_framing", "too_long",
 	"read_stalled", "write_stalled", "overflow", "idle_closed", "left_by_us", "dial_refused", "dial_failed",
 }
 
 // String is the name that logs and counters use.
 func (e CloseReason) String() string {
-	if e < numEnds {
-		return endNames[e]
+	if e < numCloseReasons {
+		return closeReasonNames[e]
 	}
 	return "unknown"
 }
 
 // Ends lists every way a connection can end.
 func CloseReasons() []CloseReason {
-	all := make([]CloseReason, 0, numEnds-1)
-	for e := StillOpen + 1; e < numEnds; e++ {
+	all := make([]CloseReason, 0, numCloseReasons-1)
+	for e := StillOpen + 1; e < numCloseReasons; e++ {
 		all = append(all, e)
 	}
 	return all
--- a/internal/stream/conn.go
+++ b/internal/stream/conn.go
@@ -44,7 +44,7 @@
 	Held      atomic.Int64 // bytes of memory in out rings
 	HeldLimit int64        // bound of Held, 0 = none
 	Discarded atomic.Int64 // bytes that were read after the end and thrown away
-	Ended     [numEnds]atomic.Int64
+	Ended     [numCloseReasons]atomic.Int64
 }
 
 // NeverOpened counts a try to connect that came to nothing.
@@ -62,16 +62,16 @@
 // one goroutine; everything else may be called by any.
 type Conn struct {
 	net.Conn
-	traffic *Traffic
-	limits  Limits
-	frame   Framer
-	in      *Ring         // owned by the reader
-	ready   int           // bytes at its front that are whole messages
-	broken  CloseReason   // what comes after them is no message
-	eof     bool          // the peer has ended its side
-	wasted  int           // bytes read and discarded
-	readEnd atomic.Uint32 // how reading ended, for Close
-	partial atomic.Int64
+	traffic         *Traffic
+	limits          Limits
+	frame           Framer
+	in              *Ring         // owned by the reader
+	readyBytes      int           // bytes at its front that are whole messages
+	inputError      CloseReason   // what comes after them is no message
+	peerClosed      bool          // the peer has ended its side
+	discarded       int           // bytes read and discarded
+	readCloseReason atomic.Uint32 // how reading ended, for Close
+	partialSince    atomic.Int64
 
 	// Owes tells whether answers to what was read are still to come. It makes this
 	// a connection whose end can be planned: Retire, Leave and Stop are for its
@@ -80,22 +80,22 @@
 	// Closed, if set, is called once the descriptor is free.
 	OnDescriptorClosed func()
 	plan               atomic.Uint32 // a plan
-	turn               chan struct{} // poked when a plan, or what it waits for, has changed
-	hurried            atomic.Bool
+	recheck            chan struct{} // poked when a plan, or what it waits for, has changed
+	lingerStopped      atomic.Bool
 	reading            sync.Mutex // held by whoever reads, where Owes is nil
 
-	mu     sync.Mutex
-	out    *Ring
-	queued uint64      // bytes ever queued
-	sent   uint64      // bytes ever sent
-	marks  []uint64    // where queued messages end, oldest first
-	held   int64       // its part of traffic.Held
-	why    CloseReason // what the plan ends it by
-	end    CloseReason
-	wake   chan struct{}
-	done   chan struct{} // closed when the writer has ended
-	closed chan struct{} // closed when the descriptor is free
-	onEnd  func(CloseReason)
+	mu               sync.Mutex
+	out              *Ring
+	queuedBytes      uint64      // bytes ever queued
+	sentBytes        uint64      // bytes ever sent
+	messageEnds      []uint64    // where queued messages end, oldest first
+	heldBytes        int64       // its part of traffic.Held
+	plannedReason    CloseReason // what the plan ends it by
+	closeReason      CloseReason
+	writerWake       chan struct{}
+	writerDone       chan struct{} // closed when the writer has ended
+	descriptorClosed chan struct{} // closed when the descriptor is free
+	onClose          func(CloseReason)
 }
 
 // New wraps a connection and starts its writer. onEnd is called once, when the
@@ -104,8 +104,8 @@
 	t.Opened.Add(1)
 	s := &Conn{
 		Conn: c, traffic: t, limits: l, frame: frame, in: NewRing(l.In), out: NewRing(l.Out),
-		wake: make(chan struct{}, 1), turn: make(chan struct{}, 1),
-		done: make(chan struct{}), closed: make(chan struct{}), onEnd: onEnd,
+		writerWake: make(chan struct{}, 1), recheck: make(chan struct{}, 1),
+		writerDone: make(chan struct{}), descriptorClosed: make(chan struct{}), onClose: onEnd,
 	}
 	go s.write()
 	return s
@@ -116,45 +116,45 @@
 func (c *Conn) Read(p []byte) (int, error) {
 	n, err := c.read(p)
 	if err != nil {
-		c.readEnd.CompareAndSwap(uint32(StillOpen), uint32(CloseReasonOf(err, ReadFailed)))
+		c.readCloseReason.CompareAndSwap(uint32(StillOpen), uint32(CloseReasonOf(err, ReadFailed)))
 	}
 	return n, err
 }
 
 // ReadEnd is how reading ended, StillOpen while it has not.
-func (c *Conn) ReadCloseReason() CloseReason { return CloseReason(c.readEnd.Load()) }
+func (c *Conn) ReadCloseReason() CloseReason { return CloseReason(c.readCloseReason.Load()) }
 
 func (c *Conn) read(p []byte) (int, error) {
-	for c.ready == 0 {
-		if c.broken != StillOpen {
+	for c.readyBytes == 0 {
+		if c.inputError != StillOpen {
 			if c.AnswersPending == nil {
-				return 0, &Error{Reason: c.broken}
+				return 0, &Error{Reason: c.inputError}
 			}
 			c.in.Discard(c.in.Len())
-			c.partial.Store(0)
-			c.CloseAfterAnswers(c.broken)
+			c.partialSince.Store(0)
+			c.CloseAfterAnswers(c.inputError)
 		}
 		space := c.in.Space()
 		if len(space) == 0 {
-			c.broken = TooLong
+			c.inputError = TooLong
 			continue
 		}
-		n, err := c.receive(space)
+		n, err := c.readNetwork(space)
 		switch {
 		case n > 0:
-			c.broken = c.scan(space[:n])
+			c.inputError = c.queueInput(space[:n])
 		case err != nil:
 			return 0, err
 		}
 	}
-	n := copy(p, c.in.Front()[:min(c.ready, len(c.in.Front()))])
+	n := copy(p, c.in.Front()[:min(c.readyBytes, len(c.in.Front()))])
 	c.in.Discard(n)
-	c.ready -= n
+	c.readyBytes -= n
 	return n, nil
 }
 
 // scan queues what was read up to the first broken byte.
-func (c *Conn) scan(p []byte) CloseReason {
+func (c *Conn) queueInput(p []byte) CloseReason {
 	c.traffic.BytesIn.Add(int64(len(p)))
 	before := c.in.Len()
 	whole, end := c.frame.Scan(p)
@@ -163,36 +163,36 @@
 	}
 	c.in.Commit(len(p))
 	if whole > 0 {
-		c.ready = before + whole
+		c.readyBytes = before + whole
 	}
-	if c.in.Len() > c.ready {
-		c.partial.CompareAndSwap(0, since(time.Now()))
+	if c.in.Len() > c.readyBytes {
+		c.partialSince.CompareAndSwap(0, sinceClockStart(time.Now()))
 	}
-	if whole > 0 && c.in.Len() == c.ready {
-		c.partial.Store(0)
+	if whole > 0 && c.in.Len() == c.readyBytes {
+		c.partialSince.Store(0)
 	}
 	return end
 }
 
 // begin is what the monotonic clock counts from here; the Unix clock may jump.
-var begin = time.Now()
+var clockStart = time.Now()
 
 // since is a time on that clock, never 0.
-func since(t time.Time) int64 { return int64(t.Sub(begin)) | 1 }
+func sinceClockStart(t time.Time) int64 { return int64(t.Sub(clockStart)) | 1 }
 
 // Partial is how long a message has been begun and not finished, 0 if none is.
 func (c *Conn) PartialAge(now time.Time) time.Duration {
-	from := c.partial.Load()
+	from := c.partialSince.Load()
 	if from == 0 {
 		return 0
 	}
-	return max(time.Duration(since(now)-from), 1)
+	return max(time.Duration(sinceClockStart(now)-from), 1)
 }
 
 // Excuse lets the time of a message that is not finished count from now on.
 func (c *Conn) RestartPartialTimer(now time.Time) {
-	if from := c.partial.Load(); from != 0 {
-		c.partial.CompareAndSwap(from, since(now))
+	if from := c.partialSince.Load(); from != 0 {
+		c.partialSince.CompareAndSwap(from, sinceClockStart(now))
 	}
 }
 
@@ -201,16 +201,16 @@
 func (c *Conn) Send(msg []byte) bool {
 	c.traffic.Queued.Add(1)
 	c.mu.Lock()
-	if c.end != StillOpen {
+	if c.closeReason != StillOpen {
 		c.mu.Unlock()
 		c.traffic.Dropped.Add(1)
 		return false
 	}
 	ok := c.out.Append(msg)
-	c.account()
-	if limit := c.traffic.HeldLimit; !ok || limit > 0 && c.out.Cap() > smallRing && c.traffic.Held.Load() > limit {
+	c.updateHeld()
+	if limit := c.traffic.HeldLimit; !ok || limit > 0 && c.out.Cap() > minRingBytes && c.traffic.Held.Load() > limit {
 		if ok {
-			c.marks = append(c.marks, c.queued+uint64(len(msg)))
+			c.messageEnds = append(c.messageEnds, c.queuedBytes+uint64(len(msg)))
 		} else {
 			c.traffic.Dropped.Add(1)
 		}
@@ -218,25 +218,25 @@
 		c.Abort(Overflow)
 		return false
 	}
-	c.queued += uint64(len(msg))
-	c.marks = append(c.marks, c.queued)
+	c.queuedBytes += uint64(len(msg))
+	c.messageEnds = append(c.messageEnds, c.queuedBytes)
 	c.mu.Unlock()
-	c.poke()
+	c.wakeWriter()
 	return true
 }
 
-func (c *Conn) poke() {
+func (c *Conn) wakeWriter() {
 	select {
-	case c.wake <- struct{}{}:
+	case c.writerWake <- struct{}{}:
 	default:
 	}
 }
 
 // account keeps the sum of all out rings; the lock must be held.
-func (c *Conn) account() {
-	if now := int64(c.out.Cap()); now != c.held {
-		c.traffic.Held.Add(now - c.held)
-		c.held = now
+func (c *Conn) updateHeld() {
+	if now := int64(c.out.Cap()); now != c.heldBytes {
+		c.traffic.Held.Add(now - c.heldBytes)
+		c.heldBytes = now
 	}
 }
 
@@ -244,14 +244,14 @@
 func (c *Conn) Unsent() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.marks)
+	return len(c.messageEnds)
 }
 
 // Ended is how the connection ended, StillOpen while it has not.
 func (c *Conn) CloseReason() CloseReason {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.end
+	return c.closeReason
 }
 
 // Write is Send for those who know connections as an io.Writer.
@@ -263,23 +263,23 @@
 }
 
 // Done is closed once the writer has ended.
-func (c *Conn) Done() <-chan struct{} { return c.done }
+func (c *Conn) Done() <-chan struct{} { return c.writerDone }
 
 // write is the writer: it sends what is queued until the connection ends.
 func (c *Conn) write() {
-	defer close(c.done)
+	defer close(c.writerDone)
 	var waiting time.Time // since when the peer has taken nothing
 	var renew time.Time   // the deadline is moved on from then only: moving it costs as much as a small write
 	for {
 		c.mu.Lock()
-		if c.end != StillOpen {
+		if c.closeReason != StillOpen {
 			c.mu.Unlock()
 			return
 		}
 		chunk := c.out.Front()
 		if len(chunk) == 0 {
 			c.mu.Unlock()
-			<-c.wake
+			<-c.writerWake
 			continue
 		}
 		c.mu.Unlock()
@@ -297,7 +297,7 @@
 		}
 		if n > 0 {
 			waiting = time.Time{}
-			c.took(n)
+			c.recordWritten(n)
 		}
 		if err == nil || n > 0 && errors.Is(err, os.ErrDeadlineExceeded) {
 			if err != nil {
@@ -319,23 +319,23 @@
 }
 
 // took notes that the network took n bytes.
-func (c *Conn) took(n int) {
+func (c *Conn) recordWritten(n int) {
 	c.traffic.BytesOut.Add(int64(n))
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.end != StillOpen {
+	if c.closeReason != StillOpen {
 		return
 	}
 	c.out.Discard(n)
-	c.account()
-	c.sent += uint64(n)
+	c.updateHeld()
+	c.sentBytes += uint64(n)
 	whole := 0
-	for whole < len(c.marks) && c.marks[whole] <= c.sent {
+	for whole < len(c.messageEnds) && c.messageEnds[whole] <= c.sentBytes {
 		whole++
 	}
 	c.traffic.Sent.Add(int64(whole))
-	if c.marks = c.marks[whole:]; len(c.marks) == 0 {
-		c.marks = nil
-		c.nudge()
+	if c.messageEnds = c.messageEnds[whole:]; len(c.messageEnds) == 0 {
+		c.messageEnds = nil
+		c.recheckCloseLocked()
 	}
 }
--- a/internal/stream/conn_test.go
+++ b/internal/stream/conn_test.go
@@ -34,9 +34,9 @@
 	return c, peer.(*net.TCPConn)
 }
 
-var usual = Limits{In: 8 << 10, Out: 64 << 10, StallTimeout: 10 * time.Second}
+var defaultLimits = Limits{In: 8 << 10, Out: 64 << 10, StallTimeout: 10 * time.Second}
 
-func (t *Traffic) balance() error {
+func (t *Traffic) checkBalanced() error {
 	if q, s, d := t.Queued.Load(), t.Sent.Load(), t.Dropped.Load(); q != s+d {
 		return fmt.Errorf("%d messages queued, %d sent, %d dropped", q, s, d)
 	}
@@ -49,7 +49,7 @@
 // Only whole messages reach the reader: a parser behind it would keep what is
 // left over, without a bound.
 func TestReadHandsOnWholeMessages(t *testing.T) {
-	c, peer := pair(t, usual, &Traffic{}, nil)
+	c, peer := pair(t, defaultLimits, &Traffic{}, nil)
 	go func() {
 		for _, s := range []string{"one\ntw", "o\nthr", "ee", "\n"} {
 			peer.Write([]byte(s))
@@ -79,7 +79,7 @@
 
 // A begun message shows as partial until it is whole.
 func TestPartial(t *testing.T) {
-	c, peer := pair(t, usual, &Traffic{}, nil)
+	c, peer := pair(t, defaultLimits, &Traffic{}, nil)
 	read := make(chan int)
 	go func() {
 		buf := make([]byte, 64)
@@ -104,7 +104,7 @@
 
 func TestSendArrivesInOrderAndIsCounted(t *testing.T) {
 	var tr Traffic
-	c, peer := pair(t, usual, &tr, nil)
+	c, peer := pair(t, defaultLimits, &tr, nil)
 	var want bytes.Buffer
 	c.AnswersPending = func() bool { return false }
 	go c.Read(make([]byte, 64)) // it is the reader that ends a connection
@@ -126,7 +126,7 @@
 		t.Errorf("got %d bytes of %d, %v", len(got), want.Len(), err)
 	}
 	<-c.Done()
-	if err := tr.balance(); err != nil || tr.Sent.Load() != 500 || tr.BytesOut.Load() != int64(want.Len()) {
+	if err := tr.checkBalanced(); err != nil || tr.Sent.Load() != 500 || tr.BytesOut.Load() != int64(want.Len()) {
 		t.Errorf("%v; sent %d", err, tr.Sent.Load())
 	}
 }
@@ -141,11 +141,11 @@
 		do     func(c *Conn, peer *net.TCPConn)
 		want   CloseReason
 	}{
-		"closes":   {usual, func(_ *Conn, p *net.TCPConn) { p.CloseWrite() }, PeerClosed},
-		"resets":   {usual, func(_ *Conn, p *net.TCPConn) { p.SetLinger(0); p.Close() }, PeerReset},
-		"too long": {usual, func(_ *Conn, p *net.TCPConn) { p.Write(make([]byte, 6<<10)) }, TooLong},
-		"finished": {usual, func(c *Conn, _ *net.TCPConn) { c.Send([]byte("x\n")); c.CloseIfIdle(IdleClosed) }, IdleClosed},
-		"closed":   {usual, func(c *Conn, _ *net.TCPConn) { c.Close() }, ClosedLocally},
+		"closes":   {defaultLimits, func(_ *Conn, p *net.TCPConn) { p.CloseWrite() }, PeerClosed},
+		"resets":   {defaultLimits, func(_ *Conn, p *net.TCPConn) { p.SetLinger(0); p.Close() }, PeerReset},
+		"too long": {defaultLimits, func(_ *Conn, p *net.TCPConn) { p.Write(make([]byte, 6<<10)) }, TooLong},
+		"finished": {defaultLimits, func(c *Conn, _ *net.TCPConn) { c.Send([]byte("x\n")); c.CloseIfIdle(IdleClosed) }, IdleClosed},
+		"closed":   {defaultLimits, func(c *Conn, _ *net.TCPConn) { c.Close() }, ClosedLocally},
 		"overflows": {small, func(c *Conn, _ *net.TCPConn) {
 			for c.Send(flood) {
 			}
@@ -191,7 +191,7 @@
 			if conn.Send([]byte("late\n")) {
 				t.Error("took a message after its end")
 			}
-			if err := tr.balance(); err != nil {
+			if err := tr.checkBalanced(); err != nil {
 				t.Error(err)
 			}
 		})
@@ -256,7 +256,7 @@
 // what the first then hands on has a hole where the other read.
 func TestNothingIsHandedOnAfterTheEnd(t *testing.T) {
 	var tr Traffic
-	limits := usual
+	limits := defaultLimits
 	limits.Linger = time.Minute // by its end the test has failed
 	c, peer := pair(t, limits, &tr, nil)
 	type read struct {
@@ -301,7 +301,7 @@
 func TestReaderOfBrokenBytesIsLetGo(t *testing.T) {
 	for name, bytes := range map[string][]byte{"no message": []byte("FROB\r\n"), "without an end": make([]byte, 32<<10)} {
 		t.Run(name, func(t *testing.T) {
-			c, peer := pair(t, usual, &Traffic{}, nil)
+			c, peer := pair(t, defaultLimits, &Traffic{}, nil)
 			c.frame = &RESP{}
 			if name == "without an end" {
 				c.frame = &Lines{Longest: 4 << 10}
--- a/internal/stream/frame.go
+++ b/internal/stream/frame.go
@@ -22,8 +22,8 @@
 
 // Lines frames messages that end in a line feed.
 type Lines struct {
-	Longest int
-	open    int // bytes of the line that is not whole yet
+	Longest   int
+	openBytes int // bytes of the line that is not whole yet
 }
 
 // Scan looks for the last line feed and bounds every line.
@@ -34,14 +34,14 @@
 		if i < 0 {
 			break
 		}
-		if l.open+i > l.Longest {
+		if l.openBytes+i > l.Longest {
 			return whole, TooLong
 		}
 		whole += i + 1
-		l.open = 0
+		l.openBytes = 0
 	}
-	l.open += len(p) - whole
-	if l.open > l.Longest {
+	l.openBytes += len(p) - whole
+	if l.openBytes > l.Longest {
 		return whole, TooLong
 	}
 	return whole, StillOpen
@@ -50,21 +50,21 @@
 // The bounds of a RESP message. They are far above what the protocol allows, so
 // that a request that is only too big is still answered.
 const (
-	respParts   = 16
-	respPart    = 8 << 10
-	respMessage = 12 << 10
+	maxRESPParts        = 16
+	maxRESPPartBytes    = 8 << 10
+	maxRESPMessageBytes = 12 << 10
 )
 
 // RESP frames arrays of bulk strings and lets nothing else through. Its bounds
 // guard the command reader behind it, which would take inline commands, keep a
 // bulk of any size, and count to any array length.
 type RESP struct {
-	state  respState
-	number int // of the header at hand
-	digits int
-	parts  int // still to come
-	skip   int // bytes of the bulk and its line end still to come
-	size   int // of the message so far
+	state        respState
+	number       int // of the header at hand
+	digits       int
+	partsLeft    int // still to come
+	skipBytes    int // bytes of the bulk and its line end still to come
+	messageBytes int // of the message so far
 }
 
 type respState uint8
@@ -84,7 +84,7 @@
 	whole := 0
 	for i := 0; i < len(p); i++ {
 		c := p[i]
-		if f.size++; f.size > respMessage {
+		if f.messageBytes++; f.messageBytes > maxRESPMessageBytes {
 			return whole, TooLong
 		}
 		switch f.state {
@@ -97,7 +97,7 @@
 				return whole, BadFraming
 			}
 			if f.state == respStart {
-				f.parts = -1
+				f.partsLeft = -1
 			}
 			f.number, f.digits, f.state = 0, 0, respNumber
 		case respNumber:
@@ -116,32 +116,32 @@
 			if c != '\n' {
 				return whole, BadFraming
 			}
-			if f.parts < 0 { // that was the array's header
+			if f.partsLeft < 0 { // that was the array's header
 				if f.number == 0 {
 					return whole, BadFraming
 				}
-				if f.number > respParts {
+				if f.number > maxRESPParts {
 					return whole, TooLong
 				}
-				f.parts, f.state = f.number, respDollar
+				f.partsLeft, f.state = f.number, respDollar
 				continue
 			}
-			if f.number > respPart {
+			if f.number > maxRESPPartBytes {
 				return whole, TooLong
 			}
-			f.skip, f.state = f.number, respBulk
-			if f.skip == 0 {
+			f.skipBytes, f.state = f.number, respBulk
+			if f.skipBytes == 0 {
 				f.state = respBulkCR
 			}
 		case respBulk:
-			n := min(f.skip, len(p)-i)
-			f.skip -= n
-			f.size += n - 1
+			n := min(f.skipBytes, len(p)-i)
+			f.skipBytes -= n
+			f.messageBytes += n - 1
 			i += n - 1
-			if f.size > respMessage {
+			if f.messageBytes > maxRESPMessageBytes {
 				return whole, TooLong
 			}
-			if f.skip == 0 {
+			if f.skipBytes == 0 {
 				f.state = respBulkCR
 			}
 		case respBulkCR:
@@ -153,11 +153,11 @@
 			if c != '\n' {
 				return whole, BadFraming
 			}
-			if f.parts--; f.parts > 0 {
+			if f.partsLeft--; f.partsLeft > 0 {
 				f.state = respDollar
 				continue
 			}
-			f.state, f.size, whole = respStart, 0, i+1
+			f.state, f.messageBytes, whole = respStart, 0, i+1
 		}
 	}
 	return whole, StillOpen
--- a/internal/stream/frame_test.go
+++ b/internal/stream/frame_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestRESPScan(t *testing.T) {
-	long := strings.Repeat("x", respPart+1)
+	long := strings.Repeat("x", maxRESPPartBytes+1)
 	for name, c := range map[string]struct {
 		in    string
 		whole int
--- a/internal/stream/ring.go
+++ b/internal/stream/ring.go
@@ -4,7 +4,7 @@
 package stream
 
 // smallRing is the size that a ring starts with and shrinks back to.
-const smallRing = 1 << 10
+const minRingBytes = 1 << 10
 
 // Ring is a byte queue in one circular buffer. It holds no memory until it is
 // first used, doubles up to its limit, and shrinks again once it is empty. It
@@ -62,7 +62,7 @@
 }
 
 func (q *Ring) grow(need int) {
-	size := max(len(q.buf), smallRing)
+	size := max(len(q.buf), minRingBytes)
 	for size < need {
 		size *= 2
 	}
@@ -92,7 +92,7 @@
 	}
 	if q.count == 0 {
 		q.head = 0
-		if len(q.buf) > smallRing {
+		if len(q.buf) > minRingBytes {
 			q.buf = nil
 		}
 	}
--- a/internal/stream/ring_test.go
+++ b/internal/stream/ring_test.go
@@ -62,7 +62,7 @@
 	}
 	q.Append(make([]byte, 50<<10))
 	q.Discard(50 << 10)
-	if q.Cap() > smallRing {
+	if q.Cap() > minRingBytes {
 		t.Fatalf("keeps %d bytes while empty", q.Cap())
 	}
 }
