--- a/internal/stream/close.go
+++ b/internal/stream/close.go
@@ -1,12 +1,11 @@
-// This file owns the end of every connection, whatever the reason, and is the
-// only one that closes a descriptor. The order is always the same: take no more
-// requests, answer what was read, FIN, read and discard up to a bound, close. It
-// must never close over bytes that the peer has sent and nobody has read, since
-// that resets the connection and takes answers on their way with it; and never
-// hand on what was read after the FIN, since nobody could answer it.
-
 package stream
 
+// Every connection is closed in the same order, whatever the reason: take no more requests, answer those
+// that were read, send FIN, read and discard input up to a bound, close the descriptor. Closing a descriptor
+// while its receive buffer holds unread bytes makes the kernel send RST, which destroys answers in flight.
+// Input read after the FIN is never passed on, since it could not be answered. Only this file closes
+// descriptors.
+
 import (
 	"errors"
 	"io"
@@ -16,50 +15,48 @@
 	"time"
 )
 
-// lingerBytes is how much is read from a peer that goes on sending after its
-// connection was stopped or ended; one that sends more is reset.
+// maxLingerBytes bounds how much input is discarded from a peer that keeps sending after its connection was
+// stopped or closed. A peer that sends more is reset.
 const maxLingerBytes = 256 << 10
 
-// plan is how a connection is to end. A higher one replaces a lower.
+// closePlan says when a connection is to be closed. A higher value replaces a lower one.
 type closePlan uint32
 
 const (
 	noClose           closePlan = iota
-	closeIfIdle                 // once nothing is owed, unless there is something to read: then it goes on
-	closeWhenIdle               // once nothing is owed and nothing is there to read
-	closeAfterAnswers           // once nothing is owed; what is read from now on is discarded
+	closeIfIdle                 // once no answer is pending; cancelled if there is input by then
+	closeWhenIdle               // once no answer is pending and there is no input to read
+	closeAfterAnswers           // once no answer is pending; input is discarded from now on
 )
 
-var errNoInput = errors.New("nothing to read")
+var errNoInput = errors.New("no input available")
 
-// Retire ends a connection that carries nothing. Input that is there by then
-// keeps it.
-func (c *Conn) CloseIfIdle(end CloseReason) { c.planClose(closeIfIdle, end) }
+// CloseIfIdle closes the connection if it carries nothing. Input that has arrived by then cancels the close.
+func (c *Conn) CloseIfIdle(reason CloseReason) { c.planClose(closeIfIdle, reason) }
 
-// Leave ends the connection at the first moment at which all that was read is
-// answered and nothing more has come.
-func (c *Conn) CloseWhenIdle(end CloseReason) { c.planClose(closeWhenIdle, end) }
+// CloseWhenIdle closes the connection as soon as all requests read are answered and no more input is available.
+func (c *Conn) CloseWhenIdle(reason CloseReason) { c.planClose(closeWhenIdle, reason) }
 
-// Stop takes no more requests, and ends the connection once those read are answered.
-func (c *Conn) CloseAfterAnswers(end CloseReason) { c.planClose(closeAfterAnswers, end) }
+// CloseAfterAnswers takes no more requests, and closes the connection once those already read are answered.
+func (c *Conn) CloseAfterAnswers(reason CloseReason) { c.planClose(closeAfterAnswers, reason) }
 
-func (c *Conn) planClose(p closePlan, end CloseReason) {
+func (c *Conn) planClose(p closePlan, reason CloseReason) {
 	c.mu.Lock()
 	if c.closeReason == StillOpen && uint32(p) > c.plan.Load() {
 		c.plan.Store(uint32(p))
-		c.plannedReason = end
+		c.plannedReason = reason
 		c.recheckCloseLocked()
 	}
 	c.mu.Unlock()
 }
 
-// Ending tells whether an end is planned or has come.
+// Closing reports whether a close is planned or has happened.
 func (c *Conn) Closing() bool {
 	return closePlan(c.plan.Load()) != noClose || c.CloseReason() != StillOpen
 }
 
-// Nudge lets the reader look again whether a planned end can come: something that
-// it waits for has changed.
+// RecheckClose makes the reader check again whether a planned close can happen. Call it when a condition that
+// the close waits for has changed.
 func (c *Conn) RecheckClose() {
 	if closePlan(c.plan.Load()) == noClose {
 		return
@@ -69,7 +66,8 @@
 	c.mu.Unlock()
 }
 
-// nudge is Nudge with the lock held. After the end the read deadline is hangUp's.
+// recheckCloseLocked is RecheckClose for callers that hold c.mu. Once the connection is closed, the read
+// deadline belongs to closeDescriptor.
 func (c *Conn) recheckCloseLocked() {
 	if closePlan(c.plan.Load()) == noClose || c.closeReason != StillOpen {
 		return
@@ -81,7 +79,7 @@
 	}
 }
 
-// unnudge takes the deadline of a nudge back.
+// clearReadDeadline removes the read deadline that recheckCloseLocked set to wake the reader.
 func (c *Conn) clearReadDeadline() {
 	c.mu.Lock()
 	if c.closeReason == StillOpen {
@@ -90,14 +88,14 @@
 	c.mu.Unlock()
 }
 
-// Said tells whether anything was ever sent on it.
+// HasSent reports whether any message was ever queued to be sent.
 func (c *Conn) HasSent() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.queuedBytes > 0
 }
 
-// Hurry ends the lingering of a connection now; its descriptor is needed.
+// StopLingering ends the linger phase of a closed connection now, to free its descriptor.
 func (c *Conn) StopLingering() {
 	c.lingerStopped.Store(true)
 	if c.CloseReason() != StillOpen {
@@ -105,16 +103,15 @@
 	}
 }
 
-// receive reads once from the network. Where the end is planned it is the reader
-// that ends the connection: between its last look, which found nothing, and the
-// FIN nobody else reads, so that nothing can slip through between the two.
+// readNetwork reads once from the network. A planned close is carried out by the reader itself: nobody else
+// reads between its last check, which found no input, and the FIN, so no request is read and then lost.
 func (c *Conn) readNetwork(space []byte) (int, error) {
 	if c.AnswersPending == nil {
 		return c.readUnplanned(space)
 	}
 	for {
-		if end := c.CloseReason(); end != StillOpen {
-			return 0, &Error{Reason: end}
+		if reason := c.CloseReason(); reason != StillOpen {
+			return 0, &Error{Reason: reason}
 		}
 		n, err := 0, error(nil)
 		p := closePlan(c.plan.Load())
@@ -133,7 +130,7 @@
 				if c.tryClose() {
 					continue
 				}
-				n, err = c.Conn.Read(space) // until more comes, or a nudge
+				n, err = c.Conn.Read(space) // until there is input, or RecheckClose ends the read
 			} else if p == closeIfIdle {
 				c.cancelCloseIfIdle()
 			}
@@ -146,9 +143,9 @@
 			c.readCloseReason.CompareAndSwap(uint32(StillOpen), uint32(PeerClosed))
 			c.CloseAfterAnswers(PeerClosed)
 		case err != nil && n == 0:
-			end := CloseReasonOf(err, ReadFailed)
-			c.Abort(end)
-			return 0, &Error{Reason: end, Cause: err}
+			reason := CloseReasonOf(err, ReadFailed)
+			c.Abort(reason)
+			return 0, &Error{Reason: reason, Cause: err}
 		case closePlan(c.plan.Load()) == closeAfterAnswers || c.CloseReason() != StillOpen:
 			c.discarded += n
 			c.traffic.Discarded.Add(int64(n))
@@ -158,23 +155,23 @@
 	}
 }
 
-// plainly reads where no end is planned. Once the connection has ended only hangUp
-// reads: if both did, what is handed on would have holes.
+// readUnplanned reads on a connection without planned closes (AnswersPending is nil). Once the connection is
+// closed only closeDescriptor reads: two concurrent readers would leave gaps in what the caller receives.
 func (c *Conn) readUnplanned(space []byte) (int, error) {
 	c.reading.Lock()
 	defer c.reading.Unlock()
-	if end := c.CloseReason(); end != StillOpen {
-		return 0, &Error{Reason: end}
+	if reason := c.CloseReason(); reason != StillOpen {
+		return 0, &Error{Reason: reason}
 	}
 	n, err := c.Conn.Read(space)
-	if end := c.CloseReason(); end != StillOpen {
+	if reason := c.CloseReason(); reason != StillOpen {
 		c.traffic.Discarded.Add(int64(n))
-		return 0, &Error{Reason: end}
+		return 0, &Error{Reason: reason}
 	}
 	return n, err
 }
 
-// keep gives a retirement up.
+// cancelCloseIfIdle withdraws a planned CloseIfIdle.
 func (c *Conn) cancelCloseIfIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -183,8 +180,9 @@
 	}
 }
 
-// quiet ends the connection if nothing is owed and all is sent; it reports whether
-// the plan needs no more waiting. The reader calls it, having found nothing to read.
+// tryClose closes the connection if no answer is pending and everything is sent. It reports whether there is
+// nothing left to wait for: the connection is closed, or the planned close was cancelled. The reader calls it
+// after it found no input.
 func (c *Conn) tryClose() bool {
 	if c.AnswersPending() {
 		c.cancelCloseIfIdle()
@@ -196,16 +194,16 @@
 		c.mu.Unlock()
 		return done
 	}
-	end := c.plannedReason
+	reason := c.plannedReason
 	c.mu.Unlock()
 	if c.limits.BeforeFIN != nil {
 		c.limits.BeforeFIN()
 	}
-	c.Abort(end)
+	c.Abort(reason)
 	return true
 }
 
-// look reads what is there, without waiting.
+// readAvailable reads the input that is available, without waiting. It returns errNoInput if there is none.
 func (c *Conn) readAvailable(p []byte) (n int, err error) {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -236,83 +234,84 @@
 	return n, nil
 }
 
-// Shut ends the connection now; what is queued and not sent is dropped. The first
-// End counts, later ones do nothing.
-func (c *Conn) Abort(end CloseReason) {
+// Abort closes the connection now and drops messages that are queued and not sent. The first reason counts;
+// later calls do nothing.
+func (c *Conn) Abort(reason CloseReason) {
 	c.mu.Lock()
 	if c.closeReason != StillOpen {
 		c.mu.Unlock()
 		return
 	}
-	c.closeReason = end
+	c.closeReason = reason
 	c.traffic.Dropped.Add(int64(len(c.messageEnds)))
 	c.messageEnds = nil
 	c.traffic.Held.Add(-c.heldBytes)
 	c.heldBytes = 0
 	c.mu.Unlock()
-	c.traffic.Ended[end].Add(1)
+	c.traffic.Ended[reason].Add(1)
 	c.wakeWriter()
 	select {
-	case c.recheck <- struct{}{}: // for a reader that waits for answers only
+	case c.recheck <- struct{}{}: // wakes a reader that waits only for answers
 	default:
 	}
 	if c.onClose != nil {
-		c.onClose(end)
+		c.onClose(reason)
 	}
-	go c.closeDescriptor(end)
+	go c.closeDescriptor(reason)
 }
 
-// Close ends the connection: in the way that reading ended, else from this side.
+// Close closes the connection with the reason for which reading ended, or else with ClosedLocally.
 func (c *Conn) Close() error {
-	end := c.ReadCloseReason()
-	if end == StillOpen {
-		end = ClosedLocally
+	reason := c.ReadCloseReason()
+	if reason == StillOpen {
+		reason = ClosedLocally
 	}
-	c.Abort(end)
+	c.Abort(reason)
 	return nil
 }
 
-// hangUp is the last of a connection: FIN, reading on until the peer has ended its
-// side or the bound is reached, close.
-func (c *Conn) closeDescriptor(end CloseReason) {
+// closeDescriptor sends FIN, discards input until the peer has closed its side or a bound is reached, and
+// closes the descriptor.
+func (c *Conn) closeDescriptor(reason CloseReason) {
 	defer close(c.descriptorClosed)
-	if c.AnswersPending == nil { // the reader first lets go: it may wait for what never comes
+	if c.AnswersPending == nil { // wake the reader first: it may be blocked on input that never comes
 		_ = c.Conn.SetReadDeadline(time.Unix(1, 0))
 		c.reading.Lock()
-		//lint:ignore SA2001 it is only waited for: the next one to hold it sees the end
+		//lint:ignore SA2001 only waits for the reader: whoever locks it next finds the connection closed
 		c.reading.Unlock()
 	}
-	if w, ok := c.Conn.(interface{ CloseWrite() error }); ok && end.lingers() && c.limits.Linger > 0 && w.CloseWrite() == nil {
+	w, ok := c.Conn.(interface{ CloseWrite() error })
+	if ok && reason.lingers() && c.limits.Linger > 0 && w.CloseWrite() == nil {
 		c.discardInput()
 	}
-	_ = c.Conn.Close() // nothing more can be done for it
+	_ = c.Conn.Close() // an error cannot be handled any more
 	if c.OnDescriptorClosed != nil {
 		c.OnDescriptorClosed()
 	}
 }
 
-// discard reads on, for what the peer sent before it heard of the end.
+// discardInput reads and discards what the peer sent before it received the FIN.
 func (c *Conn) discardInput() {
 	_ = c.Conn.SetReadDeadline(time.Now().Add(c.limits.Linger))
 	p := make([]byte, 4<<10)
-	for most := maxLingerBytes; most > 0; {
+	for remaining := maxLingerBytes; remaining > 0; {
 		n, err := 0, error(nil)
 		if c.lingerStopped.Load() {
 			_ = c.Conn.SetReadDeadline(time.Time{})
 			n, err = c.readAvailable(p)
 		} else if n, err = c.Conn.Read(p); errors.Is(err, os.ErrDeadlineExceeded) {
-			c.lingerStopped.Store(true) // one last look
+			c.lingerStopped.Store(true) // read once more without waiting
 			continue
 		}
 		c.traffic.Discarded.Add(int64(n))
-		most -= n
+		remaining -= n
 		if err != nil {
 			return
 		}
 	}
 }
 
-// WhenClosed is closed once the descriptor is free.
+// WhenClosed returns a channel that is closed once the descriptor is closed.
 func (c *Conn) WhenClosed() <-chan struct{} { return c.descriptorClosed }
 
 var _ net.Conn = (*Conn)(nil)
--- a/internal/stream/closereason.go
+++ b/internal/stream/closereason.go
@@ -1,7 +1,3 @@
-// This file owns End: the ways in which a connection can end, how errors map to
-// them, and the one place where they map to the module's outcomes. It must never
-// end a connection itself: close.go does.
-
 package stream
 
 import (
@@ -13,27 +9,26 @@
 	"robinmast/rules"
 )
 
-// End is how a connection ended. Every connection of the node, to dispatchers,
-// to the worker pool and to the membership service, ends in exactly one of
-// these ways.
+// CloseReason says why a connection was closed. Every connection of the node, to dispatchers, to the worker
+// pool, to the membership service and to downstream dependencies, closes for exactly one of these reasons.
 type CloseReason uint8
 
-// The ways a connection can end.
+// The reasons for which a connection can close.
 const (
 	StillOpen     CloseReason = iota
-	PeerClosed                // the peer has sent all it had to say, and closed in order
-	PeerReset                 // the peer broke the connection off
-	ReadFailed                // any other trouble while reading
-	WriteFailed               // any other trouble while writing
-	BadFraming                // bytes that are no message
-	TooLong                   // a message, or a part of one, beyond its bound
-	ReadStalled               // a message began and did not go on, or an awaited one never came
-	WriteStalled              // the peer took nothing for too long
-	Overflow                  // the peer left more unread than is kept for it
-	IdleClosed                // closed here, as it carried nothing for too long
-	ClosedLocally             // closed here, as the node leaves or uses another connection
-	DialRefused               // never opened: nobody listens
-	DialFailed                // never opened: any other trouble
+	PeerClosed                // the peer closed its side in order
+	PeerReset                 // the peer reset the connection
+	ReadFailed                // any other read error
+	WriteFailed               // any other write error
+	BadFraming                // bytes that are not a message
+	TooLong                   // a message, or a part of one, exceeds its size limit
+	ReadStalled               // a message remained incomplete, or an expected one did not arrive in time
+	WriteStalled              // the peer accepted no data for too long
+	Overflow                  // more output was unsent than may be buffered
+	IdleClosed                // closed locally, since it was idle for too long
+	ClosedLocally             // closed locally, since the node drains or uses another connection
+	DialRefused               // never opened: connection refused
+	DialFailed                // never opened: any other error
 	numCloseReasons
 )
 
@@ -42,28 +37,28 @@
 	"read_stalled", "write_stalled", "overflow", "idle_closed", "left_by_us", "dial_refused", "dial_failed",
 }
 
-// String is the name that logs and counters use.
-func (e CloseReason) String() string {
-	if e < numCloseReasons {
-		return closeReasonNames[e]
+// String returns the name that logs and counters use.
+func (r CloseReason) String() string {
+	if r < numCloseReasons {
+		return closeReasonNames[r]
 	}
 	return "unknown"
 }
 
-// Ends lists every way a connection can end.
+// CloseReasons lists every CloseReason but StillOpen.
 func CloseReasons() []CloseReason {
 	all := make([]CloseReason, 0, numCloseReasons-1)
-	for e := StillOpen + 1; e < numCloseReasons; e++ {
-		all = append(all, e)
+	for reason := StillOpen + 1; reason < numCloseReasons; reason++ {
+		all = append(all, reason)
 	}
 	return all
 }
 
-// Outcome is the one place that maps an End to the decision module's outcomes,
-// for whatever was open on the connection. OK means that it stays open: a peer
-// that closed its side in order may still read what it is owed.
-func (e CloseReason) Outcome() rules.Outcome {
-	switch e {
+// Outcome maps a CloseReason to the decision module's outcome for the requests that were open on the
+// connection. It is the only such mapping. OK means that they stay open: a peer that closed its side in order
+// may still read its answers.
+func (r CloseReason) Outcome() rules.Outcome {
+	switch r {
 	case StillOpen, PeerClosed:
 		return rules.OK
 	case DialRefused, DialFailed:
@@ -76,16 +71,16 @@
 	return rules.ConnectionReset
 }
 
-// lingers tells whether the peer may still be sending, and hear what was sent to it.
-func (e CloseReason) lingers() bool {
-	switch e {
+// lingers reports whether the peer may still send, and read what was sent to it.
+func (r CloseReason) lingers() bool {
+	switch r {
 	case PeerClosed, PeerReset, ReadFailed, WriteFailed, DialRefused, DialFailed:
 		return false
 	}
 	return true
 }
 
-// Error is an End as an error, with its cause.
+// Error is a CloseReason as an error, with its cause, which may be nil.
 type Error struct {
 	Reason CloseReason
 	Cause  error
@@ -98,11 +93,11 @@
 	return e.Reason.String() + ": " + e.Cause.Error()
 }
 
-// Unwrap is the cause.
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// EndOf says which End an error of a connection stands for; other is taken
-// where the error itself does not tell.
+// CloseReasonOf returns the CloseReason that an error of a connection stands for, or other if the error itself
+// does not tell.
 func CloseReasonOf(err error, other CloseReason) CloseReason {
 	var own *Error
 	switch {
--- a/internal/stream/conn.go
+++ b/internal/stream/conn.go
@@ -1,8 +1,9 @@
-// Package stream owns what every connection of the node has in common: one ring
-// buffer a direction, framing that hands on whole messages only, a writer that
-// nobody waits for, and the end: End is the one type of all ways to end, and
-// end.go and close.go the one place that ends a connection. It must never know
-// what a message means, and never block whoever sends.
+// Package stream has what all connections of the node share: a ring buffer for each direction, framing that
+// passes on only whole messages, an asynchronous writer, and an orderly close.
+//
+// A Conn wraps a net.Conn. One goroutine reads from it; any goroutine may send, which never blocks. A writer
+// goroutine for each connection sends what is queued. Every connection closes with exactly one CloseReason.
+// The package does not interpret messages.
 package stream
 
 import (
@@ -16,103 +17,103 @@
 	"robinmast/rules"
 )
 
-// StallLimit is how long a peer may usually take nothing before its connection
-// ends. A machine that stands still for seconds must not lose its answers by it.
+// StallLimit is the usual limit for how long a peer may accept no data before its connection is closed. It is
+// long enough that a host frozen for some seconds does not lose its answers.
 const StallLimit = 30 * time.Second
 
-// Limits bound what a connection may hold and wait for.
+// Limits bound the memory of a connection and how long it waits.
 type Limits struct {
-	In           int           // bytes of the in ring, more than any message
-	Out          int           // bytes of the out ring
-	StallTimeout time.Duration // how long the peer may take nothing
+	In           int           // bytes of the input ring, more than any message
+	Out          int           // bytes of the output ring
+	StallTimeout time.Duration // how long the peer may accept no data
 
-	// Linger is how long an ended connection is still read, what comes being
-	// discarded, until the peer has ended its side too. 0 = it is closed at once.
+	// Linger is how long input of a closed connection is read and discarded while the peer has not closed
+	// its side. 0 closes the descriptor at once.
 	Linger time.Duration
 
-	BeforeFIN func() // called between the last look for input and FIN: tests hold it there
+	BeforeFIN func() // called between the last check for input and FIN; for tests
 }
 
-// Traffic counts connections, bytes and messages; any goroutine may read it.
+// Traffic counts connections, bytes and messages. It is safe for concurrent use.
 type Traffic struct {
-	Opened    atomic.Int64 // tries included that came to nothing
+	Opened    atomic.Int64 // connections, failed attempts to connect included
 	BytesIn   atomic.Int64
 	BytesOut  atomic.Int64
-	Queued    atomic.Int64 // messages given to Send
-	Sent      atomic.Int64 // of those, wholly taken by the network
-	Dropped   atomic.Int64 // of those, ended with their connection
-	Held      atomic.Int64 // bytes of memory in out rings
-	HeldLimit int64        // bound of Held, 0 = none
-	Discarded atomic.Int64 // bytes that were read after the end and thrown away
+	Queued    atomic.Int64 // messages passed to Send
+	Sent      atomic.Int64 // of those, wholly written to the network
+	Dropped   atomic.Int64 // of those, lost with their connection
+	Held      atomic.Int64 // bytes of memory in output rings
+	HeldLimit int64        // bound of Held in bytes, 0 = none
+	Discarded atomic.Int64 // bytes read and discarded, since the connection was closed or took no more requests
 	Ended     [numCloseReasons]atomic.Int64
 }
 
-// NeverOpened counts a try to connect that came to nothing.
+// NeverOpened counts a failed attempt to connect and returns the reason that err stands for.
 func (t *Traffic) NeverOpened(err error) CloseReason {
-	end := CloseReasonOf(err, DialFailed)
-	if end.Outcome() != rules.ConnectFailed {
-		end = DialFailed
+	reason := CloseReasonOf(err, DialFailed)
+	if reason.Outcome() != rules.ConnectFailed {
+		reason = DialFailed
 	}
 	t.Opened.Add(1)
-	t.Ended[end].Add(1)
-	return end
+	t.Ended[reason].Add(1)
+	return reason
 }
 
-// Conn is a connection whose bytes pass through its two rings. Read belongs to
-// one goroutine; everything else may be called by any.
+// Conn is a connection that buffers input and output in rings. Read may be called by one goroutine only; all
+// other methods are safe for concurrent use.
 type Conn struct {
 	net.Conn
 	traffic         *Traffic
 	limits          Limits
 	frame           Framer
 	in              *Ring         // owned by the reader
-	readyBytes      int           // bytes at its front that are whole messages
-	inputError      CloseReason   // what comes after them is no message
-	peerClosed      bool          // the peer has ended its side
+	readyBytes      int           // bytes at the front of in that are whole messages
+	inputError      CloseReason   // why the bytes after those are not a message
+	peerClosed      bool          // the peer has closed its side
 	discarded       int           // bytes read and discarded
-	readCloseReason atomic.Uint32 // how reading ended, for Close
-	partialSince    atomic.Int64
+	readCloseReason atomic.Uint32 // why reading ended, for Close
+	partialSince    atomic.Int64  // when an incomplete message began, by sinceClockStart; 0 = none
 
-	// Owes tells whether answers to what was read are still to come. It makes this
-	// a connection whose end can be planned: Retire, Leave and Stop are for its
-	// like only. Set before the first Read; it may lock, but not send.
+	// AnswersPending reports whether requests that were read are still to be answered. CloseIfIdle,
+	// CloseWhenIdle and CloseAfterAnswers need it. It is set before the first Read; it may take locks, but
+	// must not send.
 	AnswersPending func() bool
-	// Closed, if set, is called once the descriptor is free.
+	// OnDescriptorClosed, if set, is called once the descriptor is closed.
 	OnDescriptorClosed func()
-	plan               atomic.Uint32 // a plan
-	recheck            chan struct{} // poked when a plan, or what it waits for, has changed
+	plan               atomic.Uint32 // a closePlan
+	recheck            chan struct{} // signalled when the plan, or a condition it waits for, has changed
 	lingerStopped      atomic.Bool
-	reading            sync.Mutex // held by whoever reads, where Owes is nil
+	reading            sync.Mutex // held while reading, if AnswersPending is nil
 
 	mu               sync.Mutex
 	out              *Ring
-	queuedBytes      uint64      // bytes ever queued
-	sentBytes        uint64      // bytes ever sent
-	messageEnds      []uint64    // where queued messages end, oldest first
-	heldBytes        int64       // its part of traffic.Held
-	plannedReason    CloseReason // what the plan ends it by
+	queuedBytes      uint64      // total bytes queued
+	sentBytes        uint64      // total bytes sent
+	messageEnds      []uint64    // ends of the queued messages, as values of queuedBytes, oldest first
+	heldBytes        int64       // this connection's share of traffic.Held
+	plannedReason    CloseReason // close reason of the plan
 	closeReason      CloseReason
 	writerWake       chan struct{}
-	writerDone       chan struct{} // closed when the writer has ended
-	descriptorClosed chan struct{} // closed when the descriptor is free
+	writerDone       chan struct{} // closed when the writer goroutine has returned
+	descriptorClosed chan struct{} // closed when the descriptor is closed
 	onClose          func(CloseReason)
 }
 
-// New wraps a connection and starts its writer. onEnd is called once, when the
-// connection has ended, by the goroutine that ended it; it may be nil.
-func New(c net.Conn, frame Framer, l Limits, t *Traffic, onEnd func(CloseReason)) *Conn {
+// New wraps a connection and starts its writer goroutine. onClose is called once, when the connection is
+// closed, by the goroutine that closed it; it may be nil.
+func New(c net.Conn, frame Framer, l Limits, t *Traffic, onClose func(CloseReason)) *Conn {
 	t.Opened.Add(1)
 	s := &Conn{
 		Conn: c, traffic: t, limits: l, frame: frame, in: NewRing(l.In), out: NewRing(l.Out),
 		writerWake: make(chan struct{}, 1), recheck: make(chan struct{}, 1),
-		writerDone: make(chan struct{}), descriptorClosed: make(chan struct{}), onClose: onEnd,
+		writerDone: make(chan struct{}), descriptorClosed: make(chan struct{}), onClose: onClose,
 	}
 	go s.write()
 	return s
 }
 
-// Read fills p with bytes of whole messages only, so that what parses them
-// never has to keep part of one. Broken bytes give an *Error.
+// Read fills p with bytes of whole messages only, so that a parser never has to buffer a partial one. Bytes
+// that are not a message give an *Error.
 func (c *Conn) Read(p []byte) (int, error) {
 	n, err := c.read(p)
 	if err != nil {
@@ -121,7 +122,7 @@
 	return n, err
 }
 
-// ReadEnd is how reading ended, StillOpen while it has not.
+// ReadCloseReason returns why reading ended, StillOpen while it has not.
 func (c *Conn) ReadCloseReason() CloseReason { return CloseReason(c.readCloseReason.Load()) }
 
 func (c *Conn) read(p []byte) (int, error) {
@@ -153,13 +154,14 @@
 	return n, nil
 }
 
-// scan queues what was read up to the first broken byte.
+// queueInput queues what was read up to the first byte that breaks the framing, and returns the reason to
+// close the connection if there is one.
 func (c *Conn) queueInput(p []byte) CloseReason {
 	c.traffic.BytesIn.Add(int64(len(p)))
 	before := c.in.Len()
-	whole, end := c.frame.Scan(p)
-	if end != StillOpen {
-		p = p[:whole] // the messages before it were read, and are answered
+	whole, reason := c.frame.Scan(p)
+	if reason != StillOpen {
+		p = p[:whole] // the messages before it are still answered
 	}
 	c.in.Commit(len(p))
 	if whole > 0 {
@@ -171,16 +173,16 @@
 	if whole > 0 && c.in.Len() == c.readyBytes {
 		c.partialSince.Store(0)
 	}
-	return end
+	return reason
 }
 
-// begin is what the monotonic clock counts from here; the Unix clock may jump.
+// clockStart is the origin of this package's monotonic times; wall clock time may jump.
 var clockStart = time.Now()
 
-// since is a time on that clock, never 0.
+// sinceClockStart returns the nanoseconds from clockStart to t. The lowest bit is set, so it is never 0.
 func sinceClockStart(t time.Time) int64 { return int64(t.Sub(clockStart)) | 1 }
 
-// Partial is how long a message has been begun and not finished, 0 if none is.
+// PartialAge returns how long ago the first part of an incomplete message was read, 0 if there is none.
 func (c *Conn) PartialAge(now time.Time) time.Duration {
 	from := c.partialSince.Load()
 	if from == 0 {
@@ -189,15 +191,15 @@
 	return max(time.Duration(sinceClockStart(now)-from), 1)
 }
 
-// Excuse lets the time of a message that is not finished count from now on.
+// RestartPartialTimer makes PartialAge count from now if a message is incomplete.
 func (c *Conn) RestartPartialTimer(now time.Time) {
 	if from := c.partialSince.Load(); from != 0 {
 		c.partialSince.CompareAndSwap(from, sinceClockStart(now))
 	}
 }
 
-// Send queues one message, whole or not at all, and never blocks. A peer that
-// leaves too much unread loses its connection.
+// Send queues one message, whole or not at all, and never blocks. It reports whether the message was queued.
+// If too much output is unsent, the connection is aborted with Overflow.
 func (c *Conn) Send(msg []byte) bool {
 	c.traffic.Queued.Add(1)
 	c.mu.Lock()
@@ -232,7 +234,7 @@
 	}
 }
 
-// account keeps the sum of all out rings; the lock must be held.
+// updateHeld updates the memory of all output rings in Traffic; c.mu must be held.
 func (c *Conn) updateHeld() {
 	if now := int64(c.out.Cap()); now != c.heldBytes {
 		c.traffic.Held.Add(now - c.heldBytes)
@@ -240,21 +242,21 @@
 	}
 }
 
-// Unsent is the number of messages queued and not yet wholly sent.
+// Unsent returns the number of messages that are queued and not wholly sent.
 func (c *Conn) Unsent() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.messageEnds)
 }
 
-// Ended is how the connection ended, StillOpen while it has not.
+// CloseReason returns why the connection was closed, StillOpen while it is open.
 func (c *Conn) CloseReason() CloseReason {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closeReason
 }
 
-// Write is Send for those who know connections as an io.Writer.
+// Write is Send as an io.Writer. It returns net.ErrClosed if p could not be queued.
 func (c *Conn) Write(p []byte) (int, error) {
 	if !c.Send(p) {
 		return 0, net.ErrClosed
@@ -262,14 +264,15 @@
 	return len(p), nil
 }
 
-// Done is closed once the writer has ended.
+// Done returns a channel that is closed once the writer goroutine has returned.
 func (c *Conn) Done() <-chan struct{} { return c.writerDone }
 
-// write is the writer: it sends what is queued until the connection ends.
+// write is the writer goroutine: it sends what is queued until the connection is closed.
 func (c *Conn) write() {
 	defer close(c.writerDone)
-	var waiting time.Time // since when the peer has taken nothing
-	var renew time.Time   // the deadline is moved on from then only: moving it costs as much as a small write
+	var stalledSince time.Time // since when the peer has accepted no data
+	// The write deadline is not moved before this time: moving it costs as much as a small write.
+	var nextDeadlineUpdate time.Time
 	for {
 		c.mu.Lock()
 		if c.closeReason != StillOpen {
@@ -284,30 +287,30 @@
 		}
 		c.mu.Unlock()
 		now, n := time.Now(), 0
-		if waiting.IsZero() {
-			waiting = now
+		if stalledSince.IsZero() {
+			stalledSince = now
 		}
 		var err error
-		if !now.Before(renew) {
+		if !now.Before(nextDeadlineUpdate) {
 			err = c.Conn.SetWriteDeadline(now.Add(c.limits.StallTimeout / 4))
-			renew = now.Add(c.limits.StallTimeout / 8)
+			nextDeadlineUpdate = now.Add(c.limits.StallTimeout / 8)
 		}
 		if err == nil {
 			n, err = c.Conn.Write(chunk)
 		}
 		if n > 0 {
-			waiting = time.Time{}
+			stalledSince = time.Time{}
 			c.recordWritten(n)
 		}
 		if err == nil || n > 0 && errors.Is(err, os.ErrDeadlineExceeded) {
 			if err != nil {
-				renew = time.Time{}
+				nextDeadlineUpdate = time.Time{}
 			}
 			continue
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			renew = time.Time{}
-			if time.Since(waiting) < c.limits.StallTimeout {
+			nextDeadlineUpdate = time.Time{}
+			if time.Since(stalledSince) < c.limits.StallTimeout {
 				continue
 			}
 			c.Abort(WriteStalled)
@@ -318,7 +321,7 @@
 	}
 }
 
-// took notes that the network took n bytes.
+// recordWritten records that n bytes were written to the network.
 func (c *Conn) recordWritten(n int) {
 	c.traffic.BytesOut.Add(int64(n))
 	c.mu.Lock()
--- a/internal/stream/frame.go
+++ b/internal/stream/frame.go
@@ -1,32 +1,29 @@
-// This file owns framing: where messages end, and which bytes are none. It must
-// never keep bytes, nor let through what a parser behind it would choke on.
-
 package stream
 
 import "bytes"
 
-// Framer finds where messages end, so that only whole ones are handed on. It
-// sees every byte once, in order.
+// Framer finds where messages end, so that only whole ones are passed on. It gets every byte once, in order,
+// and keeps none.
 type Framer interface {
-	// Scan takes the next bytes. It returns how many of them, from the first,
-	// belong to messages that are now whole (0 if none became whole), and the
-	// End that broken bytes after those deserve, else StillOpen.
-	Scan(p []byte) (whole int, end CloseReason)
+	// Scan takes the next bytes. It returns how many of them, from the first, belong to messages that are
+	// now whole (0 if none became whole). The reason is BadFraming or TooLong if the bytes after those are
+	// not a valid message, else StillOpen.
+	Scan(p []byte) (whole int, reason CloseReason)
 }
 
-// Bytes frames nothing: every byte is handed on as it comes.
+// Bytes does no framing: every byte is passed on as it comes.
 type Bytes struct{}
 
-// Scan takes all.
+// Scan accepts all bytes.
 func (Bytes) Scan(p []byte) (int, CloseReason) { return len(p), StillOpen }
 
-// Lines frames messages that end in a line feed.
+// Lines frames messages that end in a line feed and are at most Longest bytes without it.
 type Lines struct {
 	Longest   int
-	openBytes int // bytes of the line that is not whole yet
+	openBytes int // bytes of the incomplete line
 }
 
-// Scan looks for the last line feed and bounds every line.
+// Scan finds the last line feed and checks the length of every line.
 func (l *Lines) Scan(p []byte) (int, CloseReason) {
 	whole := 0
 	for {
@@ -47,24 +44,24 @@
 	return whole, StillOpen
 }
 
-// The bounds of a RESP message. They are far above what the protocol allows, so
-// that a request that is only too big is still answered.
+// The bounds of a RESP message: array elements, bytes of an element, bytes of a message. They are far above
+// what the protocol allows, so that a request that is merely too big is still answered.
 const (
 	maxRESPParts        = 16
 	maxRESPPartBytes    = 8 << 10
 	maxRESPMessageBytes = 12 << 10
 )
 
-// RESP frames arrays of bulk strings and lets nothing else through. Its bounds
-// guard the command reader behind it, which would take inline commands, keep a
-// bulk of any size, and count to any array length.
+// RESP frames arrays of bulk strings, the form of requests in the Redis protocol, and rejects everything else.
+// Its bounds protect redcon's command reader, which would accept inline commands, buffer a bulk string of any
+// size and accept any array length.
 type RESP struct {
 	state        respState
-	number       int // of the header at hand
+	number       int // value of the current header
 	digits       int
 	partsLeft    int // still to come
-	skipBytes    int // bytes of the bulk and its line end still to come
-	messageBytes int // of the message so far
+	skipBytes    int // bytes of the bulk string still to come
+	messageBytes int // bytes of the message so far
 }
 
 type respState uint8
@@ -74,12 +71,12 @@
 	respNumber                    // in a header's digits
 	respLineFeed                  // at a header's '\n'
 	respDollar                    // at a '$'
-	respBulk                      // inside a bulk
-	respBulkCR                    // at the '\r' after a bulk
-	respBulkLF                    // at the '\n' after a bulk
+	respBulk                      // inside a bulk string
+	respBulkCR                    // at the '\r' after a bulk string
+	respBulkLF                    // at the '\n' after a bulk string
 )
 
-// Scan follows the framing byte by byte, except inside bulks.
+// Scan parses the framing byte by byte, and skips over the content of bulk strings.
 func (f *RESP) Scan(p []byte) (int, CloseReason) {
 	whole := 0
 	for i := 0; i < len(p); i++ {
@@ -116,7 +113,7 @@
 			if c != '\n' {
 				return whole, BadFraming
 			}
-			if f.partsLeft < 0 { // that was the array's header
+			if f.partsLeft < 0 { // that was the array header
 				if f.number == 0 {
 					return whole, BadFraming
 				}
--- a/internal/stream/ring.go
+++ b/internal/stream/ring.go
@@ -1,33 +1,29 @@
-// This file owns the ring, the byte queue of one direction of a connection. It
-// must never lock, block or look at what the bytes mean.
-
 package stream
 
-// smallRing is the size that a ring starts with and shrinks back to.
+// minRingBytes is the size that a ring starts with and shrinks back to.
 const minRingBytes = 1 << 10
 
-// Ring is a byte queue in one circular buffer. It holds no memory until it is
-// first used, doubles up to its limit, and shrinks again once it is empty. It
-// is not safe for concurrent use, with one exception that writers rely on:
-// bytes returned by Front stay as they are until they are discarded, even while
-// others are appended.
+// Ring is a byte queue in one circular buffer. It allocates no memory until it is first used, doubles up to its
+// limit, and shrinks once it is empty. It is not safe for concurrent use, with one exception that the writer of
+// Conn relies on: bytes returned by Front stay unchanged until they are discarded, even while others are
+// appended.
 type Ring struct {
 	buf         []byte
 	head, count int
 	limit       int
 }
 
-// NewRing returns an empty ring that never holds more than limit bytes.
+// NewRing returns an empty ring for at most limit bytes.
 func NewRing(limit int) *Ring { return &Ring{limit: limit} }
 
-// Len is the number of bytes queued.
+// Len returns the number of bytes queued.
 func (q *Ring) Len() int { return q.count }
 
-// Cap is the memory the ring takes at present.
+// Cap returns the size of the ring's buffer in bytes.
 func (q *Ring) Cap() int { return len(q.buf) }
 
-// Space returns free room to read into, at least one byte long unless the ring
-// is at its limit. Commit then queues what was put there.
+// Space returns free space to read into, at least one byte unless the ring is at its limit. Commit then queues
+// the bytes stored there.
 func (q *Ring) Space() []byte {
 	if q.count == len(q.buf) {
 		q.grow(q.count + 1)
@@ -45,7 +41,7 @@
 // Commit queues the first n bytes of what Space returned.
 func (q *Ring) Commit(n int) { q.count += n }
 
-// Append queues all of p, or nothing and false if it does not fit the limit.
+// Append queues all of p and returns true, or queues nothing and returns false if that would exceed the limit.
 func (q *Ring) Append(p []byte) bool {
 	if q.count+len(p) > q.limit {
 		return false
@@ -78,12 +74,12 @@
 	q.buf, q.head = buf, 0
 }
 
-// Front is the longest run of queued bytes, from the oldest, that lies in one piece.
+// Front returns the queued bytes from the oldest on that are contiguous in memory.
 func (q *Ring) Front() []byte {
 	return q.buf[q.head:min(q.head+q.count, len(q.buf))]
 }
 
-// Discard drops the n oldest bytes.
+// Discard removes the n oldest bytes.
 func (q *Ring) Discard(n int) {
 	q.count -= n
 	q.head += n
