--- a/internal/front/client.go
+++ b/internal/front/client.go
@@ -1,12 +1,7 @@
-// This file owns one dispatcher's connection: its messages, the requests open on
-// it under their tags, and its answers. It must never wait, neither for the loop
-// nor for the network.
-
 package front
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"strconv"
 	"sync"
@@ -19,37 +14,37 @@
 	"robinmast/internal/stream"
 )
 
-// client is one dispatcher's connection.
+// client is one dispatcher's connection with the requests that are open on it, by tag. Apart from health checks
+// that wait for admission, it never blocks: neither on the node's event loop nor on the network.
 type client struct {
 	*stream.Conn
 	server *Server
 
 	mu        sync.Mutex
 	open      map[uint64]*exchange.Exchange
-	lastUsed  time.Time // when it last carried something
-	sentValid bool      // a whole message, and one of the protocol's
-	finSentAt time.Time // when it was told that no new request may come
-	endedAt   time.Time // when it ended
+	lastUsed  time.Time // when it last carried a message
+	sentValid bool      // a valid message of the protocol was received
+	finSentAt time.Time // when FIN was sent on it, so that no new request comes
+	endedAt   time.Time // when it was closed
 }
 
-// Write takes what redcon itself would send, which is nothing but replies to
-// broken framing; those connections end without one.
+// Write discards what redcon itself sends, which is only replies to broken framing. Those connections are closed
+// without a reply.
 func (c *client) Write(p []byte) (int, error) { return len(p), nil }
 
-// Close is called by redcon: when its reader has ended, and for every connection
-// when the listener closes. It does nothing: the connection ends by itself, in
-// the one place that ends connections.
+// Close does nothing. redcon calls it when its reader has returned, and for every connection when the listener
+// closes. Package stream closes the connection instead, after the pending answers.
 func (c *client) Close() error { return nil }
 
-// owes tells whether a request is open.
+// hasOpen reports whether a request is open.
 func (c *client) hasOpen() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.open) > 0
 }
 
-// ended lets go of what was open when the connection ended.
-func (c *client) connEnded(end stream.CloseReason) {
+// connEnded abandons the requests that were open when the connection closed, and logs abnormal reasons.
+func (c *client) connEnded(reason stream.CloseReason) {
 	c.mu.Lock()
 	open := c.open
 	c.open, c.endedAt = nil, time.Now()
@@ -59,16 +54,17 @@
 			c.server.sink.CallerGone(x)
 		}
 	}
-	if end == stream.BadFraming || end == stream.TooLong {
-		c.server.warnLimited("broken input from a dispatcher", nil, "end", end.String(), "from", c.RemoteAddr().String())
+	if reason == stream.BadFraming || reason == stream.TooLong {
+		c.server.warnLimited("malformed input from a dispatcher", nil,
+			"end", reason.String(), "from", c.RemoteAddr().String())
 		return
 	}
-	if len(open) > 0 || end == stream.Overflow || end == stream.ReadStalled || end == stream.WriteStalled {
-		c.server.warnLimited("dispatcher's connection ended badly", nil, "end", end.String(), "open", len(open))
+	if len(open) > 0 || reason == stream.Overflow || reason == stream.ReadStalled || reason == stream.WriteStalled {
+		c.server.warnLimited("dispatcher connection closed abnormally", nil, "end", reason.String(), "open", len(open))
 	}
 }
 
-// closed gives the connection's place free.
+// connDescriptorClosed frees the connection's slot and wakes a waiting Accept.
 func (c *client) connDescriptorClosed() {
 	c.server.mu.Lock()
 	delete(c.server.clients, c)
@@ -79,7 +75,7 @@
 	}
 }
 
-// command takes one message; cmd lives only during the call.
+// command handles one message. cmd is valid only during the call.
 func (s *Server) command(conn redcon.Conn, cmd redcon.Command) {
 	c, ok := conn.Context().(*client)
 	if !ok || len(cmd.Args) == 0 {
@@ -105,8 +101,8 @@
 	}
 }
 
-// reject answers what could not be read as a request: it fails, as nobody can
-// tell what its dispatcher takes from a refusal.
+// reject answers a message that could not be parsed as a request with FAIL, and with tag 0 if its own is not
+// valid. It is not refused, since it is unknown what its dispatcher would conclude from a refusal.
 func (c *client) reject(tag []byte) {
 	if _, err := parseTag(tag); err != nil {
 		tag = []byte("0")
@@ -124,27 +120,27 @@
 		case 5:
 			call, err = c.server.parser.parseCall(args[2], args[3], args[4])
 		default:
-			err = fmt.Errorf("a request of %d parts", len(args))
+			err = fmt.Errorf("request has %d parts, want 4 or 5", len(args))
 		}
 	}
 	c.mu.Lock()
 	gone := c.open == nil
 	if err == nil && !gone {
 		if len(c.open) >= maxOpenRequests {
-			err = errors.New("more requests open than allowed")
+			err = fmt.Errorf("more than %d requests open on the connection", maxOpenRequests)
 		} else if c.open[tag] != nil {
-			err = errors.New("a tag that is open")
+			err = fmt.Errorf("tag %d is already open", tag)
 		}
 	}
 	c.lastUsed = time.Now()
 	if err != nil || gone {
 		c.mu.Unlock()
-		if gone { // the connection ended before this was read
+		if gone { // the connection was closed before this was read
 			return
 		}
 		c.server.Counters.Calls.Add(1)
 		c.server.Counters.Malformed.Add(1)
-		c.server.warnLimited("request not understood", err)
+		c.server.warnLimited("malformed request", err)
 		exchange.New(c.server.ledger, rejecter{c, tagText}, tag, call).Answer(exchange.Answer{Kind: exchange.Failed})
 		return
 	}
@@ -156,7 +152,7 @@
 	c.server.sink.Arrived(x)
 }
 
-// rejecter answers a request that never became open.
+// rejecter replies to a request that was rejected before it became open.
 type rejecter struct {
 	c   *client
 	tag []byte
@@ -165,7 +161,7 @@
 func (r rejecter) Reply(uint64, exchange.Answer) { r.c.reject(r.tag) }
 
 func (c *client) cancel(tagText []byte) {
-	tag, _ := parseTag(tagText) // a bad tag is as unknown as any other
+	tag, _ := parseTag(tagText) // an invalid tag gives 0, which is never open
 	c.mu.Lock()
 	x := c.open[tag]
 	if x != nil {
@@ -174,7 +170,7 @@
 	c.lastUsed = time.Now()
 	c.mu.Unlock()
 	c.RecheckClose()
-	if x == nil { // its answer and the cancel crossed, or it never was
+	if x == nil { // the cancel crossed its answer, or there was no such request
 		c.server.Counters.Unmatched.Add(1)
 		return
 	}
@@ -191,9 +187,10 @@
 		c.reject(tag)
 		return
 	}
-	c.server.awaitAdmission(context.Background(), connlimit.HealthCheck) // this connection's reader alone waits: checks come on one of their own
-	began := time.Now()
-	defer c.server.chargeAdmission(connlimit.HealthCheck, began)
+	// Only this connection's reader waits: health checks come on a connection of their own.
+	c.server.awaitAdmission(context.Background(), connlimit.HealthCheck)
+	start := time.Now()
+	defer c.server.chargeAdmission(connlimit.HealthCheck, start)
 	word := "RED"
 	if c.server.healthy.Load() {
 		word = "GREEN"
@@ -201,7 +198,7 @@
 	c.Send(message(tag, word, c.server.fields(nil, exchange.Answer{}), nil))
 }
 
-// fields writes an answer's fields.
+// fields appends an answer's fields to b: the published load feedback, retry-after and the stop-retrying flag.
 func (s *Server) fields(b []byte, a exchange.Answer) []byte {
 	if f := s.feedback.Load(); f != nil {
 		b = append(b, *f...)
@@ -225,7 +222,7 @@
 	return b
 }
 
-// message encodes an answer.
+// message encodes an answer as a RESP array of tag, word, fields and body.
 func message(tag []byte, word string, fields, body []byte) []byte {
 	b := make([]byte, 0, 64+len(tag)+len(fields)+len(body))
 	b = redcon.AppendArray(b, 4)
@@ -235,7 +232,7 @@
 	return redcon.AppendBulk(b, body)
 }
 
-// Reply sends a final answer; the exchange sees to it that there is one.
+// Reply sends the final answer of a request; package exchange makes sure that there is exactly one.
 func (c *client) Reply(tag uint64, a exchange.Answer) {
 	word := "FAIL"
 	switch a.Kind {
@@ -244,17 +241,17 @@
 	case exchange.Refused:
 		word = "NAK"
 	}
-	var room [maxTagDigits + 2]byte
-	var more [64]byte
-	c.Send(message(strconv.AppendUint(room[:0], tag, 10), word, c.server.fields(more[:0], a), a.Body))
+	var tagBuffer [maxTagDigits + 2]byte
+	var fieldBuffer [64]byte
+	c.Send(message(strconv.AppendUint(tagBuffer[:0], tag, 10), word, c.server.fields(fieldBuffer[:0], a), a.Body))
 	c.mu.Lock()
 	delete(c.open, tag)
 	c.lastUsed = time.Now()
 	c.mu.Unlock()
-	c.RecheckClose() // it may have been the last that was owed
+	c.RecheckClose() // it may have been the last pending answer
 }
 
-// sayFin asks the dispatcher to send no new request here and to close.
+// sendFin sends `0 FIN`, once: the dispatcher is to send no new request on this connection and to close it.
 func (c *client) sendFin() {
 	c.mu.Lock()
 	first := c.finSentAt.IsZero()
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,8 +1,9 @@
-// Package front owns the connections to dispatchers: it accepts them, reads
-// requests, cancels and health checks with redcon, and sends answers through
-// each connection's out ring. It must never decide what becomes of a request,
-// never run one, and never keep anything of one beyond its connection. This file
-// has what concerns all connections: accepting, idle ones, leaving.
+// Package front is the node's server for dispatchers. It accepts connections, reads requests, cancels and health
+// checks with redcon, and sends answers through each connection's output ring.
+//
+// A Server passes requests to its Sink, which decides about them and answers through the exchange. The package
+// makes no decision about a request, runs none, and keeps nothing of one beyond its connection. One goroutine
+// for each connection reads it; answers may come from any goroutine.
 package front
 
 import (
@@ -27,56 +28,62 @@
 	"robinmast/rules"
 )
 
-// Mechanics of connections; none of them decides about a request.
+// Limits and timeouts of connections; none of them decides about a request.
 const (
-	maxOpenRequests     = 32                     // requests open on one connection
-	inRingBytes         = 16 << 10               // in ring: one message and what was read beyond it
-	outRingBytes        = 160 << 10              // out ring: the answers of all open requests
-	sweepInterval       = 50 * time.Millisecond  // idle and stalled connections are looked for
-	sweepLateLimit      = 500 * time.Millisecond // a sweep this late means that the process stood still
-	partialCloseAfter   = time.Second            // for half a message, while connections are short
-	finTimeout          = 2 * time.Second        // for a dispatcher to close after `0 FIN`
-	partialIdleLimit    = 10 * time.Second       // for the rest of a message, if nothing is open
-	partialMaxLimit     = 30 * time.Second       // and in any case
-	firstMessageLimit   = 2 * time.Second        // for a new connection's first whole message: its dispatcher has one to send
-	acceptRetryDelay    = 20 * time.Millisecond  // while no descriptor is free
-	warnInterval        = 2 * time.Second        // between log lines about bad input
-	lingerTimeout       = 500 * time.Millisecond // for a dispatcher to hear of the end and close its side
-	minLinger           = 50 * time.Millisecond  // of that at least, where something was sent on it: what crosses a close is sent again
-	maxLingering        = 8                      // connections that linger while room is short; more are not ended
-	finalAcceptTimeout  = time.Millisecond       // a wait for connections that the machine has accepted
-	drainPollInterval   = 2 * time.Millisecond   // how often it is looked whether all connections have ended
-	finalAcceptTimeouts = 2                      // such waits in vain before the listener closes
+	maxOpenRequests   = 32                     // requests open on one connection
+	inRingBytes       = 16 << 10               // input ring: one message and what was read beyond it
+	outRingBytes      = 160 << 10              // output ring: the answers of all open requests
+	sweepInterval     = 50 * time.Millisecond  // how often idle and stalled connections are looked for
+	sweepLateLimit    = 500 * time.Millisecond // a sweep this late means that the process was frozen
+	partialCloseAfter = time.Second            // for an incomplete message, while no connection slot is free
+	finTimeout        = 2 * time.Second        // for a dispatcher to close after `0 FIN`
+	partialIdleLimit  = 10 * time.Second       // for the rest of a message, if nothing is open
+	partialMaxLimit   = 30 * time.Second       // for the rest of a message in any case
+	firstMessageLimit = 2 * time.Second        // for the first whole message: dispatchers connect to send one
+	acceptRetryDelay  = 20 * time.Millisecond  // after a failed accept, and between checks for a free slot
+	warnInterval      = 2 * time.Second        // between log lines about malformed input
+	lingerTimeout     = 500 * time.Millisecond // for a dispatcher to receive the FIN and close its side
+	drainPollInterval = 2 * time.Millisecond   // between checks whether all connections are closed
+
+	// While no connection slot is free, a closing connection on which anything was sent lingers for at least
+	// minLinger. Requests that cross the close are sent again by their dispatcher.
+	minLinger    = 50 * time.Millisecond
+	maxLingering = 8 // closing connections while no slot is free; no further one is closed to free a slot
+
+	// After StopListening the listener closes after finalAcceptTimeouts waits of finalAcceptTimeout each in
+	// which the kernel's accept queue had no connection.
+	finalAcceptTimeout  = time.Millisecond
+	finalAcceptTimeouts = 2
 )
 
-// Sink takes what dispatchers send. Its methods must not block.
+// Sink receives the requests of dispatchers. Its methods must not block.
 type Sink interface {
-	Arrived(*exchange.Exchange)
-	CallerGone(*exchange.Exchange)
+	Arrived(*exchange.Exchange)    // a request was read
+	CallerGone(*exchange.Exchange) // its dispatcher cancelled it or its connection closed
 }
 
-// Config is what a Server needs.
+// Config configures a Server.
 type Config struct {
 	Settings      rules.Settings
 	Names         settings.Names
-	MaxConns      int     // connections held at once; more wait to be accepted
-	OutBytes      int64   // memory of all out rings together
-	SetupCPUShare float64 // share of a core that new connections and health checks may take, 0 = as they come
+	MaxConns      int     // connections open at once, 0 = no limit; more wait to be accepted
+	OutBytes      int64   // bytes of memory of all output rings together
+	SetupCPUShare float64 // share of a core for new connections and health checks, 0 = no limit
 	Log           *slog.Logger
 }
 
-// Counters are what the front counts besides its traffic.
+// Counters counts messages and failures of a Server. It is safe for concurrent use.
 type Counters struct {
-	Calls          atomic.Int64 // CALL messages
-	Cancels        atomic.Int64 // CANCEL messages
+	Calls          atomic.Int64 // RPC.CALL messages
+	Cancels        atomic.Int64 // RPC.CANCEL messages
 	Unmatched      atomic.Int64 // of those, for a tag that is not open
-	Health         atomic.Int64 // HEALTH messages
-	Malformed      atomic.Int64 // requests that could not be read, each answered as failed
-	Unknown        atomic.Int64 // other commands
-	AcceptFailures atomic.Int64 // failures to accept
+	Health         atomic.Int64 // RPC.HEALTH messages
+	Malformed      atomic.Int64 // requests that could not be parsed, each answered with FAIL
+	Unknown        atomic.Int64 // messages with another command
+	AcceptFailures atomic.Int64 // errors of accept
 }
 
-// Server is the side towards dispatchers.
+// Server is the node's server for dispatchers. Its methods are safe for concurrent use.
 type Server struct {
 	Counters Counters
 	Traffic  stream.Traffic
@@ -86,40 +93,43 @@
 	sink   Sink
 	ledger *exchange.Counters
 
-	// The mechanics' constants, but in tests.
+	// The constants of the same names; tests change them.
 	limits                                                           stream.Limits
 	finTimeout, partialIdleLimit, partialMaxLimit, firstMessageLimit time.Duration
 
 	healthy     atomic.Bool
 	feedback    atomic.Pointer[string]
-	idleTimeout atomic.Int64 // idle limit, nanoseconds
+	idleTimeout atomic.Int64 // nanoseconds, 0 = none
 
 	mu            sync.Mutex
 	clients       map[*client]struct{}
-	connClosed    chan struct{} // poked when a connection ends
-	finAnnounced  bool          // no new request may come
-	draining      bool          // connections end as soon as they owe nothing
-	baseListener   net.Listener
-	acceptingDone chan struct{} // closed when no connection is accepted any more
+	connClosed    chan struct{} // signalled when a connection's descriptor is closed
+	finAnnounced  bool          // FIN is sent on every connection
+	draining      bool          // connections close as soon as no answer is pending
+	baseListener  net.Listener
+	acceptingDone chan struct{} // closed when no more connections are accepted
 
 	stopAccepting atomic.Bool
 
 	started   time.Time
 	limiterMu sync.Mutex
-	limiter   *connlimit.Limiter // nil = nothing is held
+	limiter   *connlimit.Limiter // nil = no limit
 
 	lastWarning atomic.Int64
 	suppressed  atomic.Int64
 }
 
-// New returns a server that hands what it reads to sink.
+// New returns a Server that passes requests to sink and counts them in ledger.
 func New(cfg Config, sink Sink, ledger *exchange.Counters) *Server {
 	s := &Server{
 		cfg: cfg, parser: newRequestParser(cfg.Settings, cfg.Names), sink: sink, ledger: ledger,
 		clients: map[*client]struct{}{}, connClosed: make(chan struct{}, 1),
 		acceptingDone: make(chan struct{}),
-		limits:        stream.Limits{In: inRingBytes, Out: outRingBytes, StallTimeout: stream.StallLimit, Linger: lingerTimeout},
-		finTimeout:    finTimeout, partialIdleLimit: partialIdleLimit, partialMaxLimit: partialMaxLimit, firstMessageLimit: firstMessageLimit,
+		limits: stream.Limits{
+			In: inRingBytes, Out: outRingBytes, StallTimeout: stream.StallLimit, Linger: lingerTimeout,
+		},
+		finTimeout: finTimeout, partialIdleLimit: partialIdleLimit, partialMaxLimit: partialMaxLimit,
+		firstMessageLimit: firstMessageLimit,
 	}
 	s.Traffic.HeldLimit = cfg.OutBytes
 	s.started = time.Now()
@@ -131,16 +141,17 @@
 	return s
 }
 
-// SetHealth sets what health checks are told.
-func (s *Server) SetHealth(good bool) { s.healthy.Store(good) }
+// SetHealth sets the answer to health checks: GREEN if healthy, else RED.
+func (s *Server) SetHealth(healthy bool) { s.healthy.Store(healthy) }
 
-// Say sets the free value that goes out with every answer and health check.
+// PublishLoad sets the load feedback that is sent with every answer and health check.
 func (s *Server) PublishLoad(value float64) {
 	text := "feedback=" + strconv.FormatFloat(value, 'f', 4, 64)
 	s.feedback.Store(&text)
 }
 
-// CloseIdle sets how long a connection may carry nothing.
+// SetIdleTimeout sets how long a connection may be idle before FIN is sent on it. 0 or less restores the maximum
+// of the settings.
 func (s *Server) SetIdleTimeout(after time.Duration) {
 	if after <= 0 {
 		after = s.cfg.Settings.MaxIdleTimeout
@@ -148,7 +159,7 @@
 	s.idleTimeout.Store(int64(after))
 }
 
-// Serve accepts connections from ln until ctx ends or the server leaves.
+// Serve accepts connections from ln until ctx is cancelled or StopListening is called.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
 	s.mu.Lock()
 	s.baseListener = ln
@@ -158,18 +169,18 @@
 	go s.sweep(ctx)
 	defer close(s.acceptingDone)
 	rs := redcon.NewServer(ln.Addr().String(), s.command, s.redconAccepted, s.redconClosed)
-	if err := rs.Serve(&listener{Listener: ln, s: s, ctx: ctx}); err != nil {
+	if err := rs.Serve(&listener{Listener: ln, server: s, ctx: ctx}); err != nil {
 		return fmt.Errorf("serve dispatchers: %w", err)
 	}
 	return nil
 }
 
-// listener wraps accepted connections, so that all bytes pass their rings, and
-// keeps accept errors from redcon, which would try again at once and for ever.
+// listener wraps accepted connections, so that all bytes pass through their rings, and hides accept errors from
+// redcon, which would retry at once and for ever.
 type listener struct {
 	net.Listener
-	s   *Server
-	ctx context.Context
+	server *Server
+	ctx    context.Context
 }
 
 func (l *listener) Accept() (net.Conn, error) {
@@ -177,30 +188,30 @@
 		c, err := l.next()
 		switch {
 		case err == nil:
-			for l.ctx.Err() == nil && l.s.atCapacity() {
-				l.s.freeConnectionSlot()
+			for l.ctx.Err() == nil && l.server.atCapacity() {
+				l.server.freeConnectionSlot()
 				select {
-				case <-l.s.connClosed:
+				case <-l.server.connClosed:
 				case <-l.ctx.Done():
 				case <-time.After(acceptRetryDelay):
 				}
 			}
-			l.s.awaitAdmission(l.ctx, connlimit.Connect)
-			began := time.Now()
-			cl := l.s.newClient(c)
-			l.s.chargeAdmission(connlimit.Connect, began)
-			if l.ctx.Err() != nil { // it waited until the end
+			l.server.awaitAdmission(l.ctx, connlimit.Connect)
+			start := time.Now()
+			cl := l.server.newClient(c)
+			l.server.chargeAdmission(connlimit.Connect, start)
+			if l.ctx.Err() != nil { // cancelled while it waited
 				cl.Abort(stream.ClosedLocally)
 			}
 			return cl, nil
 		case errors.Is(err, net.ErrClosed):
 			return nil, err
 		}
-		l.s.Counters.AcceptFailures.Add(1)
+		l.server.Counters.AcceptFailures.Add(1)
 		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
-			l.s.warnLimited("no descriptor for a new connection", err)
+			l.server.warnLimited("no file descriptor for a new connection", err)
 		} else {
-			l.s.warnLimited("accept failed", err)
+			l.server.warnLimited("accept failed", err)
 		}
 		select {
 		case <-l.ctx.Done():
@@ -210,31 +221,31 @@
 	}
 }
 
-// next accepts one connection. Once no more are wanted it takes those that the
-// machine has accepted, which may carry requests already, and only then closes
-// the listener: that would reset them.
+// next accepts one connection. After StopListening it still accepts the connections in the kernel's accept
+// queue, which may carry requests already, before it closes the listener, since closing resets them.
 func (l *listener) next() (net.Conn, error) {
 	d, ok := l.Listener.(interface{ SetDeadline(time.Time) error })
-	for vain := 0; ; {
-		last := ok && l.s.stopAccepting.Load()
-		if last {
+	for timeouts := 0; ; {
+		final := ok && l.server.stopAccepting.Load()
+		if final {
 			_ = d.SetDeadline(time.Now().Add(finalAcceptTimeout))
 		}
 		c, err := l.Listener.Accept()
 		if err == nil || !errors.Is(err, os.ErrDeadlineExceeded) {
 			return c, err
 		}
-		if !last {
-			continue // told just now
+		if !final {
+			continue // StopListening was called during Accept
 		}
-		if vain++; vain >= finalAcceptTimeouts {
+		if timeouts++; timeouts >= finalAcceptTimeouts {
 			_ = l.Listener.Close()
 			return nil, net.ErrClosed
 		}
 	}
 }
 
-// pause waits until the door lets an event in; what is on open connections goes on.
+// awaitAdmission waits until the limiter admits an event, or ctx is cancelled. Requests on open connections are
+// not delayed.
 func (s *Server) awaitAdmission(ctx context.Context, k connlimit.Kind) {
 	if s.limiter == nil {
 		return
@@ -251,19 +262,19 @@
 	}
 }
 
-// took tells the door what an event has taken.
-func (s *Server) chargeAdmission(k connlimit.Kind, began time.Time) {
+// chargeAdmission reports the cost of an event to the limiter.
+func (s *Server) chargeAdmission(k connlimit.Kind, start time.Time) {
 	if s.limiter == nil {
 		return
 	}
-	seen := time.Since(began)
+	cost := time.Since(start)
 	s.limiterMu.Lock()
-	s.limiter.Charge(k, seen)
+	s.limiter.Charge(k, cost)
 	s.limiterMu.Unlock()
 }
 
-// Held is how many connections and health checks had to wait at the door.
-func (s *Server) Delayed() (connects, probes int) {
+// Delayed returns how many connections and health checks had to wait for admission.
+func (s *Server) Delayed() (connects, healthChecks int) {
 	if s.limiter == nil {
 		return 0, 0
 	}
@@ -278,82 +289,82 @@
 	return s.cfg.MaxConns > 0 && len(s.clients) >= s.cfg.MaxConns
 }
 
-// makeRoom ends the connection that has carried nothing for longest, if one has
-// nothing open: first of those that never said anything whole, and one with half
-// a message only if there is no other. A connection that the machine has accepted
-// and the node has not may carry requests already, which nobody would answer.
-// It reports whether one was asked to end.
+// freeConnectionSlot starts to close the connection that has been idle for longest and has no open request, and
+// reports whether there was one. Connections that never sent a valid message go first, those with an incomplete
+// message last. It makes room for connections in the kernel's accept queue, which may carry requests already
+// that nobody would answer.
 func (s *Server) freeConnectionSlot() bool {
-	var best *client
-	var bestUsed time.Time
-	bestRank, lingering := 0, 0
+	var victim *client
+	var victimUsed time.Time
+	victimRank, lingering := 0, 0
 	now := time.Now()
 	for _, c := range s.connections() {
 		c.mu.Lock()
-		free, used, rank, over := len(c.open) == 0, c.lastUsed, 0, c.endedAt
+		idle, used, rank, endedAt := len(c.open) == 0, c.lastUsed, 0, c.endedAt
 		if c.sentValid {
 			rank = 1
 		}
 		c.mu.Unlock()
 		if c.Closing() {
 			lingering++
-			if !over.IsZero() && now.Sub(over) >= minLinger {
+			if !endedAt.IsZero() && now.Sub(endedAt) >= minLinger {
 				c.StopLingering()
 			}
 			continue
 		}
-		part := c.PartialAge(now) > 0
-		if !free || c.Unsent() > 0 || part && now.Sub(used) < partialCloseAfter {
+		partial := c.PartialAge(now) > 0
+		if !idle || c.Unsent() > 0 || partial && now.Sub(used) < partialCloseAfter {
 			continue
 		}
-		if part {
+		if partial {
 			rank = 2
 		}
-		if best == nil || rank < bestRank || rank == bestRank && used.Before(bestUsed) {
-			best, bestUsed, bestRank = c, used, rank
+		if victim == nil || rank < victimRank || rank == victimRank && used.Before(victimUsed) {
+			victim, victimUsed, victimRank = c, used, rank
 		}
 	}
-	if best == nil || lingering >= maxLingering {
+	if victim == nil || lingering >= maxLingering {
 		return false
 	}
-	if !best.HasSent() { // nothing was sent on it that a reset could take away
-		best.StopLingering()
+	if !victim.HasSent() { // a reset cannot destroy an answer
+		victim.StopLingering()
 	}
-	best.CloseIfIdle(stream.IdleClosed)
+	victim.CloseIfIdle(stream.IdleClosed)
 	return true
 }
 
-// wrap makes an accepted connection a dispatcher's.
+// newClient wraps an accepted connection and registers it.
 func (s *Server) newClient(c net.Conn) *client {
 	cl := &client{server: s, open: map[uint64]*exchange.Exchange{}, lastUsed: time.Now()}
 	cl.Conn = stream.New(c, &stream.RESP{}, s.limits, &s.Traffic, cl.connEnded)
 	cl.AnswersPending, cl.OnDescriptorClosed = cl.hasOpen, cl.connDescriptorClosed
 	s.mu.Lock()
 	s.clients[cl] = struct{}{}
-	leaving, shut := s.finAnnounced, s.draining
+	finAnnounced, draining := s.finAnnounced, s.draining
 	s.mu.Unlock()
-	if leaving {
+	if finAnnounced {
 		cl.sendFin()
 	}
-	if shut {
+	if draining {
 		cl.CloseWhenIdle(stream.ClosedLocally)
 	}
 	return cl
 }
 
-// complain logs bad input at a bounded rate.
-func (s *Server) warnLimited(what string, err error, more ...any) {
+// warnLimited logs a warning, at most one every warnInterval, with the number of warnings suppressed before.
+func (s *Server) warnLimited(message string, err error, args ...any) {
 	now, last := time.Now().UnixNano(), s.lastWarning.Load()
 	if now-last < int64(warnInterval) || !s.lastWarning.CompareAndSwap(last, now) {
 		s.suppressed.Add(1)
 		return
 	}
 	if err != nil {
-		more = append(more, "err", err)
+		args = append(args, "err", err)
 	}
-	s.cfg.Log.Warn(what, append(more, "muted", s.suppressed.Swap(0))...)
+	s.cfg.Log.Warn(message, append(args, "muted", s.suppressed.Swap(0))...)
 }
 
+// redconAccepted attaches the client to redcon's connection.
 func (s *Server) redconAccepted(conn redcon.Conn) bool {
 	cl, ok := conn.NetConn().(*client)
 	if !ok {
@@ -363,15 +374,15 @@
 	return true
 }
 
-// closed is told when redcon reads a connection no more. By then it has ended,
-// unless redcon takes for broken what the framing let through.
+// redconClosed is called when redcon stops reading a connection. By then the connection is closed, unless
+// redcon rejects input that the framing accepted.
 func (s *Server) redconClosed(conn redcon.Conn, _ error) {
 	if c, ok := conn.Context().(*client); ok {
 		c.Abort(stream.BadFraming)
 	}
 }
 
-// sweep looks for connections to close, until ctx ends.
+// sweep looks for connections to close, until ctx is cancelled.
 func (s *Server) sweep(ctx context.Context) {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
@@ -391,8 +402,8 @@
 	}
 }
 
-// excuse lets every connection's times count from now: the process stood still,
-// and that its peers were not heard meanwhile is nobody's fault.
+// restartTimers makes the timeouts of every connection count from now, after the process was frozen: input that
+// arrived meanwhile could not be read, which is not the peers' fault.
 func (s *Server) restartTimers(now time.Time) {
 	for _, c := range s.connections() {
 		c.RestartPartialTimer(now)
@@ -402,22 +413,23 @@
 	}
 }
 
+// sweepOnce closes connections that are stalled or idle, and sends FIN on those that reached the idle timeout.
 func (s *Server) sweepOnce(now time.Time) {
 	limit := time.Duration(s.idleTimeout.Load())
 	for _, c := range s.connections() {
 		c.mu.Lock()
-		idle, open, fin, spoke := now.Sub(c.lastUsed), len(c.open), c.finSentAt, c.sentValid
+		idle, open, finSentAt, sentValid := now.Sub(c.lastUsed), len(c.open), c.finSentAt, c.sentValid
 		c.mu.Unlock()
 		partial := c.PartialAge(now)
 		switch {
-		// Whoever says nothing whole after connecting is no dispatcher: those connect
-		// to send. Should one be that slow, it only has to connect again.
-		case !spoke && idle > s.firstMessageLimit:
+		// A client that sends no whole message after connecting is not a dispatcher: those connect in order
+		// to send. A dispatcher that slow only has to connect again.
+		case !sentValid && idle > s.firstMessageLimit:
 			c.CloseIfIdle(stream.ReadStalled)
 		case partial > s.partialMaxLimit, partial > s.partialIdleLimit && open == 0:
 			c.CloseAfterAnswers(stream.ReadStalled)
 		case open > 0 || partial > 0 || c.Unsent() > 0:
-		case !fin.IsZero() && now.Sub(fin) > s.finTimeout && idle > s.finTimeout:
+		case !finSentAt.IsZero() && now.Sub(finSentAt) > s.finTimeout && idle > s.finTimeout:
 			c.CloseIfIdle(stream.IdleClosed)
 		case limit > 0 && idle > limit:
 			c.sendFin()
@@ -425,6 +437,7 @@
 	}
 }
 
+// connections returns a snapshot of the registered connections.
 func (s *Server) connections() []*client {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -435,15 +448,15 @@
 	return list
 }
 
-// Conns is the number of connections open now.
+// Conns returns the number of connections whose descriptors are open.
 func (s *Server) Conns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.clients)
 }
 
-// Fin tells every dispatcher, and whoever connects later, to send no new
-// request on its connection and to close it.
+// SendFin sends FIN on every connection, also on those accepted later: the dispatchers are to send no new
+// request on them and to close them.
 func (s *Server) SendFin() {
 	s.mu.Lock()
 	s.finAnnounced = true
@@ -453,8 +466,8 @@
 	}
 }
 
-// StopListening refuses new connections from now on. Those that the machine has
-// accepted by then are still taken.
+// StopListening makes Serve accept no more connections. Those already in the kernel's accept queue are still
+// served.
 func (s *Server) StopListening() {
 	s.mu.Lock()
 	ln := s.baseListener
@@ -470,17 +483,16 @@
 	_ = ln.Close()
 }
 
-// Leave ends every connection as soon as all that was read from it is answered,
-// and returns when none is left, or after most: what is open then is let go. The
-// listener must have been stopped. It reports whether all ended in order.
-func (s *Server) Drain(most time.Duration) bool {
+// Drain closes every connection as soon as all requests read from it are answered. It returns true when none is
+// left, or aborts the remaining ones after timeout and returns false. StopListening must have been called before.
+func (s *Server) Drain(timeout time.Duration) bool {
 	s.mu.Lock()
 	s.draining = true
 	s.mu.Unlock()
 	for _, c := range s.connections() {
 		c.CloseWhenIdle(stream.ClosedLocally)
 	}
-	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(drainPollInterval) {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(drainPollInterval) {
 		select {
 		case <-s.acceptingDone:
 			if s.Conns() == 0 {
@@ -496,7 +508,7 @@
 	return false
 }
 
-// Flushed reports whether every answer given was taken by the network.
+// Flushed reports whether every answer was written to the network.
 func (s *Server) Flushed() bool {
 	for _, c := range s.connections() {
 		if c.Unsent() > 0 {
@@ -506,7 +518,7 @@
 	return true
 }
 
-// Shut ends every connection.
+// AbortAll aborts every connection.
 func (s *Server) AbortAll() {
 	for _, c := range s.connections() {
 		c.Abort(stream.ClosedLocally)
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -637,7 +637,7 @@
 	ln := standin.Listen(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	l := &listener{Listener: &noDescriptorListener{ln, 3}, s: b.Server, ctx: ctx}
+	l := &listener{Listener: &noDescriptorListener{ln, 3}, server: b.Server, ctx: ctx}
 	c, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -653,7 +653,7 @@
 	}
 	got.(*client).Abort(stream.ClosedLocally)
 	cancel()
-	if _, err := (&listener{Listener: &noDescriptorListener{ln, 9}, s: b.Server, ctx: ctx}).Accept(); !errors.Is(err, net.ErrClosed) {
+	if _, err := (&listener{Listener: &noDescriptorListener{ln, 9}, server: b.Server, ctx: ctx}).Accept(); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("after the end: %v", err)
 	}
 }
--- a/internal/front/request.go
+++ b/internal/front/request.go
@@ -1,6 +1,3 @@
-// This file owns the reading of requests: tags, fields and their bounds. It must
-// never keep a byte of the message it reads, and never answer.
-
 package front
 
 import (
@@ -16,17 +13,18 @@
 	"robinmast/rules"
 )
 
-// Bounds of the protocol.
+// Limits of the protocol.
 const (
 	maxBodyBytes = 2 << 10
-	maxMemoryKB  = 2000 // a request books less, kilobytes
+	maxMemoryKB  = 2000 // exclusive
 	txnDigits    = 16
-	maxTagDigits = 18 // more would not fit a tag
+	maxTagDigits = 18 // so that every tag fits into a uint64
 
-	maxFields = 64 // the protocol names twelve; those it does not name are skipped
+	maxFields = 64 // the protocol defines twelve; fields it does not define are ignored
 )
 
-// lanes resolves the names that requests use.
+// requestParser parses requests and resolves the names of classes and tenants in them. It is read-only and safe
+// for concurrent use. Parsed requests hold no reference to the bytes of the message.
 type requestParser struct {
 	classes  map[string]int
 	tenants  map[string]int
@@ -34,89 +32,90 @@
 }
 
 func newRequestParser(set rules.Settings, names settings.Names) requestParser {
-	l := requestParser{classes: map[string]int{}, tenants: map[string]int{}, settings: set}
+	p := requestParser{classes: map[string]int{}, tenants: map[string]int{}, settings: set}
 	for i, n := range names.Classes {
-		l.classes[n] = i
+		p.classes[n] = i
 	}
 	for i, n := range names.Tenants {
-		l.tenants[n] = i
+		p.tenants[n] = i
 	}
-	return l
+	return p
 }
 
-// parseTag reads a tag: a decimal number from 1 up.
+// parseTag parses a tag: a decimal number of at most maxTagDigits digits, 1 or more.
 func parseTag(b []byte) (uint64, error) {
 	if len(b) == 0 || len(b) > maxTagDigits {
-		return 0, errors.New("tag of no or too many digits")
+		return 0, fmt.Errorf("tag has %d characters, want 1 to %d digits", len(b), maxTagDigits)
 	}
 	n := uint64(0)
 	for _, c := range b {
 		if c < '0' || c > '9' {
-			return 0, errors.New("tag that is no decimal number")
+			return 0, errors.New("tag is not a decimal number")
 		}
 		n = n*10 + uint64(c-'0')
 	}
 	if n == 0 {
-		return 0, errors.New("tag 0")
+		return 0, errors.New("tag is 0")
 	}
 	return n, nil
 }
 
-// parseCall reads a request's class, fields and body. All strings are copied.
-func (l *requestParser) parseCall(class, fields, body []byte) (exchange.Request, error) {
+// parseCall parses a request's class, fields and body. All strings are copied.
+func (p *requestParser) parseCall(class, fields, body []byte) (exchange.Request, error) {
 	c := exchange.Request{Class: -1, Tenant: -1}
-	i, known := l.classes[string(class)]
+	i, known := p.classes[string(class)]
 	if !known {
 		return c, errors.New("unknown class")
 	}
 	if len(body) > maxBodyBytes {
-		return c, fmt.Errorf("body of %d bytes", len(body))
+		return c, fmt.Errorf("body has %d bytes, at most %d are allowed", len(body), maxBodyBytes)
 	}
-	c.Class, c.ClassName, c.Safe = i, string(class), l.settings.Classes[i].Effect == rules.Safe
-	var seen [maxFields][]byte // a request has a dozen fields: looking through them is cheaper than a map
-	n, need := 0, 0
+	c.Class, c.ClassName, c.Safe = i, string(class), p.settings.Classes[i].Effect == rules.Safe
+	var names [maxFields][]byte // a request has about twelve fields: a linear search is cheaper than a map
+	n, requiredCount := 0, 0
 	for len(fields) > 0 {
 		var field []byte
 		field, fields, _ = bytes.Cut(fields, []byte(","))
 		name, value, ok := bytes.Cut(field, []byte("="))
 		if !ok {
-			return c, errors.New("field without a value")
+			return c, errors.New("field without \"=\"")
 		}
-		if slices.ContainsFunc(seen[:n], func(o []byte) bool { return bytes.Equal(o, name) }) {
-			return c, fmt.Errorf("field %q twice", truncate(name))
+		if slices.ContainsFunc(names[:n], func(o []byte) bool { return bytes.Equal(o, name) }) {
+			return c, fmt.Errorf("duplicate field %q", truncate(name))
 		}
 		if n == maxFields {
-			return c, errors.New("too many fields")
+			return c, fmt.Errorf("more than %d fields", maxFields)
 		}
-		seen[n] = name
+		names[n] = name
 		n++
 		if isRequired(name) {
-			need++
+			requiredCount++
 		}
-		if err := l.parseField(&c, string(name), string(value)); err != nil {
+		if err := p.parseField(&c, string(name), string(value)); err != nil {
 			return c, fmt.Errorf("field %q: %w", truncate(name), err)
 		}
 	}
-	if need < len(requiredFields) {
+	if requiredCount < len(requiredFields) {
 		for _, name := range requiredFields {
-			if !slices.ContainsFunc(seen[:n], func(o []byte) bool { return string(o) == name }) {
-				return c, fmt.Errorf("no field %q", name)
+			if !slices.ContainsFunc(names[:n], func(o []byte) bool { return string(o) == name }) {
+				return c, fmt.Errorf("missing field %q", name)
 			}
 		}
 	}
 	if c.Tenant < 0 {
-		if len(l.tenants) > 0 {
-			return c, errors.New("no tenant")
+		if len(p.tenants) > 0 {
+			return c, errors.New("missing tenant: no field \"team\"")
 		}
 		c.Tenant = 0
 	}
-	if l.settings.Classes[i].Effect == rules.Keyed && c.Unique == "" {
-		return c, errors.New("no key to know its tries by")
+	if p.settings.Classes[i].Effect == rules.Keyed && c.Unique == "" {
+		return c, errors.New("missing idempotency key: no field \"unique\"")
 	}
 	c.Body = bytes.Clone(body)
 	return c, nil
 }
 
+// requiredFields lists the fields that every request must have; isRequired must match it.
 var requiredFields = [...]string{"txn", "door", "lb", "ram", "standing"}
 
 func isRequired(name []byte) bool {
@@ -127,17 +126,18 @@
 	return false
 }
 
+// truncate shortens b for a log line.
 func truncate(b []byte) []byte { return b[:min(len(b), 24)] }
 
-// parseField reads one field. Names that are not known are skipped.
-func (l *requestParser) parseField(c *exchange.Request, name, value string) (err error) {
+// parseField parses one field into c. Fields with unknown names are ignored.
+func (p *requestParser) parseField(c *exchange.Request, name, value string) (err error) {
 	switch name {
 	case "txn":
 		if len(value) != txnDigits {
-			return errors.New("not 16 digits")
+			return fmt.Errorf("has %d characters, want %d hexadecimal digits", len(value), txnDigits)
 		}
 		if _, err = strconv.ParseUint(value, 16, 64); err != nil {
-			return errors.New("not hexadecimal")
+			return errors.New("not a hexadecimal number")
 		}
 		c.Txn = value
 	case "door":
@@ -147,8 +147,8 @@
 		n, err = strconv.ParseUint(value, 10, 32)
 		c.Caller = uint32(n)
 	case "team":
-		i, known := l.tenants[value]
-		if !known && len(l.tenants) > 0 {
+		i, known := p.tenants[value]
+		if !known && len(p.tenants) > 0 {
 			return errors.New("unknown tenant")
 		}
 		if known {
@@ -162,7 +162,8 @@
 	case "cpu":
 		c.HintMs, err = parseNumber(value, 0, 1e9)
 	case "ram":
-		if c.MemoryKB, err = parseNumber(value, 0, maxMemoryKB); err == nil && (c.MemoryKB == 0 || c.MemoryKB == maxMemoryKB) {
+		c.MemoryKB, err = parseNumber(value, 0, maxMemoryKB)
+		if err == nil && (c.MemoryKB == 0 || c.MemoryKB == maxMemoryKB) {
 			return errors.New("out of bounds")
 		}
 	case "standing":
@@ -177,12 +178,13 @@
 	return err
 }
 
-func parseNumber(text string, least, most float64) (float64, error) {
+// parseNumber parses a decimal number from minimum to maximum, both included.
+func parseNumber(text string, minimum, maximum float64) (float64, error) {
 	x, err := strconv.ParseFloat(text, 64)
 	switch {
 	case err != nil:
 		return 0, errors.New("not a number")
-	case math.IsNaN(x) || x < least || x > most:
+	case math.IsNaN(x) || x < minimum || x > maximum:
 		return 0, errors.New("out of bounds")
 	}
 	return x, nil
