--- a/internal/front/close_test.go
+++ b/internal/front/close_test.go
@@ -16,30 +16,33 @@
 	"robinmast/internal/stream"
 )
 
-// The tests of this file force the orders that docs/races.md lists: a gate holds
-// the reader, or a hook the end, at the point where the other side has to act.
+// The tests of this file force the race conditions that docs/races.md lists: a gate blocks the reader, or a hook
+// the close, at the point where the other side has to act.
 
-// unread waits until the node's machine has bytes of this peer that the node has not read.
+// waitForUnread waits until the kernel holds bytes of this peer that the node has not read.
 func waitForUnread(t *testing.T, c *client) {
 	t.Helper()
 	raw, err := c.Conn.Conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
-	standin.Eventually(t, "bytes nobody has read", func() bool {
+	standin.Eventually(t, "unread bytes", func() bool {
 		n, one := 0, make([]byte, 1)
-		_ = raw.Control(func(fd uintptr) { n, _, _ = syscall.Recvfrom(int(fd), one, syscall.MSG_PEEK|syscall.MSG_DONTWAIT) })
+		_ = raw.Control(func(fd uintptr) {
+			n, _, _ = syscall.Recvfrom(int(fd), one, syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		})
 		return n > 0
 	})
 }
 
+// onlyConnection waits until there is one connection and returns it.
 func (b *harness) onlyConnection(t *testing.T) *client {
 	t.Helper()
 	standin.Eventually(t, "one connection", func() bool { return b.Conns() == 1 })
 	return b.connections()[0]
 }
 
-// rest reads all that is left: nil if the connection ended in order, as nothing was closed over.
+// readToEnd reads until the connection ends. It returns nil if it ended in order, and an error after a reset.
 func readToEnd(d *standin.Dispatcher) error {
 	_ = d.SetReadDeadline(time.Now().Add(5 * time.Second))
 	_, err := io.Copy(io.Discard, d.TCPConn)
@@ -48,12 +51,13 @@
 
 var servedAnswer = exchange.Answer{Kind: exchange.Served, Body: []byte("r")}
 
-// A request or half of one comes between the last look at a resting connection
-// and its FIN. It is not handed on, since nobody could answer it, and the
-// connection is not reset over it.
+// A request or half of one arrives between the last check for input on an idle connection and its FIN. It is not
+// passed on, since it could not be answered, and the connection is not reset because of it.
 func TestInputInTheInstantOfTheEnd(t *testing.T) {
 	whole := standin.EncodeMessage("RPC.CALL", "2", "read", safeFields, "x")
-	for name, late := range map[string][]byte{"a request": whole, "half a request": whole[:40], "many": []byte(strings.Repeat(string(whole), 200))} {
+	for name, late := range map[string][]byte{
+		"a request": whole, "half a request": whole[:40], "many": []byte(strings.Repeat(string(whole), 200)),
+	} {
 		t.Run(name, func(t *testing.T) {
 			var d *standin.Dispatcher
 			var c *client
@@ -67,7 +71,10 @@
 			d = b.dial(t)
 			c = b.onlyConnection(t)
 			d.Send("RPC.CALL", "1", "read", safeFields, "x")
-			standin.Eventually(t, "the answer is off", func() bool { a, _ := b.sink.counts(); return a == 1 && c.Unsent() == 0 && !c.hasOpen() })
+			standin.Eventually(t, "the answer is sent", func() bool {
+				a, _ := b.sink.counts()
+				return a == 1 && c.Unsent() == 0 && !c.hasOpen()
+			})
 			c.CloseIfIdle(stream.IdleClosed)
 			if got := d.Receive(); got != "1 ACK  r" {
 				t.Errorf("%q", got)
@@ -76,7 +83,7 @@
 				t.Errorf("%q", got)
 			}
 			if err := readToEnd(d); err != nil {
-				t.Errorf("the connection did not end in order: %v", err)
+				t.Errorf("the connection was not closed in order: %v", err)
 			}
 			d.Close()
 			<-c.WhenClosed()
@@ -87,8 +94,8 @@
 	}
 }
 
-// A request has reached the machine before a resting connection is retired, and
-// the reader has not come to it: the connection is in use, and stays.
+// A request is in the kernel's receive buffer, not yet read, when an idle connection is to be closed: the close is
+// cancelled and the request is answered.
 func TestRetiredWithARequestUnread(t *testing.T) {
 	b := startServer(t, nil)
 	b.sink.gate = make(chan struct{})
@@ -96,7 +103,7 @@
 	c := b.onlyConnection(t)
 	d.Send("RPC.CALL", "1", "read", safeFields, "x")
 	standin.Eventually(t, "arrival", func() bool { return b.sink.last() != nil })
-	b.sink.last().Answer(servedAnswer) // the reader still stands at handing it on
+	b.sink.last().Answer(servedAnswer) // the gate still blocks the reader
 	c.CloseIfIdle(stream.IdleClosed)
 	d.Send("RPC.CALL", "2", "read", safeFields, "x")
 	waitForUnread(t, c)
@@ -110,13 +117,12 @@
 	}
 	d.Send("RPC.HEALTH", "3", "")
 	if got := d.Receive(); got != "3 GREEN  " {
-		t.Errorf("the connection is of no more use: %q", got)
+		t.Errorf("the connection is not usable any more: %q", got)
 	}
 }
 
-// All connections are to end while one carries a request, one has a request that
-// nobody has read, and one half a line: what was there is answered, each
-// connection ends in order.
+// Drain is called while one connection has an open request and an unread one, and another receives half a message
+// just before its FIN: both requests are answered and each connection ends in order.
 func TestLeaveAnswersWhatCame(t *testing.T) {
 	var mu sync.Mutex
 	var half *standin.Dispatcher
@@ -130,10 +136,10 @@
 			}
 		}
 	})
-	rests := b.dial(t)
+	idle := b.dial(t)
 	b.onlyConnection(t)
 	mu.Lock()
-	half = rests
+	half = idle
 	mu.Unlock()
 	b.sink.gate = make(chan struct{})
 	d := b.dial(t)
@@ -146,12 +152,12 @@
 		}
 	}
 	b.StopListening()
-	left := make(chan bool)
-	go func() { left <- b.Drain(5 * time.Second) }()
-	if err := readToEnd(rests); err != nil {
-		t.Errorf("half a line: %v", err)
+	drained := make(chan bool)
+	go func() { drained <- b.Drain(5 * time.Second) }()
+	if err := readToEnd(idle); err != nil {
+		t.Errorf("half a message: %v", err)
 	}
-	rests.Close()
+	idle.Close()
 	close(b.sink.gate)
 	standin.Eventually(t, "the second", func() bool { a, _ := b.sink.counts(); return a == 2 })
 	for _, x := range b.sink.arrived {
@@ -166,43 +172,43 @@
 		t.Errorf("%v", err)
 	}
 	d.Close()
-	if !<-left {
-		t.Error("not all ended in order")
+	if !<-drained {
+		t.Error("Drain timed out")
 	}
 }
 
-// Peers that rest, and one that sends without end, hold the end up no longer than
-// its bounds in time and bytes.
+// An idle peer, and one that sends without end, delay the close no longer than the linger timeout and the bound
+// in bytes.
 func TestEndIsBounded(t *testing.T) {
 	b := startServer(t, func(s *Server) { s.limits.Linger = 50 * time.Millisecond })
-	rests, floods := b.dial(t), b.dial(t)
-	rests.Send("RPC.HEALTH", "1", "")
-	rests.Receive()
-	standin.Eventually(t, "both", func() bool { return b.Conns() == 2 })
+	idle, flooding := b.dial(t), b.dial(t)
+	idle.Send("RPC.HEALTH", "1", "")
+	idle.Receive()
+	standin.Eventually(t, "both connections", func() bool { return b.Conns() == 2 })
 	b.StopListening()
 	go func() {
 		for chunk := make([]byte, 16<<10); ; {
-			if _, err := floods.Write(chunk); err != nil {
+			if _, err := flooding.Write(chunk); err != nil {
 				return
 			}
 		}
 	}()
 	if !b.Drain(5 * time.Second) {
-		t.Error("did not end")
+		t.Error("Drain timed out")
 	}
 	if n := b.Traffic.Discarded.Load(); n > 2*(256<<10)+64<<10 {
-		t.Errorf("%d bytes were read of a flood", n)
+		t.Errorf("%d bytes of the flood were read", n)
 	}
 }
 
-// What comes behind broken bytes, or with them, does not reset the connection
-// before the answers that are owed on it are read.
+// Malformed input after a request, in the same segment or later, does not reset the connection before the answer
+// to the request is read.
 func TestBrokenInputBehindARequest(t *testing.T) {
 	b := startServer(t, nil)
 	d := b.dial(t)
 	d.Write(append(standin.EncodeMessage("RPC.CALL", "1", "read", safeFields, "x"), strings.Repeat("FROB\r\n", 10<<10)...))
 	standin.Eventually(t, "the request before it", func() bool { return b.sink.last() != nil })
-	standin.Eventually(t, "no more are taken", func() bool { return b.connections()[0].Closing() })
+	standin.Eventually(t, "the planned close", func() bool { return b.connections()[0].Closing() })
 	b.sink.last().Answer(servedAnswer)
 	if got := d.Receive(); got != "1 ACK  r" {
 		t.Errorf("%q", got)
@@ -215,23 +221,22 @@
 	}
 }
 
-// Connections that the machine has accepted and the node has not may carry
-// requests when it stops listening: all are answered.
+// Connections in the kernel's accept queue may carry requests when the node stops listening: all are answered.
 func TestStopListeningTakesWhatIsAccepted(t *testing.T) {
 	b := startServer(t, func(s *Server) { s.cfg.MaxConns = 1 })
 	busy := b.dial(t)
 	busy.Send("RPC.CALL", "1", "read", safeFields, "x")
 	standin.Eventually(t, "arrival", func() bool { return b.sink.last() != nil })
 	var more []*standin.Dispatcher
-	for range 3 { // the first of them waits for room, behind it nothing is accepted
+	for range 3 { // the first waits for a free slot, the others stay in the accept queue
 		d := b.dial(t)
 		d.Send("RPC.CALL", "1", "read", safeFields, "x")
 		more = append(more, d)
 	}
 	b.StopListening()
 	b.SendFin()
-	left := make(chan bool)
-	go func() { left <- b.Drain(5 * time.Second) }()
+	drained := make(chan bool)
+	go func() { drained <- b.Drain(5 * time.Second) }()
 	b.sink.mu.Lock()
 	b.sink.answer = &servedAnswer
 	b.sink.mu.Unlock()
@@ -252,8 +257,8 @@
 		}
 		d.Close()
 	}
-	if !<-left {
-		t.Error("not all ended in order")
+	if !<-drained {
+		t.Error("Drain timed out")
 	}
 	if c, err := net.Dial("tcp", b.addr); err == nil {
 		c.Close()
@@ -261,7 +266,7 @@
 	}
 }
 
-// A dispatcher of one byte at a time, in both directions, is served like any other.
+// A dispatcher that writes and reads one byte at a time is served like any other.
 func TestByteByByte(t *testing.T) {
 	b := startServer(t, nil)
 	b.sink.answer = &exchange.Answer{Kind: exchange.Served, Body: []byte(strings.Repeat("r", 4096))}
@@ -282,7 +287,7 @@
 	}
 }
 
-// Small answers are not held back by the system, from the first byte on.
+// TCP_NODELAY is set on accepted connections, so that the kernel does not delay small answers.
 func TestNoDelay(t *testing.T) {
 	b := startServer(t, nil)
 	b.dial(t)
@@ -299,18 +304,21 @@
 	}
 }
 
-// A connection that was stopped with half a message on it takes no request any
-// more, not even the rest of that one, and is answered what was open.
+// After CloseAfterAnswers a connection takes no more requests, not even the rest of a message of which half was
+// read, and open requests are still answered.
 func TestStoppedTakesNoMore(t *testing.T) {
 	b := startServer(t, nil)
 	d := b.dial(t)
 	c := b.onlyConnection(t)
 	whole := standin.EncodeMessage("RPC.CALL", "2", "read", safeFields, "x")
 	d.Write(append(standin.EncodeMessage("RPC.CALL", "1", "read", safeFields, "x"), whole[:30]...))
-	standin.Eventually(t, "half of the second", func() bool { a, _ := b.sink.counts(); return a == 1 && c.PartialAge(time.Now()) > 0 })
+	standin.Eventually(t, "half of the second", func() bool {
+		a, _ := b.sink.counts()
+		return a == 1 && c.PartialAge(time.Now()) > 0
+	})
 	c.CloseAfterAnswers(stream.ReadStalled)
 	d.Write(append(append([]byte{}, whole[30:]...), standin.EncodeMessage("RPC.CALL", "3", "read", safeFields, "x")...))
-	standin.Eventually(t, "the rest is discarded", func() bool { return b.Traffic.Discarded.Load() > int64(len(whole)) })
+	standin.Eventually(t, "discarded input", func() bool { return b.Traffic.Discarded.Load() > int64(len(whole)) })
 	b.sink.last().Answer(servedAnswer)
 	if got := d.Receive(); got != "1 ACK  r" {
 		t.Errorf("%q", got)
@@ -323,15 +331,15 @@
 	}
 }
 
-// A dispatcher breaks off at each point of a request's life. Nothing of its is left, and
-// another's request beside it is served.
+// A dispatcher resets its connection at each stage of a request. Nothing of its requests is left open, and a
+// request on another connection is served.
 func TestResetAtEachPoint(t *testing.T) {
 	whole := standin.EncodeMessage("RPC.CALL", "1", "read", safeFields, "x")
 	b := startServer(t, nil)
 	other := b.dial(t)
 	other.Send("RPC.HEALTH", "1", "")
-	other.Receive() // so it counts, and is no silent stranger
-	for name, bring := range map[string]func(d *standin.Dispatcher) (done func()){
+	other.Receive() // a valid message, so that firstMessageLimit does not apply
+	for name, prepare := range map[string]func(d *standin.Dispatcher) (afterReset func()){
 		"connected":    func(*standin.Dispatcher) func() { return nil },
 		"half written": func(d *standin.Dispatcher) func() { d.Write(whole[:40]); return nil },
 		"unread": func(d *standin.Dispatcher) func() {
@@ -341,7 +349,7 @@
 			n := len(b.sink.arrived)
 			b.sink.mu.Unlock()
 			d.Write(whole)
-			standin.Eventually(t, "one handed on", func() bool { a, _ := b.sink.counts(); return a > n })
+			standin.Eventually(t, "a request passed on", func() bool { a, _ := b.sink.counts(); return a > n })
 			d.Send("RPC.CALL", "2", "read", safeFields, "x")
 			return func() {
 				b.sink.mu.Lock()
@@ -350,7 +358,7 @@
 				close(gate)
 			}
 		},
-		"held or running": func(d *standin.Dispatcher) func() {
+		"queued or running": func(d *standin.Dispatcher) func() {
 			a, _ := b.sink.counts()
 			d.Write(whole)
 			standin.Eventually(t, "arrival", func() bool { n, _ := b.sink.counts(); return n > a })
@@ -368,16 +376,16 @@
 			before := b.Conns()
 			d := b.dial(t)
 			standin.Eventually(t, "the connection", func() bool { return b.Conns() == before+1 })
-			done := bring(d)
+			afterReset := prepare(d)
 			d.SetLinger(0)
 			d.Close()
-			if done != nil {
-				done()
+			if afterReset != nil {
+				afterReset()
 			}
-			standin.Eventually(t, "its end", func() bool { return b.Conns() == before && b.ledger.OpenRequests() == 0 })
+			standin.Eventually(t, "the close", func() bool { return b.Conns() == before && b.ledger.OpenRequests() == 0 })
 			a, _ := b.sink.counts()
 			other.Send("RPC.CALL", "1", "read", safeFields, "x")
-			standin.Eventually(t, "the other's", func() bool { n, _ := b.sink.counts(); return n > a })
+			standin.Eventually(t, "the request on the other connection", func() bool { n, _ := b.sink.counts(); return n > a })
 			b.sink.last().Answer(servedAnswer)
 			if got := other.Receive(); got != "1 ACK  r" {
 				t.Errorf("%q", got)
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -24,13 +24,13 @@
 	"robinmast/rules"
 )
 
-// recorder is a sink that keeps what it is told.
+// recordingSink is a Sink that records what it receives.
 type recordingSink struct {
 	mu      sync.Mutex
 	arrived []*exchange.Exchange
 	gone    []*exchange.Exchange
-	answer  *exchange.Answer // given at once, if set
-	gate    chan struct{}    // holds the reader at the point where it hands a request on
+	answer  *exchange.Answer // given to every request at once, if set
+	gate    chan struct{}    // if set, blocks the reader in Arrived
 }
 
 func (r *recordingSink) Arrived(x *exchange.Exchange) {
@@ -67,6 +67,7 @@
 	return r.arrived[len(r.arrived)-1]
 }
 
+// harness is a running Server with its sink and counters.
 type harness struct {
 	*Server
 	sink   *recordingSink
@@ -76,6 +77,8 @@
 
 func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
+// startServer runs a Server, changed by tune, until the end of the test, and then checks that all messages,
+// connections and requests are accounted for.
 func startServer(t *testing.T, tune func(*Server)) *harness {
 	t.Helper()
 	set := rules.Settings{
@@ -92,24 +95,25 @@
 	ln := standin.Listen(t)
 	b.addr = ln.Addr().String()
 	ctx, cancel := context.WithCancel(context.Background())
-	served := make(chan error, 1)
-	go func() { served <- b.Serve(ctx, ln) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- b.Serve(ctx, ln) }()
 	t.Cleanup(func() {
 		cancel()
 		b.AbortAll()
-		if err := <-served; err != nil {
+		if err := <-serveErr; err != nil {
 			t.Error(err)
 		}
-		f := &b.Traffic
-		standin.Eventually(t, "messages add up", func() bool {
-			return f.Queued.Load() == f.Sent.Load()+f.Dropped.Load() && f.Held.Load() == 0
+		traffic := &b.Traffic
+		standin.Eventually(t, "every queued message sent or dropped", func() bool {
+			return traffic.Queued.Load() == traffic.Sent.Load()+traffic.Dropped.Load() && traffic.Held.Load() == 0
 		})
-		ended := int64(0)
-		for _, e := range stream.CloseReasons() {
-			ended += f.Ended[e].Load()
+		closed := int64(0)
+		for _, reason := range stream.CloseReasons() {
+			closed += traffic.Ended[reason].Load()
 		}
-		if ended != f.Opened.Load() || b.ledger.OpenRequests() != 0 {
-			t.Errorf("%d connections opened and %d ended, %d requests without an end", f.Opened.Load(), ended, b.ledger.OpenRequests())
+		if closed != traffic.Opened.Load() || b.ledger.OpenRequests() != 0 {
+			t.Errorf("%d connections opened and %d closed, %d requests still open",
+				traffic.Opened.Load(), closed, b.ledger.OpenRequests())
 		}
 	})
 	return b
@@ -123,7 +127,7 @@
 	keyedFields = "txn=9b1f03aa5c7e2d41,door=1764576000123,lb=4,team=acme,ram=24.5,standing=0.6250,unique=abc"
 )
 
-func TestCallIsReadWhole(t *testing.T) {
+func TestCallIsParsed(t *testing.T) {
 	b := startServer(t, nil)
 	d := b.dial(t)
 	body := strings.Repeat("\r\n*1\x00", 300)
@@ -131,17 +135,18 @@
 	standin.Eventually(t, "arrival", func() bool { return b.sink.last() != nil })
 	x := b.sink.last()
 	want := exchange.Request{
-		Txn: "9b1f03aa5c7e2d41", ClassName: "read", TenantName: "acme", Class: 0, Tenant: 0, Caller: 4, ArrivedUnixMs: 1764576000123, TimeoutMs: 480,
-		HintMs: 12.5, MemoryKB: 24.5, Rank: 0.625, Retry: true, Item: "7f3a9c21e0b4d655", Safe: true, Body: []byte(body),
+		Txn: "9b1f03aa5c7e2d41", ClassName: "read", TenantName: "acme", Class: 0, Tenant: 0, Caller: 4,
+		ArrivedUnixMs: 1764576000123, TimeoutMs: 480, HintMs: 12.5, MemoryKB: 24.5, Rank: 0.625, Retry: true,
+		Item: "7f3a9c21e0b4d655", Safe: true, Body: []byte(body),
 	}
 	if fmt.Sprintf("%+v", x.Request) != fmt.Sprintf("%+v", want) {
 		t.Errorf("read %+v", x.Request)
 	}
-	// The words of a message live in its reader's buffer; what is kept must not.
+	// redcon reuses the buffer of a message; the parsed request must hold copies.
 	d.Send("RPC.CALL", "8", "pay", keyedFields, strings.Repeat("z", 2000))
 	standin.Eventually(t, "second arrival", func() bool { a, _ := b.sink.counts(); return a == 2 })
 	if string(x.Body) != body || x.Txn != want.Txn {
-		t.Error("a later message changed what was kept")
+		t.Error("a later message changed the parsed request")
 	}
 	if y := b.sink.last(); y.Unique != "abc" || y.Safe || y.Retry || y.TimeoutMs != 0 {
 		t.Errorf("read %+v", y.Request)
@@ -155,9 +160,9 @@
 	d := b.dial(t)
 	result := strings.Repeat("\x00\r\n", 1300)
 	for i, c := range []struct {
-		say    float64
-		answer exchange.Answer
-		want   string
+		feedback float64 // published before the answer, -1 = none
+		answer   exchange.Answer
+		want     string
 	}{
 		{-1, exchange.Answer{Kind: exchange.Served, Body: []byte(result)}, "ACK  " + result},
 		{-1, exchange.Answer{Kind: exchange.Refused}, "NAK  "},
@@ -167,8 +172,8 @@
 		{0, exchange.Answer{Kind: exchange.Refused, RetryAfter: time.Microsecond}, "NAK feedback=0.0000,later=1 "},
 		{-1, exchange.Answer{Kind: exchange.Failed}, "FAIL feedback=0.0000 "},
 	} {
-		if c.say >= 0 {
-			b.PublishLoad(c.say)
+		if c.feedback >= 0 {
+			b.PublishLoad(c.feedback)
 		}
 		b.sink.mu.Lock()
 		b.sink.answer = &c.answer
@@ -195,19 +200,19 @@
 	}
 }
 
-// What can't be read as a request is answered as failed, never reaches the
-// decisions, and leaves the connection usable.
-func TestBadRequests(t *testing.T) {
+// A message that cannot be parsed as a request is answered with FAIL, never reaches the sink, and leaves the
+// connection usable.
+func TestMalformedRequests(t *testing.T) {
 	b := startServer(t, nil)
 	d := b.dial(t)
 	without := func(name string) string {
-		var keep []string
+		var others []string
 		for _, f := range strings.Split(safeFields, ",") {
 			if !strings.HasPrefix(f, name+"=") {
-				keep = append(keep, f)
+				others = append(others, f)
 			}
 		}
-		return strings.Join(keep, ",")
+		return strings.Join(others, ",")
 	}
 	with := func(name, value string) string { return without(name) + "," + name + "=" + value }
 	good := 0
@@ -255,11 +260,11 @@
 		good++
 		d.Send("RPC.HEALTH", "9")
 		if got := d.Receive(); got != "9 GREEN  " {
-			t.Fatalf("%s: the connection is of no more use: %q", name, got)
+			t.Fatalf("%s: the connection is not usable any more: %q", name, got)
 		}
 	}
 	if a, g := b.sink.counts(); a != 0 || g != 0 {
-		t.Errorf("%d of them arrived, %d went", a, g)
+		t.Errorf("%d of them arrived, %d were abandoned", a, g)
 	}
 	if c := b.ledger.Count(exchange.EndedFailed); c != b.Counters.Malformed.Load() || c == 0 || c != b.ledger.Read.Load() {
 		t.Errorf("%d failed, %d malformed, %d read", c, b.Counters.Malformed.Load(), b.ledger.Read.Load())
@@ -274,7 +279,7 @@
 	}
 	d.Send("RPC.CALL", "33", "read", safeFields, "x")
 	if got := d.Receive(); got != "33 FAIL  " {
-		t.Errorf("over the bound: %q", got)
+		t.Errorf("over the limit: %q", got)
 	}
 	d.Send("RPC.CANCEL", "999")
 	d.Send("RPC.CANCEL", "")
@@ -283,13 +288,13 @@
 	if got := d.Receive(); got != "3 FAIL  " {
 		t.Errorf("open tag: %q", got)
 	}
-	d.Send("RPC.CALL", "34", "read", safeFields, "x") // 2 left room
+	d.Send("RPC.CALL", "34", "read", safeFields, "x") // the cancel of 2 made it possible
 	standin.Eventually(t, "arrivals", func() bool { a, g := b.sink.counts(); return a == maxOpenRequests+1 && g == 1 })
 	b.sink.mu.Lock()
 	list := append([]*exchange.Exchange(nil), b.sink.arrived...)
 	b.sink.mu.Unlock()
 	if list[1].FinalState() != exchange.EndedCancelled || b.Counters.Unmatched.Load() != 2 {
-		t.Errorf("fate %v, %d cancels without a request", list[1].FinalState(), b.Counters.Unmatched.Load())
+		t.Errorf("final state %v, %d cancels without a request", list[1].FinalState(), b.Counters.Unmatched.Load())
 	}
 	for i := len(list) - 1; i >= 0; i-- { // answers may come in any order
 		if list[i].Answer(exchange.Answer{Kind: exchange.Served, Body: []byte("r")}) != (i != 1) {
@@ -315,12 +320,11 @@
 	}
 }
 
-// A connection that ends, in whatever way, lets go of what is open on it if its
-// peer is gone, at every point of a request's life, and of nothing else. One that
-// is ended for what it sent is still answered what was read before.
-func TestEndsLetGo(t *testing.T) {
+// A connection whose peer is gone abandons the requests that are open on it, and no others. One that is closed for
+// what its peer sent still gets the answers to requests read before.
+func TestCloseAbandonsOpenRequests(t *testing.T) {
 	var b *harness
-	flood := func(d *standin.Dispatcher) { // it reads nothing, and ever more is sent to it
+	flood := func(d *standin.Dispatcher) { // sends until the output ring overflows, while the peer reads nothing
 		for _, c := range b.connections() {
 			if c.RemoteAddr().String() == d.LocalAddr().String() {
 				for c.Send(make([]byte, 2<<10)) {
@@ -347,8 +351,8 @@
 			other, d := b.dial(t), b.dial(t)
 			other.Send("RPC.CALL", "1", "read", safeFields, "x")
 			standin.Eventually(t, "first arrival", func() bool { a, _ := b.sink.counts(); return a == 1 })
-			kept := b.sink.last()
-			d.Send("RPC.CALL", "1", "read", safeFields, "x") // answered and heard
+			otherRequest := b.sink.last()
+			d.Send("RPC.CALL", "1", "read", safeFields, "x") // answered, and the answer is received
 			d.Send("RPC.CALL", "2", "read", safeFields, "x") // open
 			d.Send("RPC.CALL", "3", "read", safeFields, "x") // cancelled
 			d.Send("RPC.CANCEL", "3")
@@ -360,36 +364,36 @@
 			c.do(d)
 			open := b.sink.arrived[2]
 			if c.want == stream.BadFraming || c.want == stream.TooLong || c.want == stream.ReadStalled {
-				standin.Eventually(t, "no more requests are taken", func() bool {
+				standin.Eventually(t, "the planned close", func() bool {
 					return slices.ContainsFunc(b.connections(), func(c *client) bool { return c.Closing() })
 				})
 				if !open.Answer(exchange.Answer{Kind: exchange.Served, Body: []byte("r")}) {
 					t.Fatalf("the open request is %v", open.FinalState())
 				}
 				if got := d.Receive(); got != "2 ACK  r" {
-					t.Errorf("what was read before: %q", got)
+					t.Errorf("the request read before: %q", got)
 				}
 				if got := d.Receive(); got != "EOF" {
 					t.Errorf("then %q", got)
 				}
-				standin.Eventually(t, "the end", func() bool { return b.Traffic.Ended[c.want].Load() == 1 })
-				kept.Answer(exchange.Answer{Kind: exchange.Served, Body: []byte("r")})
+				standin.Eventually(t, "the close", func() bool { return b.Traffic.Ended[c.want].Load() == 1 })
+				otherRequest.Answer(exchange.Answer{Kind: exchange.Served, Body: []byte("r")})
 				if got := other.Receive(); got != "1 ACK  r" {
 					t.Errorf("the other connection: %q", got)
 				}
 				return
 			}
-			standin.Eventually(t, "letting go", func() bool { _, g := b.sink.counts(); return g == 2 })
+			standin.Eventually(t, "the abandoned request", func() bool { _, g := b.sink.counts(); return g == 2 })
 			if open.FinalState() != exchange.EndedCallerGone || b.sink.gone[1] != open {
 				t.Errorf("the open request is %v", open.FinalState())
 			}
 			if open.Answer(exchange.Answer{}) {
-				t.Error("answered after its connection ended")
+				t.Error("answered after its connection was closed")
 			}
 			if n := b.Traffic.Ended[c.want].Load(); n != 1 {
-				t.Errorf("no end by %v", c.want)
+				t.Errorf("%d connections closed with %v, want 1", n, c.want)
 			}
-			kept.Answer(exchange.Answer{Kind: exchange.Served, Body: []byte("r")})
+			otherRequest.Answer(exchange.Answer{Kind: exchange.Served, Body: []byte("r")})
 			if got := other.Receive(); got != "1 ACK  r" {
 				t.Errorf("the other connection: %q", got)
 			}
@@ -397,14 +401,14 @@
 	}
 }
 
-// By whichever End a connection goes, at each point of a request's life: what is
-// open is let go once, what has ended stays as it ended, others are untouched.
+// For each reason that can close an open connection: open requests are abandoned once, requests that have ended
+// keep their final state, and other connections are not affected.
 func TestEveryEnd(t *testing.T) {
-	for _, end := range stream.CloseReasons() {
-		if end.Outcome() == rules.ConnectFailed { // nothing was ever open on it
+	for _, reason := range stream.CloseReasons() {
+		if reason.Outcome() == rules.ConnectFailed { // never opened, so it had no requests
 			continue
 		}
-		t.Run(end.String(), func(t *testing.T) {
+		t.Run(reason.String(), func(t *testing.T) {
 			b := startServer(t, nil)
 			d, other := b.dial(t), b.dial(t)
 			for i := range 3 {
@@ -418,22 +422,24 @@
 			}
 			for _, c := range b.connections() {
 				if c.RemoteAddr().String() == d.LocalAddr().String() {
-					c.Abort(end)
+					c.Abort(reason)
 					c.Abort(stream.PeerReset)
 				}
 			}
 			if got := d.Receive(); got != "EOF" {
 				t.Errorf("%q", got)
 			}
-			standin.Eventually(t, "letting go", func() bool { _, g := b.sink.counts(); return g == 2 })
-			for i, want := range []exchange.FinalState{exchange.EndedServed, exchange.EndedCancelled, exchange.EndedCallerGone} {
+			standin.Eventually(t, "the abandoned request", func() bool { _, g := b.sink.counts(); return g == 2 })
+			for i, want := range []exchange.FinalState{
+				exchange.EndedServed, exchange.EndedCancelled, exchange.EndedCallerGone,
+			} {
 				x := b.sink.arrived[i]
 				if x.FinalState() != want || x.Answer(exchange.Answer{}) {
 					t.Errorf("request %d is %v, want %v", i+1, x.FinalState(), want)
 				}
 			}
-			if b.Traffic.Ended[end].Load() != 1 {
-				t.Errorf("no end by %v", end)
+			if n := b.Traffic.Ended[reason].Load(); n != 1 {
+				t.Errorf("%d connections closed with %v, want 1", n, reason)
 			}
 			other.Send("RPC.HEALTH", "1")
 			if got := other.Receive(); got != "1 GREEN  " {
@@ -443,8 +449,8 @@
 	}
 }
 
-// A dispatcher that closes its side in order may still read; it gets what it is
-// owed, and then the connection ends.
+// A dispatcher that closes its side in order may still read: it gets its pending answers, and then the connection
+// is closed.
 func TestHalfClosedIsStillAnswered(t *testing.T) {
 	b := startServer(t, nil)
 	d := b.dial(t)
@@ -459,12 +465,12 @@
 	if got := d.Receive(); got != "EOF" {
 		t.Errorf("%q", got)
 	}
-	standin.Eventually(t, "end", func() bool { return b.Traffic.Ended[stream.PeerClosed].Load() == 1 })
+	standin.Eventually(t, "the close", func() bool { return b.Traffic.Ended[stream.PeerClosed].Load() == 1 })
 }
 
-// An idle connection is asked to close, and closed if it doesn't; one that
-// carries something is left alone.
-func TestIdle(t *testing.T) {
+// FIN is sent on an idle connection, which is closed if its dispatcher does not do so. One with an open request is
+// not affected.
+func TestIdleTimeout(t *testing.T) {
 	b := startServer(t, func(s *Server) { s.finTimeout = 50 * time.Millisecond })
 	d, busy := b.dial(t), b.dial(t)
 	busy.Send("RPC.CALL", "1", "read", safeFields, "x")
@@ -478,17 +484,17 @@
 	if n := b.Traffic.Ended[stream.IdleClosed].Load(); n != 1 {
 		t.Errorf("%d closed as idle", n)
 	}
-	b.SetIdleTimeout(0) // back to the longest
+	b.SetIdleTimeout(0) // back to the maximum
 	b.sink.last().Answer(exchange.Answer{Kind: exchange.Served, Body: []byte("r")})
 	if got := busy.Receive(); got != "1 ACK  r" {
 		t.Errorf("%q", got)
 	}
 }
 
-// A flood of new connections is held to its share, and what comes on open ones is
-// answered at once meanwhile; with the door open the same flood is let in as it comes.
-func TestFloodAtTheDoor(t *testing.T) {
-	flood := func(share float64) (opened int64, slowest time.Duration, held int) {
+// A connection storm is limited to its share of CPU time, and requests on open connections are answered at once
+// meanwhile. Without the limiter the same storm opens connections as fast as they come.
+func TestConnectionStorm(t *testing.T) {
+	storm := func(share float64) (opened int64, slowest time.Duration, delayed int) {
 		b := startServer(t, func(s *Server) {
 			if share > 0 {
 				s.limiter = connlimit.New(0, share)
@@ -499,9 +505,9 @@
 		d.Write(standin.EncodeMessage("RPC.HEALTH", "1", ""))
 		d.Receive()
 		stop := time.Now().Add(400 * time.Millisecond)
-		var calling sync.WaitGroup
+		var dialers sync.WaitGroup
 		for range 4 {
-			calling.Go(func() {
+			dialers.Go(func() {
 				for time.Now().Before(stop) {
 					if c, err := net.DialTimeout("tcp", b.addr, time.Second); err == nil {
 						_ = c.Close()
@@ -510,28 +516,28 @@
 			})
 		}
 		for tag := 2; time.Now().Before(stop); tag++ {
-			began := time.Now()
+			start := time.Now()
 			d.Write(standin.EncodeMessage("RPC.CALL", fmt.Sprint(tag), "read", safeFields))
 			d.Receive()
-			slowest = max(slowest, time.Since(began))
+			slowest = max(slowest, time.Since(start))
 		}
-		calling.Wait()
-		held, _ = b.Delayed()
-		return b.Traffic.Opened.Load(), slowest, held
+		dialers.Wait()
+		delayed, _ = b.Delayed()
+		return b.Traffic.Opened.Load(), slowest, delayed
 	}
-	open, _, _ := flood(0)
-	few, slowest, held := flood(0.002)
-	if held == 0 || few >= open/2 {
-		t.Errorf("%d connections were let in through a narrow door, %d waited; %d without one", few, held, open)
+	unlimited, _, _ := storm(0)
+	limited, slowest, delayed := storm(0.002)
+	if delayed == 0 || limited >= unlimited/2 {
+		t.Errorf("%d connections opened with the limiter, %d of them delayed; %d without", limited, delayed, unlimited)
 	}
 	if slowest > 300*time.Millisecond {
 		t.Errorf("a request on an open connection waited %v", slowest)
 	}
 }
 
-// A process that stood still must not take its own silence for its peers': a
-// message that was half read then, and connections that were idle, stay.
-func TestPauseIsExcused(t *testing.T) {
+// After the process was frozen, timeouts count anew: neither a connection with a half-read message nor an idle one
+// is closed for time during which the process could not read.
+func TestFrozenProcessRestartsTimers(t *testing.T) {
 	b := startServer(t, func(s *Server) { s.partialIdleLimit = 10 * time.Second })
 	d := b.dial(t)
 	half := standin.EncodeMessage("RPC.HEALTH", "1", "")
@@ -548,22 +554,23 @@
 	b.restartTimers(later)
 	b.sweepOnce(later)
 	if c.CloseReason() != stream.StillOpen {
-		t.Fatalf("ended by %v", c.CloseReason())
+		t.Fatalf("closed with %v", c.CloseReason())
 	}
 	d.Write(half[9:])
 	if got := d.Receive(); got != "1 GREEN  " {
 		t.Errorf("%q", got)
 	}
-	standin.Eventually(t, "the answer is off", func() bool { return c.Unsent() == 0 }) // heard is before noted as sent
-	b.sweepOnce(later.Add(time.Minute))                                                // idle for a minute that was not excused
+	// The peer can receive an answer before the writer has recorded it as sent.
+	standin.Eventually(t, "the answer is sent", func() bool { return c.Unsent() == 0 })
+	b.sweepOnce(later.Add(time.Minute)) // idle for a minute in which the process was not frozen
 	if got := d.Receive(); got != "0 FIN" {
 		t.Errorf("%q", got)
 	}
 }
 
-// Leaving: every connection is told once, answers still go out, and closing the
-// listener ends none of them (redcon would close all it knows).
-func TestLeaving(t *testing.T) {
+// Draining: FIN is sent once on every connection, answers are still sent, and closing the listener closes no
+// connection (redcon by itself would close all of them).
+func TestSendFinAndStopListening(t *testing.T) {
 	b := startServer(t, nil)
 	d := b.dial(t)
 	d.Send("RPC.CALL", "1", "read", safeFields, "x")
@@ -586,9 +593,9 @@
 	}
 }
 
-// At its bound of connections the node closes the one idle for longest, so that
-// requests on a connection which only the machine has accepted get read; busy
-// ones stay, and a new one then waits.
+// At MaxConns the node closes the connection that has been idle for longest, so that requests on connections in
+// the kernel's accept queue get read. Connections with open requests stay; if there are no others, a new
+// connection waits.
 func TestRoomForConnections(t *testing.T) {
 	b := startServer(t, func(s *Server) { s.cfg.MaxConns = 2 })
 	busy, idle := b.dial(t), b.dial(t)
@@ -597,7 +604,7 @@
 	third := b.dial(t)
 	third.Send("RPC.CALL", "1", "read", safeFields, "x")
 	if got := idle.Receive(); got != "EOF" {
-		t.Errorf("the idle one hears %q", got)
+		t.Errorf("the idle connection received %q", got)
 	}
 	standin.Eventually(t, "second arrival", func() bool { a, _ := b.sink.counts(); return a == 2 })
 	fourth := b.dial(t)
@@ -616,7 +623,7 @@
 	b.sink.arrived[1].Answer(exchange.Answer{Kind: exchange.Failed})
 }
 
-// starved is a listener that has no descriptor at first.
+// noDescriptorListener is a listener whose first Accepts fail for lack of file descriptors.
 type noDescriptorListener struct {
 	net.Listener
 	failures int
@@ -630,8 +637,8 @@
 	return l.Listener.Accept()
 }
 
-// Without a descriptor the node waits a moment before it accepts again: redcon
-// would try at once and take the whole core, and to give up would end the node.
+// When accept fails for lack of file descriptors, the node waits a moment before it retries. redcon would retry at
+// once and use a whole core, and returning the error would stop the node.
 func TestNoDescriptors(t *testing.T) {
 	b := startServer(t, nil)
 	ln := standin.Listen(t)
@@ -643,24 +650,25 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	began := time.Now()
+	start := time.Now()
 	got, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d := time.Since(began); d < 3*acceptRetryDelay || b.Counters.AcceptFailures.Load() != 3 {
+	if d := time.Since(start); d < 3*acceptRetryDelay || b.Counters.AcceptFailures.Load() != 3 {
 		t.Errorf("accepted after %v and %d failures", d, b.Counters.AcceptFailures.Load())
 	}
 	got.(*client).Abort(stream.ClosedLocally)
 	cancel()
-	if _, err := (&listener{Listener: &noDescriptorListener{ln, 9}, server: b.Server, ctx: ctx}).Accept(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("after the end: %v", err)
+	l = &listener{Listener: &noDescriptorListener{ln, 9}, server: b.Server, ctx: ctx}
+	if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
+		t.Errorf("after cancelling the context: %v", err)
 	}
 }
 
-// Connections are many and the memory small: what one costs while it is quiet,
-// goroutines, rings and redcon's buffers together, has a bound.
-func TestQuietConnectionsAreSmall(t *testing.T) {
+// The memory of an idle connection, with its goroutines, rings and redcon's buffers, is bounded: there are many
+// connections and little memory.
+func TestIdleConnectionMemory(t *testing.T) {
 	b := startServer(t, nil)
 	memory := func() uint64 {
 		runtime.GC()
@@ -681,20 +689,20 @@
 	b.sink.arrived = nil
 	b.sink.mu.Unlock()
 	if each := int64(memory()-before) / conns; each > 64<<10 {
-		t.Errorf("%d bytes a connection", each)
+		t.Errorf("%d bytes for each connection", each)
 	} else {
-		t.Logf("%d bytes a connection, the test's own side included", each)
+		t.Logf("%d bytes for each connection, including the test's client", each)
 	}
 }
 
-// While connections are short, half a message holds no place for long, and what
-// has something open keeps its own.
-func TestHalfMessagesMakeRoom(t *testing.T) {
+// While no connection slot is free, a connection with an incomplete message is closed after partialCloseAfter, and
+// one with an open request stays.
+func TestPartialMessageFreesSlot(t *testing.T) {
 	b := startServer(t, func(s *Server) { s.cfg.MaxConns = 2 })
 	busy, half := b.dial(t), b.dial(t)
 	busy.Send("RPC.CALL", "1", "read", safeFields, "x")
 	half.Write([]byte("*2\r\n$10\r\nRPC"))
-	standin.Eventually(t, "both", func() bool {
+	standin.Eventually(t, "a request and half a message", func() bool {
 		for _, c := range b.connections() {
 			if c.PartialAge(time.Now()) > 0 {
 				return b.sink.last() != nil
@@ -703,7 +711,7 @@
 		return false
 	})
 	if b.freeConnectionSlot() {
-		t.Error("half a message was given no time")
+		t.Error("closed the connection with half a message at once")
 	}
 	for _, c := range b.connections() {
 		c.mu.Lock()
@@ -711,7 +719,7 @@
 		c.mu.Unlock()
 	}
 	if !b.freeConnectionSlot() || b.freeConnectionSlot() {
-		t.Error("not one connection was closed")
+		t.Error("did not close exactly one connection")
 	}
 	if got := half.Receive(); got != "EOF" {
 		t.Errorf("%q", got)
@@ -722,10 +730,10 @@
 	}
 }
 
-// Strangers connect by the hundred and say nothing, or nothing whole: each is
-// closed soon, while a dispatcher that has spoken keeps its connection. Without
-// the limit they would hold every descriptor for the longest idle limit.
-func TestSilentStrangersAreClosed(t *testing.T) {
+// Connections on which no whole message arrives are closed soon, while one with a valid message stays. Without
+// firstMessageLimit, hundreds of clients that are not dispatchers would occupy all descriptors for the maximum
+// idle timeout.
+func TestFirstMessageLimit(t *testing.T) {
 	b := startServer(t, func(s *Server) { s.firstMessageLimit = 150 * time.Millisecond })
 	d, silent, half := b.dial(t), b.dial(t), b.dial(t)
 	d.Send("RPC.HEALTH", "1", "")
@@ -745,17 +753,17 @@
 	}
 }
 
-// A full table makes room by a connection that never spoke, however long one
-// that did has been idle: it may be a dispatcher's, and costs a new one.
-func TestStrangersMakeRoomFirst(t *testing.T) {
+// To free a slot, a connection without any valid message is closed first, however long others have been idle:
+// those may be dispatchers', which would have to connect again.
+func TestConnectionWithoutMessageIsClosedFirst(t *testing.T) {
 	b := startServer(t, func(s *Server) { s.cfg.MaxConns = 2 })
 	d := b.dial(t)
 	d.Send("RPC.HEALTH", "1", "")
 	d.Receive()
 	silent := b.dial(t)
-	standin.Eventually(t, "both", func() bool { return b.Conns() == 2 })
+	standin.Eventually(t, "both connections", func() bool { return b.Conns() == 2 })
 	if !b.freeConnectionSlot() {
-		t.Error("no room")
+		t.Error("no connection was closed")
 	}
 	if got := silent.Receive(); got != "EOF" {
 		t.Errorf("%q", got)
@@ -766,7 +774,7 @@
 	}
 }
 
-// Any fields at all are either understood within their bounds or turned down.
+// Any input is either parsed into values within their bounds or rejected.
 func FuzzCall(f *testing.F) {
 	f.Add("read", safeFields, "x")
 	f.Add("pay", keyedFields, "")
@@ -778,9 +786,10 @@
 		if err != nil {
 			return
 		}
-		if len(c.Txn) != 16 || c.ArrivedUnixMs < 0 || c.TimeoutMs < 0 || c.HintMs < 0 || !(c.MemoryKB > 0 && c.MemoryKB < 2000) ||
-			!(c.Rank >= 0 && c.Rank < 1) || len(c.Body) > 2048 || string(c.Body) != body || c.ClassName != class {
-			t.Fatalf("taken: %+v", c)
+		if len(c.Txn) != 16 || c.ArrivedUnixMs < 0 || c.TimeoutMs < 0 || c.HintMs < 0 ||
+			!(c.MemoryKB > 0 && c.MemoryKB < 2000) || !(c.Rank >= 0 && c.Rank < 1) ||
+			len(c.Body) > 2048 || string(c.Body) != body || c.ClassName != class {
+			t.Fatalf("accepted: %+v", c)
 		}
 	})
 }
--- a/internal/stream/conn_test.go
+++ b/internal/stream/conn_test.go
@@ -13,8 +13,8 @@
 	"robinmast/rules"
 )
 
-// pair is a loopback connection: one end wrapped, the other bare.
-func pair(t *testing.T, l Limits, tr *Traffic, onEnd func(CloseReason)) (*Conn, *net.TCPConn) {
+// pair returns the two ends of a loopback connection: one wrapped in a Conn, the other plain.
+func pair(t *testing.T, l Limits, tr *Traffic, onClose func(CloseReason)) (*Conn, *net.TCPConn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -29,13 +29,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := New(raw, &Lines{Longest: 4 << 10}, l, tr, onEnd)
+	c := New(raw, &Lines{Longest: 4 << 10}, l, tr, onClose)
 	t.Cleanup(func() { peer.Close(); c.Close(); <-c.Done() })
 	return c, peer.(*net.TCPConn)
 }
 
 var defaultLimits = Limits{In: 8 << 10, Out: 64 << 10, StallTimeout: 10 * time.Second}
 
+// checkBalanced returns an error unless each queued message was sent or dropped and no output is held.
 func (t *Traffic) checkBalanced() error {
 	if q, s, d := t.Queued.Load(), t.Sent.Load(), t.Dropped.Load(); q != s+d {
 		return fmt.Errorf("%d messages queued, %d sent, %d dropped", q, s, d)
@@ -46,8 +47,7 @@
 	return nil
 }
 
-// Only whole messages reach the reader: a parser behind it would keep what is
-// left over, without a bound.
+// Read returns whole messages only. Otherwise the parser behind it would buffer partial ones without a bound.
 func TestReadHandsOnWholeMessages(t *testing.T) {
 	c, peer := pair(t, defaultLimits, &Traffic{}, nil)
 	go func() {
@@ -67,7 +67,7 @@
 		all = append(all, buf[:n]...)
 		if err != nil {
 			if CloseReasonOf(err, ReadFailed) != PeerClosed {
-				t.Errorf("ended with %v", err)
+				t.Errorf("reading ended with %v", err)
 			}
 			break
 		}
@@ -77,7 +77,7 @@
 	}
 }
 
-// A begun message shows as partial until it is whole.
+// An incomplete message has an age until it is whole.
 func TestPartial(t *testing.T) {
 	c, peer := pair(t, defaultLimits, &Traffic{}, nil)
 	read := make(chan int)
@@ -98,7 +98,7 @@
 	peer.Write([]byte("c\n"))
 	<-read
 	if p := c.PartialAge(time.Now()); p != 0 {
-		t.Errorf("partial for %v after the message became whole", p)
+		t.Errorf("partial age is %v after the message became whole", p)
 	}
 }
 
@@ -107,13 +107,13 @@
 	c, peer := pair(t, defaultLimits, &tr, nil)
 	var want bytes.Buffer
 	c.AnswersPending = func() bool { return false }
-	go c.Read(make([]byte, 64)) // it is the reader that ends a connection
+	go c.Read(make([]byte, 64)) // the reader carries out the planned close
 	go func() {
 		for i := range 500 {
 			msg := fmt.Appendf(nil, "message %d\n", i)
 			want.Write(msg)
 			if !c.Send(msg) {
-				t.Error("not taken")
+				t.Error("Send did not queue the message")
 			}
 			if i%50 == 0 {
 				time.Sleep(time.Millisecond)
@@ -131,8 +131,8 @@
 	}
 }
 
-// Each way in which a peer can end a connection, or be ended for, gets its name,
-// once, and nothing that was queued is left uncounted.
+// Whatever closes a connection, it closes once, with the right reason, and every queued message is counted as
+// sent or dropped.
 func TestEnds(t *testing.T) {
 	small := Limits{In: 8 << 10, Out: 2 << 10, StallTimeout: 200 * time.Millisecond}
 	flood := make([]byte, 1<<10)
@@ -158,8 +158,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var tr Traffic
-			ended := make(chan CloseReason, 8)
-			conn, peer := pair(t, c.limits, &tr, func(e CloseReason) { ended <- e })
+			reasons := make(chan CloseReason, 8)
+			conn, peer := pair(t, c.limits, &tr, func(r CloseReason) { reasons <- r })
 			if name == "finished" {
 				conn.AnswersPending = func() bool { return false }
 			}
@@ -176,20 +176,20 @@
 			}()
 			c.do(conn, peer)
 			select {
-			case e := <-ended:
-				if e != c.want {
-					t.Errorf("ended as %v, want %v", e, c.want)
+			case reason := <-reasons:
+				if reason != c.want {
+					t.Errorf("closed with %v, want %v", reason, c.want)
 				}
 			case <-time.After(10 * time.Second):
-				t.Fatal("did not end")
+				t.Fatal("the connection was not closed")
 			}
-			conn.Abort(DialFailed) // the first end counts
+			conn.Abort(DialFailed) // the first reason counts
 			<-conn.Done()
-			if conn.CloseReason() != c.want || tr.Ended[c.want].Load() != 1 || tr.Ended[DialFailed].Load() != 0 || len(ended) != 0 {
-				t.Errorf("ended again: %v", conn.CloseReason())
+			if conn.CloseReason() != c.want || tr.Ended[c.want].Load() != 1 || tr.Ended[DialFailed].Load() != 0 || len(reasons) != 0 {
+				t.Errorf("closed again: %v", conn.CloseReason())
 			}
 			if conn.Send([]byte("late\n")) {
-				t.Error("took a message after its end")
+				t.Error("a closed connection queued a message")
 			}
 			if err := tr.checkBalanced(); err != nil {
 				t.Error(err)
@@ -198,8 +198,7 @@
 	}
 }
 
-// All connections together stay within their memory: the one that asks for more
-// ends, the others go on.
+// All connections together stay within HeldLimit: the one that exceeds it is closed, the others keep working.
 func TestSharedMemoryBound(t *testing.T) {
 	tr := &Traffic{HeldLimit: 256 << 10}
 	limits := Limits{In: 8 << 10, Out: 8 << 20, StallTimeout: 10 * time.Second}
@@ -209,10 +208,10 @@
 	for slow.Send(chunk) {
 	}
 	if slow.CloseReason() != Overflow {
-		t.Fatalf("ended as %v", slow.CloseReason())
+		t.Fatalf("closed with %v, want %v", slow.CloseReason(), Overflow)
 	}
 	if !other.Send([]byte("still here\n")) {
-		t.Fatal("the other connection takes nothing")
+		t.Fatal("the other connection does not send")
 	}
 	buf := make([]byte, 11)
 	if _, err := io.ReadFull(peer, buf); err != nil {
@@ -220,7 +219,7 @@
 	}
 }
 
-func TestEndOf(t *testing.T) {
+func TestCloseReasonOf(t *testing.T) {
 	for _, c := range []struct {
 		err  error
 		want CloseReason
@@ -235,29 +234,28 @@
 	}
 }
 
-// Every End has a name of its own and an outcome; only an orderly close leaves
-// open what it carried, and only a dial proves that nothing was reached.
+// Every CloseReason has a unique name and an outcome. Only an orderly close of the peer leaves requests open, and
+// only a failed dial proves that none ran.
 func TestOutcomes(t *testing.T) {
 	names := map[string]bool{}
-	for _, e := range CloseReasons() {
-		if names[e.String()] || e.String() == "unknown" || e.String() == "" {
-			t.Errorf("%d has no name of its own", e)
+	for _, reason := range CloseReasons() {
+		if names[reason.String()] || reason.String() == "unknown" || reason.String() == "" {
+			t.Errorf("reason %d has no unique name", reason)
 		}
-		names[e.String()] = true
-		o := e.Outcome()
-		if (o == rules.OK) != (e == PeerClosed) || o.NeverRan() != (e == DialRefused || e == DialFailed) {
-			t.Errorf("%v has outcome %v", e, o)
+		names[reason.String()] = true
+		o := reason.Outcome()
+		if (o == rules.OK) != (reason == PeerClosed) || o.NeverRan() != (reason == DialRefused || reason == DialFailed) {
+			t.Errorf("%v has outcome %v", reason, o)
 		}
 	}
 }
 
-// What the peer sends after a connection was ended is discarded, and the reader is
-// let go at once. It guards against two readers that share the rest between them:
-// what the first then hands on has a hole where the other read.
+// Once a connection is closed, input is discarded and its reader returns at once. Otherwise the reader and the
+// discarding loop would each read part of the input, and the reader would pass on messages with gaps.
 func TestNothingIsHandedOnAfterTheEnd(t *testing.T) {
 	var tr Traffic
 	limits := defaultLimits
-	limits.Linger = time.Minute // by its end the test has failed
+	limits.Linger = time.Minute // longer than the timeouts of the test
 	c, peer := pair(t, limits, &tr, nil)
 	type read struct {
 		text string
@@ -274,7 +272,7 @@
 	if r := <-reads; r.text != "one\n" {
 		t.Fatalf("%q, %v", r.text, r.err)
 	}
-	go next() // waits for more, or is about to
+	go next() // blocks in Read, or is about to
 	c.Abort(ClosedLocally)
 	if n, err := peer.Read(make([]byte, 1)); err != io.EOF {
 		t.Fatalf("no FIN: %d bytes, %v", n, err)
@@ -286,7 +284,7 @@
 			t.Errorf("read %q, %v", r.text, r.err)
 		}
 	case <-time.After(8 * time.Second):
-		t.Error("the reader still waits")
+		t.Error("the reader is still blocked")
 	}
 	for end := time.Now().Add(8 * time.Second); tr.Discarded.Load() != 4; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -295,9 +293,8 @@
 	}
 }
 
-// The reader of a connection that ended over broken bytes is let go. It guards
-// against one that asks again and again for what comes no more, and so takes a
-// whole core for ever.
+// The reader of a connection that was closed for malformed input returns. A reader that kept asking for input
+// after the close would spin and use a whole core.
 func TestReaderOfBrokenBytesIsLetGo(t *testing.T) {
 	for name, bytes := range map[string][]byte{"no message": []byte("FROB\r\n"), "without an end": make([]byte, 32<<10)} {
 		t.Run(name, func(t *testing.T) {
@@ -315,11 +312,11 @@
 			peer.Write(bytes)
 			select {
 			case err := <-read:
-				if e := CloseReasonOf(err, StillOpen); e != BadFraming && e != TooLong {
+				if reason := CloseReasonOf(err, StillOpen); reason != BadFraming && reason != TooLong {
 					t.Error(err)
 				}
 			case <-time.After(8 * time.Second):
-				t.Error("the reader does not end")
+				t.Error("the reader does not return")
 			}
 		})
 	}
--- a/internal/stream/frame_test.go
+++ b/internal/stream/frame_test.go
@@ -11,9 +11,9 @@
 func TestRESPScan(t *testing.T) {
 	long := strings.Repeat("x", maxRESPPartBytes+1)
 	for name, c := range map[string]struct {
-		in    string
-		whole int
-		end   CloseReason
+		in     string
+		whole  int
+		reason CloseReason
 	}{
 		"whole":             {"*2\r\n$2\r\nab\r\n$0\r\n\r\n", 18, StillOpen},
 		"one and a half":    {"*1\r\n$1\r\na\r\n*1\r\n$1", 11, StillOpen},
@@ -35,8 +35,8 @@
 		"big message":       {"*2\r\n$8000\r\n" + long[:8000] + "\r\n$8000\r\n" + long[:8000], 0, TooLong},
 	} {
 		var f RESP
-		if whole, end := f.Scan([]byte(c.in)); whole != c.whole || end != c.end {
-			t.Errorf("%s: %d bytes whole and %v, want %d and %v", name, whole, end, c.whole, c.end)
+		if whole, reason := f.Scan([]byte(c.in)); whole != c.whole || reason != c.reason {
+			t.Errorf("%s: %d bytes whole and %v, want %d and %v", name, whole, reason, c.whole, c.reason)
 		}
 	}
 }
@@ -44,21 +44,21 @@
 func TestLinesScan(t *testing.T) {
 	f := Lines{Longest: 4}
 	for _, c := range []struct {
-		in    string
-		whole int
-		end   CloseReason
+		in     string
+		whole  int
+		reason CloseReason
 	}{{"ab", 0, StillOpen}, {"cd\ne", 3, StillOpen}, {"\n\nabcd", 2, StillOpen}, {"e", 0, TooLong}} {
-		if whole, end := f.Scan([]byte(c.in)); whole != c.whole || end != c.end {
-			t.Errorf("%q: %d bytes whole and %v, want %d and %v", c.in, whole, end, c.whole, c.end)
+		if whole, reason := f.Scan([]byte(c.in)); whole != c.whole || reason != c.reason {
+			t.Errorf("%q: %d bytes whole and %v, want %d and %v", c.in, whole, reason, c.whole, c.reason)
 		}
 	}
-	if _, end := (&Lines{Longest: 4}).Scan([]byte("abcde\n")); end != TooLong {
-		t.Errorf("a whole line beyond the bound: %v", end)
+	if _, reason := (&Lines{Longest: 4}).Scan([]byte("abcde\n")); reason != TooLong {
+		t.Errorf("a whole line over the limit: %v", reason)
 	}
 }
 
-// Whatever comes in and however it is cut, the same messages become whole, and
-// the command reader takes every one of them without a rest.
+// However the input is split, the same messages become whole, and redcon's command reader parses all of them
+// with no bytes left over.
 func FuzzRESP(f *testing.F) {
 	f.Add([]byte("*3\r\n$8\r\nRPC.CALL\r\n$1\r\n7\r\n$0\r\n\r\n*1\r\n$1\r\na\r\n"), uint8(3))
 	f.Add([]byte("*2\r\n$10\r\nRPC.CANCEL\r\n$1\r\n7\r\n"), uint8(1))
@@ -66,51 +66,51 @@
 	f.Add([]byte("*4611686018427387904\r\n"), uint8(200))
 	f.Fuzz(func(t *testing.T, in []byte, cut uint8) {
 		var one, many RESP
-		whole, end := one.Scan(in)
-		got, gotEnd := 0, StillOpen
-		for at := 0; at < len(in) && gotEnd == StillOpen; {
+		whole, reason := one.Scan(in)
+		got, gotReason := 0, StillOpen
+		for at := 0; at < len(in) && gotReason == StillOpen; {
 			n := min(int(cut)+1, len(in)-at)
 			var w int
-			if w, gotEnd = many.Scan(in[at : at+n]); w > 0 {
+			if w, gotReason = many.Scan(in[at : at+n]); w > 0 {
 				got = at + w
 			}
 			at += n
 		}
-		if gotEnd != end || end == StillOpen && got != whole {
-			t.Fatalf("at once %d and %v, in pieces %d and %v", whole, end, got, gotEnd)
+		if gotReason != reason || reason == StillOpen && got != whole {
+			t.Fatalf("at once %d and %v, in pieces %d and %v", whole, reason, got, gotReason)
 		}
-		if end != StillOpen || whole == 0 {
+		if reason != StillOpen || whole == 0 {
 			return
 		}
 		rd := redcon.NewReader(bytes.NewReader(in[:whole]))
-		taken := 0
-		for taken < whole {
+		parsed := 0
+		for parsed < whole {
 			cmds, err := rd.ReadCommands()
 			if err != nil {
-				t.Fatalf("let through what can't be read: %v", err)
+				t.Fatalf("accepted bytes that redcon cannot parse: %v", err)
 			}
 			for _, c := range cmds {
-				taken += len(c.Raw)
+				parsed += len(c.Raw)
 			}
 		}
-		if taken != whole {
-			t.Fatalf("%d bytes let through, %d taken", whole, taken)
+		if parsed != whole {
+			t.Fatalf("%d bytes accepted, %d parsed", whole, parsed)
 		}
 	})
 }
 
-// Lines cut anywhere give the same lines, none longer than the bound.
+// However the input is split, the same lines become whole, none longer than the limit.
 func FuzzLines(f *testing.F) {
 	f.Add([]byte("{\"op\":\"bound\"}\n{}\n"), uint8(4))
 	f.Add([]byte("no end"), uint8(1))
 	f.Fuzz(func(t *testing.T, in []byte, cut uint8) {
 		const longest = 12
 		f := Lines{Longest: longest}
-		whole, end := 0, StillOpen
-		for at := 0; at < len(in) && end == StillOpen; {
+		whole, reason := 0, StillOpen
+		for at := 0; at < len(in) && reason == StillOpen; {
 			n := min(int(cut)+1, len(in)-at)
 			var w int
-			if w, end = f.Scan(in[at : at+n]); w > 0 {
+			if w, reason = f.Scan(in[at : at+n]); w > 0 {
 				whole = at + w
 			}
 			at += n
@@ -119,10 +119,10 @@
 		for _, line := range bytes.Split(in, []byte("\n")) {
 			over = over || len(line) > longest
 		}
-		if over != (end == TooLong) {
-			t.Fatalf("a line over the bound: %v, ended %v", over, end)
+		if over != (reason == TooLong) {
+			t.Fatalf("a line over the limit: %v, reason %v", over, reason)
 		}
-		if end == StillOpen && whole != bytes.LastIndexByte(in, '\n')+1 {
+		if reason == StillOpen && whole != bytes.LastIndexByte(in, '\n')+1 {
 			t.Fatalf("%d bytes whole of %q", whole, in)
 		}
 	})
--- a/internal/stream/ring_test.go
+++ b/internal/stream/ring_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The ring must behave like a plain queue through every wrap, growth and shrink.
+// The ring behaves like a plain queue while it wraps around, grows and shrinks.
 func TestRingIsAQueue(t *testing.T) {
 	const limit = 5 << 10
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -32,7 +32,7 @@
 		case 1:
 			s := q.Space()
 			if (len(s) == 0) != (len(want) == limit) {
-				t.Fatalf("%d bytes of room with %d of %d queued", len(s), len(want), limit)
+				t.Fatalf("%d bytes of space with %d of %d queued", len(s), len(want), limit)
 			}
 			n := rng.IntN(len(s) + 1)
 			fill(s[:n])
@@ -48,21 +48,21 @@
 			want = want[n:]
 		}
 		if q.Len() != len(want) || q.Cap() > limit {
-			t.Fatalf("holds %d of %d, takes %d", q.Len(), len(want), q.Cap())
+			t.Fatalf("%d bytes queued, want %d; %d allocated", q.Len(), len(want), q.Cap())
 		}
 	}
 }
 
-// An empty ring gives back what a burst made it take: a thousand connections
-// that were busy once must not hold their memory.
+// An empty ring frees the memory that a burst made it allocate. Otherwise a thousand connections that were busy
+// once would keep theirs.
 func TestRingShrinks(t *testing.T) {
 	q := NewRing(64 << 10)
 	if q.Cap() != 0 {
-		t.Fatalf("takes %d bytes before its first use", q.Cap())
+		t.Fatalf("%d bytes allocated before the first use", q.Cap())
 	}
 	q.Append(make([]byte, 50<<10))
 	q.Discard(50 << 10)
 	if q.Cap() > minRingBytes {
-		t.Fatalf("keeps %d bytes while empty", q.Cap())
+		t.Fatalf("%d bytes allocated while empty", q.Cap())
 	}
 }
