--- a/internal/front/client.go
+++ b/internal/front/client.go
@@ -25,7 +25,7 @@
 	lastUsed  time.Time // when it last carried a message
 	sentValid bool      // a valid message of the protocol was received
 	finSentAt time.Time // when FIN was sent on it, so that no new request comes
-	endedAt   time.Time // when it was closed
+	closedAt  time.Time // when it was closed
 }
 
 // Write discards what redcon itself sends, which is only replies to broken framing. Those connections are closed
@@ -43,11 +43,11 @@
 	return len(c.open) > 0
 }
 
-// connEnded abandons the requests that were open when the connection closed, and logs abnormal reasons.
-func (c *client) connEnded(reason stream.CloseReason) {
+// onClose abandons the requests that were open when the connection closed, and logs abnormal reasons.
+func (c *client) onClose(reason stream.CloseReason) {
 	c.mu.Lock()
 	open := c.open
-	c.open, c.endedAt = nil, time.Now()
+	c.open, c.closedAt = nil, time.Now()
 	c.mu.Unlock()
 	for _, x := range open {
 		if x.Abandon(exchange.EndedCallerGone) {
@@ -64,8 +64,8 @@
 	}
 }
 
-// connDescriptorClosed frees the connection's slot and wakes a waiting Accept.
-func (c *client) connDescriptorClosed() {
+// onDescriptorClosed frees the connection's slot and wakes a waiting Accept.
+func (c *client) onDescriptorClosed() {
 	c.server.mu.Lock()
 	delete(c.server.clients, c)
 	c.server.mu.Unlock()
@@ -141,12 +141,12 @@
 		c.server.Counters.Calls.Add(1)
 		c.server.Counters.Malformed.Add(1)
 		c.server.warnLimited("malformed request", err)
-		exchange.New(c.server.ledger, rejecter{c, tagText}, tag, call).Answer(exchange.Answer{Kind: exchange.Failed})
+		exchange.New(c.server.requestCounters, rejecter{c, tagText}, tag, call).Answer(exchange.Answer{Kind: exchange.Failed})
 		return
 	}
 	c.sentValid = true
 	c.server.Counters.Calls.Add(1)
-	x := exchange.New(c.server.ledger, c, tag, call)
+	x := exchange.New(c.server.requestCounters, c, tag, call)
 	c.open[tag] = x
 	c.mu.Unlock()
 	c.server.sink.Arrived(x)
--- a/internal/front/close_test.go
+++ b/internal/front/close_test.go
@@ -382,7 +382,7 @@
 			if afterReset != nil {
 				afterReset()
 			}
-			standin.Eventually(t, "the close", func() bool { return b.Conns() == before && b.ledger.OpenRequests() == 0 })
+			standin.Eventually(t, "the close", func() bool { return b.Conns() == before && b.requestCounters.OpenRequests() == 0 })
 			a, _ := b.sink.counts()
 			other.Send("RPC.CALL", "1", "read", safeFields, "x")
 			standin.Eventually(t, "the request on the other connection", func() bool { n, _ := b.sink.counts(); return n > a })
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -41,7 +41,7 @@
 	partialMaxLimit   = 30 * time.Second       // for the rest of a message in any case
 	firstMessageLimit = 2 * time.Second        // for the first whole message: dispatchers connect to send one
 	acceptRetryDelay  = 20 * time.Millisecond  // after a failed accept, and between checks for a free slot
-	warnInterval      = 2 * time.Second        // between log lines about malformed input
+	warnInterval      = 2 * time.Second        // between warnings about input, connections and accept
 	lingerTimeout     = 500 * time.Millisecond // for a dispatcher to receive the FIN and close its side
 	drainPollInterval = 2 * time.Millisecond   // between checks whether all connections are closed
 
@@ -88,12 +88,12 @@
 	Counters Counters
 	Traffic  stream.Traffic
 
-	cfg    Config
-	parser requestParser
-	sink   Sink
-	ledger *exchange.Counters
+	cfg             Config
+	parser          requestParser
+	sink            Sink
+	requestCounters *exchange.Counters
 
-	// The constants of the same names; tests change them.
+	// Set from the constants above; tests change them.
 	limits                                                           stream.Limits
 	finTimeout, partialIdleLimit, partialMaxLimit, firstMessageLimit time.Duration
 
@@ -119,10 +119,10 @@
 	suppressed  atomic.Int64
 }
 
-// New returns a Server that passes requests to sink and counts them in ledger.
-func New(cfg Config, sink Sink, ledger *exchange.Counters) *Server {
+// New returns a Server that passes requests to sink and counts them in requestCounters.
+func New(cfg Config, sink Sink, requestCounters *exchange.Counters) *Server {
 	s := &Server{
-		cfg: cfg, parser: newRequestParser(cfg.Settings, cfg.Names), sink: sink, ledger: ledger,
+		cfg: cfg, parser: newRequestParser(cfg.Settings, cfg.Names), sink: sink, requestCounters: requestCounters,
 		clients: map[*client]struct{}{}, connClosed: make(chan struct{}, 1),
 		acceptingDone: make(chan struct{}),
 		limits: stream.Limits{
@@ -300,14 +300,14 @@
 	now := time.Now()
 	for _, c := range s.connections() {
 		c.mu.Lock()
-		idle, used, rank, endedAt := len(c.open) == 0, c.lastUsed, 0, c.endedAt
+		idle, used, rank, closedAt := len(c.open) == 0, c.lastUsed, 0, c.closedAt
 		if c.sentValid {
 			rank = 1
 		}
 		c.mu.Unlock()
 		if c.Closing() {
 			lingering++
-			if !endedAt.IsZero() && now.Sub(endedAt) >= minLinger {
+			if !closedAt.IsZero() && now.Sub(closedAt) >= minLinger {
 				c.StopLingering()
 			}
 			continue
@@ -336,8 +336,8 @@
 // newClient wraps an accepted connection and registers it.
 func (s *Server) newClient(c net.Conn) *client {
 	cl := &client{server: s, open: map[uint64]*exchange.Exchange{}, lastUsed: time.Now()}
-	cl.Conn = stream.New(c, &stream.RESP{}, s.limits, &s.Traffic, cl.connEnded)
-	cl.AnswersPending, cl.OnDescriptorClosed = cl.hasOpen, cl.connDescriptorClosed
+	cl.Conn = stream.New(c, &stream.RESP{}, s.limits, &s.Traffic, cl.onClose)
+	cl.AnswersPending, cl.OnDescriptorClosed = cl.hasOpen, cl.onDescriptorClosed
 	s.mu.Lock()
 	s.clients[cl] = struct{}{}
 	finAnnounced, draining := s.finAnnounced, s.draining
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -70,9 +70,9 @@
 // harness is a running Server with its sink and counters.
 type harness struct {
 	*Server
-	sink   *recordingSink
-	ledger *exchange.Counters
-	addr   string
+	sink            *recordingSink
+	requestCounters *exchange.Counters
+	addr            string
 }
 
 func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
@@ -87,8 +87,8 @@
 		MaxIdleTimeout: 30 * time.Second,
 	}
 	names := settings.Names{Classes: []string{"read", "pay"}, Tenants: []string{"acme"}}
-	b := &harness{sink: &recordingSink{}, ledger: &exchange.Counters{}}
-	b.Server = New(Config{Settings: set, Names: names, Log: discardLogger()}, b.sink, b.ledger)
+	b := &harness{sink: &recordingSink{}, requestCounters: &exchange.Counters{}}
+	b.Server = New(Config{Settings: set, Names: names, Log: discardLogger()}, b.sink, b.requestCounters)
 	if tune != nil {
 		tune(b.Server)
 	}
@@ -111,9 +111,9 @@
 		for _, reason := range stream.CloseReasons() {
 			closed += traffic.Ended[reason].Load()
 		}
-		if closed != traffic.Opened.Load() || b.ledger.OpenRequests() != 0 {
+		if closed != traffic.Opened.Load() || b.requestCounters.OpenRequests() != 0 {
 			t.Errorf("%d connections opened and %d closed, %d requests still open",
-				traffic.Opened.Load(), closed, b.ledger.OpenRequests())
+				traffic.Opened.Load(), closed, b.requestCounters.OpenRequests())
 		}
 	})
 	return b
@@ -266,8 +266,8 @@
 	if a, g := b.sink.counts(); a != 0 || g != 0 {
 		t.Errorf("%d of them arrived, %d were abandoned", a, g)
 	}
-	if c := b.ledger.Count(exchange.EndedFailed); c != b.Counters.Malformed.Load() || c == 0 || c != b.ledger.Read.Load() {
-		t.Errorf("%d failed, %d malformed, %d read", c, b.Counters.Malformed.Load(), b.ledger.Read.Load())
+	if c := b.requestCounters.Count(exchange.EndedFailed); c != b.Counters.Malformed.Load() || c == 0 || c != b.requestCounters.Read.Load() {
+		t.Errorf("%d failed, %d malformed, %d read", c, b.Counters.Malformed.Load(), b.requestCounters.Read.Load())
 	}
 }
 
--- a/internal/stream/close.go
+++ b/internal/stream/close.go
@@ -24,14 +24,15 @@
 
 const (
 	noClose           closePlan = iota
-	closeIfIdle                 // once no answer is pending; cancelled if there is input by then
+	closeIfIdle                 // once all output is sent; cancelled if there is input or a pending answer
 	closeWhenIdle               // once no answer is pending and there is no input to read
 	closeAfterAnswers           // once no answer is pending; input is discarded from now on
 )
 
 var errNoInput = errors.New("no input available")
 
-// CloseIfIdle closes the connection if it carries nothing. Input that has arrived by then cancels the close.
+// CloseIfIdle closes the connection if it carries nothing. Input that has arrived by then, or a request that is
+// not answered, cancels the close.
 func (c *Conn) CloseIfIdle(reason CloseReason) { c.planClose(closeIfIdle, reason) }
 
 // CloseWhenIdle closes the connection as soon as all requests read are answered and no more input is available.
--- a/internal/stream/conn.go
+++ b/internal/stream/conn.go
@@ -39,13 +39,13 @@
 	Opened    atomic.Int64 // connections, failed attempts to connect included
 	BytesIn   atomic.Int64
 	BytesOut  atomic.Int64
-	Queued    atomic.Int64 // messages passed to Send
-	Sent      atomic.Int64 // of those, wholly written to the network
-	Dropped   atomic.Int64 // of those, lost with their connection
-	Held      atomic.Int64 // bytes of memory in output rings
-	HeldLimit int64        // bound of Held in bytes, 0 = none
-	Discarded atomic.Int64 // bytes read and discarded, since the connection was closed or took no more requests
-	Ended     [numCloseReasons]atomic.Int64
+	Queued    atomic.Int64                  // messages passed to Send
+	Sent      atomic.Int64                  // of those, wholly written to the network
+	Dropped   atomic.Int64                  // of those, lost with their connection
+	Held      atomic.Int64                  // bytes of memory in output rings
+	HeldLimit int64                         // bound of Held in bytes, 0 = none
+	Discarded atomic.Int64                  // bytes read and discarded, since the connection was closed or took no more requests
+	Ended     [numCloseReasons]atomic.Int64 // connections, by close reason
 }
 
 // NeverOpened counts a failed attempt to connect and returns the reason that err stands for.
