--- a/internal/front/client.go
+++ b/internal/front/client.go
@@ -1,12 +1,7 @@
-// This file owns one dispatcher's connection: its messages, the requests open on
-// it under their tags, and its answers. It must never wait, neither for the loop
-// nor for the network.
-
 package front
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"strconv"
 	"sync"
@@ -19,67 +14,68 @@
 	"robinmast/internal/stream"
 )
 
-// client is one dispatcher's connection.
+// client is one dispatcher's connection with the requests that are open on it, by tag. Apart from health checks
+// that wait for admission, it never blocks: neither on the node's event loop nor on the network.
 type client struct {
 	*stream.Conn
-	s *Server
+	server *Server
 
-	mu    sync.Mutex
-	open  map[uint64]*exchange.Exchange
-	used  time.Time // when it last carried something
-	spoke bool      // a whole message, and one of the protocol's
-	fin   time.Time // when it was told that no new request may come
-	over  time.Time // when it ended
+	mu        sync.Mutex
+	open      map[uint64]*exchange.Exchange
+	lastUsed  time.Time // when it last carried a message
+	sentValid bool      // a valid message of the protocol was received
+	finSentAt time.Time // when FIN was sent on it, so that no new request comes
+	closedAt  time.Time // when it was closed
 }
 
-// Write takes what redcon itself would send, which is nothing but replies to
-// broken framing; those connections end without one.
+// Write discards what redcon itself sends, which is only replies to broken framing. Those connections are closed
+// without a reply.
 func (c *client) Write(p []byte) (int, error) { return len(p), nil }
 
-// Close is called by redcon: when its reader has ended, and for every connection
-// when the listener closes. It does nothing: the connection ends by itself, in
-// the one place that ends connections.
+// Close does nothing. redcon calls it when its reader has returned, and for every connection when the listener
+// closes. Package stream closes the connection instead, after the pending answers.
 func (c *client) Close() error { return nil }
 
-// owes tells whether a request is open.
-func (c *client) owes() bool {
+// hasOpen reports whether a request is open.
+func (c *client) hasOpen() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.open) > 0
 }
 
-// ended lets go of what was open when the connection ended.
-func (c *client) ended(end stream.CloseReason) {
+// onClose abandons the requests that were open when the connection closed, and logs abnormal reasons.
+func (c *client) onClose(reason stream.CloseReason) {
 	c.mu.Lock()
 	open := c.open
-	c.open, c.over = nil, time.Now()
+	c.open, c.closedAt = nil, time.Now()
 	c.mu.Unlock()
 	for _, x := range open {
 		if x.Abandon(exchange.EndedCallerGone) {
-			c.s.sink.CallerGone(x)
+			c.server.sink.CallerGone(x)
 		}
 	}
-	if end == stream.BadFraming || end == stream.TooLong {
-		c.s.complain("broken input from a dispatcher", nil, "end", end.String(), "from", c.RemoteAddr().String())
+	if reason == stream.BadFraming || reason == stream.TooLong {
+		c.server.warnLimited("malformed input from a dispatcher", nil,
+			"end", reason.String(), "from", c.RemoteAddr().String())
 		return
 	}
-	if len(open) > 0 || end == stream.Overflow || end == stream.ReadStalled || end == stream.WriteStalled {
-		c.s.complain("dispatcher's connection ended badly", nil, "end", end.String(), "open", len(open))
+	if len(open) > 0 || reason == stream.Overflow || reason == stream.ReadStalled || reason == stream.WriteStalled {
+		c.server.warnLimited("dispatcher connection closed abnormally", nil, "end", reason.String(), "open", len(open))
 	}
 }
 
-// closed gives the connection's place free.
-func (c *client) closed() {
-	c.s.mu.Lock()
-	delete(c.s.clients, c)
-	c.s.mu.Unlock()
+// onDescriptorClosed frees the connection's slot and wakes a waiting Accept.
+func (c *client) onDescriptorClosed() {
+	c.server.mu.Lock()
+	delete(c.server.clients, c)
+	c.server.mu.Unlock()
 	select {
-	case c.s.room <- struct{}{}:
+	case c.server.connClosed <- struct{}{}:
 	default:
 	}
 }
 
-// command takes one message; cmd lives only during the call.
+// command handles one message. cmd is valid only during the call.
 func (s *Server) command(conn redcon.Conn, cmd redcon.Command) {
 	c, ok := conn.Context().(*client)
 	if !ok || len(cmd.Args) == 0 {
@@ -100,13 +96,13 @@
 		c.health(tag)
 	default:
 		s.Counters.Unknown.Add(1)
-		s.complain("unknown command", fmt.Errorf("%q", clip(cmd.Args[0])))
+		s.warnLimited("unknown command", fmt.Errorf("%q", truncate(cmd.Args[0])))
 		c.reject(tag)
 	}
 }
 
-// reject answers what could not be read as a request: it fails, as nobody can
-// tell what its dispatcher takes from a refusal.
+// reject answers a message that could not be parsed as a request with FAIL, and with tag 0 if its own is not
+// valid. It is not refused, since it is unknown what its dispatcher would conclude from a refusal.
 func (c *client) reject(tag []byte) {
 	if _, err := parseTag(tag); err != nil {
 		tag = []byte("0")
@@ -120,43 +116,43 @@
 	if err == nil {
 		switch len(args) {
 		case 4:
-			call, err = c.s.lanes.parseCall(args[2], args[3], nil)
+			call, err = c.server.parser.parseCall(args[2], args[3], nil)
 		case 5:
-			call, err = c.s.lanes.parseCall(args[2], args[3], args[4])
+			call, err = c.server.parser.parseCall(args[2], args[3], args[4])
 		default:
-			err = fmt.Errorf("a request of %d parts", len(args))
+			err = fmt.Errorf("request has %d parts, want 4 or 5", len(args))
 		}
 	}
 	c.mu.Lock()
 	gone := c.open == nil
 	if err == nil && !gone {
-		if len(c.open) >= maxOpen {
-			err = errors.New("more requests open than allowed")
+		if len(c.open) >= maxOpenRequests {
+			err = fmt.Errorf("more than %d requests open on the connection", maxOpenRequests)
 		} else if c.open[tag] != nil {
-			err = errors.New("a tag that is open")
+			err = fmt.Errorf("tag %d is already open", tag)
 		}
 	}
-	c.used = time.Now()
+	c.lastUsed = time.Now()
 	if err != nil || gone {
 		c.mu.Unlock()
-		if gone { // the connection ended before this was read
+		if gone { // the connection was closed before this was read
 			return
 		}
-		c.s.Counters.Calls.Add(1)
-		c.s.Counters.Malformed.Add(1)
-		c.s.complain("request not understood", err)
-		exchange.New(c.s.ledger, rejecter{c, tagText}, tag, call).Answer(exchange.Answer{Kind: exchange.Failed})
+		c.server.Counters.Calls.Add(1)
+		c.server.Counters.Malformed.Add(1)
+		c.server.warnLimited("malformed request", err)
+		exchange.New(c.server.requestCounters, rejecter{c, tagText}, tag, call).Answer(exchange.Answer{Kind: exchange.Failed})
 		return
 	}
-	c.spoke = true
-	c.s.Counters.Calls.Add(1)
-	x := exchange.New(c.s.ledger, c, tag, call)
+	c.sentValid = true
+	c.server.Counters.Calls.Add(1)
+	x := exchange.New(c.server.requestCounters, c, tag, call)
 	c.open[tag] = x
 	c.mu.Unlock()
-	c.s.sink.Arrived(x)
+	c.server.sink.Arrived(x)
 }
 
-// rejecter answers a request that never became open.
+// rejecter replies to a request that was rejected before it became open.
 type rejecter struct {
 	c   *client
 	tag []byte
@@ -165,43 +161,44 @@
 func (r rejecter) Reply(uint64, exchange.Answer) { r.c.reject(r.tag) }
 
 func (c *client) cancel(tagText []byte) {
-	tag, _ := parseTag(tagText) // a bad tag is as unknown as any other
+	tag, _ := parseTag(tagText) // an invalid tag gives 0, which is never open
 	c.mu.Lock()
 	x := c.open[tag]
 	if x != nil {
 		delete(c.open, tag)
 	}
-	c.used = time.Now()
+	c.lastUsed = time.Now()
 	c.mu.Unlock()
-	c.Nudge()
-	if x == nil { // its answer and the cancel crossed, or it never was
-		c.s.Counters.Unmatched.Add(1)
+	c.RecheckClose()
+	if x == nil { // the cancel crossed its answer, or there was no such request
+		c.server.Counters.Unmatched.Add(1)
 		return
 	}
 	if x.Abandon(exchange.EndedCancelled) {
-		c.s.sink.CallerGone(x)
+		c.server.sink.CallerGone(x)
 	}
 }
 
 func (c *client) health(tag []byte) {
 	c.mu.Lock()
-	c.used, c.spoke = time.Now(), true
+	c.lastUsed, c.sentValid = time.Now(), true
 	c.mu.Unlock()
 	if _, err := parseTag(tag); err != nil {
 		c.reject(tag)
 		return
 	}
-	c.s.pause(context.Background(), connlimit.HealthCheck) // this connection's reader alone waits: checks come on one of their own
-	began := time.Now()
-	defer c.s.took(connlimit.HealthCheck, began)
+	// Only this connection's reader waits: health checks come on a connection of their own.
+	c.server.awaitAdmission(context.Background(), connlimit.HealthCheck)
+	start := time.Now()
+	defer c.server.chargeAdmission(connlimit.HealthCheck, start)
 	word := "RED"
-	if c.s.good.Load() {
+	if c.server.healthy.Load() {
 		word = "GREEN"
 	}
-	c.Send(message(tag, word, c.s.fields(nil, exchange.Answer{}), nil))
+	c.Send(message(tag, word, c.server.fields(nil, exchange.Answer{}), nil))
 }
 
-// fields writes an answer's fields.
+// fields appends an answer's fields to b: the published load feedback, retry-after and the stop-retrying flag.
 func (s *Server) fields(b []byte, a exchange.Answer) []byte {
 	if f := s.feedback.Load(); f != nil {
 		b = append(b, *f...)
@@ -225,7 +222,7 @@
 	return b
 }
 
-// message encodes an answer.
+// message encodes an answer as a RESP array of tag, word, fields and body.
 func message(tag []byte, word string, fields, body []byte) []byte {
 	b := make([]byte, 0, 64+len(tag)+len(fields)+len(body))
 	b = redcon.AppendArray(b, 4)
@@ -235,7 +232,7 @@
 	return redcon.AppendBulk(b, body)
 }
 
-// Reply sends a final answer; the exchange sees to it that there is one.
+// Reply sends the final answer of a request; package exchange makes sure that there is exactly one.
 func (c *client) Reply(tag uint64, a exchange.Answer) {
 	word := "FAIL"
 	switch a.Kind {
@@ -244,22 +241,22 @@
 	case exchange.Refused:
 		word = "NAK"
 	}
-	var room [tagDigits + 2]byte
-	var more [64]byte
-	c.Send(message(strconv.AppendUint(room[:0], tag, 10), word, c.s.fields(more[:0], a), a.Body))
+	var tagBuffer [maxTagDigits + 2]byte
+	var fieldBuffer [64]byte
+	c.Send(message(strconv.AppendUint(tagBuffer[:0], tag, 10), word, c.server.fields(fieldBuffer[:0], a), a.Body))
 	c.mu.Lock()
 	delete(c.open, tag)
-	c.used = time.Now()
+	c.lastUsed = time.Now()
 	c.mu.Unlock()
-	c.Nudge() // it may have been the last that was owed
+	c.RecheckClose() // it may have been the last pending answer
 }
 
-// sayFin asks the dispatcher to send no new request here and to close.
-func (c *client) sayFin() {
+// sendFin sends `0 FIN`, once: the dispatcher is to send no new request on this connection and to close it.
+func (c *client) sendFin() {
 	c.mu.Lock()
-	first := c.fin.IsZero()
+	first := c.finSentAt.IsZero()
 	if first {
-		c.fin = time.Now()
+		c.finSentAt = time.Now()
 	}
 	c.mu.Unlock()
 	if first {
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -24,16 +24,16 @@
 	"robinmast/rules"
 )
 
-// recorder is a sink that keeps what it is told.
-type recorder struct {
+// recordingSink is a Sink that records what it receives.
+type recordingSink struct {
 	mu      sync.Mutex
 	arrived []*exchange.Exchange
 	gone    []*exchange.Exchange
-	answer  *exchange.Answer // given at once, if set
-	gate    chan struct{}    // holds the reader at the point where it hands a request on
+	answer  *exchange.Answer // given to every request at once, if set
+	gate    chan struct{}    // if set, blocks the reader in Arrived
 }
 
-func (r *recorder) Arrived(x *exchange.Exchange) {
+func (r *recordingSink) Arrived(x *exchange.Exchange) {
 	r.mu.Lock()
 	r.arrived = append(r.arrived, x)
 	a, gate := r.answer, r.gate
@@ -46,19 +46,19 @@
 	}
 }
 
-func (r *recorder) CallerGone(x *exchange.Exchange) {
+func (r *recordingSink) CallerGone(x *exchange.Exchange) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.gone = append(r.gone, x)
 }
 
-func (r *recorder) counts() (arrived, gone int) {
+func (r *recordingSink) counts() (arrived, gone int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.arrived), len(r.gone)
 }
 
-func (r *recorder) last() *exchange.Exchange {
+func (r *recordingSink) last() *exchange.Exchange {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.arrived) == 0 {
@@ -67,16 +67,19 @@
 	return r.arrived[len(r.arrived)-1]
 }
 
-type bench struct {
+// harness is a running Server with its sink and counters.
+type harness struct {
 	*Server
-	sink   *recorder
-	ledger *exchange.Counters
-	addr   string
+	sink            *recordingSink
+	requestCounters *exchange.Counters
+	addr            string
 }
 
-func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-func start(t *testing.T, tune func(*Server)) *bench {
+// startServer runs a Server, changed by tune, until the end of the test, and then checks that all messages,
+// connections and requests are accounted for.
+func startServer(t *testing.T, tune func(*Server)) *harness {
 	t.Helper()
 	set := rules.Settings{
 		Classes:        []rules.Class{{Effect: rules.Safe}, {Effect: rules.Keyed}},
@@ -84,64 +87,66 @@
 		MaxIdleTimeout: 30 * time.Second,
 	}
 	names := settings.Names{Classes: []string{"read", "pay"}, Tenants: []string{"acme"}}
-	b := &bench{sink: &recorder{}, ledger: &exchange.Counters{}}
-	b.Server = New(Config{Settings: set, Names: names, Log: quiet()}, b.sink, b.ledger)
+	b := &harness{sink: &recordingSink{}, requestCounters: &exchange.Counters{}}
+	b.Server = New(Config{Settings: set, Names: names, Log: discardLogger()}, b.sink, b.requestCounters)
 	if tune != nil {
 		tune(b.Server)
 	}
 	ln := standin.Listen(t)
 	b.addr = ln.Addr().String()
 	ctx, cancel := context.WithCancel(context.Background())
-	served := make(chan error, 1)
-	go func() { served <- b.Serve(ctx, ln) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- b.Serve(ctx, ln) }()
 	t.Cleanup(func() {
 		cancel()
-		b.Shut()
-		if err := <-served; err != nil {
+		b.AbortAll()
+		if err := <-serveErr; err != nil {
 			t.Error(err)
 		}
-		f := &b.Traffic
-		standin.Eventually(t, "messages add up", func() bool {
-			return f.Queued.Load() == f.Sent.Load()+f.Dropped.Load() && f.Held.Load() == 0
+		traffic := &b.Traffic
+		standin.Eventually(t, "every queued message sent or dropped", func() bool {
+			return traffic.Queued.Load() == traffic.Sent.Load()+traffic.Dropped.Load() && traffic.Held.Load() == 0
 		})
-		ended := int64(0)
-		for _, e := range stream.CloseReasons() {
-			ended += f.Ended[e].Load()
+		closed := int64(0)
+		for _, reason := range stream.CloseReasons() {
+			closed += traffic.Ended[reason].Load()
 		}
-		if ended != f.Opened.Load() || b.ledger.OpenRequests() != 0 {
-			t.Errorf("%d connections opened and %d ended, %d requests without an end", f.Opened.Load(), ended, b.ledger.OpenRequests())
+		if closed != traffic.Opened.Load() || b.requestCounters.OpenRequests() != 0 {
+			t.Errorf("%d connections opened and %d closed, %d requests still open",
+				traffic.Opened.Load(), closed, b.requestCounters.OpenRequests())
 		}
 	})
 	return b
 }
 
-func (b *bench) dial(t *testing.T) *standin.Dispatcher { return standin.Dial(t, b.addr) }
+func (b *harness) dial(t *testing.T) *standin.Dispatcher { return standin.Dial(t, b.addr) }
 
 const (
-	fields = "txn=9b1f03aa5c7e2d41,door=1764576000123,lb=4,team=acme,limit=480,second=1,cpu=12.50,ram=24.5," +
+	safeFields = "txn=9b1f03aa5c7e2d41,door=1764576000123,lb=4,team=acme,limit=480,second=1,cpu=12.50,ram=24.5," +
 		"standing=0.6250,item=7f3a9c21e0b4d655,later=never"
-	keyed = "txn=9b1f03aa5c7e2d41,door=1764576000123,lb=4,team=acme,ram=24.5,standing=0.6250,unique=abc"
+	keyedFields = "txn=9b1f03aa5c7e2d41,door=1764576000123,lb=4,team=acme,ram=24.5,standing=0.6250,unique=abc"
 )
 
-func TestCallIsReadWhole(t *testing.T) {
-	b := start(t, nil)
+func TestCallIsParsed(t *testing.T) {
+	b := startServer(t, nil)
 	d := b.dial(t)
 	body := strings.Repeat("\r\n*1\x00", 300)
-	d.Send("RPC.CALL", "7", "read", fields, body)
+	d.Send("RPC.CALL", "7", "read", safeFields, body)
 	standin.Eventually(t, "arrival", func() bool { return b.sink.last() != nil })
 	x := b.sink.last()
 	want := exchange.Request{
-		Txn: "9b1f03aa5c7e2d41", ClassName: "read", TenantName: "acme", Class: 0, Tenant: 0, Caller: 4, ArrivedUnixMs: 1764576000123, TimeoutMs: 480,
-		HintMs: 12.5, MemoryKB: 24.5, Rank: 0.625, Retry: true, Item: "7f3a9c21e0b4d655", Safe: true, Body: []byte(body),
+		Txn: "9b1f03aa5c7e2d41", ClassName: "read", TenantName: "acme", Class: 0, Tenant: 0, Caller: 4,
+		ArrivedUnixMs: 1764576000123, TimeoutMs: 480, HintMs: 12.5, MemoryKB: 24.5, Rank: 0.625, Retry: true,
+		Item: "7f3a9c21e0b4d655", Safe: true, Body: []byte(body),
 	}
 	if fmt.Sprintf("%+v", x.Request) != fmt.Sprintf("%+v", want) {
 		t.Errorf("read %+v", x.Request)
 	}
-	// The words of a message live in its reader's buffer; what is kept must not.
-	d.Send("RPC.CALL", "8", "pay", keyed, strings.Repeat("z", 2000))
+	// redcon reuses the buffer of a message; the parsed request must hold copies.
+	d.Send("RPC.CALL", "8", "pay", keyedFields, strings.Repeat("z", 2000))
 	standin.Eventually(t, "second arrival", func() bool { a, _ := b.sink.counts(); return a == 2 })
 	if string(x.Body) != body || x.Txn != want.Txn {
-		t.Error("a later message changed what was kept")
+		t.Error("a later message changed the parsed request")
 	}
 	if y := b.sink.last(); y.Unique != "abc" || y.Safe || y.Retry || y.TimeoutMs != 0 {
 		t.Errorf("read %+v", y.Request)
@@ -151,13 +156,13 @@
 }
 
 func TestAnswers(t *testing.T) {
-	b := start(t, nil)
+	b := startServer(t, nil)
 	d := b.dial(t)
 	result := strings.Repeat("\x00\r\n", 1300)
 	for i, c := range []struct {
-		say    float64
-		answer exchange.Answer
-		want   string
+		feedback float64 // published before the answer, -1 = none
+		answer   exchange.Answer
+		want     string
 	}{
 		{-1, exchange.Answer{Kind: exchange.Served, Body: []byte(result)}, "ACK  " + result},
 		{-1, exchange.Answer{Kind: exchange.Refused}, "NAK  "},
@@ -167,13 +172,13 @@
 		{0, exchange.Answer{Kind: exchange.Refused, RetryAfter: time.Microsecond}, "NAK feedback=0.0000,later=1 "},
 		{-1, exchange.Answer{Kind: exchange.Failed}, "FAIL feedback=0.0000 "},
 	} {
-		if c.say >= 0 {
-			b.PublishLoad(c.say)
+		if c.feedback >= 0 {
+			b.PublishLoad(c.feedback)
 		}
 		b.sink.mu.Lock()
 		b.sink.answer = &c.answer
 		b.sink.mu.Unlock()
-		d.Send("RPC.CALL", fmt.Sprint(i+1), "read", fields, "x")
+		d.Send("RPC.CALL", fmt.Sprint(i+1), "read", safeFields, "x")
 		if got := d.Receive(); got != fmt.Sprint(i+1, " ", c.want) {
 			t.Errorf("answer %q, want %q", got, c.want)
 		}
@@ -181,7 +186,7 @@
 }
 
 func TestHealth(t *testing.T) {
-	b := start(t, nil)
+	b := startServer(t, nil)
 	d := b.dial(t)
 	d.Send("RPC.HEALTH", "1", "")
 	if got := d.Receive(); got != "1 GREEN  " {
@@ -195,19 +200,19 @@
 	}
 }
 
-// What can't be read as a request is answered as failed, never reaches the
-// decisions, and leaves the connection usable.
-func TestBadRequests(t *testing.T) {
-	b := start(t, nil)
+// A message that cannot be parsed as a request is answered with FAIL, never reaches the sink, and leaves the
+// connection usable.
+func TestMalformedRequests(t *testing.T) {
+	b := startServer(t, nil)
 	d := b.dial(t)
 	without := func(name string) string {
-		var keep []string
-		for _, f := range strings.Split(fields, ",") {
+		var others []string
+		for _, f := range strings.Split(safeFields, ",") {
 			if !strings.HasPrefix(f, name+"=") {
-				keep = append(keep, f)
+				others = append(others, f)
 			}
 		}
-		return strings.Join(keep, ",")
+		return strings.Join(others, ",")
 	}
 	with := func(name, value string) string { return without(name) + "," + name + "=" + value }
 	good := 0
@@ -217,17 +222,17 @@
 	}{
 		"unknown command":  {[]string{"RPC.SHOUT", "5", "x"}, "5"},
 		"lone word":        {[]string{"PING"}, "0"},
-		"tag 0":            {[]string{"RPC.CALL", "0", "read", fields, "x"}, "0"},
-		"tag of letters":   {[]string{"RPC.CALL", "x7", "read", fields, "x"}, "0"},
-		"negative tag":     {[]string{"RPC.CALL", "-7", "read", fields, "x"}, "0"},
-		"endless tag":      {[]string{"RPC.CALL", "99999999999999999999", "read", fields, "x"}, "0"},
+		"tag 0":            {[]string{"RPC.CALL", "0", "read", safeFields, "x"}, "0"},
+		"tag of letters":   {[]string{"RPC.CALL", "x7", "read", safeFields, "x"}, "0"},
+		"negative tag":     {[]string{"RPC.CALL", "-7", "read", safeFields, "x"}, "0"},
+		"endless tag":      {[]string{"RPC.CALL", "99999999999999999999", "read", safeFields, "x"}, "0"},
 		"no class":         {[]string{"RPC.CALL", "5"}, "5"},
-		"too many parts":   {[]string{"RPC.CALL", "5", "read", fields, "x", "y"}, "5"},
-		"unknown class":    {[]string{"RPC.CALL", "5", "write", fields, "x"}, "5"},
-		"big body":         {[]string{"RPC.CALL", "5", "read", fields, strings.Repeat("x", 2049)}, "5"},
+		"too many parts":   {[]string{"RPC.CALL", "5", "read", safeFields, "x", "y"}, "5"},
+		"unknown class":    {[]string{"RPC.CALL", "5", "write", safeFields, "x"}, "5"},
+		"big body":         {[]string{"RPC.CALL", "5", "read", safeFields, strings.Repeat("x", 2049)}, "5"},
 		"no fields":        {[]string{"RPC.CALL", "5", "read", "", "x"}, "5"},
-		"field alone":      {[]string{"RPC.CALL", "5", "read", fields + ",second", "x"}, "5"},
-		"field twice":      {[]string{"RPC.CALL", "5", "read", fields + ",lb=4", "x"}, "5"},
+		"field alone":      {[]string{"RPC.CALL", "5", "read", safeFields + ",second", "x"}, "5"},
+		"field twice":      {[]string{"RPC.CALL", "5", "read", safeFields + ",lb=4", "x"}, "5"},
 		"no txn":           {[]string{"RPC.CALL", "5", "read", without("txn"), "x"}, "5"},
 		"short txn":        {[]string{"RPC.CALL", "5", "read", with("txn", "9b1f"), "x"}, "5"},
 		"txn not hex":      {[]string{"RPC.CALL", "5", "read", with("txn", `9b1f03aa5c7e2d4"`), "x"}, "5"},
@@ -245,7 +250,7 @@
 		"standing of 1":    {[]string{"RPC.CALL", "5", "read", with("standing", "1"), "x"}, "5"},
 		"unknown tenant":   {[]string{"RPC.CALL", "5", "read", with("team", "nobody"), "x"}, "5"},
 		"no tenant":        {[]string{"RPC.CALL", "5", "read", without("team"), "x"}, "5"},
-		"keyed, no key":    {[]string{"RPC.CALL", "5", "pay", fields, "x"}, "5"},
+		"keyed, no key":    {[]string{"RPC.CALL", "5", "pay", safeFields, "x"}, "5"},
 		"health, tag of 0": {[]string{"RPC.HEALTH", "0", ""}, "0"},
 	} {
 		d.Send(c.msg...)
@@ -255,41 +260,41 @@
 		good++
 		d.Send("RPC.HEALTH", "9")
 		if got := d.Receive(); got != "9 GREEN  " {
-			t.Fatalf("%s: the connection is of no more use: %q", name, got)
+			t.Fatalf("%s: the connection is not usable any more: %q", name, got)
 		}
 	}
 	if a, g := b.sink.counts(); a != 0 || g != 0 {
-		t.Errorf("%d of them arrived, %d went", a, g)
+		t.Errorf("%d of them arrived, %d were abandoned", a, g)
 	}
-	if c := b.ledger.Count(exchange.EndedFailed); c != b.Counters.Malformed.Load() || c == 0 || c != b.ledger.Read.Load() {
-		t.Errorf("%d failed, %d malformed, %d read", c, b.Counters.Malformed.Load(), b.ledger.Read.Load())
+	if c := b.requestCounters.Count(exchange.EndedFailed); c != b.Counters.Malformed.Load() || c == 0 || c != b.requestCounters.Read.Load() {
+		t.Errorf("%d failed, %d malformed, %d read", c, b.Counters.Malformed.Load(), b.requestCounters.Read.Load())
 	}
 }
 
 func TestOpenTags(t *testing.T) {
-	b := start(t, nil)
+	b := startServer(t, nil)
 	d := b.dial(t)
-	for i := range maxOpen {
-		d.Send("RPC.CALL", fmt.Sprint(i+1), "read", fields, "x")
+	for i := range maxOpenRequests {
+		d.Send("RPC.CALL", fmt.Sprint(i+1), "read", safeFields, "x")
 	}
-	d.Send("RPC.CALL", "33", "read", fields, "x")
+	d.Send("RPC.CALL", "33", "read", safeFields, "x")
 	if got := d.Receive(); got != "33 FAIL  " {
-		t.Errorf("over the bound: %q", got)
+		t.Errorf("over the limit: %q", got)
 	}
 	d.Send("RPC.CANCEL", "999")
 	d.Send("RPC.CANCEL", "")
 	d.Send("RPC.CANCEL", "2")
-	d.Send("RPC.CALL", "3", "read", fields, "x")
+	d.Send("RPC.CALL", "3", "read", safeFields, "x")
 	if got := d.Receive(); got != "3 FAIL  " {
 		t.Errorf("open tag: %q", got)
 	}
-	d.Send("RPC.CALL", "34", "read", fields, "x") // 2 left room
-	standin.Eventually(t, "arrivals", func() bool { a, g := b.sink.counts(); return a == maxOpen+1 && g == 1 })
+	d.Send("RPC.CALL", "34", "read", safeFields, "x") // the cancel of 2 made it possible
+	standin.Eventually(t, "arrivals", func() bool { a, g := b.sink.counts(); return a == maxOpenRequests+1 && g == 1 })
 	b.sink.mu.Lock()
 	list := append([]*exchange.Exchange(nil), b.sink.arrived...)
 	b.sink.mu.Unlock()
 	if list[1].FinalState() != exchange.EndedCancelled || b.Counters.Unmatched.Load() != 2 {
-		t.Errorf("fate %v, %d cancels without a request", list[1].FinalState(), b.Counters.Unmatched.Load())
+		t.Errorf("final state %v, %d cancels without a request", list[1].FinalState(), b.Counters.Unmatched.Load())
 	}
 	for i := len(list) - 1; i >= 0; i-- { // answers may come in any order
 		if list[i].Answer(exchange.Answer{Kind: exchange.Served, Body: []byte("r")}) != (i != 1) {
@@ -301,7 +306,7 @@
 			continue
 		}
 		tag := i + 1
-		if i == maxOpen {
+		if i == maxOpenRequests {
 			tag = 34
 		}
 		if got := d.Receive(); got != fmt.Sprint(tag, " ACK  r") {
@@ -315,13 +320,12 @@
 	}
 }
 
-// A connection that ends, in whatever way, lets go of what is open on it if its
-// peer is gone, at every point of a request's life, and of nothing else. One that
-// is ended for what it sent is still answered what was read before.
-func TestEndsLetGo(t *testing.T) {
-	var b *bench
-	flood := func(d *standin.Dispatcher) { // it reads nothing, and ever more is sent to it
-		for _, c := range b.all() {
+// A connection whose peer is gone abandons the requests that are open on it, and no others. One that is closed for
+// what its peer sent still gets the answers to requests read before.
+func TestCloseAbandonsOpenRequests(t *testing.T) {
+	var b *harness
+	flood := func(d *standin.Dispatcher) { // sends until the output ring overflows, while the peer reads nothing
+		for _, c := range b.connections() {
 			if c.RemoteAddr().String() == d.LocalAddr().String() {
 				for c.Send(make([]byte, 2<<10)) {
 				}
@@ -340,17 +344,17 @@
 		"takes nothing":  {flood, stream.Overflow},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b = start(t, func(s *Server) {
-				s.partialSoft, s.partialMax = 50*time.Millisecond, 100*time.Millisecond
+			b = startServer(t, func(s *Server) {
+				s.partialIdleLimit, s.partialMaxLimit = 50*time.Millisecond, 100*time.Millisecond
 				s.limits.Out = 4 << 10
 			})
 			other, d := b.dial(t), b.dial(t)
-			other.Send("RPC.CALL", "1", "read", fields, "x")
+			other.Send("RPC.CALL", "1", "read", safeFields, "x")
 			standin.Eventually(t, "first arrival", func() bool { a, _ := b.sink.counts(); return a == 1 })
-			kept := b.sink.last()
-			d.Send("RPC.CALL", "1", "read", fields, "x") // answered and heard
-			d.Send("RPC.CALL", "2", "read", fields, "x") // open
-			d.Send("RPC.CALL", "3", "read", fields, "x") // cancelled
+			otherRequest := b.sink.last()
+			d.Send("RPC.CALL", "1", "read", safeFields, "x") // answered, and the answer is received
+			d.Send("RPC.CALL", "2", "read", safeFields, "x") // open
+			d.Send("RPC.CALL", "3", "read", safeFields, "x") // cancelled
 			d.Send("RPC.CANCEL", "3")
 			standin.Eventually(t, "arrivals", func() bool { a, g := b.sink.counts(); return a == 4 && g == 1 })
 			b.sink.arrived[1].Answer(exchange.Answer{Kind: exchange.Refused})
@@ -360,36 +364,36 @@
 			c.do(d)
 			open := b.sink.arrived[2]
 			if c.want == stream.BadFraming || c.want == stream.TooLong || c.want == stream.ReadStalled {
-				standin.Eventually(t, "no more requests are taken", func() bool {
-					return slices.ContainsFunc(b.all(), func(c *client) bool { return c.Ending() })
+				standin.Eventually(t, "the planned close", func() bool {
+					return slices.ContainsFunc(b.connections(), func(c *client) bool { return c.Closing() })
 				})
 				if !open.Answer(exchange.Answer{Kind: exchange.Served, Body: []byte("r")}) {
 					t.Fatalf("the open request is %v", open.FinalState())
 				}
 				if got := d.Receive(); got != "2 ACK  r" {
-					t.Errorf("what was read before: %q", got)
+					t.Errorf("the request read before: %q", got)
 				}
 				if got := d.Receive(); got != "EOF" {
 					t.Errorf("then %q", got)
 				}
-				standin.Eventually(t, "the end", func() bool { return b.Traffic.Ended[c.want].Load() == 1 })
-				kept.Answer(exchange.Answer{Kind: exchange.Served, Body: []byte("r")})
+				standin.Eventually(t, "the close", func() bool { return b.Traffic.Ended[c.want].Load() == 1 })
+				otherRequest.Answer(exchange.Answer{Kind: exchange.Served, Body: []byte("r")})
 				if got := other.Receive(); got != "1 ACK  r" {
 					t.Errorf("the other connection: %q", got)
 				}
 				return
 			}
-			standin.Eventually(t, "letting go", func() bool { _, g := b.sink.counts(); return g == 2 })
+			standin.Eventually(t, "the abandoned request", func() bool { _, g := b.sink.counts(); return g == 2 })
 			if open.FinalState() != exchange.EndedCallerGone || b.sink.gone[1] != open {
 				t.Errorf("the open request is %v", open.FinalState())
 			}
 			if open.Answer(exchange.Answer{}) {
-				t.Error("answered after its connection ended")
+				t.Error("answered after its connection was closed")
 			}
 			if n := b.Traffic.Ended[c.want].Load(); n != 1 {
-				t.Errorf("no end by %v", c.want)
+				t.Errorf("%d connections closed with %v, want 1", n, c.want)
 			}
-			kept.Answer(exchange.Answer{Kind: exchange.Served, Body: []byte("r")})
+			otherRequest.Answer(exchange.Answer{Kind: exchange.Served, Body: []byte("r")})
 			if got := other.Receive(); got != "1 ACK  r" {
 				t.Errorf("the other connection: %q", got)
 			}
@@ -397,18 +401,18 @@
 	}
 }
 
-// By whichever End a connection goes, at each point of a request's life: what is
-// open is let go once, what has ended stays as it ended, others are untouched.
+// For each reason that can close an open connection: open requests are abandoned once, requests that have ended
+// keep their final state, and other connections are not affected.
 func TestEveryEnd(t *testing.T) {
-	for _, end := range stream.CloseReasons() {
-		if end.Outcome() == rules.ConnectFailed { // nothing was ever open on it
+	for _, reason := range stream.CloseReasons() {
+		if reason.Outcome() == rules.ConnectFailed { // never opened, so it had no requests
 			continue
 		}
-		t.Run(end.String(), func(t *testing.T) {
-			b := start(t, nil)
+		t.Run(reason.String(), func(t *testing.T) {
+			b := startServer(t, nil)
 			d, other := b.dial(t), b.dial(t)
 			for i := range 3 {
-				d.Send("RPC.CALL", fmt.Sprint(i+1), "read", fields, "x")
+				d.Send("RPC.CALL", fmt.Sprint(i+1), "read", safeFields, "x")
 			}
 			d.Send("RPC.CANCEL", "2")
 			standin.Eventually(t, "arrivals", func() bool { a, g := b.sink.counts(); return a == 3 && g == 1 })
@@ -416,24 +420,26 @@
 			if got := d.Receive(); got != "1 ACK  r" {
 				t.Fatalf("%q", got)
 			}
-			for _, c := range b.all() {
+			for _, c := range b.connections() {
 				if c.RemoteAddr().String() == d.LocalAddr().String() {
-					c.Abort(end)
+					c.Abort(reason)
 					c.Abort(stream.PeerReset)
 				}
 			}
 			if got := d.Receive(); got != "EOF" {
 				t.Errorf("%q", got)
 			}
-			standin.Eventually(t, "letting go", func() bool { _, g := b.sink.counts(); return g == 2 })
-			for i, want := range []exchange.FinalState{exchange.EndedServed, exchange.EndedCancelled, exchange.EndedCallerGone} {
+			standin.Eventually(t, "the abandoned request", func() bool { _, g := b.sink.counts(); return g == 2 })
+			for i, want := range []exchange.FinalState{
+				exchange.EndedServed, exchange.EndedCancelled, exchange.EndedCallerGone,
+			} {
 				x := b.sink.arrived[i]
 				if x.FinalState() != want || x.Answer(exchange.Answer{}) {
 					t.Errorf("request %d is %v, want %v", i+1, x.FinalState(), want)
 				}
 			}
-			if b.Traffic.Ended[end].Load() != 1 {
-				t.Errorf("no end by %v", end)
+			if n := b.Traffic.Ended[reason].Load(); n != 1 {
+				t.Errorf("%d connections closed with %v, want 1", n, reason)
 			}
 			other.Send("RPC.HEALTH", "1")
 			if got := other.Receive(); got != "1 GREEN  " {
@@ -443,12 +449,12 @@
 	}
 }
 
-// A dispatcher that closes its side in order may still read; it gets what it is
-// owed, and then the connection ends.
+// A dispatcher that closes its side in order may still read: it gets its pending answers, and then the connection
+// is closed.
 func TestHalfClosedIsStillAnswered(t *testing.T) {
-	b := start(t, nil)
+	b := startServer(t, nil)
 	d := b.dial(t)
-	d.Send("RPC.CALL", "1", "read", fields, "x")
+	d.Send("RPC.CALL", "1", "read", safeFields, "x")
 	d.CloseWrite()
 	standin.Eventually(t, "arrival", func() bool { return b.sink.last() != nil })
 	time.Sleep(20 * time.Millisecond)
@@ -459,15 +465,15 @@
 	if got := d.Receive(); got != "EOF" {
 		t.Errorf("%q", got)
 	}
-	standin.Eventually(t, "end", func() bool { return b.Traffic.Ended[stream.PeerClosed].Load() == 1 })
+	standin.Eventually(t, "the close", func() bool { return b.Traffic.Ended[stream.PeerClosed].Load() == 1 })
 }
 
-// An idle connection is asked to close, and closed if it doesn't; one that
-// carries something is left alone.
-func TestIdle(t *testing.T) {
-	b := start(t, func(s *Server) { s.finWait = 50 * time.Millisecond })
+// FIN is sent on an idle connection, which is closed if its dispatcher does not do so. One with an open request is
+// not affected.
+func TestIdleTimeout(t *testing.T) {
+	b := startServer(t, func(s *Server) { s.finTimeout = 50 * time.Millisecond })
 	d, busy := b.dial(t), b.dial(t)
-	busy.Send("RPC.CALL", "1", "read", fields, "x")
+	busy.Send("RPC.CALL", "1", "read", safeFields, "x")
 	b.SetIdleTimeout(40 * time.Millisecond)
 	if got := d.Receive(); got != "0 FIN" {
 		t.Errorf("%q", got)
@@ -478,20 +484,20 @@
 	if n := b.Traffic.Ended[stream.IdleClosed].Load(); n != 1 {
 		t.Errorf("%d closed as idle", n)
 	}
-	b.SetIdleTimeout(0) // back to the longest
+	b.SetIdleTimeout(0) // back to the maximum
 	b.sink.last().Answer(exchange.Answer{Kind: exchange.Served, Body: []byte("r")})
 	if got := busy.Receive(); got != "1 ACK  r" {
 		t.Errorf("%q", got)
 	}
 }
 
-// A flood of new connections is held to its share, and what comes on open ones is
-// answered at once meanwhile; with the door open the same flood is let in as it comes.
-func TestFloodAtTheDoor(t *testing.T) {
-	flood := func(share float64) (opened int64, slowest time.Duration, held int) {
-		b := start(t, func(s *Server) {
+// A connection storm is limited to its share of CPU time, and requests on open connections are answered at once
+// meanwhile. Without the limiter the same storm opens connections as fast as they come.
+func TestConnectionStorm(t *testing.T) {
+	storm := func(share float64) (opened int64, slowest time.Duration, delayed int) {
+		b := startServer(t, func(s *Server) {
 			if share > 0 {
-				s.door = connlimit.New(0, share)
+				s.limiter = connlimit.New(0, share)
 			}
 		})
 		b.sink.answer = &exchange.Answer{Kind: exchange.Refused}
@@ -499,9 +505,9 @@
 		d.Write(standin.EncodeMessage("RPC.HEALTH", "1", ""))
 		d.Receive()
 		stop := time.Now().Add(400 * time.Millisecond)
-		var calling sync.WaitGroup
+		var dialers sync.WaitGroup
 		for range 4 {
-			calling.Go(func() {
+			dialers.Go(func() {
 				for time.Now().Before(stop) {
 					if c, err := net.DialTimeout("tcp", b.addr, time.Second); err == nil {
 						_ = c.Close()
@@ -510,67 +516,68 @@
 			})
 		}
 		for tag := 2; time.Now().Before(stop); tag++ {
-			began := time.Now()
-			d.Write(standin.EncodeMessage("RPC.CALL", fmt.Sprint(tag), "read", fields))
+			start := time.Now()
+			d.Write(standin.EncodeMessage("RPC.CALL", fmt.Sprint(tag), "read", safeFields))
 			d.Receive()
-			slowest = max(slowest, time.Since(began))
+			slowest = max(slowest, time.Since(start))
 		}
-		calling.Wait()
-		held, _ = b.Delayed()
-		return b.Traffic.Opened.Load(), slowest, held
+		dialers.Wait()
+		delayed, _ = b.Delayed()
+		return b.Traffic.Opened.Load(), slowest, delayed
 	}
-	open, _, _ := flood(0)
-	few, slowest, held := flood(0.002)
-	if held == 0 || few >= open/2 {
-		t.Errorf("%d connections were let in through a narrow door, %d waited; %d without one", few, held, open)
+	unlimited, _, _ := storm(0)
+	limited, slowest, delayed := storm(0.002)
+	if delayed == 0 || limited >= unlimited/2 {
+		t.Errorf("%d connections opened with the limiter, %d of them delayed; %d without", limited, delayed, unlimited)
 	}
 	if slowest > 300*time.Millisecond {
 		t.Errorf("a request on an open connection waited %v", slowest)
 	}
 }
 
-// A process that stood still must not take its own silence for its peers': a
-// message that was half read then, and connections that were idle, stay.
-func TestPauseIsExcused(t *testing.T) {
-	b := start(t, func(s *Server) { s.partialSoft = 10 * time.Second })
+// After the process was frozen, timeouts count anew: neither a connection with a half-read message nor an idle one
+// is closed for time during which the process could not read.
+func TestFrozenProcessRestartsTimers(t *testing.T) {
+	b := startServer(t, func(s *Server) { s.partialIdleLimit = 10 * time.Second })
 	d := b.dial(t)
 	half := standin.EncodeMessage("RPC.HEALTH", "1", "")
 	d.Write(half[:9])
 	var c *client
 	standin.Eventually(t, "half a message", func() bool {
-		list := b.all()
+		list := b.connections()
 		if len(list) == 1 {
 			c = list[0]
 		}
-		return c != nil && c.Partial(time.Now()) > 0
+		return c != nil && c.PartialAge(time.Now()) > 0
 	})
 	later := time.Now().Add(time.Minute)
-	b.excuse(later)
+	b.restartTimers(later)
 	b.sweepOnce(later)
 	if c.CloseReason() != stream.StillOpen {
-		t.Fatalf("ended by %v", c.CloseReason())
+		t.Fatalf("closed with %v", c.CloseReason())
 	}
 	d.Write(half[9:])
 	if got := d.Receive(); got != "1 GREEN  " {
 		t.Errorf("%q", got)
 	}
-	standin.Eventually(t, "the answer is off", func() bool { return c.Unsent() == 0 }) // heard is before noted as sent
-	b.sweepOnce(later.Add(time.Minute))                                                // idle for a minute that was not excused
+	// The peer can receive an answer before the writer has recorded it as sent.
+	standin.Eventually(t, "the answer is sent", func() bool { return c.Unsent() == 0 })
+	b.sweepOnce(later.Add(time.Minute)) // idle for a minute in which the process was not frozen
 	if got := d.Receive(); got != "0 FIN" {
 		t.Errorf("%q", got)
 	}
 }
 
-// Leaving: every connection is told once, answers still go out, and closing the
-// listener ends none of them (redcon would close all it knows).
-func TestLeaving(t *testing.T) {
-	b := start(t, nil)
+// Draining: FIN is sent once on every connection, answers are still sent, and closing the listener closes no
+// connection (redcon by itself would close all of them).
+func TestSendFinAndStopListening(t *testing.T) {
+	b := startServer(t, nil)
 	d := b.dial(t)
-	d.Send("RPC.CALL", "1", "read", fields, "x")
+	d.Send("RPC.CALL", "1", "read", safeFields, "x")
 	standin.Eventually(t, "arrival", func() bool { return b.sink.last() != nil })
 	b.StopListening()
-	b.Fin()
-	b.Fin()
+	b.SendFin()
+	b.SendFin()
 	if got := d.Receive(); got != "0 FIN" {
 		t.Errorf("%q", got)
 	}
@@ -580,24 +587,24 @@
 		t.Errorf("%q", got)
 	}
 	standin.Eventually(t, "flush", b.Flushed)
-	<-b.stopped
-	if err := b.listen.(*net.TCPListener).SetDeadline(time.Now()); !errors.Is(err, net.ErrClosed) {
+	<-b.acceptingDone
+	if err := b.baseListener.(*net.TCPListener).SetDeadline(time.Now()); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("still listening: %v", err)
 	}
 }
 
-// At its bound of connections the node closes the one idle for longest, so that
-// requests on a connection which only the machine has accepted get read; busy
-// ones stay, and a new one then waits.
+// At MaxConns the node closes the connection that has been idle for longest, so that requests on connections in
+// the kernel's accept queue get read. Connections with open requests stay; if there are no others, a new
+// connection waits.
 func TestRoomForConnections(t *testing.T) {
-	b := start(t, func(s *Server) { s.cfg.MaxConns = 2 })
+	b := startServer(t, func(s *Server) { s.cfg.MaxConns = 2 })
 	busy, idle := b.dial(t), b.dial(t)
-	busy.Send("RPC.CALL", "1", "read", fields, "x")
+	busy.Send("RPC.CALL", "1", "read", safeFields, "x")
 	standin.Eventually(t, "arrival", func() bool { return b.sink.last() != nil && b.Conns() == 2 })
 	third := b.dial(t)
-	third.Send("RPC.CALL", "1", "read", fields, "x")
+	third.Send("RPC.CALL", "1", "read", safeFields, "x")
 	if got := idle.Receive(); got != "EOF" {
-		t.Errorf("the idle one hears %q", got)
+		t.Errorf("the idle connection received %q", got)
 	}
 	standin.Eventually(t, "second arrival", func() bool { a, _ := b.sink.counts(); return a == 2 })
 	fourth := b.dial(t)
@@ -616,52 +623,53 @@
 	b.sink.arrived[1].Answer(exchange.Answer{Kind: exchange.Failed})
 }
 
-// starved is a listener that has no descriptor at first.
-type starved struct {
+// noDescriptorListener is a listener whose first Accepts fail for lack of file descriptors.
+type noDescriptorListener struct {
 	net.Listener
-	left int
+	failures int
 }
 
-func (l *starved) Accept() (net.Conn, error) {
-	if l.left > 0 {
-		l.left--
+func (l *noDescriptorListener) Accept() (net.Conn, error) {
+	if l.failures > 0 {
+		l.failures--
 		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
 	}
 	return l.Listener.Accept()
 }
 
-// Without a descriptor the node waits a moment before it accepts again: redcon
-// would try at once and take the whole core, and to give up would end the node.
+// When accept fails for lack of file descriptors, the node waits a moment before it retries. redcon would retry at
+// once and use a whole core, and returning the error would stop the node.
 func TestNoDescriptors(t *testing.T) {
-	b := start(t, nil)
+	b := startServer(t, nil)
 	ln := standin.Listen(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	l := &listener{Listener: &starved{ln, 3}, s: b.Server, ctx: ctx}
+	l := &listener{Listener: &noDescriptorListener{ln, 3}, server: b.Server, ctx: ctx}
 	c, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	began := time.Now()
+	start := time.Now()
 	got, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d := time.Since(began); d < 3*acceptPause || b.Counters.Accepts.Load() != 3 {
-		t.Errorf("accepted after %v and %d failures", d, b.Counters.Accepts.Load())
+	if d := time.Since(start); d < 3*acceptRetryDelay || b.Counters.AcceptFailures.Load() != 3 {
+		t.Errorf("accepted after %v and %d failures", d, b.Counters.AcceptFailures.Load())
 	}
 	got.(*client).Abort(stream.ClosedLocally)
 	cancel()
-	if _, err := (&listener{Listener: &starved{ln, 9}, s: b.Server, ctx: ctx}).Accept(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("after the end: %v", err)
+	l = &listener{Listener: &noDescriptorListener{ln, 9}, server: b.Server, ctx: ctx}
+	if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
+		t.Errorf("after cancelling the context: %v", err)
 	}
 }
 
-// Connections are many and the memory small: what one costs while it is quiet,
-// goroutines, rings and redcon's buffers together, has a bound.
-func TestQuietConnectionsAreSmall(t *testing.T) {
-	b := start(t, nil)
+// The memory of an idle connection, with its goroutines, rings and redcon's buffers, is bounded: there are many
+// connections and little memory.
+func TestIdleConnectionMemory(t *testing.T) {
+	b := startServer(t, nil)
 	memory := func() uint64 {
 		runtime.GC()
 		var m runtime.MemStats
@@ -672,7 +680,7 @@
 	const conns = 200
 	for i := range conns {
 		d := b.dial(t)
-		d.Send("RPC.CALL", "1", "read", fields, strings.Repeat("x", 2000))
+		d.Send("RPC.CALL", "1", "read", safeFields, strings.Repeat("x", 2000))
 		standin.Eventually(t, "arrival", func() bool { a, _ := b.sink.counts(); return a == i+1 })
 		b.sink.last().Answer(exchange.Answer{Kind: exchange.Served, Body: make([]byte, 4096)})
 		d.Receive()
@@ -681,37 +689,37 @@
 	b.sink.arrived = nil
 	b.sink.mu.Unlock()
 	if each := int64(memory()-before) / conns; each > 64<<10 {
-		t.Errorf("%d bytes a connection", each)
+		t.Errorf("%d bytes for each connection", each)
 	} else {
-		t.Logf("%d bytes a connection, the test's own side included", each)
+		t.Logf("%d bytes for each connection, including the test's client", each)
 	}
 }
 
-// While connections are short, half a message holds no place for long, and what
-// has something open keeps its own.
-func TestHalfMessagesMakeRoom(t *testing.T) {
-	b := start(t, func(s *Server) { s.cfg.MaxConns = 2 })
+// While no connection slot is free, a connection with an incomplete message is closed after partialCloseAfter, and
+// one with an open request stays.
+func TestPartialMessageFreesSlot(t *testing.T) {
+	b := startServer(t, func(s *Server) { s.cfg.MaxConns = 2 })
 	busy, half := b.dial(t), b.dial(t)
-	busy.Send("RPC.CALL", "1", "read", fields, "x")
+	busy.Send("RPC.CALL", "1", "read", safeFields, "x")
 	half.Write([]byte("*2\r\n$10\r\nRPC"))
-	standin.Eventually(t, "both", func() bool {
-		for _, c := range b.all() {
-			if c.Partial(time.Now()) > 0 {
+	standin.Eventually(t, "a request and half a message", func() bool {
+		for _, c := range b.connections() {
+			if c.PartialAge(time.Now()) > 0 {
 				return b.sink.last() != nil
 			}
 		}
 		return false
 	})
-	if b.makeRoom() {
-		t.Error("half a message was given no time")
+	if b.freeConnectionSlot() {
+		t.Error("closed the connection with half a message at once")
 	}
-	for _, c := range b.all() {
+	for _, c := range b.connections() {
 		c.mu.Lock()
-		c.used = c.used.Add(-2 * roomPartial)
+		c.lastUsed = c.lastUsed.Add(-2 * partialCloseAfter)
 		c.mu.Unlock()
 	}
-	if !b.makeRoom() || b.makeRoom() {
-		t.Error("not one connection was closed")
+	if !b.freeConnectionSlot() || b.freeConnectionSlot() {
+		t.Error("did not close exactly one connection")
 	}
 	if got := half.Receive(); got != "EOF" {
 		t.Errorf("%q", got)
@@ -722,11 +730,11 @@
 	}
 }
 
-// Strangers connect by the hundred and say nothing, or nothing whole: each is
-// closed soon, while a dispatcher that has spoken keeps its connection. Without
-// the limit they would hold every descriptor for the longest idle limit.
-func TestSilentStrangersAreClosed(t *testing.T) {
-	b := start(t, func(s *Server) { s.first = 150 * time.Millisecond })
+// Connections on which no whole message arrives are closed soon, while one with a valid message stays. Without
+// firstMessageLimit, hundreds of clients that are not dispatchers would occupy all descriptors for the maximum
+// idle timeout.
+func TestFirstMessageLimit(t *testing.T) {
+	b := startServer(t, func(s *Server) { s.firstMessageLimit = 150 * time.Millisecond })
 	d, silent, half := b.dial(t), b.dial(t), b.dial(t)
 	d.Send("RPC.HEALTH", "1", "")
 	if got := d.Receive(); got != "1 GREEN  " {
@@ -745,17 +753,17 @@
 	}
 }
 
-// A full table makes room by a connection that never spoke, however long one
-// that did has been idle: it may be a dispatcher's, and costs a new one.
-func TestStrangersMakeRoomFirst(t *testing.T) {
-	b := start(t, func(s *Server) { s.cfg.MaxConns = 2 })
+// To free a slot, a connection without any valid message is closed first, however long others have been idle:
+// those may be dispatchers', which would have to connect again.
+func TestConnectionWithoutMessageIsClosedFirst(t *testing.T) {
+	b := startServer(t, func(s *Server) { s.cfg.MaxConns = 2 })
 	d := b.dial(t)
 	d.Send("RPC.HEALTH", "1", "")
 	d.Receive()
 	silent := b.dial(t)
-	standin.Eventually(t, "both", func() bool { return b.Conns() == 2 })
-	if !b.makeRoom() {
-		t.Error("no room")
+	standin.Eventually(t, "both connections", func() bool { return b.Conns() == 2 })
+	if !b.freeConnectionSlot() {
+		t.Error("no connection was closed")
 	}
 	if got := silent.Receive(); got != "EOF" {
 		t.Errorf("%q", got)
@@ -766,21 +774,22 @@
 	}
 }
 
-// Any fields at all are either understood within their bounds or turned down.
+// Any input is either parsed into values within their bounds or rejected.
 func FuzzCall(f *testing.F) {
-	f.Add("read", fields, "x")
-	f.Add("pay", keyed, "")
+	f.Add("read", safeFields, "x")
+	f.Add("pay", keyedFields, "")
 	f.Add("read", "txn=,door=1e999,limit=-0,ram=NaN", "x")
-	l := newLanes(rules.Settings{Classes: []rules.Class{{}, {Effect: rules.Keyed}}, Tenants: []rules.Tenant{{}}},
+	l := newRequestParser(rules.Settings{Classes: []rules.Class{{}, {Effect: rules.Keyed}}, Tenants: []rules.Tenant{{}}},
 		settings.Names{Classes: []string{"read", "pay"}, Tenants: []string{"acme"}})
 	f.Fuzz(func(t *testing.T, class, fields, body string) {
 		c, err := l.parseCall([]byte(class), []byte(fields), []byte(body))
 		if err != nil {
 			return
 		}
-		if len(c.Txn) != 16 || c.ArrivedUnixMs < 0 || c.TimeoutMs < 0 || c.HintMs < 0 || !(c.MemoryKB > 0 && c.MemoryKB < 2000) ||
-			!(c.Rank >= 0 && c.Rank < 1) || len(c.Body) > 2048 || string(c.Body) != body || c.ClassName != class {
-			t.Fatalf("taken: %+v", c)
+		if len(c.Txn) != 16 || c.ArrivedUnixMs < 0 || c.TimeoutMs < 0 || c.HintMs < 0 ||
+			!(c.MemoryKB > 0 && c.MemoryKB < 2000) || !(c.Rank >= 0 && c.Rank < 1) ||
+			len(c.Body) > 2048 || string(c.Body) != body || c.ClassName != class {
+			t.Fatalf("accepted: %+v", c)
 		}
 	})
 }
--- a/internal/stream/frame.go
+++ b/internal/stream/frame.go
@@ -1,32 +1,29 @@
-// This file owns framing: where messages end, and which bytes are none. It must
-// never keep bytes, nor let through what a parser behind it would choke on.
-
 package stream
 
 import "bytes"
 
-// Framer finds where messages end, so that only whole ones are handed on. It
-// sees every byte once, in order.
+// Framer finds where messages end, so that only whole ones are passed on. It gets every byte once, in order,
+// and keeps none.
 type Framer interface {
-	// Scan takes the next bytes. It returns how many of them, from the first,
-	// belong to messages that are now whole (0 if none became whole), and the
-	// End that broken bytes after those deserve, else StillOpen.
-	Scan(p []byte) (whole int, end CloseReason)
+	// Scan takes the next bytes. It returns how many of them, from the first, belong to messages that are
+	// now whole (0 if none became whole). The reason is BadFraming or TooLong if the bytes after those are
+	// not a valid message, else StillOpen.
+	Scan(p []byte) (whole int, reason CloseReason)
 }
 
-// Bytes frames nothing: every byte is handed on as it comes.
+// Bytes does no framing: every byte is passed on as it comes.
 type Bytes struct{}
 
-// Scan takes all.
+// Scan accepts all bytes.
 func (Bytes) Scan(p []byte) (int, CloseReason) { return len(p), StillOpen }
 
-// Lines frames messages that end in a line feed.
+// Lines frames messages that end in a line feed and are at most Longest bytes without it.
 type Lines struct {
-	Longest int
-	open    int // bytes of the line that is not whole yet
+	Longest   int
+	openBytes int // bytes of the incomplete line
 }
 
-// Scan looks for the last line feed and bounds every line.
+// Scan finds the last line feed and checks the length of every line.
 func (l *Lines) Scan(p []byte) (int, CloseReason) {
 	whole := 0
 	for {
@@ -34,37 +31,37 @@
 		if i < 0 {
 			break
 		}
-		if l.open+i > l.Longest {
+		if l.openBytes+i > l.Longest {
 			return whole, TooLong
 		}
 		whole += i + 1
-		l.open = 0
+		l.openBytes = 0
 	}
-	l.open += len(p) - whole
-	if l.open > l.Longest {
+	l.openBytes += len(p) - whole
+	if l.openBytes > l.Longest {
 		return whole, TooLong
 	}
 	return whole, StillOpen
 }
 
-// The bounds of a RESP message. They are far above what the protocol allows, so
-// that a request that is only too big is still answered.
+// The bounds of a RESP message: array elements, bytes of an element, bytes of a message. They are far above
+// what the protocol allows, so that a request that is merely too big is still answered.
 const (
-	respParts   = 16
-	respPart    = 8 << 10
-	respMessage = 12 << 10
+	maxRESPParts        = 16
+	maxRESPPartBytes    = 8 << 10
+	maxRESPMessageBytes = 12 << 10
 )
 
-// RESP frames arrays of bulk strings and lets nothing else through. Its bounds
-// guard the command reader behind it, which would take inline commands, keep a
-// bulk of any size, and count to any array length.
+// RESP frames arrays of bulk strings, the form of requests in the Redis protocol, and rejects everything else.
+// Its bounds protect redcon's command reader, which would accept inline commands, buffer a bulk string of any
+// size and accept any array length.
 type RESP struct {
-	state  respState
-	number int // of the header at hand
-	digits int
-	parts  int // still to come
-	skip   int // bytes of the bulk and its line end still to come
-	size   int // of the message so far
+	state        respState
+	number       int // value of the current header
+	digits       int
+	partsLeft    int // still to come
+	skipBytes    int // bytes of the bulk string still to come
+	messageBytes int // bytes of the message so far
 }
 
 type respState uint8
@@ -74,17 +71,17 @@
 	respNumber                    // in a header's digits
 	respLineFeed                  // at a header's '\n'
 	respDollar                    // at a '$'
-	respBulk                      // inside a bulk
-	respBulkCR                    // at the '\r' after a bulk
-	respBulkLF                    // at the '\n' after a bulk
+	respBulk                      // inside a bulk string
+	respBulkCR                    // at the '\r' after a bulk string
+	respBulkLF                    // at the '\n' after a bulk string
 )
 
-// Scan follows the framing byte by byte, except inside bulks.
+// Scan parses the framing byte by byte, and skips over the content of bulk strings.
 func (f *RESP) Scan(p []byte) (int, CloseReason) {
 	whole := 0
 	for i := 0; i < len(p); i++ {
 		c := p[i]
-		if f.size++; f.size > respMessage {
+		if f.messageBytes++; f.messageBytes > maxRESPMessageBytes {
 			return whole, TooLong
 		}
 		switch f.state {
@@ -97,7 +94,7 @@
 				return whole, BadFraming
 			}
 			if f.state == respStart {
-				f.parts = -1
+				f.partsLeft = -1
 			}
 			f.number, f.digits, f.state = 0, 0, respNumber
 		case respNumber:
@@ -116,32 +113,32 @@
 			if c != '\n' {
 				return whole, BadFraming
 			}
-			if f.parts < 0 { // that was the array's header
+			if f.partsLeft < 0 { // that was the array header
 				if f.number == 0 {
 					return whole, BadFraming
 				}
-				if f.number > respParts {
+				if f.number > maxRESPParts {
 					return whole, TooLong
 				}
-				f.parts, f.state = f.number, respDollar
+				f.partsLeft, f.state = f.number, respDollar
 				continue
 			}
-			if f.number > respPart {
+			if f.number > maxRESPPartBytes {
 				return whole, TooLong
 			}
-			f.skip, f.state = f.number, respBulk
-			if f.skip == 0 {
+			f.skipBytes, f.state = f.number, respBulk
+			if f.skipBytes == 0 {
 				f.state = respBulkCR
 			}
 		case respBulk:
-			n := min(f.skip, len(p)-i)
-			f.skip -= n
-			f.size += n - 1
+			n := min(f.skipBytes, len(p)-i)
+			f.skipBytes -= n
+			f.messageBytes += n - 1
 			i += n - 1
-			if f.size > respMessage {
+			if f.messageBytes > maxRESPMessageBytes {
 				return whole, TooLong
 			}
-			if f.skip == 0 {
+			if f.skipBytes == 0 {
 				f.state = respBulkCR
 			}
 		case respBulkCR:
@@ -153,11 +150,11 @@
 			if c != '\n' {
 				return whole, BadFraming
 			}
-			if f.parts--; f.parts > 0 {
+			if f.partsLeft--; f.partsLeft > 0 {
 				f.state = respDollar
 				continue
 			}
-			f.state, f.size, whole = respStart, 0, i+1
+			f.state, f.messageBytes, whole = respStart, 0, i+1
 		}
 	}
 	return whole, StillOpen
