--- a/decide/backoff/backoff.go
+++ b/decide/backoff/backoff.go
@@ -1,11 +1,13 @@
-// Package backoff decides when one of the program's own repeats may be made: a
-// reconnect, or a report that failed. All of a fleet lose the same peer at the same
-// moment, so that each waits a random time of its own, and none makes more than a
-// budget over a window allows. It must never do I/O, read a clock or log.
+// Package backoff decides when a failed connection attempt or a failed report of this
+// program may be repeated. All nodes of a fleet lose the same peer at the same moment, so
+// each node waits a random time, and a budget limits the attempts in any time window.
 //
-// Invariants, held by TestProperties: a wait lies between the floor and the most;
-// in any window no more repeats are made than the budget, whatever fails how often
-// and whoever wants to be quick.
+// The caller passes the current time and a random source in; the package does no I/O,
+// reads no clock and writes no log. A Backoff is not safe for concurrent use.
+//
+// TestProperties checks the invariants: a wait lies between Settings.MinWait and
+// Settings.MaxSpan, or lasts until the budget allows an attempt, and no window holds more
+// attempts than the budget, however often attempts fail.
 package backoff
 
 import (
@@ -13,73 +15,74 @@
 	"time"
 )
 
-// steady is the least wait over the most once waits have grown to it: who comes back
-// at a random moment between even waits is spread over all of one, while full jitter
-// would bring half of them back in its first third.
-const steady = 0.75
+// maxSpanJitterFloor is the least wait as a share of MaxSpan once the span has grown to it.
+// Clients that return at a random moment of nearly even waits are spread over a whole wait,
+// while full jitter would bring half of them back in its first third.
+const maxSpanJitterFloor = 0.75
 
-// Settings are one link's. All times are above 0.
+// Settings are the settings of one connection. All times are above 0.
 type Settings struct {
-	MinWait     time.Duration // the least wait after a failure
-	InitialSpan time.Duration // the span of the first wait; it doubles with each failure
-	MaxSpan     time.Duration // the most that the span grows to
-	Window      time.Duration // the budget is for so long
-	Budget      int           // tries in a window
+	MinWait     time.Duration // least wait after a failure
+	InitialSpan time.Duration // jitter span of the first wait; it doubles with each failure
+	MaxSpan     time.Duration // upper limit of the jitter span
+	Window      time.Duration // length of the sliding window that Budget applies to
+	Budget      int           // attempts in a window; 0 or less means no limit
 }
 
-// Backoff is one link's. It belongs to one goroutine.
+// Backoff is the retry state of one connection. It belongs to one goroutine.
 type Backoff struct {
-	set            Settings
-	rnd            *rand.Rand
+	settings       Settings
+	random         *rand.Rand
 	span           time.Duration
-	made           []time.Duration // the last tries, Budget of them at most
-	BudgetExceeded int             // times that the budget made a try wait
+	attempts       []time.Duration // start times of the latest attempts, at most Budget of them
+	BudgetExceeded int             // number of attempts that the budget delayed
 }
 
-// New returns a link's backoff; rnd must differ from node to node.
-func New(set Settings, rnd *rand.Rand) *Backoff {
-	return &Backoff{set: set, rnd: rnd, span: set.InitialSpan, made: make([]time.Duration, 0, max(set.Budget, 1))}
+// New returns the backoff of one connection; random must be seeded differently on each node.
+func New(settings Settings, random *rand.Rand) *Backoff {
+	return &Backoff{settings: settings, random: random, span: settings.InitialSpan, attempts: make([]time.Duration, 0, max(settings.Budget, 1))}
 }
 
-// Failed takes a failure and returns how long to wait before the next try: full
-// jitter, from the floor to the span, which doubles; once it is the most, the upper
-// part of it only. Where the budget is spent it
-// is until the oldest try leaves the window.
+// Failed records a failure and returns how long to wait before the next attempt: full
+// jitter between MinWait and the span, which doubles each time up to MaxSpan; from then on
+// only the upper part of the span. Where the budget is used up, the wait lasts until the
+// oldest attempt leaves the window.
 func (b *Backoff) Failed(now time.Duration) time.Duration {
-	wait := b.set.MinWait
-	if b.span >= b.set.MaxSpan { // phases are random by now, and even waits keep them spread evenly
-		wait = max(wait, time.Duration(steady*float64(b.set.MaxSpan)))
+	wait := b.settings.MinWait
+	if b.span >= b.settings.MaxSpan { // phases are random by now, and nearly even waits keep them spread
+		wait = max(wait, time.Duration(maxSpanJitterFloor*float64(b.settings.MaxSpan)))
 	}
 	if over := b.span - wait; over > 0 {
-		wait += time.Duration(b.rnd.Int64N(int64(over) + 1))
+		wait += time.Duration(b.random.Int64N(int64(over) + 1))
 	}
-	b.span = min(2*b.span, b.set.MaxSpan)
-	if free := b.free(now + wait); free > now+wait {
+	b.span = min(2*b.span, b.settings.MaxSpan)
+	if allowed := b.allowedAt(now + wait); allowed > now+wait {
 		b.BudgetExceeded++
-		wait = free - now
+		wait = allowed - now
 	}
 	return wait
 }
 
-// Well takes a success: the next failure waits as the first did.
-func (b *Backoff) Succeeded() { b.span = b.set.InitialSpan }
+// Succeeded records a success: the span starts again at InitialSpan. The attempts made so
+// far still count against the budget.
+func (b *Backoff) Succeeded() { b.span = b.settings.InitialSpan }
 
-// Trying takes the word that a try is made now.
+// TryStarted records that an attempt starts now; it counts against the budget.
 func (b *Backoff) TryStarted(now time.Duration) {
-	if b.set.Budget <= 0 {
+	if b.settings.Budget <= 0 {
 		return
 	}
-	if len(b.made) == b.set.Budget {
-		copy(b.made, b.made[1:])
-		b.made = b.made[:len(b.made)-1]
+	if len(b.attempts) == b.settings.Budget {
+		copy(b.attempts, b.attempts[1:])
+		b.attempts = b.attempts[:len(b.attempts)-1]
 	}
-	b.made = append(b.made, now)
+	b.attempts = append(b.attempts, now)
 }
 
-// free is when the budget allows a try, at or after the time given.
-func (b *Backoff) free(at time.Duration) time.Duration {
-	if b.set.Budget <= 0 || len(b.made) < b.set.Budget {
-		return at
+// allowedAt returns the first time, not before earliest, at which the budget allows an attempt.
+func (b *Backoff) allowedAt(earliest time.Duration) time.Duration {
+	if b.settings.Budget <= 0 || len(b.attempts) < b.settings.Budget {
+		return earliest
 	}
-	return max(at, b.made[0]+b.set.Window)
+	return max(earliest, b.attempts[0]+b.settings.Window)
 }
--- a/decide/backoff/backoff_test.go
+++ b/decide/backoff/backoff_test.go
@@ -9,90 +9,90 @@
 	"pgregory.net/rapid"
 )
 
-var usual = Settings{MinWait: 50 * time.Millisecond, InitialSpan: 100 * time.Millisecond, MaxSpan: 2800 * time.Millisecond, Window: 10 * time.Second, Budget: 16}
+var testSettings = Settings{MinWait: 50 * time.Millisecond, InitialSpan: 100 * time.Millisecond, MaxSpan: 2800 * time.Millisecond, Window: 10 * time.Second, Budget: 16}
 
-// 24 links that lose their peer for 10 s at one moment come back spread over at
-// least 2 s, and make fewer tries than a fixed pace that doubles to 700 ms did: the
-// median of fifty fleets, and hardly less in any.
+// 24 connections that lose their peer for 10 s at the same moment reconnect spread over at
+// least 2 s, with fewer attempts than exponential backoff without jitter (50 ms doubled up to
+// 700 ms) makes. The 2 s hold for the median of 50 fleets; every fleet spreads over at least 1.6 s.
 func TestFleetReturnsSpread(t *testing.T) {
-	const down = 10 * time.Second
-	before := 0
-	wait := 50 * time.Millisecond // as it was: 50 ms, doubled to 700 ms, the same for all
-	for now := time.Duration(0); now < down; now += wait {
-		before += 24
+	const outage = 10 * time.Second
+	withoutJitter := 0
+	wait := 50 * time.Millisecond // without jitter: doubled up to 700 ms, the same for all
+	for now := time.Duration(0); now < outage; now += wait {
+		withoutJitter += 24
 		wait = min(2*wait, 700*time.Millisecond)
 	}
-	var spreads []time.Duration
-	tries, last := 0, time.Duration(0)
+	var spans []time.Duration
+	attempts, last := 0, time.Duration(0)
 	for fleet := range uint64(50) {
-		var back []time.Duration
+		var reconnected []time.Duration
 		for n := range uint64(24) {
-			b := New(usual, rand.New(rand.NewPCG(n, fleet)))
+			b := New(testSettings, rand.New(rand.NewPCG(n, fleet)))
 			for now := b.Failed(0); ; now += b.Failed(now) {
 				b.TryStarted(now)
-				tries++
-				if now >= down {
-					back = append(back, now)
+				attempts++
+				if now >= outage {
+					reconnected = append(reconnected, now)
 					break
 				}
 			}
 		}
-		slices.Sort(back)
-		spreads = append(spreads, back[23]-back[0])
-		last = max(last, back[23]-down)
+		slices.Sort(reconnected)
+		spans = append(spans, reconnected[23]-reconnected[0])
+		last = max(last, reconnected[23]-outage)
 	}
-	slices.Sort(spreads)
-	if spreads[25] < 2*time.Second || spreads[0] < 1600*time.Millisecond {
-		t.Errorf("they return within %v at the median, %v at the least", spreads[25], spreads[0])
+	slices.Sort(spans)
+	if spans[25] < 2*time.Second || spans[0] < 1600*time.Millisecond {
+		t.Errorf("reconnects are spread over %v at the median, %v at the least", spans[25], spans[0])
 	}
-	if tries/50 > before*7/10 {
-		t.Errorf("%d tries, %d before", tries/50, before)
+	if attempts/50 > withoutJitter*7/10 {
+		t.Errorf("%d attempts, %d without jitter", attempts/50, withoutJitter)
 	}
 	if last > 2900*time.Millisecond {
-		t.Errorf("the last one is back %v after the end: a service drops whom it has not heard for 3 s", last)
+		t.Errorf("the last connection returned %v after the outage; a control service removes nodes that sent no report for 3 s", last)
 	}
-	t.Logf("%d tries instead of %d, within %v (median of fifty fleets, least %v), the last %v after the end", tries/50, before, spreads[25], spreads[0], last)
+	t.Logf("%d attempts instead of %d, spread over %v (median of 50 fleets, least %v), the last %v after the outage", attempts/50, withoutJitter, spans[25], spans[0], last)
 }
 
-// A success forgets how far the waits had grown, but not what the budget has spent.
-func TestWellForgets(t *testing.T) {
-	b := New(usual, rand.New(rand.NewPCG(1, 1)))
+// A success resets the span of the waits, but not the attempts counted against the budget.
+func TestSuccessResetsSpanNotBudget(t *testing.T) {
+	b := New(testSettings, rand.New(rand.NewPCG(1, 1)))
 	for range 10 {
 		b.Failed(0)
 	}
 	b.Succeeded()
-	if w := b.Failed(0); w > usual.InitialSpan {
-		t.Errorf("after a success the first wait is %v", w)
+	if wait := b.Failed(0); wait > testSettings.InitialSpan {
+		t.Errorf("first wait after a success: %v", wait)
 	}
-	for range usual.Budget {
+	for range testSettings.Budget {
 		b.TryStarted(0)
 	}
 	b.Succeeded()
-	if w := b.Failed(time.Second); w != 9*time.Second || b.BudgetExceeded != 1 {
-		t.Errorf("with the budget spent it waits %v", w)
+	if wait := b.Failed(time.Second); wait != 9*time.Second || b.BudgetExceeded != 1 {
+		t.Errorf("with the budget used up the wait is %v", wait)
 	}
 }
 
-// The invariants of the package.
+// The invariants in the package comment hold for any sequence of failures and successes.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := New(usual, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)))
+		b := New(testSettings, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)))
 		now := time.Duration(0)
-		var made []time.Duration
+		var attempts []time.Duration
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
-			var w time.Duration
-			if rapid.Bool().Draw(t, "well") {
+			var wait time.Duration
+			if rapid.Bool().Draw(t, "success") {
 				b.Succeeded()
 			}
-			w = b.Failed(now)
-			if w < usual.MinWait || w > max(usual.MaxSpan, usual.Window) {
-				t.Fatalf("waits %v", w)
+			wait = b.Failed(now)
+			if wait < testSettings.MinWait || wait > max(testSettings.MaxSpan, testSettings.Window) {
+				t.Fatalf("wait %v", wait)
 			}
-			now += w
+			now += wait
 			b.TryStarted(now)
-			made = append(made, now)
-			if n := len(made); n > usual.Budget && made[n-1]-made[n-1-usual.Budget] < usual.Window {
-				t.Fatalf("%d tries in %v", usual.Budget+1, made[n-1]-made[n-1-usual.Budget])
+			attempts = append(attempts, now)
+			if n := len(attempts); n > testSettings.Budget && attempts[n-1]-attempts[n-1-testSettings.Budget] < testSettings.Window {
+				t.Fatalf("%d attempts in %v", testSettings.Budget+1, attempts[n-1]-attempts[n-1-testSettings.Budget])
 			}
 		}
 	})
--- a/decide/connlimit/connlimit.go
+++ b/decide/connlimit/connlimit.go
@@ -1,75 +1,78 @@
-// Package door decides how fast a node takes what is no request: new connections and
-// health checks. When all dispatchers restart, or probe ten times as often, these
-// would take the core from the requests in hand; they are held to a share of it, in
-// the order in which they come, and none is turned away. It must never do I/O, read a
-// clock or log, and never hold a request on a connection that is open.
+// Package connlimit paces new connections and health checks. When all dispatchers restart
+// at once, or check health ten times as often as usual, handshakes and health checks would
+// take the processor from the requests in progress. Package connlimit limits them to a share
+// of one core: events are delayed in the order in which they come, and none is refused.
+// Requests on open connections are not delayed.
 //
-// Invariant, held by TestShare: in any span of time no more is let in than the share
-// of that span, what may be saved up, and one event more.
+// The caller passes the current time in; the package does no I/O, reads no clock and writes
+// no log. A Limiter is a token bucket and needs one goroutine at a time.
+//
+// TestShare checks the invariant: in any span of time, the admitted events cost no more
+// than the share of that span, the saved budget and one event more.
 package connlimit
 
 import "time"
 
-// Kind is what comes.
+// Kind is a kind of event that the limiter paces.
 type Kind uint8
 
-// The kinds.
+// Kinds of events.
 const (
-	Connect     Kind = iota // a connection is opened, with all that it takes until it is closed
-	HealthCheck             // a health check is answered
-	kinds
+	Connect     Kind = iota // a new connection: accept, handshake and the later close
+	HealthCheck             // an answered health check
+	numKinds
 )
 
-// Tuned values.
 const (
-	savedFor   = 100 * time.Millisecond // share of so long may be saved up: usual bursts pass as they come
-	costAlpha  = 0.05                   // weight of an event in what its kind costs
-	costLeast  = 5 * time.Microsecond   // less is not believed: the clock is coarse
-	costMost   = 2 * time.Millisecond   // nor is more: the process stood still
-	wholeTimes = 3                      // a connection's or check's whole cost over the part that is seen: its goroutines, its end
+	burstWindow   = 100 * time.Millisecond // the budget of this time can be saved up, so that usual bursts pass undelayed
+	costAlpha     = 0.05                   // weight of one event in the moving average of its kind's cost
+	minCost       = 5 * time.Microsecond   // shorter measurements are below the clock's resolution
+	maxCost       = 2 * time.Millisecond   // longer measurements mean that the process was not scheduled
+	fullCostRatio = 3                      // full cost over the measured part; goroutines and closing are not measured
 )
 
-// first is what an event is taken to cost until some were seen: the part that is seen.
-var first = [kinds]time.Duration{Connect: 25 * time.Microsecond, HealthCheck: 10 * time.Microsecond}
+// initialCost is the assumed measured cost of an event until Charge has averaged in real ones.
+var initialCost = [numKinds]time.Duration{Connect: 25 * time.Microsecond, HealthCheck: 10 * time.Microsecond}
 
-// Door is one node's. It belongs to one goroutine at a time.
+// Limiter paces the events of one node. It may be used by one goroutine at a time.
 type Limiter struct {
-	share float64 // of a core
-	left  float64 // seconds of it that may be used now; below 0 it is owed
-	at    time.Duration
-	cost  [kinds]float64 // seconds, smoothed
+	share   float64 // of one core
+	budget  float64 // seconds of processor time that may be used now; negative while events are delayed
+	updated time.Duration
+	cost    [numKinds]float64 // measured seconds an event, moving average
 
-	Delayed    [kinds]int           // events that had to wait
-	TotalDelay [kinds]time.Duration // and how long, all together
+	Delayed    [numKinds]int           // number of delayed events
+	TotalDelay [numKinds]time.Duration // sum of their delays
 }
 
-// New returns a door that lets take share of a core, above 0.
+// New returns a limiter that allows events a share, above 0, of one core.
 func New(now time.Duration, share float64) *Limiter {
-	d := &Limiter{share: share, at: now, left: share * savedFor.Seconds()}
-	for k := range d.cost {
-		d.cost[k] = first[k].Seconds()
+	l := &Limiter{share: share, updated: now, budget: share * burstWindow.Seconds()}
+	for k := range l.cost {
+		l.cost[k] = initialCost[k].Seconds()
 	}
-	return d
+	return l
 }
 
-// Took takes what an event took of the processor, as far as that was seen.
-func (d *Limiter) Charge(k Kind, seen time.Duration) {
-	x := min(max(seen, costLeast), costMost).Seconds()
-	d.cost[k] += costAlpha * (x - d.cost[k])
+// Charge records the measured processor time of an event of kind k. It updates the average
+// cost that later calls of Delay use.
+func (l *Limiter) Charge(k Kind, measured time.Duration) {
+	x := min(max(measured, minCost), maxCost).Seconds()
+	l.cost[k] += costAlpha * (x - l.cost[k])
 }
 
-// Ask takes an event that came and returns how long it is to wait.
-func (d *Limiter) Delay(now time.Duration, k Kind) time.Duration {
-	if now > d.at {
-		d.left = min(d.left+d.share*(now-d.at).Seconds(), d.share*savedFor.Seconds())
-		d.at = now
+// Delay records an event of kind k that arrives now, and returns how long it must wait.
+func (l *Limiter) Delay(now time.Duration, k Kind) time.Duration {
+	if now > l.updated {
+		l.budget = min(l.budget+l.share*(now-l.updated).Seconds(), l.share*burstWindow.Seconds())
+		l.updated = now
 	}
-	d.left -= wholeTimes * d.cost[k]
-	if d.left >= 0 {
+	l.budget -= fullCostRatio * l.cost[k]
+	if l.budget >= 0 {
 		return 0
 	}
-	wait := time.Duration(-d.left / d.share * float64(time.Second))
-	d.Delayed[k]++
-	d.TotalDelay[k] += wait
+	wait := time.Duration(-l.budget / l.share * float64(time.Second))
+	l.Delayed[k]++
+	l.TotalDelay[k] += wait
 	return wait
 }
--- a/decide/xds/xds.go
+++ b/decide/xds/xds.go
@@ -1,16 +1,18 @@
-// Package xds decides what one proxy's xDS stream is sent next: which resources,
-// under which version and nonce, in which order, and what an acknowledgement, a
-// rejection or a request of a former stream means. It covers both forms of the
-// protocol, state-of-the-world and delta. It knows names and versions only, never
-// a resource's content, and must never do I/O, read a clock or log.
+// Package xds decides what to send next on the xDS stream of one proxy: which resources,
+// with which version and nonce and in which order, and what an ACK, a NACK or a nonce of a
+// former stream means. It implements both variants of the protocol, state-of-the-world and
+// delta (incremental). It handles resource names and versions only, never their content.
 //
-// Invariants, held by TestInvariants: at most one response a type awaits its
-// answer, so that a proxy that never answers costs one; what is sent is always of
-// the latest snapshot; a response carries only what the proxy subscribed to and,
-// in delta, only what it does not have; once a proxy has answered everything, it
-// has exactly what the snapshot holds of its subscription.
+// The package does no I/O, reads no clock and writes no log. A Stream is not safe for
+// concurrent use.
 //
-// Source: the xDS REST and gRPC protocol pages of Envoy's documentation.
+// TestInvariants checks the invariants: at most one response of each type awaits its ACK or
+// NACK, so that a proxy that never answers costs one response; each response is built from
+// the latest snapshot; it holds only resources that the proxy subscribed to and, in delta,
+// only those that it does not have; a proxy that has accepted everything has exactly the
+// part of the snapshot that it subscribed to.
+//
+// Source: "xDS REST and gRPC protocol" in the documentation of Envoy.
 package xds
 
 import (
@@ -19,10 +21,10 @@
 	"strconv"
 )
 
-// Type is a resource type.
+// Type is an xDS resource type.
 type Type uint8
 
-// The types, in the order in which they are sent: make before break.
+// Resource types in the order in which they are sent (make before break).
 const (
 	Clusters Type = iota
 	Endpoints
@@ -31,254 +33,255 @@
 	NumTypes
 )
 
+// String returns the name of the type's discovery service, such as "CDS".
 func (t Type) String() string { return [...]string{"CDS", "EDS", "LDS", "RDS"}[t] }
 
-// Snapshot is what is published of one type: versions by name, each a digest of
-// the resource's content, and one of the whole. They mean the same across a
-// restart of the service.
+// Snapshot holds the published resources of one type. Versions are digests of content, so
+// they keep their meaning when the service restarts.
 type Snapshot struct {
-	Version   string
-	Resources map[string]string
+	Version   string            // of the whole snapshot
+	Resources map[string]string // version of each resource by its name
 }
 
-// Form is the form of the protocol that a stream speaks.
+// Form is the protocol variant that a stream uses.
 type Form uint8
 
-// The forms.
+// Protocol variants.
 const (
 	World Form = iota // state-of-the-world
-	Delta
+	Delta             // incremental
 )
 
-// Request is a message of a proxy.
+// Request is a discovery request from a proxy.
 type Request struct {
 	Type    Type
-	Version string   // World: the last version that was accepted
-	Nonce   string   // of the response that it answers, empty on the first
-	Names   []string // World: what it subscribes to; empty = everything, for CDS and LDS
-	Error   string   // why the response was rejected, empty = accepted
+	Version string   // World: the version accepted last
+	Nonce   string   // nonce of the response that this request answers, empty on the first request
+	Names   []string // World: names subscribed to; empty means all resources for Clusters and Listeners
+	Error   string   // reason of a NACK, empty for an ACK
 
-	Subscribe, Unsubscribe []string          // Delta; "*" = everything
-	Initial                map[string]string // Delta, first of a stream: what the proxy still has
+	Subscribe, Unsubscribe []string          // Delta; "*" means all resources
+	Initial                map[string]string // Delta, first request of a stream: versions of the resources that the proxy has, by name
 }
 
-// Response is what is to be sent. World: all Names; Delta: Names are new or
-// changed, Removed are gone.
+// Response is a discovery response to send.
 type Response struct {
 	Type    Type
 	Version string
 	Nonce   string
-	Names   []string
-	Removed []string
+	Names   []string // World: all resources; Delta: new and changed ones; sorted
+	Removed []string // Delta: names that no longer exist; sorted
 }
 
-// Status is how a type stands with a proxy.
+// Status is the state of one resource type on a stream.
 type Status struct {
 	Subscribed bool
 	Sent       string // version sent last
 	Acked      string // version accepted last
-	Waiting    bool   // a response awaits its answer
+	Waiting    bool   // a response awaits its ACK or NACK
 	Nacks      int
-	LastNack   string // why
+	LastNack   string // reason of the last NACK
 }
 
-// subscription is one type on a stream.
+// subscription is the state of one resource type on a stream.
 type subscription struct {
-	asked    bool
-	all      bool // wildcard
-	names    map[string]bool
-	has      map[string]string // Delta: what the proxy has, or was sent
-	flight   *Response
-	nonce    string // of the last response
-	sent     string
-	acked    string
-	rejected string          // version that was rejected: not sent again
-	force    bool            // World: the subscription changed, answer whatever the version
-	fresh    map[string]bool // Delta: subscribed since the last response: answered even if it is not there
-	bare     bool            // Delta: it came without anything
-	nacks    int
-	lastNack string
+	requested       bool
+	wildcard        bool // all resources
+	names           map[string]bool
+	clientVersions  map[string]string // Delta: versions that the proxy has or was sent; empty = unknown
+	pending         *Response         // awaits its ACK or NACK
+	lastNonce       string
+	sentVersion     string
+	ackedVersion    string
+	rejectedVersion string          // not sent again
+	resend          bool            // World: the subscription changed, respond even if the version did not
+	newNames        map[string]bool // Delta: subscribed since the last response; answered even if absent
+	nothingHeld     bool            // Delta: the first request listed no resources that the proxy has
+	nacks           int
+	lastNack        string
 }
 
-// Bounds of what a proxy can make the service hold.
+// Limits on what one proxy can make the service store.
 const (
-	mostNames  = 4096 // that one stream subscribes to, of a type
-	mostReason = 512  // bytes of a rejection that are kept
+	maxNames     = 4096 // names that one stream subscribes to, per type
+	maxNackBytes = 512  // stored length of a NACK's reason
 )
 
-// Stream is one proxy's stream. It belongs to one goroutine.
+// Stream is the state of one proxy's xDS stream. It belongs to one goroutine.
 type Stream struct {
-	form  Form
-	snap  [NumTypes]Snapshot
-	subs  [NumTypes]subscription
-	count uint64
-	// Salt goes before each nonce, so that none of a former stream is taken for one of this.
-	salt string
+	form          Form
+	snapshots     [NumTypes]Snapshot
+	subscriptions [NumTypes]subscription
+	responses     uint64 // number of responses sent
+	noncePrefix   string // distinguishes the nonces of this stream from those of former ones
 }
 
-// New returns a stream that was sent nothing. salt must differ from stream to stream.
+// New returns a stream on which nothing has been sent. The nonces begin with salt, which
+// must be different for each stream.
 func New(form Form, salt string) *Stream {
-	s := &Stream{form: form, salt: salt}
-	for i := range s.subs {
-		s.subs[i] = subscription{names: map[string]bool{}, has: map[string]string{}, fresh: map[string]bool{}}
+	s := &Stream{form: form, noncePrefix: salt}
+	for i := range s.subscriptions {
+		s.subscriptions[i] = subscription{names: map[string]bool{}, clientVersions: map[string]string{}, newNames: map[string]bool{}}
 	}
 	return s
 }
 
-// Update sets what is published. Only the latest counts.
-func (s *Stream) Update(snap [NumTypes]Snapshot) { s.snap = snap }
+// Update sets the published snapshots. Snapshots that were not sent yet are skipped.
+func (s *Stream) Update(snapshots [NumTypes]Snapshot) { s.snapshots = snapshots }
 
-// Status is how a type stands.
+// Status returns the state of a resource type.
 func (s *Stream) Status(t Type) Status {
-	b := &s.subs[t]
-	return Status{Subscribed: b.asked, Sent: b.sent, Acked: b.acked, Waiting: b.flight != nil, Nacks: b.nacks, LastNack: b.lastNack}
+	sub := &s.subscriptions[t]
+	return Status{Subscribed: sub.requested, Sent: sub.sentVersion, Acked: sub.ackedVersion, Waiting: sub.pending != nil, Nacks: sub.nacks, LastNack: sub.lastNack}
 }
 
-// Request takes a message of the proxy. ok is false if it asks for more than is
-// allowed: the stream is then better ended.
+// Request handles a request from the proxy. It returns false if the request exceeds the
+// limit of names; the caller should then close the stream.
 func (s *Stream) Request(r Request) (ok bool) {
-	b := &s.subs[r.Type]
-	first := !b.asked
-	b.asked = true
-	if r.Nonce != "" && r.Nonce == b.nonce && b.flight != nil {
-		s.answered(b, r)
-	} else if r.Nonce != "" && r.Nonce != b.nonce && !first && s.form == World {
-		return true // it answers what was overtaken: protocol pages, "ACK/NACK and resource type instance version"
+	sub := &s.subscriptions[r.Type]
+	first := !sub.requested
+	sub.requested = true
+	if r.Nonce != "" && r.Nonce == sub.lastNonce && sub.pending != nil {
+		s.handleAnswer(sub, r)
+	} else if r.Nonce != "" && r.Nonce != sub.lastNonce && !first && s.form == World {
+		return true // stale nonce: xDS protocol, "ACK/NACK and resource type instance version"
 	}
 	if s.form == Delta {
-		return s.subscribe(b, r, first)
+		return s.subscribeDelta(sub, r, first)
 	}
-	return s.world(b, r, first)
+	return s.subscribeWorld(sub, r, first)
 }
 
-// answered takes an answer to the response in flight. A rejection keeps what the
-// proxy had: the same is not sent again until it has changed.
-func (s *Stream) answered(b *subscription, r Request) {
-	f := b.flight
-	b.flight = nil
+// handleAnswer handles the ACK or NACK of the pending response. After a NACK the proxy keeps
+// what it had, and the rejected version is not sent again.
+func (s *Stream) handleAnswer(sub *subscription, r Request) {
+	answered := sub.pending
+	sub.pending = nil
 	if r.Error == "" {
-		b.acked = f.Version
+		sub.ackedVersion = answered.Version
 		return
 	}
-	b.nacks++
-	b.lastNack = r.Error[:min(len(r.Error), mostReason)]
-	b.rejected = f.Version
-	if s.form == Delta { // none of it counts: the proxy may have any version of these, or none
-		for _, n := range slices.Concat(f.Names, f.Removed) {
-			b.has[n] = ""
+	sub.nacks++
+	sub.lastNack = r.Error[:min(len(r.Error), maxNackBytes)]
+	sub.rejectedVersion = answered.Version
+	if s.form == Delta { // the proxy may have any version of these resources, or none
+		for _, n := range slices.Concat(answered.Names, answered.Removed) {
+			sub.clientVersions[n] = ""
 		}
 	}
 }
 
-// world takes the subscription of a state-of-the-world request.
-func (s *Stream) world(b *subscription, r Request, first bool) bool {
-	if len(r.Names) > mostNames {
+// subscribeWorld applies the subscription of a state-of-the-world request.
+func (s *Stream) subscribeWorld(sub *subscription, r Request, first bool) bool {
+	if len(r.Names) > maxNames {
 		return false
 	}
-	all := len(r.Names) == 0 && (r.Type == Clusters || r.Type == Listeners)
+	wildcard := len(r.Names) == 0 && (r.Type == Clusters || r.Type == Listeners)
 	names := map[string]bool{}
 	for _, n := range r.Names {
 		if n == "*" {
-			all = true
+			wildcard = true
 			continue
 		}
 		names[n] = true
 	}
-	if !maps.Equal(names, b.names) || all != b.all {
-		b.force = b.force || !first || len(names) > 0 || all
-		b.names, b.all = names, all
+	if !maps.Equal(names, sub.names) || wildcard != sub.wildcard {
+		sub.resend = sub.resend || !first || len(names) > 0 || wildcard
+		sub.names, sub.wildcard = names, wildcard
 	}
 	if first {
-		// A reconnecting proxy tells the version that it has: the same needs no
-		// sending. One of a former run of the service means the same, as versions are
-		// digests; any other is simply out of date.
-		b.force = r.Version == "" || r.Version != s.snap[r.Type].Version
-		if !b.force {
-			b.sent, b.acked = r.Version, r.Version
+		// A reconnecting proxy sends the version that it has, and the same version need
+		// not be sent again. Versions are digests, so this holds after a restart of the
+		// service too; any other version is out of date.
+		sub.resend = r.Version == "" || r.Version != s.snapshots[r.Type].Version
+		if !sub.resend {
+			sub.sentVersion, sub.ackedVersion = r.Version, r.Version
 		}
 	}
 	return true
 }
 
-// subscribe takes the subscription of a delta request.
-func (s *Stream) subscribe(b *subscription, r Request, first bool) bool {
+// subscribeDelta applies the subscription changes of a delta request.
+func (s *Stream) subscribeDelta(sub *subscription, r Request, first bool) bool {
 	if first {
-		if len(r.Initial) > mostNames {
+		if len(r.Initial) > maxNames {
 			return false
 		}
-		b.bare = len(r.Initial) == 0
+		sub.nothingHeld = len(r.Initial) == 0
 		for n, v := range r.Initial {
-			b.has[n] = v
+			sub.clientVersions[n] = v
 		}
 		if len(r.Subscribe) == 0 && (r.Type == Clusters || r.Type == Listeners) {
-			b.all = true
+			sub.wildcard = true
 		}
 	}
 	for _, n := range r.Subscribe {
 		if n == "*" {
-			b.all = true
+			sub.wildcard = true
 			continue
 		}
-		b.names[n] = true
-		b.fresh[n] = true
-		if !first { // asked for again, it is sent again: the proxy may have dropped it
-			delete(b.has, n)
+		sub.names[n] = true
+		sub.newNames[n] = true
+		if !first { // a repeated subscription is answered again, as the proxy may have dropped the resource
+			delete(sub.clientVersions, n)
 		}
 	}
 	for _, n := range r.Unsubscribe {
 		if n == "*" {
-			b.all = false
+			sub.wildcard = false
 			continue
 		}
-		delete(b.names, n)
-		delete(b.fresh, n)
-		if !b.all {
-			delete(b.has, n)
+		delete(sub.names, n)
+		delete(sub.newNames, n)
+		if !sub.wildcard {
+			delete(sub.clientVersions, n)
 		}
 	}
-	return len(b.names) <= mostNames
+	return len(sub.names) <= maxNames
 }
 
 // wants reports whether the proxy subscribed to a resource.
-func (b *subscription) wants(name string) bool { return b.all || b.names[name] }
+func (sub *subscription) wants(name string) bool { return sub.wildcard || sub.names[name] }
 
-// Next is what to send now, nil for nothing. Types go in their order.
+// Next returns the next response to send, or nil if there is none. Call it until it returns
+// nil; types are sent in the order of their constants.
 func (s *Stream) Next() *Response {
 	for t := Type(0); t < NumTypes; t++ {
-		b := &s.subs[t]
-		if !b.asked || b.flight != nil {
+		sub := &s.subscriptions[t]
+		if !sub.requested || sub.pending != nil {
 			continue
 		}
 		var r *Response
 		if s.form == Delta {
-			r = s.nextDelta(t, b)
+			r = s.nextDelta(t, sub)
 		} else {
-			r = s.nextWorld(t, b)
+			r = s.nextWorld(t, sub)
 		}
 		if r == nil {
 			continue
 		}
-		s.count++
-		r.Type, r.Version, r.Nonce = t, s.snap[t].Version, s.salt+"-"+strconv.FormatUint(s.count, 10)
-		b.flight, b.nonce, b.sent = r, r.Nonce, r.Version
-		b.force = false
-		clear(b.fresh)
+		s.responses++
+		r.Type, r.Version, r.Nonce = t, s.snapshots[t].Version, s.noncePrefix+"-"+strconv.FormatUint(s.responses, 10)
+		sub.pending, sub.lastNonce, sub.sentVersion = r, r.Nonce, r.Version
+		sub.resend = false
+		clear(sub.newNames)
 		return r
 	}
 	return nil
 }
 
-func (s *Stream) nextWorld(t Type, b *subscription) *Response {
-	snap := s.snap[t]
-	if snap.Version == "" || !b.all && len(b.names) == 0 {
+// nextWorld returns the next state-of-the-world response of a type, or nil.
+func (s *Stream) nextWorld(t Type, sub *subscription) *Response {
+	snapshot := s.snapshots[t]
+	if snapshot.Version == "" || !sub.wildcard && len(sub.names) == 0 {
 		return nil
 	}
-	if !b.force && (snap.Version == b.sent || snap.Version == b.rejected) {
+	if !sub.resend && (snapshot.Version == sub.sentVersion || snapshot.Version == sub.rejectedVersion) {
 		return nil
 	}
 	r := &Response{}
-	for n := range snap.Resources {
-		if b.wants(n) {
+	for n := range snapshot.Resources {
+		if sub.wants(n) {
 			r.Names = append(r.Names, n)
 		}
 	}
@@ -286,43 +289,44 @@
 	return r
 }
 
-func (s *Stream) nextDelta(t Type, b *subscription) *Response {
-	snap := s.snap[t]
-	if snap.Version == "" || snap.Version == b.rejected && len(b.fresh) == 0 {
+// nextDelta returns the next delta response of a type, or nil.
+func (s *Stream) nextDelta(t Type, sub *subscription) *Response {
+	snapshot := s.snapshots[t]
+	if snapshot.Version == "" || snapshot.Version == sub.rejectedVersion && len(sub.newNames) == 0 {
 		return nil
 	}
 	r := &Response{}
-	for n, v := range snap.Resources {
-		if b.wants(n) && b.has[n] != v {
+	for n, v := range snapshot.Resources {
+		if sub.wants(n) && sub.clientVersions[n] != v {
 			r.Names = append(r.Names, n)
 		}
 	}
-	for n := range b.has {
-		if _, there := snap.Resources[n]; !there {
+	for n := range sub.clientVersions {
+		if _, exists := snapshot.Resources[n]; !exists {
 			r.Removed = append(r.Removed, n)
 		}
 	}
-	for n := range b.fresh { // asked for and not there: the proxy need not wait for it
-		if _, there := snap.Resources[n]; !there && !slices.Contains(r.Removed, n) {
+	for n := range sub.newNames { // subscribed but absent: tell the proxy so that it does not wait
+		if _, exists := snapshot.Resources[n]; !exists && !slices.Contains(r.Removed, n) {
 			r.Removed = append(r.Removed, n)
 		}
 	}
 	if len(r.Names) == 0 && len(r.Removed) == 0 {
-		if b.sent == "" && b.bare { // it waits for a first answer, even an empty one
+		if sub.sentVersion == "" && sub.nothingHeld { // the proxy waits for a first response, even an empty one
 			return r
 		}
-		if snap.Version != b.rejected { // it has all there is
-			b.sent, b.acked = snap.Version, snap.Version
+		if snapshot.Version != sub.rejectedVersion { // the proxy is up to date
+			sub.sentVersion, sub.ackedVersion = snapshot.Version, snapshot.Version
 		}
 		return nil
 	}
 	slices.Sort(r.Names)
 	slices.Sort(r.Removed)
 	for _, n := range r.Names {
-		b.has[n] = snap.Resources[n]
+		sub.clientVersions[n] = snapshot.Resources[n]
 	}
 	for _, n := range r.Removed {
-		delete(b.has, n)
+		delete(sub.clientVersions, n)
 	}
 	return r
 }
--- a/decide/xds/xds_test.go
+++ b/decide/xds/xds_test.go
@@ -10,13 +10,13 @@
 	"pgregory.net/rapid"
 )
 
-// proxy is a model of a client: what it has, and what it would say.
+// proxy models an xDS client: the resources it has and the requests it sends.
 type proxy struct {
-	form    Form
-	has     [NumTypes]map[string]string
-	names   [NumTypes][]string
-	version [NumTypes]string
-	nonce   [NumTypes]string
+	form      Form
+	resources [NumTypes]map[string]string
+	names     [NumTypes][]string
+	version   [NumTypes]string
+	nonce     [NumTypes]string
 }
 
 func snapshot(t Type, resources map[string]string) Snapshot {
@@ -28,52 +28,52 @@
 	return Snapshot{Version: fmt.Sprintf("%v:%s", t, strings.Join(parts, ",")), Resources: resources}
 }
 
-// connect is the first request of a type on a new stream.
-func (p *proxy) connect(t Type) Request {
+// firstRequest returns the first request of a type on a new stream.
+func (p *proxy) firstRequest(t Type) Request {
 	r := Request{Type: t}
 	if p.form == World {
 		r.Version, r.Names = p.version[t], p.names[t]
 		return r
 	}
-	r.Subscribe, r.Initial = p.names[t], maps.Clone(p.has[t])
+	r.Subscribe, r.Initial = p.names[t], maps.Clone(p.resources[t])
 	return r
 }
 
-// take applies a response and answers it.
-func (p *proxy) take(s *Stream, r *Response, content map[string]string, refuse bool) Request {
+// answer returns the ACK or, if reject is set, the NACK of a response. On an ACK it applies the response.
+func (p *proxy) answer(s *Stream, r *Response, content map[string]string, reject bool) Request {
 	p.nonce[r.Type] = r.Nonce
-	a := Request{Type: r.Type, Nonce: r.Nonce, Version: p.version[r.Type], Names: p.names[r.Type]}
+	answer := Request{Type: r.Type, Nonce: r.Nonce, Version: p.version[r.Type], Names: p.names[r.Type]}
 	if p.form == Delta {
-		a.Names = nil
+		answer.Names = nil
 	}
-	if refuse {
-		a.Error = "no"
-		return a
+	if reject {
+		answer.Error = "no"
+		return answer
 	}
 	if p.form == World {
-		p.has[r.Type] = map[string]string{}
-		p.version[r.Type], a.Version = r.Version, r.Version
+		p.resources[r.Type] = map[string]string{}
+		p.version[r.Type], answer.Version = r.Version, r.Version
 	}
 	for _, n := range r.Names {
-		p.has[r.Type][n] = content[n]
+		p.resources[r.Type][n] = content[n]
 	}
 	for _, n := range r.Removed {
-		delete(p.has[r.Type], n)
+		delete(p.resources[r.Type], n)
 	}
-	return a
+	return answer
 }
 
 func newProxy(form Form) *proxy {
 	p := &proxy{form: form}
-	for t := range p.has {
-		p.has[t] = map[string]string{}
+	for t := range p.resources {
+		p.resources[t] = map[string]string{}
 	}
 	return p
 }
 
-// TestInvariants lets a proxy of either form subscribe, accept, reject, fall
-// behind and reconnect in any order while snapshots change; at the end it has
-// exactly what is published.
+// A proxy of either protocol variant subscribes, accepts, rejects, lags and reconnects in any
+// order while the snapshots change. The invariants in the package comment hold throughout, and
+// at the end the proxy has exactly the published resources that it subscribed to.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		p := newProxy(Form(rapid.IntRange(0, 1).Draw(r, "form")))
@@ -95,14 +95,14 @@
 		}
 		streams := 0
 		var s *Stream
-		var flight []*Response
+		var pending []*Response
 		connect := func() {
 			streams++
 			s = New(p.form, fmt.Sprint(streams))
 			s.Update(snap)
-			flight = nil
+			pending = nil
 			for t := Type(0); t < NumTypes; t++ {
-				s.Request(p.connect(t))
+				s.Request(p.firstRequest(t))
 			}
 		}
 		connect()
@@ -112,33 +112,33 @@
 				if x == nil {
 					return
 				}
-				for _, o := range flight {
+				for _, o := range pending {
 					if o.Type == x.Type {
-						r.Fatalf("two responses of %v await their answer", x.Type)
+						r.Fatalf("two responses of %v are pending", x.Type)
 					}
 				}
 				if x.Version != snap[x.Type].Version {
-					r.Fatalf("sends %s, the latest is %s", x.Version, snap[x.Type].Version)
+					r.Fatalf("version %s is sent, the latest is %s", x.Version, snap[x.Type].Version)
 				}
 				for _, n := range x.Names {
 					if subscribed := p.names[x.Type]; x.Type != Clusters && x.Type != Listeners && !slices.Contains(subscribed, n) {
-						r.Fatalf("%v %s was not subscribed to", x.Type, n)
+						r.Fatalf("%v %s is sent without a subscription", x.Type, n)
 					}
 				}
 				if p.form == Delta {
 					for _, n := range x.Names {
-						if had, ok := p.has[x.Type][n]; ok && had == snap[x.Type].Resources[n] && x.Version != "" && s.subs[x.Type].nacks == 0 && !s.subs[x.Type].fresh[n] {
-							r.Fatalf("%v %s is sent though the proxy has it", x.Type, n)
+						if held, ok := p.resources[x.Type][n]; ok && held == snap[x.Type].Resources[n] && x.Version != "" && s.subscriptions[x.Type].nacks == 0 && !s.subscriptions[x.Type].newNames[n] {
+							r.Fatalf("%v %s is sent again although the proxy has it", x.Type, n)
 						}
 					}
 				}
-				flight = append(flight, x)
+				pending = append(pending, x)
 			}
 		}
 		content := map[string]map[string]string{}
 		for range rapid.IntRange(0, 40).Draw(r, "events") {
 			typ := Type(rapid.IntRange(0, int(NumTypes)-1).Draw(r, "type"))
-			switch rapid.IntRange(0, 5).Draw(r, "what") {
+			switch rapid.IntRange(0, 5).Draw(r, "event") {
 			case 0:
 				change(typ)
 				s.Update(snap)
@@ -146,28 +146,28 @@
 				connect()
 			case 2, 3:
 				send()
-				for _, x := range flight {
+				for _, x := range pending {
 					if content[x.Version] == nil {
 						content[x.Version] = snap[x.Type].Resources
 					}
 				}
-				if len(flight) > 0 {
-					x := flight[0]
-					flight = flight[1:]
-					s.Request(p.take(s, x, content[x.Version], rapid.IntRange(0, 3).Draw(r, "refuse") == 0))
+				if len(pending) > 0 {
+					x := pending[0]
+					pending = pending[1:]
+					s.Request(p.answer(s, x, content[x.Version], rapid.IntRange(0, 3).Draw(r, "reject") == 0))
 				}
 			case 4:
 				send()
-				for _, x := range flight {
+				for _, x := range pending {
 					if content[x.Version] == nil {
 						content[x.Version] = snap[x.Type].Resources
 					}
 				}
-			default: // an answer to a response that never was
+			default: // an answer with a nonce that was never sent
 				s.Request(Request{Type: typ, Nonce: "never sent", Version: "x", Names: p.names[typ]})
 			}
 		}
-		// A change of everything follows each rejection; then the proxy accepts all.
+		// Every type changes, since a rejected version is not sent again; then the proxy accepts everything.
 		for t := Type(0); t < NumTypes; t++ {
 			m := maps.Clone(snap[t].Resources)
 			m["last"] = "1"
@@ -176,14 +176,14 @@
 		s.Update(snap)
 		for range 20 {
 			send()
-			for _, x := range flight {
+			for _, x := range pending {
 				c := content[x.Version]
 				if c == nil {
 					c = snap[x.Type].Resources
 				}
-				s.Request(p.take(s, x, c, false))
+				s.Request(p.answer(s, x, c, false))
 			}
-			flight = nil
+			pending = nil
 		}
 		for t := Type(0); t < NumTypes; t++ {
 			want := map[string]string{}
@@ -192,24 +192,25 @@
 					want[n] = v
 				}
 			}
-			if !maps.Equal(p.has[t], want) {
-				r.Fatalf("form %d, %v: has %v, want %v", p.form, t, p.has[t], want)
+			if !maps.Equal(p.resources[t], want) {
+				r.Fatalf("form %d, %v: the proxy has %v, want %v", p.form, t, p.resources[t], want)
 			}
 		}
 	})
 }
 
-func world(t Type, resources map[string]string) [NumTypes]Snapshot {
+// snapshotsWith returns snapshots with resources of one type only.
+func snapshotsWith(t Type, resources map[string]string) [NumTypes]Snapshot {
 	var s [NumTypes]Snapshot
 	s[t] = snapshot(t, resources)
 	return s
 }
 
-// A proxy that reconnects with the version that is published needs nothing; one
-// with any other, of whatever run, gets the latest at once.
+// A proxy that reconnects with the published version is sent nothing; one with any other
+// version, also of an earlier run of the service, is sent the latest at once.
 func TestReconnect(t *testing.T) {
-	snap := world(Clusters, map[string]string{"a": "1"})
-	for version, sends := range map[string]bool{snap[Clusters].Version: false, "": true, "of another life": true} {
+	snap := snapshotsWith(Clusters, map[string]string{"a": "1"})
+	for version, sends := range map[string]bool{snap[Clusters].Version: false, "": true, "of an earlier run": true} {
 		s := New(World, "x")
 		s.Update(snap)
 		s.Request(Request{Type: Clusters, Version: version, Nonce: "of another stream"})
@@ -220,7 +221,7 @@
 		if first != nil {
 			s.Request(Request{Type: Clusters, Nonce: first.Nonce, Version: first.Version})
 		}
-		s.Update(world(Clusters, map[string]string{"a": "2"}))
+		s.Update(snapshotsWith(Clusters, map[string]string{"a": "2"}))
 		for r := s.Next(); r != nil; r = s.Next() {
 			s.Request(Request{Type: Clusters, Nonce: r.Nonce, Version: r.Version})
 		}
@@ -230,11 +231,11 @@
 	}
 }
 
-// A rejection keeps the last good one, is counted with its reason, is not
-// repeated, and touches no other type; types go clusters first.
+// A NACK leaves the accepted version as it is, is counted with its reason and does not affect
+// other types; the rejected version is not sent again. Clusters are sent first.
 func TestNack(t *testing.T) {
 	s := New(World, "x")
-	snap := world(Clusters, map[string]string{"a": "1"})
+	snap := snapshotsWith(Clusters, map[string]string{"a": "1"})
 	snap[Endpoints] = snapshot(Endpoints, map[string]string{"a": "1"})
 	s.Update(snap)
 	s.Request(Request{Type: Endpoints, Names: []string{"a"}})
@@ -246,10 +247,10 @@
 	s.Request(Request{Type: Clusters, Nonce: c.Nonce, Error: strings.Repeat("bad ", 1000)})
 	s.Request(Request{Type: Endpoints, Nonce: e.Nonce, Version: e.Version, Names: []string{"a"}})
 	if s.Next() != nil {
-		t.Error("what was rejected is sent again")
+		t.Error("the rejected version is sent again")
 	}
 	st := s.Status(Clusters)
-	if st.Nacks != 1 || st.Acked != "" || len(st.LastNack) != mostReason || s.Status(Endpoints).Acked == "" {
+	if st.Nacks != 1 || st.Acked != "" || len(st.LastNack) != maxNackBytes || s.Status(Endpoints).Acked == "" {
 		t.Errorf("%+v, %+v", st, s.Status(Endpoints))
 	}
 	snap[Clusters] = snapshot(Clusters, map[string]string{"a": "2"})
@@ -259,17 +260,17 @@
 	}
 }
 
-// Fifty updates while a proxy does not answer come to one response, of the latest.
-func TestCoalesced(t *testing.T) {
+// 50 updates while a response is pending lead to a single further response, of the latest version.
+func TestUpdatesAreCoalesced(t *testing.T) {
 	for _, form := range []Form{World, Delta} {
 		s := New(form, "x")
-		s.Update(world(Clusters, map[string]string{"a": "0"}))
+		s.Update(snapshotsWith(Clusters, map[string]string{"a": "0"}))
 		s.Request(Request{Type: Clusters})
 		first := s.Next()
 		for i := 1; i <= 50; i++ {
-			s.Update(world(Clusters, map[string]string{"a": fmt.Sprint(i)}))
+			s.Update(snapshotsWith(Clusters, map[string]string{"a": fmt.Sprint(i)}))
 			if s.Next() != nil {
-				t.Fatal("a second response before the answer")
+				t.Fatal("a second response is sent while one is pending")
 			}
 		}
 		s.Request(Request{Type: Clusters, Nonce: first.Nonce, Version: first.Version})
