--- a/decide/fleet/deploy_test.go
+++ b/decide/fleet/deploy_test.go
@@ -7,16 +7,17 @@
 	"time"
 )
 
-// server is a node of a rolling deploy in virtual time.
+// server is a simulated node of a rolling deployment in virtual time.
 type server struct {
 	name     string
 	inc, seq uint64
-	drains   time.Duration   // when its deploy begins
-	open     []time.Duration // ends of what it works on
+	drains   time.Duration   // start of its deployment
+	open     []time.Duration // end times of its running requests
 }
 
-// phase says how a server stands at a time: up, draining (refuses), down, cold.
-// After its start one kind never answers for a while, one fails fast, one flaps.
+// phase returns the phase of server i at a time: "up", "draining" (refuses), "down" or "cold".
+// After their restart some servers never answer for a while ("mute"), some fail every request
+// at once ("errors") and some flap.
 func (s *server) phase(now time.Duration, i int) string {
 	since := now - s.drains
 	switch {
@@ -38,7 +39,7 @@
 	return "up"
 }
 
-// outcome is what a try meets.
+// outcome is the outcome of one try.
 type outcome int
 
 const (
@@ -47,7 +48,7 @@
 	failed
 )
 
-// try sends a request to a server.
+// try sends a request to the server.
 func (s *server) try(now time.Duration, i int) outcome {
 	for len(s.open) > 0 && s.open[0] <= now {
 		s.open = s.open[1:]
@@ -56,7 +57,7 @@
 	switch s.phase(now, i) {
 	case "draining":
 		return refused
-	case "mute": // it has a slot until its caller gives up
+	case "mute": // the request holds a slot until its caller times out
 		if len(s.open) < room {
 			s.open = append(s.open, now+time.Second)
 			return failed
@@ -74,46 +75,45 @@
 	return served
 }
 
-// dispatcher chooses servers, and hears what became of each try.
+// dispatcher chooses servers and observes the outcome of each try.
 type dispatcher interface {
 	choose(now time.Duration, not map[int]bool) int
-	told(now time.Duration, server int, o outcome)
+	observe(now time.Duration, server int, o outcome)
 }
 
-// byView routes by the published view, a tick late, by weighted round robin as
-// proxies do, leaves out for a while whom it saw fail, as the published outlier
-// detection tells it to, and reports what it saw.
+// byView routes like a proxy that follows the published view: weighted round robin over a view
+// that is one step old, outlier detection as published, and load reports.
 type byView struct {
 	byFailing
-	rnd  *rand.Rand
-	view View
-	f    *Fleet
-	turn map[int]int
-	good map[int]float64
-	bad  map[int]float64
+	rnd    *rand.Rand
+	view   View
+	f      *Fleet
+	credit map[int]int
+	good   map[int]float64
+	bad    map[int]float64
 }
 
 func (d *byView) choose(now time.Duration, not map[int]bool) int {
 	total, best := 0, -1
 	for i, n := range d.view.Nodes {
-		if not[i] || n.Weight == 0 || d.until[i] > now {
+		if not[i] || n.Weight == 0 || d.ejectedUntil[i] > now {
 			continue
 		}
 		total += n.Weight
-		d.turn[i] += n.Weight
-		if best < 0 || d.turn[i] > d.turn[best] {
+		d.credit[i] += n.Weight
+		if best < 0 || d.credit[i] > d.credit[best] {
 			best = i
 		}
 	}
 	if best < 0 {
 		return d.rnd.IntN(len(d.view.Nodes))
 	}
-	d.turn[best] -= total
+	d.credit[best] -= total
 	return best
 }
 
-func (d *byView) told(now time.Duration, i int, o outcome) {
-	d.byFailing.told(now, i, o)
+func (d *byView) observe(now time.Duration, i int, o outcome) {
+	d.byFailing.observe(now, i, o)
 	if o == failed {
 		d.bad[i]++
 	} else {
@@ -121,42 +121,42 @@
 	}
 }
 
-// byFailing finds out by itself: two failures in a row leave a server out, for
-// twice as long each time.
+// byFailing has outlier detection only: two failures in a row eject a server, for twice as long
+// each time.
 type byFailing struct {
-	n     int
-	next  int
-	fails map[int]int
-	until map[int]time.Duration
-	exile map[int]time.Duration
+	n            int
+	next         int
+	failures     map[int]int
+	ejectedUntil map[int]time.Duration
+	ejectTime    map[int]time.Duration
 }
 
 func (d *byFailing) choose(now time.Duration, not map[int]bool) int {
 	for range 2 * d.n {
 		d.next = (d.next + 1) % d.n
-		if !not[d.next] && d.until[d.next] <= now {
+		if !not[d.next] && d.ejectedUntil[d.next] <= now {
 			return d.next
 		}
 	}
 	return d.next
 }
 
-func (d *byFailing) told(now time.Duration, i int, o outcome) {
-	if o == refused { // a refusal is an answer
+func (d *byFailing) observe(now time.Duration, i int, o outcome) {
+	if o == refused { // not a failure
 		return
 	}
 	if o == served {
-		d.fails[i], d.exile[i] = 0, 0
+		d.failures[i], d.ejectTime[i] = 0, 0
 		return
 	}
-	if d.fails[i]++; d.fails[i] >= 2 {
-		d.exile[i] = min(max(2*d.exile[i], 500*ms), 8*time.Second)
-		d.until[i], d.fails[i] = now+d.exile[i], 0
+	if d.failures[i]++; d.failures[i] >= 2 {
+		d.ejectTime[i] = min(max(2*d.ejectTime[i], 500*ms), 8*time.Second)
+		d.ejectedUntil[i], d.failures[i] = now+d.ejectTime[i], 0
 	}
 }
 
-// byList follows the platform's plain list: who reports is on it, until 3 s after
-// the last report, told a second and a half late.
+// byList follows the list of the membership service: a server is on it until 3 s after its last
+// report, and the list is 1.5 s old.
 type byList struct {
 	byFailing
 	last map[int]time.Duration
@@ -172,52 +172,52 @@
 	return d.next
 }
 
-func (d *byList) told(time.Duration, int, outcome) {}
+func (d *byList) observe(time.Duration, int, outcome) {}
 
-// deploy plays a rolling deploy of twelve servers, a sixth at a time, and counts
-// a dispatcher's refused and failed tries and the requests that three tries left unserved.
+// deploy simulates a rolling deployment of twelve servers, two at a time. It counts the tries of
+// the dispatchers, the refused and failed ones, and the requests that three tries left unserved.
 func deploy(kind string, seed uint64) (tries, refusedTries, failedTries, lost int) {
 	const n, rate, dispatchers = 12, 900, 20
 	rnd := rand.New(rand.NewPCG(seed, 1))
-	var all []*server
+	var servers []*server
 	for i := range n {
-		all = append(all, &server{name: fmt.Sprintf("n%02d", i), inc: 1000, drains: 5*time.Second + time.Duration(i/2)*4*time.Second})
+		servers = append(servers, &server{name: fmt.Sprintf("n%02d", i), inc: 1000, drains: 5*time.Second + time.Duration(i/2)*4*time.Second})
 	}
 	f := New(0)
-	var all20 []dispatcher // each learns by itself; the view is everybody's
-	var views []*byView
+	var clients []dispatcher // each observes by itself; they share the view
+	var viewClients []*byView
 	last := map[int]time.Duration{}
 	for i := range dispatchers {
-		failing := byFailing{n: n, next: i, fails: map[int]int{}, until: map[int]time.Duration{}, exile: map[int]time.Duration{}}
-		v := &byView{byFailing: failing, rnd: rnd, f: f, turn: map[int]int{}, good: map[int]float64{}, bad: map[int]float64{}}
+		failing := byFailing{n: n, next: i, failures: map[int]int{}, ejectedUntil: map[int]time.Duration{}, ejectTime: map[int]time.Duration{}}
+		v := &byView{byFailing: failing, rnd: rnd, f: f, credit: map[int]int{}, good: map[int]float64{}, bad: map[int]float64{}}
 		for s := range n {
-			v.turn[s] = rnd.IntN(1000)
+			v.credit[s] = rnd.IntN(1000)
 		}
-		views = append(views, v)
+		viewClients = append(viewClients, v)
 		switch kind {
 		case "failing":
-			all20 = append(all20, &failing)
+			clients = append(clients, &failing)
 		case "list":
-			all20 = append(all20, &byList{byFailing: failing, last: last})
+			clients = append(clients, &byList{byFailing: failing, last: last})
 		default:
-			all20 = append(all20, v)
+			clients = append(clients, v)
 		}
 	}
-	type word struct {
+	type timeout struct {
 		at     time.Duration
 		d      dispatcher
 		server int
 	}
-	var late []word // of servers that never answered
+	var timeouts []timeout // of tries at servers that never answer
 	due := time.Duration(0)
 	for now := time.Duration(0); now < 45*time.Second; now += 10 * ms {
-		for i, s := range all {
+		for i, s := range servers {
 			if now%(700*ms) != time.Duration(i*50)*ms {
 				continue
 			}
 			phase := s.phase(now, i)
 			if phase == "down" {
-				if s.inc == 1000 || i%6 == 3 { // it comes back as another
+				if s.inc == 1000 || i%6 == 3 { // returns as a new incarnation
 					s.inc, s.seq = uint64(1000+now/ms), 0
 				}
 				continue
@@ -235,8 +235,8 @@
 		}
 		if now%(100*ms) == 0 {
 			if now%(2*time.Second) == 0 { // load reports
-				for p, view := range views {
-					for i, s := range all {
+				for p, view := range viewClients {
+					for i, s := range servers {
 						f.ObserveLoad(now, ProxyLoad{Proxy: fmt.Sprint(p), Node: s.name, Good: view.good[i], Bad: view.bad[i]})
 					}
 					clear(view.good)
@@ -244,13 +244,13 @@
 				}
 			}
 			v, _ := f.Step(now)
-			for _, view := range views {
+			for _, view := range viewClients {
 				view.view = v
 			}
 		}
-		for len(late) > 0 && late[0].at <= now {
-			late[0].d.told(now, late[0].server, failed)
-			late = late[1:]
+		for len(timeouts) > 0 && timeouts[0].at <= now {
+			timeouts[0].d.observe(now, timeouts[0].server, failed)
+			timeouts = timeouts[1:]
 		}
 		if now < 3*time.Second {
 			due = now
@@ -258,17 +258,17 @@
 		}
 		for ; due <= now; due += time.Duration(rnd.ExpFloat64() / rate * float64(time.Second)) {
 			not := map[int]bool{}
-			d := all20[rnd.IntN(dispatchers)]
+			d := clients[rnd.IntN(dispatchers)]
 			done := false
 			for range 3 {
 				i := d.choose(now, not)
 				not[i] = true
 				tries++
-				o := all[i].try(now, i)
-				if o == failed && all[i].phase(now, i) == "mute" { // known when its caller gave up
-					late = append(late, word{now + time.Second, d, i})
+				o := servers[i].try(now, i)
+				if o == failed && servers[i].phase(now, i) == "mute" { // observed when the caller times out
+					timeouts = append(timeouts, timeout{now + time.Second, d, i})
 				} else {
-					d.told(now, i, o)
+					d.observe(now, i, o)
 				}
 				switch o {
 				case refused:
@@ -290,23 +290,23 @@
 	return tries, refusedTries, failedTries, lost
 }
 
-// Dispatchers that route by the view see fewer tries fail through a rolling deploy,
-// and leave fewer requests unserved, than such as find out by failing and such as
-// follow the plain list.
+// In a rolling deployment, dispatchers that route by the view have fewer failed tries and leave
+// fewer requests unserved than those with outlier detection only and those that follow the list
+// of the membership service.
 func TestDeployByView(t *testing.T) {
-	fails := map[string]int{}
+	failures := map[string]int{}
 	lost := map[string]int{}
 	for _, kind := range []string{"view", "failing", "list"} {
 		for seed := uint64(1); seed <= 5; seed++ {
 			tries, r, f, l := deploy(kind, seed)
-			fails[kind] += f
+			failures[kind] += f
 			lost[kind] += l
 			if seed == 1 {
 				t.Logf("%-8s %d tries, %d refused, %d failed, %d requests unserved", kind, tries, r, f, l)
 			}
 		}
 	}
-	if fails["view"] >= fails["failing"] || fails["view"] >= fails["list"] || lost["view"] >= lost["failing"] || lost["view"] >= lost["list"] {
-		t.Errorf("failed tries %v, unserved %v", fails, lost)
+	if failures["view"] >= failures["failing"] || failures["view"] >= failures["list"] || lost["view"] >= lost["failing"] || lost["view"] >= lost["list"] {
+		t.Errorf("failed tries %v, unserved requests %v", failures, lost)
 	}
 }
--- a/decide/fleet/fleet.go
+++ b/decide/fleet/fleet.go
@@ -1,12 +1,14 @@
-// Package fleet decides what a control service believes of its nodes: from their
-// reports, from silence, and from what proxies saw, to one view of states and
-// weights. It must never do I/O, read a clock or log; lines for people are
-// returned as values.
+// Package fleet derives a control service's view of its nodes (a state and a weight for
+// each) from their reports, from missing reports and from the load reports of proxies.
 //
-// Invariants, held by TestInvariants and TestAnyOrder: the same reports at one
-// time give the same view in any order; a late report of a dead incarnation
-// changes nothing; a drain beats every other state but gone; while frozen no node
-// leaves the view; a weight moves by at most a bounded factor a step.
+// The caller passes the current time in; the package does no I/O, reads no clock and writes
+// no log. Log lines are returned as values. A Fleet and a History are not safe for
+// concurrent use.
+//
+// TestInvariants and TestAnyOrder check the invariants: the same reports at one time give
+// the same view in any order; a late report of a dead incarnation changes nothing; Leaving
+// takes precedence over every other state but Gone; while the view is frozen no node leaves
+// it; a weight changes by at most a bounded factor a step.
 package fleet
 
 import (
@@ -18,89 +20,100 @@
 	"time"
 )
 
-// Tuned values. Times are real durations, shares of 1.
 const (
-	reportEvery  = 700 * time.Millisecond  // that nodes are expected to report in
-	silentAfter  = 1600 * time.Millisecond // two reports missed: no new work
-	goneAfter    = 3 * time.Second         // as the plain list has it
-	forgetAfter  = 2 * time.Minute         // after that a name is as new
-	provenAfter  = 2 * reportEvery         // a restarted service drops nobody sooner, and listens for as long before it speaks
-	listenNew    = 2 * time.Second         // that one which knows no nodes listens
-	doubtShare   = 0.3                     // of the nodes falling silent together from which the ears are doubted
-	doubtLeast   = 3                       // nodes, at least
-	doubtWindow  = 2 * time.Second         // that counts as together
-	thawShare    = 0.5                     // of those that fell silent heard again, and the ears are good
-	thawAfter    = 20 * time.Second        // with others heard all the while, silence is believed after all
-	penaltyNew   = 1.0                     // for each further incarnation
-	penaltyFlip  = 0.5                     // for each change of health that a node counts itself
-	penaltyHalf  = 8 * time.Second         // in which a penalty halves
-	penaltyCut   = 3.0                     // from which a node is kept out (RFC 2439: cut-off threshold)
-	penaltyReuse = 1.5                     // and under which it is taken again (reuse threshold)
-	penaltyMost  = 4.5                     // a penalty never grows beyond: the longest exile is 13 s
-	errorFrom    = 0.5                     // share of errors that proxies see from which a node fails
-	errorUntil   = 0.2                     // and under which it no longer does
-	errorLeast   = 6.0                     // requests, at least, for that to be believed
-	runningAlpha = 0.1                     // weight of a step in what runs
-	errorMost    = 30.0                    // requests, at most, that count
-	errorHalf    = 1500 * time.Millisecond // in which what proxies saw halves
-	probeShare   = 0.1                     // of its weight that a failing node keeps, so that it can show better
-	stepFactor   = 1.25                    // most that a weight moves in a step
-	stepEvery    = 250 * time.Millisecond  // a step
-	weightOne    = 1000.0                  // the weight of a whole idle node of usual size
-	refuseFrom   = 0.05                    // share that every node refuses from which proxies drop first
-	dropPart     = 0.8                     // of that share: the nodes' own lines decide the rest
-	clockOff     = time.Hour               // incarnations may be told by clocks as far off as that
-	heardTimes   = 3                       // reports of a seemingly older incarnation that make it the newer, the other silent
+	reportInterval = 700 * time.Millisecond  // expected time between two reports of a node
+	silentAfter    = 1600 * time.Millisecond // two missed reports: no new work
+	goneAfter      = 3 * time.Second         // as in the membership service's list
+	forgetAfter    = 2 * time.Minute         // then the name counts as new
+
+	// A restarted service removes no node before this time, and publishes no view
+	// before it unless most of the restored nodes have reported.
+	restartGrace = 2 * reportInterval
+	// A service that knows no nodes collects reports for so long before it publishes.
+	initialCollectTime = 2 * time.Second
+
+	// The view is frozen if so many nodes fall silent together that the fault may be
+	// the service's own network.
+	freezeShare    = 0.3              // share of the active nodes
+	freezeMinNodes = 3                // and at least so many
+	freezeWindow   = 2 * time.Second  // within this time
+	unfreezeShare  = 0.5              // share of them that may stay silent when the view is unfrozen
+	unfreezeAfter  = 20 * time.Second // or so long after the freeze, if other nodes reported throughout
+
+	// Flap damping as in RFC 2439.
+	penaltyPerIncarnation = 1.0
+	penaltyPerFlip        = 0.5 // per change of health that the node counts
+	penaltyHalfLife       = 8 * time.Second
+	cutOffThreshold       = 3.0 // RFC 2439, cut-off threshold
+	reuseThreshold        = 1.5 // RFC 2439, reuse threshold
+	maxPenalty            = 4.5 // limits the suppression of a steady node to 13 s
+
+	// A node is Failing by the share of errors in the load reports of proxies.
+	failingErrorShare   = 0.5
+	recoveredErrorShare = 0.2
+	minErrorRequests    = 6.0  // requests of one proxy, below which its share is ignored
+	maxErrorRequests    = 30.0 // requests of one proxy that count at most
+	errorHalfLife       = 1500 * time.Millisecond
+
+	runningAlpha    = 0.1                    // weight of one step in the moving average of running requests
+	probeShare      = 0.1                    // of its weight that a Failing node keeps, so that its recovery is noticed
+	maxWeightFactor = 1.25                   // largest change of a weight in stepInterval
+	stepInterval    = 250 * time.Millisecond // expected time between two calls of Step
+	fullWeight      = 1000.0                 // weight of an idle node with a limit of 10
+	dropThreshold   = 0.05                   // share that every node refuses, above which proxies are told to drop
+	dropShare       = 0.8                    // part of that share to drop; the nodes' own queues decide the rest
+	maxClockSkew    = time.Hour              // of the clocks that incarnations are taken from
+	takeoverReports = 3                      // from a seemingly older incarnation, until it replaces a silent one
 )
 
-// Phase is what a node says of itself.
+// Phase is the operating phase that a node reports.
 type Phase uint8
 
-// The phases.
+// Operating phases.
 const (
 	Up           Phase = iota
-	Draining           // it leaves; what it has it finishes
-	OutOfService       // it asks for nothing, for reasons of its own
+	Draining           // it finishes its requests and then leaves
+	OutOfService       // it takes no work, for reasons of its own
 )
 
-// Report is what a node says. Plain reports of the platform's kind have a name
-// and a phase only.
+// Report is one report of a node. A plain report, in the membership service's format, has
+// only a name, an address and a phase.
 type Report struct {
 	Name, Addr, Zone string
-	Incarnation      uint64 // Unix microseconds of its start, by its own clock
-	Seq              uint64 // of the report within the incarnation, from 1
+	Incarnation      uint64 // start of the node's process by its own clock, Unix microseconds
+	Seq              uint64 // number of the report within the incarnation, from 1
 	Phase            Phase
 	Healthy          bool
-	Warm             float64 // share of its speed that it has reached
-	DrainLeft        time.Duration
-	Running, Limit   float64
-	Pressure         float64
-	Refused          float64 // share of what came that it refuses
-	Flips            uint64  // changes of health in this incarnation
-	Plain            bool
+	Warm             float64       // reached share of its full speed, 0 to 1
+	DrainLeft        time.Duration // remaining time of the drain
+	Running, Limit   float64       // running requests and their limit
+	Pressure         float64       // 0 to 1
+	Refused          float64       // refused share of the arrivals, 0 to 1
+	Flips            uint64        // changes of health in this incarnation
+	Plain            bool          // in the membership service's format
 }
 
-// newer reports whether r is later than o: incarnation and sequence order everything.
+// newer reports whether r is later than o, by incarnation and then by sequence number.
 func (r *Report) newer(o *Report) bool {
 	return cmp.Or(cmp.Compare(r.Incarnation, o.Incarnation), cmp.Compare(r.Seq, o.Seq)) > 0
 }
 
-// Load is what one proxy saw of one node since its last load report.
+// ProxyLoad is what one proxy observed of one node since its last load report.
 type ProxyLoad struct {
 	Proxy, Node string
-	Good, Bad   float64 // requests
+	Good, Bad   float64 // requests that succeeded and failed
 }
 
-// State is what a node is believed to be.
+// State is the state that the service assigns to a node.
 type State uint8
 
-// The states, in order of what beats what.
+// Node states; a later one takes precedence over an earlier one.
 const (
 	Healthy  State = iota
-	Warming        // slower than it will be
-	Failing        // it says healthy, proxies see errors
-	Damped         // it comes and goes
-	Refusing       // it says it can take nothing
+	Warming        // not at full speed yet
+	Failing        // it reports that it is healthy, but proxies observe errors
+	Damped         // flapping: it restarts or changes its health too often
+	Refusing       // it reports that it takes no work
 	Silent         // reports are missing
 	Leaving        // it drains
 	Gone
@@ -108,6 +121,7 @@
 
 var stateNames = [...]string{"healthy", "warming", "failing", "damped", "refusing", "silent", "draining", "gone"}
 
+// String returns the published name of the state.
 func (s State) String() string { return stateNames[s] }
 
 // Serves reports whether new work may go to a node in this state.
@@ -117,211 +131,224 @@
 type Node struct {
 	Name, Addr, Zone string
 	State            State
-	Why              string
-	Since            time.Duration
-	Weight           int // 1 to 100,000; 0 = none
-	Limit            float64
-	Penalty          float64
-	Unproven         bool // from before a restart, not heard since
+	Why              string        // reason of the state
+	Since            time.Duration // when the state began
+	Weight           int           // 1 to 100,000; 0 = no new work
+	Limit            float64       // of running requests, as reported
+	Penalty          float64       // flap damping penalty
+	Unproven         bool          // restored after a restart of the service, no report received since
 }
 
-// View is what is published. Version grows with each change.
+// View is the published view of the fleet. Version grows with each change.
 type View struct {
 	Version uint64
-	Nodes   []Node  // by name
-	Drop    float64 // share that proxies should drop themselves
-	Frozen  bool
-	Lost    []string // zones of which every node is gone or silent
+	Nodes   []Node   // by name
+	Drop    float64  // share of the requests that proxies should drop themselves, 0 to 1
+	Frozen  bool     // too many nodes fell silent together; no node is removed
+	Lost    []string // names of zones in which every node is gone or silent
 }
 
-// node is what is known of a name.
+// node is the state kept for one name.
 type node struct {
-	last     Report
-	heard    time.Duration // last report that counted
-	seen     map[uint64]bool
-	flips    map[uint64]uint64
-	penalty  float64 // as of heard
-	at       time.Duration
-	damped   bool
-	older    int // reports in a row of a seemingly older incarnation
-	olderInc uint64
-	errs     map[string]*seen // by proxy
-	failing  bool
-	state    State
-	trusted  State // before it fell silent
-	why      string
-	since    time.Duration
-	weight   float64
-	running  float64 // smoothed: a report shows one moment
-	life     uint64  // the incarnation that weight, errors and running are of
-	unproven bool
-	silent   time.Duration // since when it was silent, 0 = it is not
-	kept     bool          // silent, but the service doubts itself
-}
-
-// seen is what one proxy saw of a node lately.
-type seen struct {
+	lastReport   Report
+	reportedAt   time.Duration // when lastReport was received
+	incarnations map[uint64]bool
+	flips        map[uint64]uint64 // highest reported count by incarnation
+
+	penalty   float64 // as of penaltyAt
+	penaltyAt time.Duration
+	damped    bool
+
+	olderReports     int // reports in a row of a seemingly older incarnation
+	olderIncarnation uint64
+
+	proxyErrors map[string]*errorCounts // by proxy
+	failing     bool
+
+	state              State
+	stateBeforeSilence State // state while reports last arrived
+	reason             string
+	since              time.Duration // start of state
+
+	weight             float64
+	running            float64 // moving average: a report shows one moment only
+	currentIncarnation uint64  // incarnation that weight, proxyErrors and running belong to
+
+	unproven    bool
+	silentSince time.Duration // 0 = not silent
+	frozen      bool          // silent, but kept in its state while the view is frozen
+}
+
+// errorCounts are the requests to a node that one proxy reported, decayed as of at.
+type errorCounts struct {
 	good, bad float64
 	at        time.Duration
 }
 
-// Fleet is what is believed of all nodes. It belongs to one goroutine.
+// Fleet is the state of all nodes. It belongs to one goroutine.
 type Fleet struct {
-	nodes   map[string]*node
-	view    View
-	stepped time.Duration
-	frozen  bool
-	since   time.Duration // of the frost
-	fell    int           // how many fell silent for it
-	began   time.Duration
-	former  int // nodes that an earlier life of the service had, but for those that were gone
-	again   int // of them, heard since
-	lines   []string
-}
-
-// Bounds of what strangers can make it hold.
+	nodes          map[string]*node
+	view           View
+	steppedAt      time.Duration
+	frozen         bool
+	frozenSince    time.Duration
+	frozenSilent   int // highest number of nodes that fell silent together in this freeze
+	startedAt      time.Duration
+	restoredNodes  int // restored nodes that were not Gone
+	confirmedNodes int // of them, those that have reported since
+	lines          []string
+}
+
+// Limits on what reports can make a Fleet store.
 const (
-	mostNodes        = 20_000
-	mostIncarnations = 16
-	mostProxies      = 32 // whose word on one node is kept
+	maxNodes        = 20_000
+	maxIncarnations = 16 // per node
+	maxProxies      = 32 // per node, with their error counts
 )
 
 // New returns a fleet without nodes.
 func New(now time.Duration) *Fleet {
-	return &Fleet{nodes: map[string]*node{}, stepped: now, began: now}
+	return &Fleet{nodes: map[string]*node{}, steppedAt: now, startedAt: now}
 }
 
-func (f *Fleet) say(format string, args ...any) {
+// logf adds a line to those that Step returns.
+func (f *Fleet) logf(format string, args ...any) {
 	f.lines = append(f.lines, fmt.Sprintf(format, args...))
 }
 
-// Proven reports whether the view may be published: an earlier life's only once most
-// of its nodes were heard, or had time to speak, since it may be old or another's; a new
-// one only once all nodes had time, since an empty view would empty the proxies.
+// Ready reports whether the view may be published. A restored view may be out of date or
+// another service's, so it waits until most of its nodes have reported or all have had time
+// to. A new service waits until all nodes have had time to report, since an empty view would
+// remove every node from the proxies.
 func (f *Fleet) Ready(now time.Duration) bool {
-	if f.former == 0 {
-		return now-f.began >= listenNew
+	if f.restoredNodes == 0 {
+		return now-f.startedAt >= initialCollectTime
 	}
-	return 2*f.again > f.former || now-f.began >= provenAfter
+	return 2*f.confirmedNodes > f.restoredNodes || now-f.startedAt >= restartGrace
 }
 
-// Report takes a node's word. It reports whether it changed anything.
+// Report handles a report of a node. It returns false if the report was ignored because it
+// is out of date or exceeds a limit.
 func (f *Fleet) Report(now time.Duration, r Report) bool {
 	n := f.nodes[r.Name]
 	if n == nil {
-		if len(f.nodes) >= mostNodes {
+		if len(f.nodes) >= maxNodes {
 			return false
 		}
-		n = &node{seen: map[uint64]bool{}, flips: map[uint64]uint64{}, errs: map[string]*seen{}, state: Gone, since: now, at: now}
+		n = &node{
+			incarnations: map[uint64]bool{}, flips: map[uint64]uint64{}, proxyErrors: map[string]*errorCounts{},
+			state: Gone, since: now, penaltyAt: now,
+		}
 		f.nodes[r.Name] = n
 	}
-	if r.Plain { // the platform's: no incarnation, no sequence; each counts
-		if n.last.Incarnation != 0 && now-n.heard < goneAfter {
-			return false // a node that says more is known better
+	if r.Plain { // has no incarnation and no sequence number, so each one counts
+		if n.lastReport.Incarnation != 0 && now-n.reportedAt < goneAfter {
+			return false // a recent full report holds more
 		}
-		r.Incarnation, r.Seq, r.Warm, r.Healthy = 0, n.last.Seq+1, 1, r.Phase == Up
-		r.Addr, r.Zone = cmp.Or(r.Addr, n.last.Addr), cmp.Or(r.Zone, n.last.Zone)
+		r.Incarnation, r.Seq, r.Warm, r.Healthy = 0, n.lastReport.Seq+1, 1, r.Phase == Up
+		r.Addr, r.Zone = cmp.Or(r.Addr, n.lastReport.Addr), cmp.Or(r.Zone, n.lastReport.Zone)
 	}
-	f.penalize(now, n, &r)
-	n.remember(r.Incarnation)
-	if n.last.Name != "" && !r.newer(&n.last) {
+	f.addPenalty(now, n, &r)
+	n.addIncarnation(r.Incarnation)
+	if n.lastReport.Name != "" && !r.newer(&n.lastReport) {
 		if !f.takesOver(now, n, &r) {
 			return false
 		}
-		f.say("node %s: an incarnation that seems older speaks on while the other is silent: its clock was off", r.Name)
+		f.logf("node %s: a seemingly older incarnation goes on reporting while the newer one is silent; its clock was wrong",
+			r.Name)
 	}
-	n.older = 0
+	n.olderReports = 0
 	if n.unproven && n.state != Gone {
-		f.again++
+		f.confirmedNodes++
 	}
-	n.last, n.heard, n.unproven = r, now, false
+	n.lastReport, n.reportedAt, n.unproven = r, now, false
 	return true
 }
 
-// takesOver reports whether a seemingly older incarnation is the newer one after
-// all: the other is gone, and this one goes on reporting.
+// takesOver reports whether a seemingly older incarnation replaces the current one: the
+// current one is silent, and the older one goes on reporting. Incarnations come from the
+// nodes' clocks, which may have been set back.
 func (f *Fleet) takesOver(now time.Duration, n *node, r *Report) bool {
-	if r.Incarnation == n.last.Incarnation || now-n.heard < goneAfter ||
-		n.last.Incarnation-r.Incarnation > 2*uint64(clockOff/time.Microsecond) {
+	if r.Incarnation == n.lastReport.Incarnation || now-n.reportedAt < goneAfter ||
+		n.lastReport.Incarnation-r.Incarnation > 2*uint64(maxClockSkew/time.Microsecond) {
 		return false
 	}
-	if n.olderInc != r.Incarnation {
-		n.olderInc, n.older = r.Incarnation, 0
+	if n.olderIncarnation != r.Incarnation {
+		n.olderIncarnation, n.olderReports = r.Incarnation, 0
 	}
-	n.older++
-	return n.older >= heardTimes
+	n.olderReports++
+	return n.olderReports >= takeoverReports
 }
 
-// penalize counts what makes a node unsteady: further incarnations, and changes
-// of health by its own count, so that no report needs to be heard for it and
-// their order does not matter.
-func (f *Fleet) penalize(now time.Duration, n *node, r *Report) {
+// addPenalty raises the flap damping penalty for new incarnations and for changes of health.
+// The changes are counted by the node, so that lost and reordered reports make no difference.
+func (f *Fleet) addPenalty(now time.Duration, n *node, r *Report) {
 	more := 0.0
-	if n.forgotten(r.Incarnation) {
+	if n.olderThanKnown(r.Incarnation) {
 		return
 	}
-	if len(n.seen) > 0 && !n.seen[r.Incarnation] {
-		more += penaltyNew
+	if len(n.incarnations) > 0 && !n.incarnations[r.Incarnation] {
+		more += penaltyPerIncarnation
 	}
 	if was := n.flips[r.Incarnation]; r.Flips > was {
-		more += penaltyFlip * float64(min(r.Flips-was, 16))
+		more += penaltyPerFlip * float64(min(r.Flips-was, 16))
 		n.flips[r.Incarnation] = r.Flips
 	}
-	n.penalty = min(n.now(now)+more, penaltyMost)
-	n.at = now
+	n.penalty = min(n.currentPenalty(now)+more, maxPenalty)
+	n.penaltyAt = now
 }
 
-// remember notes an incarnation; the newest are kept, whatever order they come in.
-func (n *node) remember(inc uint64) {
-	n.seen[inc] = true
-	if len(n.seen) > mostIncarnations {
-		oldest := slices.Min(slices.Collect(maps.Keys(n.seen)))
-		delete(n.seen, oldest)
+// addIncarnation stores an incarnation; the newest are kept, in whatever order they come.
+func (n *node) addIncarnation(incarnation uint64) {
+	n.incarnations[incarnation] = true
+	if len(n.incarnations) > maxIncarnations {
+		oldest := slices.Min(slices.Collect(maps.Keys(n.incarnations)))
+		delete(n.incarnations, oldest)
 		delete(n.flips, oldest)
 	}
 }
 
-// forgotten reports whether an incarnation is older than all that are remembered.
-func (n *node) forgotten(inc uint64) bool {
-	return len(n.seen) >= mostIncarnations && inc < slices.Min(slices.Collect(maps.Keys(n.seen)))
+// olderThanKnown reports whether maxIncarnations are stored and all are newer than incarnation.
+func (n *node) olderThanKnown(incarnation uint64) bool {
+	return len(n.incarnations) >= maxIncarnations && incarnation < slices.Min(slices.Collect(maps.Keys(n.incarnations)))
 }
 
-// now is the penalty as it has decayed.
-func (n *node) now(now time.Duration) float64 {
-	return n.penalty * math.Exp2(-(now-n.at).Seconds()/penaltyHalf.Seconds())
+// currentPenalty returns the penalty decayed to now.
+func (n *node) currentPenalty(now time.Duration) float64 {
+	return n.penalty * math.Exp2(-(now-n.penaltyAt).Seconds()/penaltyHalfLife.Seconds())
 }
 
-// Saw takes what a proxy saw of a node.
+// ObserveLoad handles a proxy's load report on a node.
 func (f *Fleet) ObserveLoad(now time.Duration, l ProxyLoad) {
 	n := f.nodes[l.Node]
 	if n == nil || !(l.Good >= 0) || !(l.Bad >= 0) {
 		return
 	}
-	s := n.errs[l.Proxy]
-	if s == nil {
-		if len(n.errs) >= mostProxies {
+	c := n.proxyErrors[l.Proxy]
+	if c == nil {
+		if len(n.proxyErrors) >= maxProxies {
 			return
 		}
-		s = &seen{at: now}
-		n.errs[l.Proxy] = s
+		c = &errorCounts{at: now}
+		n.proxyErrors[l.Proxy] = c
 	}
-	fade := math.Exp2(-(now - s.at).Seconds() / errorHalf.Seconds())
-	s.good, s.bad, s.at = s.good*fade+min(l.Good, 1e6), s.bad*fade+min(l.Bad, 1e6), now
-	if all := s.good + s.bad; all > errorMost { // a busy past must not outweigh a quiet present
-		s.good, s.bad = s.good*errorMost/all, s.bad*errorMost/all
+	decay := math.Exp2(-(now - c.at).Seconds() / errorHalfLife.Seconds())
+	c.good, c.bad, c.at = c.good*decay+min(l.Good, 1e6), c.bad*decay+min(l.Bad, 1e6), now
+	if all := c.good + c.bad; all > maxErrorRequests { // a busy past must not outweigh a quiet present
+		c.good, c.bad = c.good*maxErrorRequests/all, c.bad*maxErrorRequests/all
 	}
 }
 
-// errors is the share of errors that proxies see: of each that saw enough, and
-// of these the median, so that one proxy with a bad line condemns nobody.
-func (n *node) errors(now time.Duration) (share float64, known bool) {
+// errorShare returns the median of the error shares of those proxies that observed enough
+// requests, so that one proxy with a bad network does not make a node Failing.
+func (n *node) errorShare(now time.Duration) (share float64, known bool) {
 	var shares []float64
-	for p, s := range n.errs {
-		fade := math.Exp2(-(now - s.at).Seconds() / errorHalf.Seconds())
-		if all := (s.good + s.bad) * fade; all >= errorLeast {
-			shares = append(shares, s.bad/(s.good+s.bad))
+	for p, c := range n.proxyErrors {
+		decay := math.Exp2(-(now - c.at).Seconds() / errorHalfLife.Seconds())
+		if all := (c.good + c.bad) * decay; all >= minErrorRequests {
+			shares = append(shares, c.bad/(c.good+c.bad))
 		} else if all < 0.1 {
-			delete(n.errs, p)
+			delete(n.proxyErrors, p)
 		}
 	}
 	if len(shares) == 0 {
@@ -331,233 +358,237 @@
 	return shares[(len(shares)-1)/2], true
 }
 
-// Step moves the view, and returns what people should hear of it. It is called
-// every stepEvery or so; the view is as of then.
+// Step updates the view to now, and returns it with the log lines since the last step. Call
+// it every stepInterval or so.
 func (f *Fleet) Step(now time.Duration) (View, []string) {
-	dt := now - f.stepped
-	f.stepped = now
+	elapsed := now - f.steppedAt
+	f.steppedAt = now
 	names := slices.Sorted(maps.Keys(f.nodes))
 	for _, name := range names {
 		n := f.nodes[name]
-		if now-n.heard > forgetAfter && n.silent > 0 && !n.kept {
+		if now-n.reportedAt > forgetAfter && n.silentSince > 0 && !n.frozen {
 			delete(f.nodes, name)
 			continue
 		}
-		f.listen(now, n)
-		n.smooth()
+		f.updateSilence(now, n)
+		n.updateRunning()
 	}
 	names = slices.DeleteFunc(names, func(name string) bool { return f.nodes[name] == nil })
-	lost := f.doubt(now, names)
+	lost := f.updateFreeze(now, names)
 	for _, name := range names {
 		n := f.nodes[name]
-		f.judge(now, n)
-		f.weigh(n, dt)
+		f.updateState(now, n)
+		f.updateWeight(n, elapsed)
 	}
-	f.publish(now, names, lost)
+	f.updateView(now, names, lost)
 	lines := f.lines
 	f.lines = nil
 	return f.view, lines
 }
 
-// smooth follows what runs. What a former life did says nothing of this one: it
-// begins slowly, and with a clean record. It is done by steps, so that the order
-// in which reports came does not matter.
-func (n *node) smooth() {
-	if n.life != n.last.Incarnation {
-		n.life, n.failing, n.running, n.weight = n.last.Incarnation, false, n.last.Running, 0
-		clear(n.errs)
+// updateRunning updates the average of running requests. A new incarnation starts slowly and
+// without the errors of the previous one. Done in steps, not in Report, so that the order of
+// the reports makes no difference.
+func (n *node) updateRunning() {
+	if n.currentIncarnation != n.lastReport.Incarnation {
+		n.currentIncarnation, n.failing, n.running, n.weight = n.lastReport.Incarnation, false, n.lastReport.Running, 0
+		clear(n.proxyErrors)
 	}
-	n.running += runningAlpha * (n.last.Running - n.running)
+	n.running += runningAlpha * (n.lastReport.Running - n.running)
 }
 
-// listen notes who is silent.
-func (f *Fleet) listen(now time.Duration, n *node) {
+// updateSilence sets whether a node's reports are missing.
+func (f *Fleet) updateSilence(now time.Duration, n *node) {
 	limit := silentAfter
 	if n.unproven {
-		limit = provenAfter + silentAfter
+		limit = restartGrace + silentAfter
 	}
 	switch {
-	case now-n.heard <= limit:
-		n.silent, n.kept = 0, false
-	case n.silent == 0:
-		n.silent = max(now, 1)
+	case now-n.reportedAt <= limit:
+		n.silentSince, n.frozen = 0, false
+	case n.silentSince == 0:
+		n.silentSince = max(now, 1)
 	}
 }
 
-// doubt looks whether so many fell silent together that the service had better
-// doubt its own ears. A zone that is silent whole, while others are heard, is one
-// event: it is lost. It returns the zones that are.
-func (f *Fleet) doubt(now time.Duration, names []string) (lost []string) {
-	type zone struct{ all, heard, late int }
+// updateFreeze freezes the view if so many nodes fell silent together that the fault may be
+// the service's own network, and unfreezes it afterwards. The loss of a whole zone, while
+// another zone reports, does not count towards a freeze. It returns the lost zones, sorted.
+func (f *Fleet) updateFreeze(now time.Duration, names []string) (lost []string) {
+	type zone struct{ all, reporting, recentlySilent int }
 	zones := map[string]*zone{}
-	active, silent, late, heard := 0, 0, 0, 0
+	active, silent, recentlySilent, reporting := 0, 0, 0, 0
 	for _, name := range names {
 		n := f.nodes[name]
-		z := zones[n.last.Zone]
+		z := zones[n.lastReport.Zone]
 		if z == nil {
 			z = &zone{}
-			zones[n.last.Zone] = z
+			zones[n.lastReport.Zone] = z
 		}
 		z.all++
-		if n.state == Gone && n.silent > 0 && !n.kept {
-			continue // an old death says nothing of now
+		if n.state == Gone && n.silentSince > 0 && !n.frozen {
+			continue // gone before: no evidence of a present fault
 		}
 		active++
 		switch {
-		case n.silent == 0:
-			z.heard++
-			heard++
-		case n.last.Phase != Draining:
+		case n.silentSince == 0:
+			z.reporting++
+			reporting++
+		case n.lastReport.Phase != Draining:
 			silent++
-			if now-n.silent <= doubtWindow || n.kept {
-				z.late++
-				late++
+			if now-n.silentSince <= freezeWindow || n.frozen {
+				z.recentlySilent++
+				recentlySilent++
 			}
 		}
 	}
-	whole, clean := 0, false // silent nodes of zones that are lost whole; a zone that is heard whole
+	inLostZones, zoneIntact := 0, false // silent nodes in lost zones; whether some zone reports without gaps
 	for _, z := range zones {
-		clean = clean || z.heard > 0 && z.late == 0
+		zoneIntact = zoneIntact || z.reporting > 0 && z.recentlySilent == 0
 	}
 	for name, z := range zones {
-		if z.heard > 0 && z.late >= z.heard && clean { // it is being lost: not all reports are missed at once
-			whole += z.late
-			active -= z.heard
+		if z.reporting > 0 && z.recentlySilent >= z.reporting && zoneIntact {
+			// The zone is being lost; its nodes do not all miss a report at the same time.
+			inLostZones += z.recentlySilent
+			active -= z.reporting
 		}
-		if z.heard == 0 && z.all > 1 && heard > 0 { // whoever hears another zone has ears
+		if z.reporting == 0 && z.all > 1 && reporting > 0 { // another zone reports, so the network of this service works
 			lost = append(lost, name)
-			whole += z.late
+			inLostZones += z.recentlySilent
 		}
 	}
 	slices.Sort(lost)
 	if !f.frozen {
-		late -= whole
-		active -= whole
+		recentlySilent -= inLostZones
+		active -= inLostZones
 	}
 	switch {
-	case !f.frozen && late >= doubtLeast && float64(late) > doubtShare*float64(active):
-		f.frozen, f.since, f.fell = true, now, late
-		f.say("%d of %d nodes fell silent together: the view is frozen, this service may be the one that hears nothing", late, active)
-	case f.frozen && late > f.fell:
-		f.fell = late
-	case f.frozen && (float64(silent) <= thawShare*float64(f.fell) || now-f.since > thawAfter && heard > 0 && f.steady(now, names)):
+	case !f.frozen && recentlySilent >= freezeMinNodes && float64(recentlySilent) > freezeShare*float64(active):
+		f.frozen, f.frozenSince, f.frozenSilent = true, now, recentlySilent
+		f.logf("view frozen: %d of %d nodes fell silent together; this service may have lost its network",
+			recentlySilent, active)
+	case f.frozen && recentlySilent > f.frozenSilent:
+		f.frozenSilent = recentlySilent
+	case f.frozen && (float64(silent) <= unfreezeShare*float64(f.frozenSilent) ||
+		now-f.frozenSince > unfreezeAfter && reporting > 0 && f.receivesReports(now, names)):
 		f.frozen = false
-		f.say("the view thaws: %d nodes are heard, %d are silent", heard, silent)
+		f.logf("view unfrozen: %d nodes report, %d are silent", reporting, silent)
 	}
 	for _, name := range names {
 		n := f.nodes[name]
-		n.kept = f.frozen && n.silent > 0 && n.state != Gone
+		n.frozen = f.frozen && n.silentSince > 0 && n.state != Gone
 	}
 	return lost
 }
 
-// steady reports whether somebody was heard all through the frost: then these
-// ears are good and the silence is the nodes'.
-func (f *Fleet) steady(now time.Duration, names []string) bool {
+// receivesReports reports whether some node has reported without a gap: then the network of
+// this service works, and silent nodes are really silent.
+func (f *Fleet) receivesReports(now time.Duration, names []string) bool {
 	for _, name := range names {
-		if n := f.nodes[name]; n.silent == 0 && now-n.heard < reportEvery*2 {
+		if n := f.nodes[name]; n.silentSince == 0 && now-n.reportedAt < reportInterval*2 {
 			return true
 		}
 	}
 	return false
 }
 
-// judge says what state a node is in.
-func (f *Fleet) judge(now time.Duration, n *node) {
-	penalty := n.now(now)
-	if n.damped = penalty > penaltyCut || n.damped && penalty > penaltyReuse; penalty < 0.01 {
+// updateState sets a node's state and its reason.
+func (f *Fleet) updateState(now time.Duration, n *node) {
+	penalty := n.currentPenalty(now)
+	if n.damped = penalty > cutOffThreshold || n.damped && penalty > reuseThreshold; penalty < 0.01 {
 		n.penalty = 0
 	}
-	if share, known := n.errors(now); known {
-		n.failing = share > errorFrom || n.failing && share > errorUntil
-	} else if len(n.errs) == 0 {
+	if share, known := n.errorShare(now); known {
+		n.failing = share > failingErrorShare || n.failing && share > recoveredErrorShare
+	} else if len(n.proxyErrors) == 0 {
 		n.failing = false
 	}
-	r := &n.last
-	state, why := Healthy, "reports"
+	r := &n.lastReport
+	state, reason := Healthy, "reports healthy"
 	switch {
-	case n.silent > 0 && !n.kept && now-n.heard > goneAfter+f.grace(n):
-		state, why = Gone, "silent too long"
+	case n.silentSince > 0 && !n.frozen && now-n.reportedAt > goneAfter+f.grace(n):
+		state, reason = Gone, "no report for too long"
 	case r.Phase == Draining:
-		state, why = Leaving, "it says that it drains"
-	case n.kept:
-		state, why = n.trusted, "silent, but so are many: kept as it was"
-	case n.silent > 0:
-		state, why = Silent, "reports are missing"
+		state, reason = Leaving, "reports that it drains"
+	case n.frozen:
+		state, reason = n.stateBeforeSilence, "silent together with many others, state kept while the view is frozen"
+	case n.silentSince > 0:
+		state, reason = Silent, "reports are missing"
 	case r.Phase == OutOfService || !r.Healthy:
-		state, why = Refusing, "it says that it can take nothing"
+		state, reason = Refusing, "reports that it takes no work"
 	case n.damped:
-		state, why = Damped, "it comes and goes"
+		state, reason = Damped, "flapping"
 	case n.failing:
-		state, why = Failing, "proxies see errors"
+		state, reason = Failing, "proxies observe errors"
 	case r.Warm < 0.99:
-		state, why = Warming, "it says that it warms up"
+		state, reason = Warming, "reports that it warms up"
 	}
 	if n.unproven && state <= Silent {
-		state, why = min(n.state, Silent), "from before a restart of this service, not heard yet"
+		state, reason = min(n.state, Silent), "restored after a restart of the control service, no report yet"
 		if n.state == Gone {
 			state = Gone
 		}
 	}
 	if state != n.state {
-		if n.last.Name != "" && (state == Damped || n.state == Damped || state == Failing) {
-			f.say("node %s is %v now, was %v: %s", r.Name, state, n.state, why)
+		if n.lastReport.Name != "" && (state == Damped || n.state == Damped || state == Failing) {
+			f.logf("node %s changed state to %v, was %v: %s", r.Name, state, n.state, reason)
 		}
 		n.state, n.since = state, now
 	}
-	n.why = why
-	if n.silent == 0 {
-		n.trusted = state
+	n.reason = reason
+	if n.silentSince == 0 {
+		n.stateBeforeSilence = state
 	}
 }
 
+// grace returns the extra time before a silent node is Gone.
 func (f *Fleet) grace(n *node) time.Duration {
 	if n.unproven {
-		return provenAfter
+		return restartGrace
 	}
 	return 0
 }
 
-// weigh moves a node's weight towards its room, by a bounded factor a step, so
-// that proxies do not all run to whoever has room just now.
-func (f *Fleet) weigh(n *node, dt time.Duration) {
-	r := &n.last
+// updateWeight moves a node's weight towards its free capacity. The change of a step is
+// limited, so that proxies do not all send to the node that has just become idle.
+func (f *Fleet) updateWeight(n *node, elapsed time.Duration) {
+	r := &n.lastReport
 	switch {
-	case n.kept || n.state == Silent: // as it was, should it come back
+	case n.frozen || n.state == Silent: // keep the weight in case the node returns
 		return
 	case !n.state.Serves():
 		n.weight = 0
 		return
 	}
-	want := weightOne
+	target := fullWeight
 	if r.Limit > 0 {
-		room := max(r.Limit-n.running, 0.1*r.Limit)
-		want = weightOne * room / 10
+		free := max(r.Limit-n.running, 0.1*r.Limit)
+		target = fullWeight * free / 10
 	}
-	want *= 1 - 0.8*min(max(r.Pressure, 0), 1)
+	target *= 1 - 0.8*min(max(r.Pressure, 0), 1)
 	if n.state == Warming {
-		want *= max(r.Warm, 0.02)
+		target *= max(r.Warm, 0.02)
 	}
 	if n.state == Failing {
-		want *= probeShare
+		target *= probeShare
 	}
-	want = max(want, 1)
-	if n.weight == 0 { // it begins where slow start has it
-		n.weight = want
+	target = max(target, 1)
+	if n.weight == 0 { // slow start
+		n.weight = target
 		if n.state != Warming && r.Seq <= 1 {
-			n.weight = max(want/4, 1)
+			n.weight = max(target/4, 1)
 		}
 		return
 	}
-	if n.state == Failing { // who is found out loses at once, and comes back by steps
-		n.weight = min(n.weight, want)
+	if n.state == Failing { // drops at once, and rises again in steps
+		n.weight = min(n.weight, target)
 	}
-	most := math.Pow(stepFactor, max(dt.Seconds()/stepEvery.Seconds(), 0))
-	n.weight = min(max(want, n.weight/most), n.weight*most)
+	most := math.Pow(maxWeightFactor, max(elapsed.Seconds()/stepInterval.Seconds(), 0))
+	n.weight = min(max(target, n.weight/most), n.weight*most)
 }
 
-// publish makes the view, with a new version if it differs.
-func (f *Fleet) publish(now time.Duration, names []string, lost []string) {
+// updateView builds the view, with a new version if it differs from the last one.
+func (f *Fleet) updateView(now time.Duration, names []string, lost []string) {
 	v := View{Version: f.view.Version, Frozen: f.frozen, Lost: lost}
 	refused, serving := 1.0, 0
 	for _, name := range names {
@@ -567,17 +598,17 @@
 			weight = int(min(math.Round(n.weight), 100_000))
 		}
 		v.Nodes = append(v.Nodes, Node{
-			Name: name, Addr: n.last.Addr, Zone: n.last.Zone, State: n.state, Why: n.why, Since: n.since,
-			Weight: weight, Limit: math.Round(n.last.Limit), Penalty: math.Round(10*n.now(now)) / 10,
+			Name: name, Addr: n.lastReport.Addr, Zone: n.lastReport.Zone, State: n.state, Why: n.reason, Since: n.since,
+			Weight: weight, Limit: math.Round(n.lastReport.Limit), Penalty: math.Round(10*n.currentPenalty(now)) / 10,
 			Unproven: n.unproven,
 		})
 		if n.state.Serves() {
 			serving++
-			refused = min(refused, max(n.last.Refused, 0))
+			refused = min(refused, max(n.lastReport.Refused, 0))
 		}
 	}
-	if serving > 0 && refused > refuseFrom {
-		v.Drop = math.Round(100*dropPart*refused) / 100
+	if serving > 0 && refused > dropThreshold {
+		v.Drop = math.Round(100*dropShare*refused) / 100
 	}
 	if differs(&v, &f.view) {
 		v.Version++
@@ -585,72 +616,79 @@
 	f.view = v
 }
 
-// differs reports whether proxies would see a difference.
+// differs reports whether two views differ in what proxies are sent.
 func differs(a, b *View) bool {
-	return a.Drop != b.Drop || a.Frozen != b.Frozen || !slices.Equal(a.Lost, b.Lost) || !slices.EqualFunc(a.Nodes, b.Nodes, func(x, y Node) bool {
-		x.Penalty, y.Penalty, x.Why, y.Why, x.Since, y.Since = 0, 0, "", "", 0, 0
-		return x == y
-	})
+	return a.Drop != b.Drop || a.Frozen != b.Frozen || !slices.Equal(a.Lost, b.Lost) ||
+		!slices.EqualFunc(a.Nodes, b.Nodes, func(x, y Node) bool {
+			x.Penalty, y.Penalty, x.Why, y.Why, x.Since, y.Since = 0, 0, "", "", 0, 0
+			return x == y
+		})
 }
 
-// Saved is what outlives the service, as of when it was saved.
+// Saved is the state that a restart of the service restores. It is stored as JSON under the
+// names of its fields.
 type Saved struct {
 	Format  int
 	Version uint64
 	Nodes   []SavedNode
 }
 
-// SavedNode is a node in Saved; times are ages.
+// SavedNode is one node in Saved.
 type SavedNode struct {
-	Report
-	Heard   time.Duration
+	Report                // the last one
+	Heard   time.Duration // age of the report when it was saved
 	State   State
 	Weight  float64
 	Penalty float64
-	Seen    []uint64
+	Seen    []uint64 // known incarnations, sorted
 }
 
-// savedFormat is the version of Saved.
+// savedFormat is the format version of Saved.
 const savedFormat = 1
 
-// Save returns what is to outlive the service.
+// Save returns the state to restore after a restart of the service.
 func (f *Fleet) Save(now time.Duration) Saved {
 	s := Saved{Format: savedFormat, Version: f.view.Version}
 	for _, name := range slices.Sorted(maps.Keys(f.nodes)) {
 		n := f.nodes[name]
 		s.Nodes = append(s.Nodes, SavedNode{
-			Report: n.last, Heard: now - n.heard, State: n.state, Weight: n.weight, Penalty: n.now(now),
-			Seen: slices.Sorted(maps.Keys(n.seen)),
+			Report: n.lastReport, Heard: now - n.reportedAt, State: n.state, Weight: n.weight,
+			Penalty: n.currentPenalty(now), Seen: slices.Sorted(maps.Keys(n.incarnations)),
 		})
 	}
 	return s
 }
 
-// Restore takes over what an earlier life saved. Every node counts as heard just
-// now, but as unproven: nobody is dropped before a reporting period has passed.
-func Restore(now time.Duration, s Saved) (*Fleet, error) {
+// Restore returns a fleet with the state that a previous run of the service saved. Every
+// node but those that were Gone counts as having reported just now, but as unproven: none is
+// removed before restartGrace has passed. If the format is unknown, Restore returns an empty
+// fleet and an error.
+func Restore(now time.Duration, saved Saved) (*Fleet, error) {
 	f := New(now)
-	if s.Format != savedFormat {
-		return f, fmt.Errorf("saved fleet of format %d, this program knows %d", s.Format, savedFormat)
+	if saved.Format != savedFormat {
+		return f, fmt.Errorf("restore fleet: saved state has format %d, only format %d is supported", saved.Format, savedFormat)
 	}
-	f.view.Version = s.Version + 1 // what was published last may not have been saved
-	for _, o := range s.Nodes {
-		if o.Name == "" || len(f.nodes) >= mostNodes || o.State > Gone {
+	f.view.Version = saved.Version + 1 // the version published last may not have been saved
+	for _, s := range saved.Nodes {
+		if s.Name == "" || len(f.nodes) >= maxNodes || s.State > Gone {
 			continue
 		}
 		n := &node{
-			last: o.Report, heard: now, seen: map[uint64]bool{}, flips: map[uint64]uint64{o.Incarnation: o.Flips}, errs: map[string]*seen{},
-			state: o.State, trusted: o.State, since: now, at: now, penalty: min(max(o.Penalty, 0), penaltyMost), weight: max(o.Weight, 0), running: o.Running, life: o.Incarnation, unproven: true,
+			lastReport: s.Report, reportedAt: now, incarnations: map[uint64]bool{},
+			flips: map[uint64]uint64{s.Incarnation: s.Flips}, proxyErrors: map[string]*errorCounts{},
+			state: s.State, stateBeforeSilence: s.State, since: now,
+			penaltyAt: now, penalty: min(max(s.Penalty, 0), maxPenalty),
+			weight: max(s.Weight, 0), running: s.Running, currentIncarnation: s.Incarnation, unproven: true,
 		}
-		if o.State == Gone {
-			n.heard = now - goneAfter
+		if s.State == Gone {
+			n.reportedAt = now - goneAfter
 		} else {
-			f.former++
+			f.restoredNodes++
 		}
-		for _, i := range o.Seen[:min(len(o.Seen), mostIncarnations)] {
-			n.seen[i] = true
+		for _, i := range s.Seen[:min(len(s.Seen), maxIncarnations)] {
+			n.incarnations[i] = true
 		}
-		f.nodes[o.Name] = n
+		f.nodes[s.Name] = n
 	}
 	return f, nil
 }
--- a/decide/fleet/history.go
+++ b/decide/fleet/history.go
@@ -1,6 +1,3 @@
-// This file owns what is kept of the past: each node's changes of state with their
-// evidence, over a day, bounded.
-
 package fleet
 
 import (
@@ -8,87 +5,89 @@
 	"time"
 )
 
-// Bounds of the history.
 const (
-	historyFor  = 24 * time.Hour
-	historyMost = 4096 // changes: beyond, the oldest leave
-	historyNode = 64   // of one node, so that one that flaps does not push out the rest
+	historyTime       = 24 * time.Hour
+	maxHistory        = 4096 // changes; the oldest are dropped beyond
+	maxHistoryPerNode = 64   // changes, so that a flapping node does not displace the others
 )
 
-// Change is one node's change of state.
+// Change is a change of a node's state. It is stored as JSON under the names of its fields.
 type Change struct {
 	At       time.Duration
 	Name     string
 	From, To State
-	New      bool   // it was not known before
-	Why      string // the evidence
+	New      bool   // the node was unknown before
+	Why      string // reason of the new state
 }
 
-// History is what is kept. It belongs to one goroutine.
+// History holds the changes of the nodes' states of the last 24 hours, within limits. It
+// belongs to one goroutine.
 type History struct {
-	list []Change // oldest first
-	last map[string]State
+	changes   []Change // oldest first
+	lastState map[string]State
 }
 
-// NewHistory returns an empty one.
-func NewHistory() *History { return &History{last: map[string]State{}} }
+// NewHistory returns an empty history.
+func NewHistory() *History { return &History{lastState: map[string]State{}} }
 
-// Note takes a view and keeps what changed since the last one. A node that is still
-// unproven has not changed: nobody spoke for it yet.
+// Record adds the differences between v and the last recorded view. Nodes that are unproven
+// and unknown are skipped, since they have not reported yet.
 func (h *History) Record(now time.Duration, v *View) {
-	seen := make(map[string]bool, len(v.Nodes))
+	present := make(map[string]bool, len(v.Nodes))
 	for i := range v.Nodes {
 		n := &v.Nodes[i]
-		seen[n.Name] = true
-		was, known := h.last[n.Name]
+		present[n.Name] = true
+		was, known := h.lastState[n.Name]
 		if known && was == n.State || n.Unproven && !known {
 			continue
 		}
-		h.last[n.Name] = n.State
+		h.lastState[n.Name] = n.State
 		h.add(Change{At: now, Name: n.Name, From: was, To: n.State, New: !known, Why: n.Why})
 	}
-	for name := range h.last {
-		if !seen[name] { // forgotten
-			delete(h.last, name)
+	for name := range h.lastState {
+		if !present[name] {
+			delete(h.lastState, name)
 		}
 	}
-	cut := 0
-	for cut < len(h.list) && now-h.list[cut].At > historyFor {
-		cut++
+	expired := 0
+	for expired < len(h.changes) && now-h.changes[expired].At > historyTime {
+		expired++
 	}
-	h.list = slices.Delete(h.list, 0, cut)
+	h.changes = slices.Delete(h.changes, 0, expired)
 }
 
+// add appends a change and drops an old one where a limit is reached.
 func (h *History) add(c Change) {
 	n, oldest := 0, -1
-	for i := range h.list {
-		if h.list[i].Name == c.Name {
+	for i := range h.changes {
+		if h.changes[i].Name == c.Name {
 			if n++; oldest < 0 {
 				oldest = i
 			}
 		}
 	}
 	switch {
-	case n >= historyNode:
-		h.list = slices.Delete(h.list, oldest, oldest+1)
-	case len(h.list) >= historyMost:
-		h.list = slices.Delete(h.list, 0, 1)
+	case n >= maxHistoryPerNode:
+		h.changes = slices.Delete(h.changes, oldest, oldest+1)
+	case len(h.changes) >= maxHistory:
+		h.changes = slices.Delete(h.changes, 0, 1)
 	}
-	h.list = append(h.list, c)
+	h.changes = append(h.changes, c)
 }
 
-// List tells the changes, oldest first.
-func (h *History) List() []Change { return slices.Clone(h.list) }
+// List returns the changes, oldest first.
+func (h *History) List() []Change { return slices.Clone(h.changes) }
 
-// Restore takes up what an earlier life of the service kept; shift brings its times to
-// this clock. What is not in order, or of no state that there is, is left out.
-func (h *History) Restore(list []Change, shift time.Duration) {
-	for _, c := range list[max(len(list)-historyMost, 0):] {
+// Restore adds the changes that a previous run of the service saved; shift converts their
+// times to the current clock. Changes that are out of order or have an unknown state are
+// skipped.
+func (h *History) Restore(changes []Change, shift time.Duration) {
+	for _, c := range changes[max(len(changes)-maxHistory, 0):] {
 		c.At += shift
-		if c.To > Gone || c.From > Gone || len(h.list) > 0 && c.At < h.list[len(h.list)-1].At {
+		if c.To > Gone || c.From > Gone || len(h.changes) > 0 && c.At < h.changes[len(h.changes)-1].At {
 			continue
 		}
-		h.list = append(h.list, c)
-		h.last[c.Name] = c.To
+		h.changes = append(h.changes, c)
+		h.lastState[c.Name] = c.To
 	}
 }
--- a/decide/fleet/history_test.go
+++ b/decide/fleet/history_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// viewOf returns a view with one node for each name.
 func viewOf(states map[string]State) *View {
 	v := &View{}
 	for name, s := range states {
@@ -14,8 +15,8 @@
 	return v
 }
 
-// Changes are kept with their evidence, once each, for a day, and outlive the service;
-// one node that flaps does not push out the rest.
+// Each change is stored once, with its reason, for 24 hours, and survives a restart of the
+// service. A flapping node does not displace the changes of other nodes.
 func TestHistory(t *testing.T) {
 	h := NewHistory()
 	h.Record(1, viewOf(map[string]State{"a": Healthy}))
@@ -27,28 +28,28 @@
 	for i := range 500 {
 		h.Record(time.Duration(10+i), viewOf(map[string]State{"a": Silent, "b": State(i % 2)}))
 	}
-	if l := h.List(); len(l) != 2+historyNode || l[1].Name != "a" {
-		t.Errorf("%d changes are kept, a flapping node's among them", len(l))
+	if l := h.List(); len(l) != 2+maxHistoryPerNode || l[1].Name != "a" {
+		t.Errorf("%d changes stored with a flapping node", len(l))
 	}
-	again := NewHistory()
-	again.Restore(h.List(), -time.Hour)
-	again.Record(5, viewOf(map[string]State{"a": Silent, "b": State(1)})) // nothing changed meanwhile
-	if l := again.List(); len(l) != 2+historyNode || l[0].At > 0 {
-		t.Errorf("after a restart %d changes, the first at %v", len(l), l[0].At)
+	restored := NewHistory()
+	restored.Restore(h.List(), -time.Hour)
+	restored.Record(5, viewOf(map[string]State{"a": Silent, "b": State(1)})) // no change since
+	if l := restored.List(); len(l) != 2+maxHistoryPerNode || l[0].At > 0 {
+		t.Errorf("after a restart: %d changes, the first at %v", len(l), l[0].At)
 	}
-	again.Record(25*time.Hour, viewOf(map[string]State{"a": Gone}))
-	if l := again.List(); len(l) != 1 || l[0].To != Gone {
-		t.Errorf("a day later %d are kept", len(l))
+	restored.Record(25*time.Hour, viewOf(map[string]State{"a": Gone}))
+	if l := restored.List(); len(l) != 1 || l[0].To != Gone {
+		t.Errorf("%d changes stored a day later", len(l))
 	}
-	for i := range 2 * historyMost {
-		again.Record(26*time.Hour, viewOf(map[string]State{fmt.Sprint(i): Healthy}))
+	for i := range 2 * maxHistory {
+		restored.Record(26*time.Hour, viewOf(map[string]State{fmt.Sprint(i): Healthy}))
 	}
-	if len(again.List()) > historyMost || len(again.last) > 1 {
-		t.Errorf("%d changes, %d names are kept", len(again.List()), len(again.last))
+	if len(restored.List()) > maxHistory || len(restored.lastState) > 1 {
+		t.Errorf("%d changes and %d names stored", len(restored.List()), len(restored.lastState))
 	}
-	wrong := NewHistory()
-	wrong.Restore([]Change{{At: 5, Name: "x", To: 99}, {At: 5, Name: "y"}, {At: 4, Name: "z"}}, 0)
-	if len(wrong.List()) != 1 {
-		t.Errorf("taken up: %+v", wrong.List())
+	invalid := NewHistory()
+	invalid.Restore([]Change{{At: 5, Name: "x", To: 99}, {At: 5, Name: "y"}, {At: 4, Name: "z"}}, 0)
+	if len(invalid.List()) != 1 {
+		t.Errorf("invalid changes restored: %+v", invalid.List())
 	}
 }
