--- a/decide/shedding/digest.go
+++ b/decide/shedding/digest.go
@@ -1,6 +1,3 @@
-// This file owns the fleet's digest: how it is made of nodes' words, and what a
-// node believes of one.
-
 package shedding
 
 import (
@@ -11,211 +8,217 @@
 	"time"
 )
 
-// Bands is how many bands of value there are, four to a doubling, from 2^-10 up.
+// PriorityBands is the number of priority bands. A band is a range of utility; there are four
+// bands to a doubling, from 2^-10 up.
 const (
-	PriorityBands = 96
-	bandLowest    = 40
-	perDouble     = 4
+	PriorityBands    = 96
+	bandOfOne        = 40 // band of utility 1
+	bandsPerDoubling = 4
 )
 
-// band is the band of a value. What is no number is worth nothing.
-func band(v float64) int {
-	if !(v > 0) {
+// band returns the priority band of a utility. NaN is in the lowest band.
+func band(utility float64) int {
+	if !(utility > 0) {
 		return 0
 	}
-	return int(min(max(math.Floor(perDouble*math.Log2(v))+bandLowest, 0), PriorityBands-1))
+	return int(min(max(math.Floor(bandsPerDoubling*math.Log2(utility))+bandOfOne, 0), PriorityBands-1))
 }
 
-// floor is the least value of a band.
-func floor(b int) float64 { return math.Exp2(float64(b-bandLowest) / perDouble) }
+// bandFloor returns the least utility in a band.
+func bandFloor(b int) float64 { return math.Exp2(float64(b-bandOfOne) / bandsPerDoubling) }
 
-// Word is what one node says of itself.
+// LoadReport is the load of one node, as it reports it to the control services.
 type LoadReport struct {
-	DrainRate     float64                // held requests a second that get a slot, as learned
-	ShortageShare float64                // share of the time in which slots were short
-	Demand        [PriorityBands]float64 // first tries a second by price
+	DrainRate     float64                // queued requests a second that get a run slot
+	ShortageShare float64                // share of the time in which run slots were short, 0 to 1
+	Demand        [PriorityBands]float64 // first tries a second by band of their first-try utility
 }
 
-// Digest is what a control service says of the fleet. Epoch is that of the
-// service's life, Seq grows within it.
+// Digest is a control service's summary of the load of the fleet. Epoch identifies the run of
+// the service and grows from one to the next; Seq grows within it.
 type Digest struct {
 	Epoch     uint64  `json:"epoch"`
 	Seq       uint64  `json:"seq"`
-	Nodes     int     `json:"nodes"`  // whose words it holds
-	DrainRate float64 `json:"drain"`  // requests a second, the fleet's
-	Demand    float64 `json:"demand"` // first tries a second, the fleet's
-	Threshold float64 `json:"cut"`    // the least price for which the fleet has room, 0 = it has room for all
+	Nodes     int     `json:"nodes"`  // nodes whose load reports are included
+	DrainRate float64 `json:"drain"`  // requests a second, sum of the nodes
+	Demand    float64 `json:"demand"` // first tries a second, sum of the nodes
+	Threshold float64 `json:"cut"`    // least first-try utility that the fleet has capacity for, 0 = capacity for all
 }
 
-// newer reports whether d is later than o.
+// newer reports whether d is later than o, by epoch and then by sequence number.
 func (d *Digest) newer(o *Digest) bool {
 	return cmp.Or(cmp.Compare(d.Epoch, o.Epoch), cmp.Compare(d.Seq, o.Seq)) > 0
 }
 
-// Told takes a digest that holds as of the time since. It reports whether it was
-// newer than what is known: an older one changes nothing, unless what is known is
-// past its life, since a service that lost its folder may begin again lower.
+// ReceiveDigest is ReceiveDigestFrom with source 0.
 func (m *Shedder) ReceiveDigest(now, since time.Duration, d Digest) bool {
 	return m.ReceiveDigestFrom(now, since, 0, d)
 }
 
-// ToldBy is Told by one of several services, numbered from 0; each has an order of
-// its own.
+// ReceiveDigestFrom handles a digest from control service src, numbered from 0, that holds as
+// of the time since. It returns false if the digest is ignored: it is invalid, expired, or not
+// newer than the last one of that service. A lower epoch is accepted once the last digest has
+// expired, since a service that lost its stored state may start again with a lower one.
 func (m *Shedder) ReceiveDigestFrom(now, since time.Duration, src int, d Digest) bool {
-	if !m.told || src < 0 || src >= MaxSources || d.Epoch == 0 || !(d.Threshold >= 0) || math.IsInf(d.Threshold, 0) || since > now {
+	if !m.useDigests || src < 0 || src >= MaxSources || d.Epoch == 0 ||
+		!(d.Threshold >= 0) || math.IsInf(d.Threshold, 0) || since > now {
 		return false
 	}
-	s := &m.choice.all[src]
-	if s.has && !d.newer(&s.d) && (d.Epoch == s.d.Epoch || now-s.heard < trustEnd) {
+	s := &m.selector.sources[src]
+	if s.received && !d.newer(&s.digest) && (d.Epoch == s.digest.Epoch || now-s.asOf < maxDigestAge) {
 		m.IgnoredDigests++
 		return false
 	}
-	if now-since >= trustEnd {
+	if now-since >= maxDigestAge {
 		m.IgnoredDigests++
 		return false
 	}
 	*s = source{d, since, true}
-	m.follow(now)
+	m.updateDigest(now)
 	return true
 }
 
-// follow takes up whatever digest is to be followed now.
-func (m *Shedder) follow(now time.Duration) {
-	if s := m.choice.pick(now); s.has {
-		m.digest, m.heard, m.hasDigest = s.d, s.heard, true
+// updateDigest takes the digest of the source to follow now.
+func (m *Shedder) updateDigest(now time.Duration) {
+	if s := m.selector.selectSource(now); s.received {
+		m.digest, m.digestAsOf, m.hasDigest = s.digest, s.asOf, true
 	}
 }
 
-// trust is how far the digest is believed: whole while young, then less, then not.
+// trust returns how far the digest is trusted: 1 up to fullTrustAge, then falling linearly to 0
+// at maxDigestAge.
 func (m *Shedder) trust(now time.Duration) float64 {
 	if !m.hasDigest {
 		return 0
 	}
-	age := now - m.heard
-	return min(max(float64(trustEnd-age)/float64(trustEnd-trustWhole), 0), 1)
+	age := now - m.digestAsOf
+	return min(max(float64(maxDigestAge-age)/float64(maxDigestAge-fullTrustAge), 0), 1)
 }
 
-// Tuned values of the digest.
 const (
-	wordLife  = 2500 * time.Millisecond // a word counts for so long: three reports
-	trimTimes = 4.0                     // of the median that one node's word counts at most
-	trimFrom  = 3                       // nodes from which there is a median to speak of
-	cutOver   = 1.05                    // demand over drain from which the fleet counts as full
-	cutUntil  = 0.97                    // and under which it no longer does
-	shortMean = 0.7                     // mean shortness of slots without which it is not full, whatever demand says
-	cutStep   = 3                       // bands that the cut moves at most in a digest
-	mostWords = 20_000
+	reportLifetime     = 2500 * time.Millisecond // a load report counts for so long: three reporting intervals
+	maxMedianRatio     = 4.0                     // a node's figures count up to this multiple of the median
+	minNodesForMedian  = 3                       // with a figure above 0; with fewer, figures are not limited
+	overloadedRatio    = 1.05                    // demand over drain rate above which the fleet is overloaded
+	recoveredRatio     = 0.97                    // and below which it no longer is
+	minMeanShortage    = 0.7                     // mean ShortageShare below which the fleet is not overloaded, whatever the demand
+	maxThresholdChange = 3                       // bands that the threshold changes by at most from one digest to the next
+	maxReports         = 20_000                  // stored load reports
 )
 
-// Gatherer makes digests of nodes' words. It belongs to one goroutine.
+// Aggregator computes digests from the load reports of the nodes. It belongs to one goroutine.
 type Aggregator struct {
-	epoch, seq uint64
-	words      map[string]*heard
-	cut        int // band of the last digest, -1 = the fleet had room for all
-	last       Digest
+	epoch, seq    uint64
+	reports       map[string]*nodeReport // by node name
+	thresholdBand int                    // of the last digest, -1 = capacity for all
+	last          Digest
 }
 
-type heard struct {
+// nodeReport is the latest load report of one node.
+type nodeReport struct {
 	LoadReport
-	inc, seq uint64
-	at       time.Duration
+	incarnation, seq uint64
+	receivedAt       time.Duration
 }
 
-// NewGatherer returns a gatherer; epoch must grow with each life of the service.
+// NewAggregator returns an aggregator without load reports. epoch must be higher than in any
+// earlier run of the service.
 func NewAggregator(epoch uint64) *Aggregator {
-	return &Aggregator{epoch: epoch, words: map[string]*heard{}, cut: -1}
+	return &Aggregator{epoch: epoch, reports: map[string]*nodeReport{}, thresholdBand: -1}
 }
 
-// Heard takes a node's word. It reports whether it was newer than what is known.
-func (g *Aggregator) Observe(now time.Duration, name string, inc, seq uint64, w LoadReport) bool {
-	h := g.words[name]
-	if h == nil {
-		if len(g.words) >= mostWords {
+// Observe handles a node's load report. It returns false if the report is ignored, because a
+// later one of the node is known or too many nodes are.
+func (a *Aggregator) Observe(now time.Duration, name string, incarnation, seq uint64, load LoadReport) bool {
+	r := a.reports[name]
+	if r == nil {
+		if len(a.reports) >= maxReports {
 			return false
 		}
-		h = &heard{}
-		g.words[name] = h
-	} else if cmp.Or(cmp.Compare(inc, h.inc), cmp.Compare(seq, h.seq)) <= 0 && now-h.at < wordLife {
+		r = &nodeReport{}
+		a.reports[name] = r
+	} else if cmp.Or(cmp.Compare(incarnation, r.incarnation), cmp.Compare(seq, r.seq)) <= 0 &&
+		now-r.receivedAt < reportLifetime {
 		return false
 	}
-	w.DrainRate, w.ShortageShare = sane(w.DrainRate), min(sane(w.ShortageShare), 1)
-	for i := range w.Demand {
-		w.Demand[i] = sane(w.Demand[i])
+	load.DrainRate, load.ShortageShare = sanitize(load.DrainRate), min(sanitize(load.ShortageShare), 1)
+	for i := range load.Demand {
+		load.Demand[i] = sanitize(load.Demand[i])
 	}
-	*h = heard{w, inc, seq, now}
+	*r = nodeReport{load, incarnation, seq, now}
 	return true
 }
 
-// Digest is the fleet's digest as of now. It is the water level: from the dearest
-// band down, demand is added up until all drains are full; what lies below finds
-// no room anywhere.
-func (g *Aggregator) Digest(now time.Duration) Digest {
-	maps.DeleteFunc(g.words, func(_ string, h *heard) bool { return now-h.at >= wordLife })
-	g.seq++
-	d := Digest{Epoch: g.epoch, Seq: g.seq, Nodes: len(g.words)}
-	drains, demands := make([]float64, 0, len(g.words)), make([]float64, 0, len(g.words))
-	names := slices.Sorted(maps.Keys(g.words)) // sums of floats depend on the order
+// Digest returns the digest of the fleet as of now. To find the threshold, it adds up demand
+// from the highest band down until the sum exceeds the drain rate of the fleet; requests below
+// that band find no capacity on any node.
+func (a *Aggregator) Digest(now time.Duration) Digest {
+	maps.DeleteFunc(a.reports, func(_ string, r *nodeReport) bool { return now-r.receivedAt >= reportLifetime })
+	a.seq++
+	d := Digest{Epoch: a.epoch, Seq: a.seq, Nodes: len(a.reports)}
+	drains, demands := make([]float64, 0, len(a.reports)), make([]float64, 0, len(a.reports))
+	names := slices.Sorted(maps.Keys(a.reports)) // floating-point sums depend on the order
 	for _, name := range names {
-		h := g.words[name]
+		r := a.reports[name]
 		sum := 0.0
-		for _, x := range h.Demand {
+		for _, x := range r.Demand {
 			sum += x
 		}
-		drains, demands = append(drains, h.DrainRate), append(demands, sum)
+		drains, demands = append(drains, r.DrainRate), append(demands, sum)
 	}
-	mostDrain, mostDemand := bound(drains), bound(demands)
-	var all [PriorityBands]float64
-	short := 0.0
+	maxDrain, maxDemand := outlierLimit(drains), outlierLimit(demands)
+	var demandByBand [PriorityBands]float64
+	shortage := 0.0
 	for i, name := range names {
-		h := g.words[name]
-		d.DrainRate += min(h.DrainRate, mostDrain)
+		r := a.reports[name]
+		d.DrainRate += min(r.DrainRate, maxDrain)
 		part := 1.0
-		if demands[i] > mostDemand {
-			part = mostDemand / demands[i]
+		if demands[i] > maxDemand {
+			part = maxDemand / demands[i]
 		}
-		for b, x := range h.Demand {
-			all[b] += part * x
+		for b, x := range r.Demand {
+			demandByBand[b] += part * x
 			d.Demand += part * x
 		}
-		short += h.ShortageShare
+		shortage += r.ShortageShare
 	}
-	want := -1
-	limit := cutOver
-	if g.cut >= 0 {
-		limit = cutUntil
+	target := -1
+	limit := overloadedRatio
+	if a.thresholdBand >= 0 {
+		limit = recoveredRatio
 	}
-	if d.DrainRate > 0 && d.Demand > limit*d.DrainRate && short >= shortMean*float64(len(names)) {
+	if d.DrainRate > 0 && d.Demand > limit*d.DrainRate && shortage >= minMeanShortage*float64(len(names)) {
 		left := d.DrainRate
 		for b := PriorityBands - 1; b >= 0; b-- {
-			if left -= all[b]; left < 0 {
-				want = b
+			if left -= demandByBand[b]; left < 0 {
+				target = b
 				break
 			}
 		}
 	}
 	switch {
-	case want < 0 || g.cut < 0:
-		g.cut = want
+	case target < 0 || a.thresholdBand < 0:
+		a.thresholdBand = target
 	default:
-		g.cut += min(max(want-g.cut, -cutStep), cutStep)
+		a.thresholdBand += min(max(target-a.thresholdBand, -maxThresholdChange), maxThresholdChange)
 	}
-	if g.cut >= 0 {
-		d.Threshold = floor(g.cut)
+	if a.thresholdBand >= 0 {
+		d.Threshold = bandFloor(a.thresholdBand)
 	}
-	g.last = d
+	a.last = d
 	return d
 }
 
-// Last is the digest that was made last.
-func (g *Aggregator) Last() Digest { return g.last }
+// Last returns the digest that Digest returned last, and a zero one before that.
+func (a *Aggregator) Last() Digest { return a.last }
 
-// bound is the most that one node's figure counts: some times the median of those
-// that are above 0, so that one liar moves the fleet's figure by a few shares only.
-func bound(all []float64) float64 {
-	some := slices.DeleteFunc(slices.Clone(all), func(x float64) bool { return x <= 0 })
-	if len(some) < trimFrom {
+// outlierLimit returns the limit for one node's figure: a multiple of the median of the figures
+// above 0, so that a node that reports nonsense has little effect on the sums.
+func outlierLimit(figures []float64) float64 {
+	positive := slices.DeleteFunc(slices.Clone(figures), func(x float64) bool { return x <= 0 })
+	if len(positive) < minNodesForMedian {
 		return math.MaxFloat64
 	}
-	slices.Sort(some)
-	return trimTimes * some[(len(some)-1)/2]
+	slices.Sort(positive)
+	return maxMedianRatio * positive[(len(positive)-1)/2]
 }
--- a/decide/shedding/explore_test.go
+++ b/decide/shedding/explore_test.go
@@ -9,199 +9,203 @@
 	"robinmast/rules"
 )
 
-// The exchange of words, digests and refusals of two nodes and a service, explored
-// exhaustively: in each of the first ticks every report may arrive, be lost, or have
-// its answer delayed by up to four ticks and so overtaken; the service may start
-// anew with a later epoch, or an earlier one, as from a clock set back; the overload
-// may end. Bounds: exploreTicks ticks of 500 ms with exploreFaults faults, then quiet.
-// The code explored is the package's own.
+// Limits of the exhaustive search in TestExplore.
 const (
 	exploreTick   = 500 * time.Millisecond
 	exploreTicks  = 5
 	exploreFaults = 3
-	quietTicks    = 14 // a word's life, a digest's life, and as many reports again
+	quietTicks    = 14 // reportLifetime, maxDigestAge, and as many reports again
 	exploreNodes  = 2
 )
 
-// flight is an answer under way.
-type flight struct {
+// response is a response of the service that is under way to a node.
+type response struct {
 	to   int
 	made time.Duration
 	due  time.Duration
 	d    Digest
 }
 
-type world struct {
-	now     time.Duration
-	tick    int
-	faults  int
-	over    bool          // the overload lasts
-	ended   time.Duration // when it ended
-	epoch   uint64
-	g       *Aggregator
-	seq     [exploreNodes]uint64
-	nodes   [exploreNodes]Shedder
-	flights []flight
+// simulation is a state of the searched system: two nodes and a control service.
+type simulation struct {
+	now         time.Duration
+	tick        int
+	faults      int
+	overload    bool          // the overload lasts
+	overloadEnd time.Duration // when it ended
+	epoch       uint64
+	aggregator  *Aggregator
+	seq         [exploreNodes]uint64
+	nodes       [exploreNodes]Shedder
+	responses   []response
 }
 
-func (w *world) clone() *world {
-	c := *w
-	g := *w.g
-	g.words = make(map[string]*heard, len(w.g.words))
-	for name, h := range w.g.words {
-		copied := *h
-		g.words[name] = &copied
+// clone returns a copy that shares nothing that changes.
+func (s *simulation) clone() *simulation {
+	c := *s
+	aggregator := *s.aggregator
+	aggregator.reports = make(map[string]*nodeReport, len(s.aggregator.reports))
+	for name, r := range s.aggregator.reports {
+		copied := *r
+		aggregator.reports[name] = &copied
 	}
-	c.g = &g
-	c.flights = append([]flight(nil), w.flights...)
+	c.aggregator = &aggregator
+	c.responses = append([]response(nil), s.responses...)
 	return &c
 }
 
-// key tells worlds apart by all that may matter for what follows.
-func (w *world) key() string {
+// key identifies a state by everything that its future depends on.
+func (s *simulation) key() string {
 	var b strings.Builder
-	fmt.Fprint(&b, w.tick, w.faults, w.over, w.ended, w.epoch, w.g.cut, w.g.seq, w.seq)
+	fmt.Fprint(&b, s.tick, s.faults, s.overload, s.overloadEnd, s.epoch, s.aggregator.thresholdBand, s.aggregator.seq, s.seq)
 	for _, name := range []string{"n0", "n1"} {
-		if h := w.g.words[name]; h != nil {
-			fmt.Fprint(&b, "|", h.seq, w.now-h.at, h.ShortageShare)
+		if r := s.aggregator.reports[name]; r != nil {
+			fmt.Fprint(&b, "|", r.seq, s.now-r.receivedAt, r.ShortageShare)
 		}
 	}
-	for i := range w.nodes {
-		m := &w.nodes[i]
-		fmt.Fprint(&b, "/", m.hasDigest, m.digest.Epoch, m.digest.Seq, m.digest.Threshold, m.heard)
+	for i := range s.nodes {
+		m := &s.nodes[i]
+		fmt.Fprint(&b, "/", m.hasDigest, m.digest.Epoch, m.digest.Seq, m.digest.Threshold, m.digestAsOf)
 	}
-	for _, f := range w.flights {
-		fmt.Fprint(&b, "~", f.to, f.due-w.now, f.d.Epoch, f.d.Seq, f.d.Threshold)
+	for _, f := range s.responses {
+		fmt.Fprint(&b, "~", f.to, f.due-s.now, f.d.Epoch, f.d.Seq, f.d.Threshold)
 	}
 	return b.String()
 }
 
-// fate is what becomes of one report.
-type fate int
+// delivery is what happens to one report and its response.
+type delivery int
 
 const (
-	arrives fate = iota
-	lost         // the report
-	late1        // the answer comes a tick later
-	late4        // and four: another may overtake it
-	fates
+	delivered delivery = iota
+	lost               // the report
+	delayed1           // the response is delayed by one tick
+	delayed4           // by four ticks, so that a later one may overtake it
+	numDeliveries
 )
 
-// report lets a node report, with a fate.
-func (w *world) report(i int, f fate) {
-	w.seq[i]++
-	if f == lost {
+// report lets node i send its load report.
+func (s *simulation) report(i int, d delivery) {
+	s.seq[i]++
+	if d == lost {
 		return
 	}
-	said := word(100, 0, map[float64]float64{50: 40})
-	if w.over {
-		said = word(100, 1, map[float64]float64{50: 150, 10: 100})
+	load := newLoadReport(100, 0, map[float64]float64{50: 40})
+	if s.overload {
+		load = newLoadReport(100, 1, map[float64]float64{50: 150, 10: 100})
 	}
-	w.g.Observe(w.now, fmt.Sprint("n", i), 1, w.seq[i], said)
-	a := flight{to: i, made: w.now, due: w.now, d: w.g.Last()}
-	switch f {
-	case late1:
-		a.due += exploreTick
-	case late4:
-		a.due += 4 * exploreTick
+	s.aggregator.Observe(s.now, fmt.Sprint("n", i), 1, s.seq[i], load)
+	r := response{to: i, made: s.now, due: s.now, d: s.aggregator.Last()}
+	switch d {
+	case delayed1:
+		r.due += exploreTick
+	case delayed4:
+		r.due += 4 * exploreTick
 	}
-	if a.d.Epoch > 0 {
-		w.flights = append(w.flights, a)
+	if r.d.Epoch > 0 {
+		s.responses = append(s.responses, r)
 	}
 }
 
-// pass moves time by a tick: the service makes a digest, answers arrive.
-func (w *world) pass() {
-	w.g.Digest(w.now)
-	rest := w.flights[:0:0]
-	for _, f := range w.flights {
-		if f.due > w.now {
+// advance moves time by a tick: the service computes a digest, and due responses arrive.
+func (s *simulation) advance() {
+	s.aggregator.Digest(s.now)
+	rest := s.responses[:0:0]
+	for _, f := range s.responses {
+		if f.due > s.now {
 			rest = append(rest, f)
 			continue
 		}
-		w.nodes[f.to].ReceiveDigest(w.now, f.made, f.d)
+		s.nodes[f.to].ReceiveDigest(s.now, f.made, f.d)
 	}
-	w.flights = rest
-	w.now += exploreTick
-	w.tick++
+	s.responses = rest
+	s.now += exploreTick
+	s.tick++
 }
 
-func (w *world) restart(epoch uint64) {
-	w.epoch = epoch
-	w.g = NewAggregator(epoch)
+// restart restarts the service without its reports.
+func (s *simulation) restart(epoch uint64) {
+	s.epoch = epoch
+	s.aggregator = NewAggregator(epoch)
 }
 
-// check holds the invariants of every world.
-func (w *world) check() error {
-	bare := New(0, true)
-	bare.drain, bare.short = 100, 1
-	line := []rules.QueuedRequest{{Utility: 50}, {Utility: 50}, {Utility: 50}}
-	for i := range w.nodes {
-		m := w.nodes[i] // a copy
-		m.drain, m.short = 100, 1
-		for _, value := range []float64{10, 50} {
-			for _, most := range []time.Duration{time.Millisecond, time.Second} {
-				if m.ExceedsQueueTimeout(line, value, most) != bare.ExceedsQueueTimeout(line, value, most) {
-					return fmt.Errorf("node %d refuses for others' sake what it would finish alone", i)
+// check checks the invariants of every state.
+func (s *simulation) check() error {
+	withoutDigest := New(0, true)
+	withoutDigest.drainRate, withoutDigest.shortageShare = 100, 1
+	queue := []rules.QueuedRequest{{Utility: 50}, {Utility: 50}, {Utility: 50}}
+	for i := range s.nodes {
+		m := s.nodes[i] // a copy
+		m.drainRate, m.shortageShare = 100, 1
+		for _, utility := range []float64{10, 50} {
+			for _, timeout := range []time.Duration{time.Millisecond, time.Second} {
+				if m.ExceedsQueueTimeout(queue, utility, timeout) != withoutDigest.ExceedsQueueTimeout(queue, utility, timeout) {
+					return fmt.Errorf("node %d refuses at once, because of a digest, what it would otherwise finish", i)
 				}
 			}
 		}
-		if v := m.View(w.now); v.Threshold > 0 && !w.over && w.now-w.ended > wordLife+trustEnd {
-			return fmt.Errorf("node %d follows a cut %v after the overload ended", i, w.now-w.ended)
+		if v := m.View(s.now); v.Threshold > 0 && !s.overload && s.now-s.overloadEnd > reportLifetime+maxDigestAge {
+			return fmt.Errorf("node %d follows a threshold %v after the overload ended", i, s.now-s.overloadEnd)
 		}
-		if v := m.View(w.now); v.Trust > 0 && w.now-m.heard >= trustEnd {
-			return fmt.Errorf("node %d trusts a digest of age %v", i, w.now-m.heard)
+		if v := m.View(s.now); v.Trust > 0 && s.now-m.digestAsOf >= maxDigestAge {
+			return fmt.Errorf("node %d trusts a digest of age %v", i, s.now-m.digestAsOf)
 		}
 	}
 	return nil
 }
 
-// settle lets everything arrive for a while: the fleet must be calm, and hear the
-// present life of the service.
-func (w *world) settle() error {
+// settle lets everything arrive for quietTicks. Then the nodes must follow the present run of the
+// service, with a threshold only if the overload lasts.
+func (s *simulation) settle() error {
 	for range quietTicks {
-		for i := range w.nodes {
-			w.report(i, arrives)
+		for i := range s.nodes {
+			s.report(i, delivered)
 		}
-		w.pass()
-		if err := w.check(); err != nil {
+		s.advance()
+		if err := s.check(); err != nil {
 			return err
 		}
 	}
-	for i := range w.nodes {
-		m := &w.nodes[i]
-		if v := m.View(w.now); v.Threshold > 0 != w.over || v.Trust < 1 || m.digest.Epoch != w.epoch {
-			return fmt.Errorf("node %d after %d quiet ticks: %+v of epoch %d, the service's is %d, overload %v", i, quietTicks, v, m.digest.Epoch, w.epoch, w.over)
+	for i := range s.nodes {
+		m := &s.nodes[i]
+		if v := m.View(s.now); v.Threshold > 0 != s.overload || v.Trust < 1 || m.digest.Epoch != s.epoch {
+			return fmt.Errorf("node %d after %d ticks without faults: %+v of epoch %d, the epoch of the service is %d, overload %v", i, quietTicks, v, m.digest.Epoch, s.epoch, s.overload)
 		}
 	}
 	return nil
 }
 
+// Searches exhaustively through the exchange of load reports and digests between two nodes and a
+// control service. In each of the first exploreTicks ticks every report may arrive, be lost, or
+// have its response delayed and overtaken by a later one; the service may restart with a higher
+// epoch, or with a lower one, as after its clock was set back; and the overload may end. There are
+// at most exploreFaults faults. The invariants hold in every state, and after quietTicks without
+// faults the nodes are in the state that the load calls for.
 func TestExplore(t *testing.T) {
-	begin := &world{over: true, epoch: 10, g: NewAggregator(10)}
+	begin := &simulation{overload: true, epoch: 10, aggregator: NewAggregator(10)}
 	for i := range begin.nodes {
 		begin.nodes[i] = *New(0, true)
 	}
-	seen := map[string]bool{}
-	todo := []*world{begin}
+	visited := map[string]bool{}
+	todo := []*simulation{begin}
 	settled := 0
 	for len(todo) > 0 {
-		w := todo[len(todo)-1]
+		s := todo[len(todo)-1]
 		todo = todo[:len(todo)-1]
-		if err := w.clone().settle(); err != nil {
-			t.Fatalf("%v\nfrom %s", err, w.key())
+		if err := s.clone().settle(); err != nil {
+			t.Fatalf("%v\nfrom %s", err, s.key())
 		}
 		settled++
-		if w.tick == exploreTicks {
+		if s.tick == exploreTicks {
 			continue
 		}
-		for service := range 3 {
-			for first := range fates {
-				for second := range fates {
+		for service := range 3 { // it goes on, restarts with a higher epoch, or with a lower one
+			for first := range numDeliveries {
+				for second := range numDeliveries {
 					for _, ends := range []bool{false, true} {
-						n := w.clone()
-						for _, f := range []fate{first, second} {
-							if f != arrives {
+						n := s.clone()
+						for _, d := range []delivery{first, second} {
+							if d != delivered {
 								n.faults++
 							}
 						}
@@ -209,20 +213,20 @@
 							n.faults++
 							n.restart(map[int]uint64{1: n.epoch + 1, 2: n.epoch - 1}[service])
 						}
-						if n.faults > exploreFaults || ends && !n.over {
+						if n.faults > exploreFaults || ends && !n.overload {
 							continue
 						}
 						if ends {
-							n.over, n.ended = false, n.now
+							n.overload, n.overloadEnd = false, n.now
 						}
 						n.report(0, first)
 						n.report(1, second)
-						n.pass()
+						n.advance()
 						if err := n.check(); err != nil {
-							t.Fatalf("%v\nfrom %s", err, w.key())
+							t.Fatalf("%v\nfrom %s", err, s.key())
 						}
-						if k := n.key(); !seen[k] {
-							seen[k] = true
+						if k := n.key(); !visited[k] {
+							visited[k] = true
 							todo = append(todo, n)
 						}
 					}
@@ -230,8 +234,8 @@
 			}
 		}
 	}
-	t.Logf("%d states seen, from each of %d the fleet was calm, or cut as it should be, within %d ticks", len(seen), settled, quietTicks)
-	if len(seen) < 1000 {
-		t.Errorf("only %d states were seen", len(seen))
+	t.Logf("%d states reached; from each of %d the nodes were in the right state within %d ticks", len(visited), settled, quietTicks)
+	if len(visited) < 1000 {
+		t.Errorf("only %d states were reached", len(visited))
 	}
 }
--- a/decide/shedding/shedding.go
+++ b/decide/shedding/shedding.go
@@ -1,13 +1,18 @@
-// Package together decides what a node does with its refusals so that those of a
-// whole fleet do not add up to harm: what is refused at once instead of being held
-// in vain, whose walk through the list ends here, how long who was refused stays
-// away, and what a further try is worth. It knows the fleet by what reaches the
-// node alone, and by a digest where a control service tells one. It must never do
-// I/O, read a clock or log, refuse what the node has room to finish, or take more.
+// Package shedding decides how a node refuses requests as one of a fleet, so that the refusals
+// of all nodes together do no harm: which requests to refuse at once because they would exceed
+// the queue timeout, which refused requests must not be retried at other nodes, the retry-after
+// of a refusal, and the utility of a further try relative to a first one.
 //
-// Invariants, held by TestProperties: whatever came in, advice lies within its
-// bounds, shares within 0 and 1, and no state outlives its evidence; a digest past
-// its life is as if never told, and on the way there trust falls without a jump.
+// A node estimates the shortage of the fleet from the further tries that it receives, and, where
+// control services send digests of the fleet's load, from those. The module never refuses a
+// request that the node has capacity to finish, and never accepts more.
+//
+// The caller passes the current time in; the package does no I/O, reads no clock and writes no
+// log. Log lines are returned as values. Nothing in it is safe for concurrent use.
+//
+// TestProperties checks the invariants: whatever the input, the retry-after is within its
+// limits, shares are within 0 and 1, and estimates fade without new input; an expired digest
+// has no effect, and trust in a digest falls continuously until it expires.
 package shedding
 
 import (
@@ -20,192 +25,215 @@
 
 var _ rules.Shedder = (*Shedder)(nil)
 
-// Tuned values. Shares are of 1; every time is a real duration.
 const (
-	fade        = 600 * time.Millisecond // weight of the past in rates of arrivals: a few steps
-	usualFade   = 2 * time.Minute        // in what the node usually drains
-	wantedLeast = 0.75                   // of that in first tries, without which it is this node that is slow, not the fleet that is full
-	walkFade    = time.Second            // and in what further tries tell of others: they come in waves
-	shortFrom   = 0.12                   // of what others get that they refuse, from which the fleet counts as short
-	shortFull   = 0.30                   // and from which it is short for certain
-	endMost     = 0.9                    // of the walks that end here at most, unless told: the rest go on to tell
-	leastRead   = 4.0                    // arrivals that the share of further tries must rest on
-	retryShort  = 0.4                    // worth of a further try over a first while the fleet is short: it may be late
-	vainShare   = 0.6                    // of the time it may be held within which a request must have its turn: rates swing
-	slotWidth   = 25 * time.Millisecond  // of an appointment: a beat
-	slots       = 256                    // appointments reach 6.4 s ahead
-	slotShare   = 0.5                    // of what drains in a slot that may be given to returns
-	spread      = 0.5                    // of the advice, either way, over which appointments lie: its mean stays
-	longer      = 1.04                   // growth a step of the advice while returns exceed their share
-	longest     = 2.0                    // times at most: who stays away for long lets slots run dry
-	least       = 0.75                   // times at least, while returns are few: who stays away sends nothing dear either
-	drained     = 0.8                    // of the growth stays a step while slots run dry
-	shorter     = 0.94                   // of the growth stays a step while they do not
-	returnsOK   = 0.115                  // share of arrivals that are further tries and no harm: 1.13 tries a first try
-	dry         = 0.9                    // of the time slots must be short, or advice is not lengthened
-	trustWhole  = time.Second            // a digest is believed whole for so long: a report and a half
-	trustEnd    = 2500 * time.Millisecond
-	nearCut     = 2 // bands above the cut within which a walk ends as alone: lines differ by so much
-	golden      = math.Phi - 1
-	sayFrom     = 0.5 // shortness from which people hear that the fleet is short
-	sayUntil    = 0.1 // and under which that it no longer is
+	rateTimeConstant  = 600 * time.Millisecond // of arrival rates: a few steps
+	drainTimeConstant = 2 * time.Minute        // in which the usual drain rate decays
+	retryTimeConstant = time.Second            // of the shares of further tries and refusals; further tries come in waves
+
+	// First tries a second over the usual drain rate, below which a shortage is taken for
+	// slowness of this node instead of overload of the fleet.
+	minFirstTryRatio = 0.75
+	// The peers' refusal share at which the estimated shortage of the fleet is above 0, and 1.
+	shortagePeerRefusals     = 0.12
+	fullShortagePeerRefusals = 0.30
+	minRecentArrivals        = 4.0 // below which further tries are too few to estimate the peers' refusals
+
+	maxStopShare         = 0.9  // of refusals, without a digest; the other retries show the peers the shortage
+	shortageRetryUtility = 0.4  // of a further try over a first one in a full shortage: it may be late
+	queueTimeoutShare    = 0.6  // of the queue timeout that the expected delay may take, as rates vary
+	nearThresholdBands   = 2    // above the threshold, treated as without a digest: nodes' queues differ by so much
+	minLocalShortage     = 0.05 // of this node, below which it does not take the fleet for short
+
+	// Returns are scheduled in time slots.
+	slotWidth       = 25 * time.Millisecond // the control interval
+	numSlots        = 256                   // 6.4 s ahead
+	slotReturnShare = 0.5                   // of the requests drained in a slot that may be returns
+	retrySpread     = 0.5                   // the retry-after varies by this share of its mean, up and down
+
+	// The retry-after is stretched by a factor while too many of the arrivals are further
+	// tries, and not so far that run slots stay idle.
+	stretchGrowth      = 1.04  // factor a step while further tries exceed their share
+	stretchDecay       = 0.94  // factor a step while they do not
+	stretchIdleDecay   = 0.8   // factor a step while run slots stay idle: corrected faster than too many returns
+	maxStretch         = 2.0   // callers that stay away longer leave run slots idle
+	minStretch         = 0.75  // callers that stay away send no requests of high utility either
+	acceptedRetryShare = 0.115 // of arrivals that may be further tries: 1.13 tries for a first try
+	minStretchShortage = 0.9   // share of the time that run slots must be short before the factor grows
+
+	fullTrustAge = time.Second             // up to which a digest is fully trusted: 1.5 reporting intervals
+	maxDigestAge = 2500 * time.Millisecond // at which it expires
+
+	goldenRatio      = math.Phi - 1
+	logShortageAbove = 0.5 // shortage above which its begin is logged
+	logShortageBelow = 0.1 // and below which its end is
 )
 
-// Module is one node's. It belongs to one goroutine.
+// Shedder is the fleet-aware load shedding of one node. It implements rules.Shedder and belongs
+// to one goroutine.
 type Shedder struct {
-	stepped time.Duration
-	told    bool // digests are taken
-
-	count, rate    [PriorityBands]float64 // arrivals by value: since the last step, and a second
-	first, demand  [PriorityBands]float64 // first tries by price, the same
-	read, again    float64                // arrivals and further tries, faded
-	refused, out   float64                // refusals and those that ended a walk, faded
-	drain          float64
-	short          float64 // share of the last steps in which slots were short
-	wanted         float64 // first tries a second
-	usual          float64 // the highest drain of late, slowly forgotten
-	fleetShort     float64 // how surely the fleet is short, 0 to 1
-	grown          float64 // of the spread
-	turn           float64 // of the sequence of appointments, 0 to 1
-	odd            float64 // running remainder, so that a share of walks ends exactly
-	slot           [slots]uint16
-	slotAt         int64 // number of the first slot
+	steppedAt  time.Duration
+	useDigests bool
+
+	arrivals, arrivalRate [PriorityBands]float64 // by band of utility: count since the last step, and a second
+	firstTries, demand    [PriorityBands]float64 // first tries by band of first-try utility, likewise
+
+	// Counts with exponential decay.
+	recentArrivals, recentRetries float64 // retries: further tries
+	recentRefusals, recentStops   float64 // stops: refusals that stop retries
+
+	drainRate      float64 // queued requests a second that get a run slot
+	shortageShare  float64 // recent share of the time in which run slots were short
+	firstTryRate   float64 // a second
+	usualDrainRate float64 // recent maximum, slowly decaying
+	shortage       float64 // estimated shortage of the fleet, 0 to 1
+
+	stretch       float64 // factor of the retry-after
+	slotSequence  float64 // position in the sequence that spreads returns over slots, 0 to 1
+	stopRemainder float64 // running remainder, so that the exact share of refusals stops retries
+	returns       [numSlots]uint16
+	firstSlot     int64 // number of the earliest slot in returns
+
 	digest         Digest
-	heard          time.Duration // as of when the digest holds
+	digestAsOf     time.Duration
 	hasDigest      bool
-	choice         choice // of the service whose digest that is
-	acting         bool
-	IgnoredDigests int // digests that were older than what is known
+	selector       sourceSelector
+	shortageLogged bool
+	IgnoredDigests int // number of expired and outdated digests
 }
 
-// New returns a node's module; told lets it take digests.
-func New(now time.Duration, told bool) *Shedder {
-	return &Shedder{stepped: now, told: told, grown: 1, slotAt: slotOf(now)}
+// New returns the shedder of one node; useDigests lets it use the digests of control services.
+func New(now time.Duration, useDigests bool) *Shedder {
+	return &Shedder{steppedAt: now, useDigests: useDigests, stretch: 1, firstSlot: slotOf(now)}
 }
 
-// Arrived takes an arrival: what serving it earns in the order of the line, its
-// price by which nodes compare, and whether it is marked as a further try.
-func (m *Shedder) Arrived(_ time.Duration, value, price float64, again bool) {
-	m.count[band(value)]++
-	m.read++
-	if again {
-		m.again++
+// Arrived counts an arrival: its cost-weighted utility, by which the queue is ordered; the
+// utility that it would have as a first try, which is comparable between nodes; and whether it
+// is marked as a further try.
+func (m *Shedder) Arrived(_ time.Duration, utility, firstTryUtility float64, furtherTry bool) {
+	m.arrivals[band(utility)]++
+	m.recentArrivals++
+	if furtherTry {
+		m.recentRetries++
 		return
 	}
-	m.first[band(price)]++
+	m.firstTries[band(firstTryUtility)]++
 }
 
-// Step brings the rates up to now: drain is how many held requests a second get a
-// slot, short the share of the time in which slots were short. It returns lines
-// for people.
-func (m *Shedder) Step(now time.Duration, drain, short float64) (lines []string) {
-	dt := (now - m.stepped).Seconds()
+// Step updates the rates and estimates to now. drainRate is the number of queued requests a
+// second that get a run slot, shortageShare the share of the time since the last step in which
+// run slots were short. It returns log lines.
+func (m *Shedder) Step(now time.Duration, drainRate, shortageShare float64) (lines []string) {
+	dt := (now - m.steppedAt).Seconds()
 	if dt <= 0 {
 		return nil
 	}
-	m.stepped, m.drain = now, sane(drain)
-	m.usual = max(m.usual*math.Exp(-dt/usualFade.Seconds()), m.drain)
-	m.wanted = 0
-	keep := math.Exp(-dt / fade.Seconds())
-	for i := range m.count {
-		m.rate[i] = keep*m.rate[i] + (1-keep)*m.count[i]/dt
-		m.demand[i] = keep*m.demand[i] + (1-keep)*m.first[i]/dt
-		m.count[i], m.first[i] = 0, 0
-		m.wanted += m.demand[i]
+	m.steppedAt, m.drainRate = now, sanitize(drainRate)
+	m.usualDrainRate = max(m.usualDrainRate*math.Exp(-dt/drainTimeConstant.Seconds()), m.drainRate)
+	m.firstTryRate = 0
+	decay := math.Exp(-dt / rateTimeConstant.Seconds())
+	for i := range m.arrivals {
+		m.arrivalRate[i] = decay*m.arrivalRate[i] + (1-decay)*m.arrivals[i]/dt
+		m.demand[i] = decay*m.demand[i] + (1-decay)*m.firstTries[i]/dt
+		m.arrivals[i], m.firstTries[i] = 0, 0
+		m.firstTryRate += m.demand[i]
 	}
-	m.short = keep*m.short + (1-keep)*min(max(sane(short), 0), 1)
-	keep = math.Exp(-dt / walkFade.Seconds())
-	m.read, m.again, m.refused, m.out = keep*m.read, keep*m.again, keep*m.refused, keep*m.out
-	switch { // who stays away too long lets slots run dry: that is mended faster than too many returns
-	case m.short <= dry:
-		m.grown = max(m.grown*drained, least)
-	case m.read > leastRead && m.again > returnsOK*m.read:
-		m.grown = min(m.grown*longer, longest)
+	m.shortageShare = decay*m.shortageShare + (1-decay)*min(max(sanitize(shortageShare), 0), 1)
+	decay = math.Exp(-dt / retryTimeConstant.Seconds())
+	m.recentArrivals, m.recentRetries = decay*m.recentArrivals, decay*m.recentRetries
+	m.recentRefusals, m.recentStops = decay*m.recentRefusals, decay*m.recentStops
+	switch {
+	case m.shortageShare <= minStretchShortage:
+		m.stretch = max(m.stretch*stretchIdleDecay, minStretch)
+	case m.recentArrivals > minRecentArrivals && m.recentRetries > acceptedRetryShare*m.recentArrivals:
+		m.stretch = min(m.stretch*stretchGrowth, maxStretch)
 	default:
-		m.grown = max(m.grown*shorter, least)
+		m.stretch = max(m.stretch*stretchDecay, minStretch)
 	}
-	m.follow(now)
-	m.fleetShort = m.judge(now)
+	m.updateDigest(now)
+	m.shortage = m.fleetShortage(now)
 	switch {
-	case !m.acting && m.fleetShort > sayFrom:
-		m.acting = true
-		lines = append(lines, fmt.Sprintf("the fleet is short: walks end here (others refuse about %.0f%%, digest %s)", 100*m.others(), m.age(now)))
-	case m.acting && m.fleetShort < sayUntil:
-		m.acting = false
-		lines = append(lines, "the fleet has room again: walks go on")
+	case !m.shortageLogged && m.shortage > logShortageAbove:
+		m.shortageLogged = true
+		lines = append(lines, fmt.Sprintf("fleet overloaded: refusals stop retries (peers refuse about %.0f%%, digest age %s)",
+			100*m.peerRefusalShare(), m.digestAge(now)))
+	case m.shortageLogged && m.shortage < logShortageBelow:
+		m.shortageLogged = false
+		lines = append(lines, "fleet no longer overloaded: refusals allow retries")
 	}
 	return lines
 }
 
-func (m *Shedder) age(now time.Duration) string {
+// digestAge returns the age of the digest for log lines, "none" without a valid one.
+func (m *Shedder) digestAge(now time.Duration) string {
 	if m.trust(now) == 0 {
 		return "none"
 	}
-	return (now - m.heard).Round(10 * time.Millisecond).String()
+	return (now - m.digestAsOf).Round(10 * time.Millisecond).String()
 }
 
-// others is the share of what others get that they refuse, as further tries show
-// it: where each node refuses r and ends e of the walks, r(1-e) of all arrivals
-// are further tries. Desktops that try again raise it, the more so the shorter
-// the fleet is.
-func (m *Shedder) others() float64 {
-	if m.read < leastRead {
+// peerRefusalShare estimates the share of its arrivals that another node refuses. If each node
+// refuses a share r and stops the retries of a share e of those, then r(1-e) of all arrivals
+// are further tries. Desktops that retry on their own add to it, the more so the greater the
+// shortage of the fleet is.
+func (m *Shedder) peerRefusalShare() float64 {
+	if m.recentArrivals < minRecentArrivals {
 		return 0
 	}
-	ended := 0.0
-	if m.refused > 1 {
-		ended = min(m.out/m.refused, endMost)
+	stopped := 0.0
+	if m.recentRefusals > 1 {
+		stopped = min(m.recentStops/m.recentRefusals, maxStopShare)
 	}
-	return min(m.again/m.read/(1-ended), 1)
+	return min(m.recentRetries/m.recentArrivals/(1-stopped), 1)
 }
 
-// alone is how surely the fleet is short, as far as this node can tell: further tries
-// say that others refuse, its own slots are short, and first tries come faster than it
-// usually drains. Without the last a node that was slowed would take its own refusals,
-// which come back marked, for those of others, and end walks that others had room for.
-func (m *Shedder) alone() float64 {
-	if m.short < 0.05 || m.wanted < wantedLeast*m.usual {
+// localShortage estimates the shortage of the fleet, 0 to 1, without a digest. It is above 0 if
+// further tries show that peers refuse, run slots are short here, and first tries arrive faster
+// than this node usually drains. Without the last condition a node that became slow would take
+// its own refusals, which come back marked as further tries, for refusals of its peers, and
+// would stop retries for which they have capacity.
+func (m *Shedder) localShortage() float64 {
+	if m.shortageShare < minLocalShortage || m.firstTryRate < minFirstTryRatio*m.usualDrainRate {
 		return 0
 	}
-	return min(max((m.others()-shortFrom)/(shortFull-shortFrom), 0), 1)
+	return min(max((m.peerRefusalShare()-shortagePeerRefusals)/(fullShortagePeerRefusals-shortagePeerRefusals), 0), 1)
 }
 
-// judge is how surely the fleet is short: by its digest as far as that is believed,
-// else by what further tries tell, and never while this node is not short itself.
-func (m *Shedder) judge(now time.Duration) float64 {
-	alone := m.alone()
+// fleetShortage estimates the shortage of the fleet, 0 to 1: by the digest as far as it is
+// trusted, and by localShortage otherwise.
+func (m *Shedder) fleetShortage(now time.Duration) float64 {
+	local := m.localShortage()
 	t := m.trust(now)
 	if t == 0 {
-		return alone
+		return local
 	}
-	told := 0.0
+	byDigest := 0.0
 	if m.digest.Threshold > 0 {
-		told = 1
+		byDigest = 1
 	}
-	return t*told + (1-t)*alone
+	return t*byDigest + (1-t)*local
 }
 
-// InVain reports whether a request of that value, itself in the line, would be
-// held for longer than most.
-func (m *Shedder) ExceedsQueueTimeout(line []rules.QueuedRequest, value float64, most time.Duration) bool {
+// ExceedsQueueTimeout reports whether a request with the given cost-weighted utility, itself in
+// queue, is expected to wait for most of queueTimeout (queueTimeoutShare) or longer.
+func (m *Shedder) ExceedsQueueTimeout(queue []rules.QueuedRequest, utility float64, queueTimeout time.Duration) bool {
 	ahead := -1
-	for _, w := range line {
-		if w.Utility >= value {
+	for _, q := range queue {
+		if q.Utility >= utility {
 			ahead++
 		}
 	}
-	return m.QueueDelay(max(ahead, 0), value) > time.Duration(vainShare*float64(most))
+	return m.QueueDelay(max(ahead, 0), utility) > time.Duration(queueTimeoutShare*float64(queueTimeout))
 }
 
-// Wait is how long a request of that value would be held: those ahead of it and
-// those of more value that come meanwhile go first. It is the longest there is
-// where it would never have its turn.
-func (m *Shedder) QueueDelay(ahead int, value float64) time.Duration {
+// QueueDelay returns how long a request with the given cost-weighted utility is expected to
+// wait behind ahead queued requests and those of a higher band that arrive meanwhile. It is
+// math.MaxInt64 if the request would never run, or wait for more than an hour.
+func (m *Shedder) QueueDelay(ahead int, utility float64) time.Duration {
 	above := 0.0
-	for i := band(value) + 1; i < PriorityBands; i++ {
-		above += m.rate[i]
+	for i := band(utility) + 1; i < PriorityBands; i++ {
+		above += m.arrivalRate[i]
 	}
-	left := m.drain - above
+	left := m.drainRate - above
 	if left <= 0 || math.IsNaN(left) {
 		return math.MaxInt64
 	}
@@ -216,76 +244,78 @@
 	return time.Duration(wait * float64(time.Second))
 }
 
-// EndsWalk reports whether a refused request is to try no other node. Told, it is
-// so below the fleet's cut: no node keeps less than what is turned away. Alone, it
-// is so for a share of them that grows with what others refuse.
-func (m *Shedder) StopsRetries(now time.Duration, price float64) bool {
-	m.refused++
-	share := endMost * m.alone()
+// StopsRetries counts a refusal and reports whether the refused request must not be retried at
+// other nodes. With a digest, that holds below the fleet's threshold, where no other node has
+// capacity either. Without one, it holds for a share of the refusals that grows with the
+// estimated shortage.
+func (m *Shedder) StopsRetries(now time.Duration, firstTryUtility float64) bool {
+	m.recentRefusals++
+	share := maxStopShare * m.localShortage()
 	if t := m.trust(now); t > 0 {
-		below := 0.0
-		switch over := band(price) - band(m.digest.Threshold); {
+		byDigest := 0.0
+		switch bands := band(firstTryUtility) - band(m.digest.Threshold); {
 		case m.digest.Threshold <= 0:
-		case over < 0:
-			below = 1
-		case over <= nearCut:
-			below = share
+		case bands < 0:
+			byDigest = 1
+		case bands <= nearThresholdBands:
+			byDigest = share
 		}
-		share = t*below + (1-t)*share
+		share = t*byDigest + (1-t)*share
 	}
-	if m.odd += share; m.odd >= 1 {
-		m.odd--
-		m.out++
+	if m.stopRemainder += share; m.stopRemainder >= 1 {
+		m.stopRemainder--
+		m.recentStops++
 		return true
 	}
 	return false
 }
 
-// RetryWorth is the worth of a further try over that of a first: less while the
-// fleet is short, the same while only some nodes were full.
-func (m *Shedder) RetryUtility() float64 { return 1 - (1-retryShort)*m.fleetShort }
+// RetryUtility returns the factor of a further try's utility over a first try's: 1 while only
+// some nodes are full, down to shortageRetryUtility with the shortage of the fleet.
+func (m *Shedder) RetryUtility() float64 { return 1 - (1-shortageRetryUtility)*m.shortage }
 
-// Advice is how long who is refused now is to stay away: near base, at the first
-// slot whose returns are within what drains then, so that those refused together
-// do not return together. Where all are taken it is the emptiest. Its mean is base,
-// and more only while returns exceed their share and no slot runs dry for it.
-func (m *Shedder) RetryAfter(now, base, most time.Duration) time.Duration {
-	if base <= 0 || most <= 0 {
+// RetryAfter returns how long a request refused now is to stay away, at most limit. Callers that
+// are refused together must not return together: each gets a time slot near base whose returns
+// do not exceed a share of what drains in it, or the emptiest one. The mean is base, and longer
+// only while there are too many returns and no run slot stays idle for it.
+func (m *Shedder) RetryAfter(now, base, limit time.Duration) time.Duration {
+	if base <= 0 || limit <= 0 {
 		return base
 	}
 	from := slotOf(now)
-	if from-m.slotAt >= slots || from < m.slotAt {
-		m.slot, m.slotAt = [slots]uint16{}, from
+	if from-m.firstSlot >= numSlots || from < m.firstSlot {
+		m.returns, m.firstSlot = [numSlots]uint16{}, from
 	}
-	for ; m.slotAt < from; m.slotAt++ {
-		m.slot[uint64(m.slotAt)%slots] = 0
+	for ; m.firstSlot < from; m.firstSlot++ {
+		m.returns[uint64(m.firstSlot)%numSlots] = 0
 	}
-	base = time.Duration(m.grown * float64(base))
-	room := uint16(min(max(slotShare*m.drain*slotWidth.Seconds(), 1), math.MaxUint16))
-	soonest, end := time.Duration((1-spread)*float64(base)), time.Duration((1+spread)*float64(base))
-	first, last := slotOf(now+soonest), slotOf(now+min(end, most))
-	last = min(last, from+slots-1)
+	base = time.Duration(m.stretch * float64(base))
+	maxReturns := uint16(min(max(slotReturnShare*m.drainRate*slotWidth.Seconds(), 1), math.MaxUint16))
+	soonest, end := time.Duration((1-retrySpread)*float64(base)), time.Duration((1+retrySpread)*float64(base))
+	first, last := slotOf(now+soonest), slotOf(now+min(end, limit))
+	last = min(last, from+numSlots-1)
 	first = min(first, last)
 	n := last - first + 1
-	m.turn += golden // the next of a sequence that fills the window evenly
-	m.turn -= math.Floor(m.turn)
-	begin := int64(m.turn * float64(n))
+	m.slotSequence += goldenRatio // low-discrepancy sequence: fills the range of slots evenly
+	m.slotSequence -= math.Floor(m.slotSequence)
+	begin := int64(m.slotSequence * float64(n))
 	best := first + begin
 	for i := range n {
 		s := first + (begin+i)%n
-		if at := &m.slot[uint64(s)%slots]; *at < m.slot[uint64(best)%slots] {
+		if at := &m.returns[uint64(s)%numSlots]; *at < m.returns[uint64(best)%numSlots] {
 			best = s
 		}
-		if m.slot[uint64(best)%slots] < room {
+		if m.returns[uint64(best)%numSlots] < maxReturns {
 			break
 		}
 	}
-	if at := &m.slot[uint64(best)%slots]; *at < math.MaxUint16 {
+	if at := &m.returns[uint64(best)%numSlots]; *at < math.MaxUint16 {
 		*at++
 	}
-	return min(max(time.Duration(best)*slotWidth-now, soonest, slotWidth), max(most, slotWidth))
+	return min(max(time.Duration(best)*slotWidth-now, soonest, slotWidth), max(limit, slotWidth))
 }
 
+// slotOf returns the number of the time slot that t is in.
 func slotOf(t time.Duration) int64 {
 	n := int64(t / slotWidth)
 	if t < 0 && t%slotWidth != 0 {
@@ -294,34 +324,37 @@
 	return n
 }
 
-// View is how the module stands, for counters and reports.
+// View is the state of a Shedder, for counters and reports. Shares are within 0 and 1.
 type View struct {
-	PeerRefusalShare float64 // share that other nodes refuse, as further tries show it
-	Shortage         float64 // how surely the fleet is short
-	Trust            float64 // in the digest
-	Threshold        float64 // told
-	DigestAge        time.Duration
-	StoppedRetries   float64 // share of refusals that ended a walk lately
-	AdviceStretch    float64 // of the spread of advice
-	Source           int     // the service that is followed
+	PeerRefusalShare float64       // estimated share of arrivals that other nodes refuse
+	Shortage         float64       // estimated shortage of the fleet, 0 to 1
+	Trust            float64       // in the digest, 0 to 1
+	Threshold        float64       // of the digest: least first-try utility that the fleet has capacity for, 0 = all
+	DigestAge        time.Duration // 0 without a valid digest
+	StoppedRetries   float64       // recent share of refusals that stop retries
+	AdviceStretch    float64       // factor of the retry-after
+	Source           int           // number of the control service whose digest is followed
 }
 
-// View shows how the module stands.
+// View returns the state of the shedder at now.
 func (m *Shedder) View(now time.Duration) View {
-	v := View{PeerRefusalShare: m.others(), Shortage: m.fleetShort, Trust: m.trust(now), AdviceStretch: m.grown, StoppedRetries: m.out / max(m.refused, 1)}
+	v := View{
+		PeerRefusalShare: m.peerRefusalShare(), Shortage: m.shortage, Trust: m.trust(now),
+		AdviceStretch: m.stretch, StoppedRetries: m.recentStops / max(m.recentRefusals, 1),
+	}
 	if v.Trust > 0 {
-		v.Threshold, v.DigestAge, v.Source = m.digest.Threshold, now-m.heard, m.choice.at
+		v.Threshold, v.DigestAge, v.Source = m.digest.Threshold, now-m.digestAsOf, m.selector.current
 	}
 	return v
 }
 
-// Word is what the node tells of itself.
+// LoadReport returns the node's load as of the last step.
 func (m *Shedder) LoadReport() LoadReport {
-	return LoadReport{DrainRate: m.drain, ShortageShare: m.short, Demand: m.demand}
+	return LoadReport{DrainRate: m.drainRate, ShortageShare: m.shortageShare, Demand: m.demand}
 }
 
-// sane is x, or 0 where x is no number of any use.
-func sane(x float64) float64 {
+// sanitize returns x, or 0 if x is NaN, negative or above 1e9.
+func sanitize(x float64) float64 {
 	if math.IsNaN(x) || x < 0 || x > 1e9 {
 		return 0
 	}
--- a/decide/shedding/source.go
+++ b/decide/shedding/source.go
@@ -1,65 +1,63 @@
-// This file owns whose digest a node follows where several control services tell one:
-// never a mix of two.
-
 package shedding
 
 import "time"
 
-// Sources is how many services a node listens to at most.
+// MaxSources is the largest number of control services that a node takes digests from.
 const MaxSources = 5
 
-// Tuned values of the choice.
 const (
-	stickFor  = 2 * time.Second // after a change no other, unless the one followed falls silent
-	heardPart = 0.5             // of the nodes that the followed one hears another must hear to be believed over it
-	cutApart  = 2               // bands between two cuts from which they disagree
+	minFollowTime = 2 * time.Second // after a change of source, unless its digest gets old
+	minNodesRatio = 0.5             // least share of the followed source's nodes that a more cautious one must know
+	cautionBands  = 2               // priority bands by which a more cautious source's threshold must be higher
 )
 
-// source is what one service told last.
+// source is the latest digest of one control service.
 type source struct {
-	d     Digest
-	heard time.Duration // as of when it holds
-	has   bool
+	digest   Digest
+	asOf     time.Duration // time that the digest holds for
+	received bool          // a digest has been received
 }
 
-// fresh reports whether it is believed whole.
-func (s *source) fresh(now time.Duration) bool { return s.has && now-s.heard < trustWhole }
+// fresh reports whether the digest is recent enough to be fully trusted.
+func (s *source) fresh(now time.Duration) bool { return s.received && now-s.asOf < fullTrustAge }
 
-// choice is which of them is followed.
-type choice struct {
-	all   [MaxSources]source
-	at    int
-	moved time.Duration
-	Moves int
+// sourceSelector selects the control service whose digest a node follows. Digests of several
+// services are never mixed.
+type sourceSelector struct {
+	sources   [MaxSources]source
+	current   int // index of the followed source
+	changedAt time.Duration
+	changes   int // number of changes of source
 }
 
-// pick says which source to follow now: the one followed so far while it is fresh;
-// else whichever spoke last; and of two that are fresh and disagree about danger the
-// more cautious, if it hears enough of the fleet to know.
-func (c *choice) pick(now time.Duration) *source {
-	cur := &c.all[c.at]
-	best := c.at
+// selectSource returns the source to follow now. That is the current one as long as its digest
+// is fresh, and otherwise the one with the latest digest. If two fresh digests disagree, it is
+// the one with the higher threshold, provided that its service knows enough of the fleet.
+func (c *sourceSelector) selectSource(now time.Duration) *source {
+	current := &c.sources[c.current]
+	best := c.current
 	switch {
-	case !cur.fresh(now):
-		for i := range c.all {
-			if s := &c.all[i]; s.has && (!c.all[best].has || s.heard > c.all[best].heard) {
+	case !current.fresh(now):
+		for i := range c.sources {
+			if s := &c.sources[i]; s.received && (!c.sources[best].received || s.asOf > c.sources[best].asOf) {
 				best = i
 			}
 		}
-	case now-c.moved >= stickFor:
-		for i := range c.all {
-			s := &c.all[i]
-			if !s.fresh(now) || float64(s.d.Nodes) < heardPart*float64(cur.d.Nodes) {
+	case now-c.changedAt >= minFollowTime:
+		for i := range c.sources {
+			s := &c.sources[i]
+			if !s.fresh(now) || float64(s.digest.Nodes) < minNodesRatio*float64(current.digest.Nodes) {
 				continue
 			}
-			if b := &c.all[best]; s.d.Threshold > 0 && (b.d.Threshold <= 0 || band(s.d.Threshold) >= band(b.d.Threshold)+cutApart) {
+			if b := &c.sources[best]; s.digest.Threshold > 0 &&
+				(b.digest.Threshold <= 0 || band(s.digest.Threshold) >= band(b.digest.Threshold)+cautionBands) {
 				best = i
 			}
 		}
 	}
-	if best != c.at {
-		c.at, c.moved = best, now
-		c.Moves++
+	if best != c.current {
+		c.current, c.changedAt = best, now
+		c.changes++
 	}
-	return &c.all[c.at]
+	return &c.sources[c.current]
 }
