--- a/decide/backoff/backoff.go
+++ b/decide/backoff/backoff.go
@@ -40,7 +40,10 @@
 
 // New returns the backoff of one connection; random must be seeded differently on each node.
 func New(settings Settings, random *rand.Rand) *Backoff {
-	return &Backoff{settings: settings, random: random, span: settings.InitialSpan, attempts: make([]time.Duration, 0, max(settings.Budget, 1))}
+	return &Backoff{
+		settings: settings, random: random, span: settings.InitialSpan,
+		attempts: make([]time.Duration, 0, max(settings.Budget, 1)),
+	}
 }
 
 // Failed records a failure and returns how long to wait before the next attempt: full
--- a/decide/backoff/backoff_test.go
+++ b/decide/backoff/backoff_test.go
@@ -9,7 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-var testSettings = Settings{MinWait: 50 * time.Millisecond, InitialSpan: 100 * time.Millisecond, MaxSpan: 2800 * time.Millisecond, Window: 10 * time.Second, Budget: 16}
+var testSettings = Settings{
+	MinWait: 50 * time.Millisecond, InitialSpan: 100 * time.Millisecond, MaxSpan: 2800 * time.Millisecond,
+	Window: 10 * time.Second, Budget: 16,
+}
 
 // 24 connections that lose their peer for 10 s at the same moment reconnect spread over at
 // least 2 s, with fewer attempts than exponential backoff without jitter (50 ms doubled up to
@@ -49,9 +52,11 @@
 		t.Errorf("%d attempts, %d without jitter", attempts/50, withoutJitter)
 	}
 	if last > 2900*time.Millisecond {
-		t.Errorf("the last connection returned %v after the outage; a control service removes nodes that sent no report for 3 s", last)
+		t.Errorf("the last connection returned %v after the outage; a control service removes nodes that sent no report for 3 s",
+			last)
 	}
-	t.Logf("%d attempts instead of %d, spread over %v (median of 50 fleets, least %v), the last %v after the outage", attempts/50, withoutJitter, spans[25], spans[0], last)
+	t.Logf("%d attempts instead of %d, spread over %v (median of 50 fleets, least %v), the last %v after the outage",
+		attempts/50, withoutJitter, spans[25], spans[0], last)
 }
 
 // A success resets the span of the waits, but not the attempts counted against the budget.
--- a/decide/fleet/deploy_test.go
+++ b/decide/fleet/deploy_test.go
@@ -53,12 +53,12 @@
 	for len(s.open) > 0 && s.open[0] <= now {
 		s.open = s.open[1:]
 	}
-	room, work := 8, 60*ms
+	capacity, work := 8, 60*ms
 	switch s.phase(now, i) {
 	case "draining":
 		return refused
 	case "mute": // the request holds a slot until its caller times out
-		if len(s.open) < room {
+		if len(s.open) < capacity {
 			s.open = append(s.open, now+time.Second)
 			return failed
 		}
@@ -68,7 +68,7 @@
 	case "cold":
 		work *= 3
 	}
-	if len(s.open) >= room {
+	if len(s.open) >= capacity {
 		return refused
 	}
 	s.open = append(s.open, now+work)
--- a/decide/shedding/explore_test.go
+++ b/decide/shedding/explore_test.go
@@ -169,7 +169,8 @@
 	for i := range s.nodes {
 		m := &s.nodes[i]
 		if v := m.View(s.now); v.Threshold > 0 != s.overload || v.Trust < 1 || m.digest.Epoch != s.epoch {
-			return fmt.Errorf("node %d after %d ticks without faults: %+v of epoch %d, the epoch of the service is %d, overload %v", i, quietTicks, v, m.digest.Epoch, s.epoch, s.overload)
+			return fmt.Errorf("node %d after %d ticks without faults: %+v of epoch %d, the epoch of the service is %d, overload %v",
+				i, quietTicks, v, m.digest.Epoch, s.epoch, s.overload)
 		}
 	}
 	return nil
@@ -234,7 +235,8 @@
 			}
 		}
 	}
-	t.Logf("%d states reached; from each of %d the nodes were in the right state within %d ticks", len(visited), settled, quietTicks)
+	t.Logf("%d states reached; from each of %d the nodes were in the right state within %d ticks",
+		len(visited), settled, quietTicks)
 	if len(visited) < 1000 {
 		t.Errorf("only %d states were reached", len(visited))
 	}
--- a/decide/shedding/shedding_test.go
+++ b/decide/shedding/shedding_test.go
@@ -15,7 +15,9 @@
 
 // feed simulates seconds of arrivals at rate a second, a share of them further tries and a share
 // refused. It returns the time at the end.
-func feed(m *Shedder, from time.Duration, seconds, rate, retryShare, refusedShare, drainRate, shortageShare float64) time.Duration {
+func feed(
+	m *Shedder, from time.Duration, seconds, rate, retryShare, refusedShare, drainRate, shortageShare float64,
+) time.Duration {
 	random := rand.New(rand.NewPCG(1, uint64(rate)))
 	end := from + time.Duration(seconds*float64(time.Second))
 	for now := from; now < end; now += step {
@@ -118,7 +120,7 @@
 	}
 }
 
-// Callers refused together are told to return at different times, around the base retry-after.
+// Callers refused together return at different times, around the base retry-after.
 func TestRetryAfterSpreads(t *testing.T) {
 	m := New(0, false)
 	m.drainRate = 100
@@ -230,7 +232,10 @@
 	if !m.ReceiveDigest(0, 0, Digest{Epoch: 7, Seq: 3, Threshold: 40}) {
 		t.Fatal("digest ignored")
 	}
-	for _, d := range []Digest{{Epoch: 7, Seq: 3, Threshold: 9}, {Epoch: 7, Seq: 2, Threshold: 9}, {Epoch: 6, Seq: 99, Threshold: 9}, {Seq: 5}, {Epoch: 9, Seq: 1, Threshold: math.NaN()}} {
+	for _, d := range []Digest{
+		{Epoch: 7, Seq: 3, Threshold: 9}, {Epoch: 7, Seq: 2, Threshold: 9}, {Epoch: 6, Seq: 99, Threshold: 9},
+		{Seq: 5}, {Epoch: 9, Seq: 1, Threshold: math.NaN()},
+	} {
 		if m.ReceiveDigest(step, step, d) {
 			t.Errorf("%+v was accepted", d)
 		}
--- a/decide/shedding/source_test.go
+++ b/decide/shedding/source_test.go
@@ -35,7 +35,7 @@
 	if v := at(5 * time.Second); v.Source != 1 || v.Trust < 0.99 {
 		t.Fatalf("follows source %d with trust %.2f after source 0 stopped", v.Source, v.Trust)
 	}
-	for now := 5 * time.Second; now < 9*time.Second; now += 100 * time.Millisecond { // 2 and 3 send a threshold, but 3 knows one node only
+	for now := 5 * time.Second; now < 9*time.Second; now += 100 * time.Millisecond { // 2 and 3 send a threshold; 3 knows one node
 		seq++
 		receive(m, now, 1, seq, 10, 0)
 		receive(m, now, 2, seq, 6, 50)
@@ -59,8 +59,11 @@
 		for range 150 {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "dt")) * time.Millisecond
 			src := rapid.IntRange(-1, MaxSources).Draw(t, "src")
-			d := Digest{Epoch: uint64(100 + src), Seq: rapid.Uint64Range(1, 40).Draw(t, "seq"), Nodes: rapid.IntRange(0, 20).Draw(t, "nodes"),
-				Threshold: rapid.SampledFrom([]float64{0, 10, 50, 500}).Draw(t, "threshold")}
+			d := Digest{
+				Epoch: uint64(100 + src), Seq: rapid.Uint64Range(1, 40).Draw(t, "seq"),
+				Nodes:     rapid.IntRange(0, 20).Draw(t, "nodes"),
+				Threshold: rapid.SampledFrom([]float64{0, 10, 50, 500}).Draw(t, "threshold"),
+			}
 			since := now - time.Duration(rapid.IntRange(0, 3000).Draw(t, "age"))*time.Millisecond
 			changes, previous, changedAt := m.selector.changes, m.selector.current, m.selector.changedAt
 			if m.ReceiveDigestFrom(now, since, src, d) {
--- a/decide/xds/xds.go
+++ b/decide/xds/xds.go
@@ -30,7 +30,7 @@
 	Endpoints
 	Listeners
 	Routes
-	NumTypes
+	NumTypes // number of resource types
 )
 
 // String returns the name of the type's discovery service, such as "CDS".
@@ -61,7 +61,7 @@
 	Error   string   // reason of a NACK, empty for an ACK
 
 	Subscribe, Unsubscribe []string          // Delta; "*" means all resources
-	Initial                map[string]string // Delta, first request of a stream: versions of the resources that the proxy has, by name
+	Initial                map[string]string // Delta, first request: versions that the proxy has, by resource name
 }
 
 // Response is a discovery response to send.
@@ -121,7 +121,9 @@
 func New(form Form, salt string) *Stream {
 	s := &Stream{form: form, noncePrefix: salt}
 	for i := range s.subscriptions {
-		s.subscriptions[i] = subscription{names: map[string]bool{}, clientVersions: map[string]string{}, newNames: map[string]bool{}}
+		s.subscriptions[i] = subscription{
+			names: map[string]bool{}, clientVersions: map[string]string{}, newNames: map[string]bool{},
+		}
 	}
 	return s
 }
@@ -132,7 +134,10 @@
 // Status returns the state of a resource type.
 func (s *Stream) Status(t Type) Status {
 	sub := &s.subscriptions[t]
-	return Status{Subscribed: sub.requested, Sent: sub.sentVersion, Acked: sub.ackedVersion, Waiting: sub.pending != nil, Nacks: sub.nacks, LastNack: sub.lastNack}
+	return Status{
+		Subscribed: sub.requested, Sent: sub.sentVersion, Acked: sub.ackedVersion, Waiting: sub.pending != nil,
+		Nacks: sub.nacks, LastNack: sub.lastNack,
+	}
 }
 
 // Request handles a request from the proxy. It returns false if the request exceeds the
--- a/decide/xds/xds_test.go
+++ b/decide/xds/xds_test.go
@@ -127,7 +127,8 @@
 				}
 				if p.form == Delta {
 					for _, n := range x.Names {
-						if held, ok := p.resources[x.Type][n]; ok && held == snap[x.Type].Resources[n] && x.Version != "" && s.subscriptions[x.Type].nacks == 0 && !s.subscriptions[x.Type].newNames[n] {
+						if held, ok := p.resources[x.Type][n]; ok && held == snap[x.Type].Resources[n] && x.Version != "" &&
+							s.subscriptions[x.Type].nacks == 0 && !s.subscriptions[x.Type].newNames[n] {
 							r.Fatalf("%v %s is sent again although the proxy has it", x.Type, n)
 						}
 					}
