--- a/decide/fleet/state.go
+++ b/decide/fleet/state.go
@@ -113,27 +113,27 @@
 		n.failing = false
 	}
 	r := &n.lastReport
-	state, reason := Healthy, "reports healthy"
+	state, reason := Healthy, "reports"
 	switch {
 	case n.silentSince > 0 && !n.frozen && now-n.reportedAt > goneAfter+f.grace(n):
-		state, reason = Gone, "no report for too long"
+		state, reason = Gone, "silent too long"
 	case r.Phase == Draining:
-		state, reason = Leaving, "reports that it drains"
+		state, reason = Leaving, "it says that it drains"
 	case n.frozen:
-		state, reason = n.stateBeforeSilence, "silent together with many others, state kept while the view is frozen"
+		state, reason = n.stateBeforeSilence, "silent, but so are many: kept as it was"
 	case n.silentSince > 0:
 		state, reason = Silent, "reports are missing"
 	case r.Phase == OutOfService || !r.Healthy:
-		state, reason = Refusing, "reports that it takes no work"
+		state, reason = Refusing, "it says that it can take nothing"
 	case n.damped:
-		state, reason = Damped, "flapping"
+		state, reason = Damped, "it comes and goes"
 	case n.failing:
-		state, reason = Failing, "proxies observe errors"
+		state, reason = Failing, "proxies see errors"
 	case r.Warm < 0.99:
-		state, reason = Warming, "reports that it warms up"
+		state, reason = Warming, "it says that it warms up"
 	}
 	if n.unproven && state <= Silent {
-		state, reason = min(n.state, Silent), "restored after a restart of the control service, no report yet"
+		state, reason = min(n.state, Silent), "from before a restart of this service, not heard yet"
 		if n.state == Gone {
 			state = Gone
 		}
