--- a/decide/pools/pools.go
+++ b/decide/pools/pools.go
@@ -22,32 +22,32 @@
 
 // Tuned values. Shares are of 1.
 const (
-	rateAlpha   = 0.1                    // weight of a step in the arrival rate: one second of memory
-	usualAlpha  = 1.0 / 300              // the same in the usual rate: half a minute
-	learnSteps  = 20                     // steps after which a class's usual rate is known
-	floodOver   = 2.0                    // times its usual rate that counts for a class: the rest is a flood
-	runAlpha    = 0.08                   // weight of a run in its class's latency
-	learnRuns   = 5                      // runs before the latency is believed; until then hints are
-	baseDrift   = 1.002                  // the base creeps up so that one lucky run is forgotten
-	cheapFrom   = 0.5                    // of the mean run makes a class cheap
-	cheapUntil  = 0.7                    // and this much more costly it is so no longer
-	floodLeast  = 0.1                    // of the limit that a flood's work takes at least
-	headroom    = 1.15                   // of the demand a class is entitled to: rates lag
-	shortFrom   = 1.0                    // demand over the limit from which slots are short
-	shortUntil  = 0.85                   // and under which they no longer are
-	overFor     = time.Second            // that slots stay short after the line was over its bound
-	creditSpan  = 500 * time.Millisecond // of its entitlement that a class may save up, or overdraw
-	ownSlow     = 1.3                    // slowness over that of the others that is a class's own
-	capShrink   = 0.95                   // of its cap a step while it is so
-	capGrow     = 1.03                   // and back
-	capAdd      = 0.08                   // least growth
-	quietGaps   = 10.0                   // usual gaps without an end of a run after which a class hangs
-	quietLeast  = 300 * time.Millisecond // and at least this long
-	recent      = 2 * time.Second        // a class heard of for so long has its reserve kept free
-	keepFrom    = 4.0                    // slots from which one is kept free for a reserve
-	firstGuess  = 300 * time.Millisecond // a run's length before anything is known
-	forget      = time.Minute            // after so long without a request a class is as new
-	stepsLength = 100 * time.Millisecond // that the weights above are meant for
+	rateSmoothing      = 0.1                    // weight of a step in the arrival rate: one second of memory
+	usualRateSmoothing = 1.0 / 300              // the same in the usual rate: half a minute
+	minRateSteps       = 20                     // steps after which a class's usual rate is known
+	floodFactor        = 2.0                    // times its usual rate that counts for a class: the rest is a flood
+	runSmoothing       = 0.08                   // weight of a run in its class's latency
+	minRuns            = 5                      // runs before the latency is believed; until then hints are
+	baseDrift          = 1.002                  // the base creeps up so that one lucky run is forgotten
+	cheapBelow         = 0.5                    // of the mean run makes a class cheap
+	cheapUntil         = 0.7                    // and this much more costly it is so no longer
+	minFloodShare      = 0.1                    // of the limit that a flood's work takes at least
+	demandHeadroom     = 1.15                   // of the demand a class is entitled to: rates lag
+	shortageAbove      = 1.0                    // demand over the limit from which slots are short
+	shortageUntil      = 0.85                   // and under which they no longer are
+	overflowHold       = time.Second            // that slots stay short after the line was over its bound
+	creditSpan         = 500 * time.Millisecond // of its entitlement that a class may save up, or overdraw
+	ownSlowdown        = 1.3                    // slowness over that of the others that is a class's own
+	capShrink          = 0.95                   // of its cap a step while it is so
+	capGrow            = 1.03                   // and back
+	minCapGrowth       = 0.08                   // least growth
+	hangGaps           = 10.0                   // usual gaps without an end of a run after which a class hangs
+	minHangTime        = 300 * time.Millisecond // and at least this long
+	recentTime         = 2 * time.Second        // a class heard of for so long has its reserve kept free
+	minReserveLimit    = 4.0                    // slots from which one is kept free for a reserve
+	defaultRunTime     = 300 * time.Millisecond // a run's length before anything is known
+	forgetAfter        = time.Minute            // after so long without a request a class is as new
+	nominalStep        = 100 * time.Millisecond // that the weights above are meant for
 )
 
 // Class is what the settings say of a class.
@@ -81,270 +81,270 @@
 // pool is one class's.
 type pool struct {
 	Class
-	rate, usual float64 // arrivals a second, now and as a rule
-	steps       float64 // that the second was learned from
-	arrived     int     // since the last step
-	seen        time.Duration
-	heard       bool
-	hint        float64 // smoothed, seconds
-	run, base   float64 // latency of its runs, seconds
-	runs        float64
-	running     int
-	held        int
-	progress    time.Duration // last end of a run, or first start
-	hangs       bool
-	cap         float64 // slots it may have while they are short
-	cheap       bool
-	floor       float64 // slots it keeps in any case
-	alloc       float64 // slots it is entitled to, the floor included
-	credit      float64 // slot-seconds it is owed
-	refused     int64
-	saved       time.Duration // when the reserve was last what let it start or stay
-	saving      bool
-	next        int // its tier while a slot is given
+	rate, usualRate  float64 // arrivals a second, now and as a rule
+	rateSteps        float64 // that the second was learned from
+	arrivals         int     // since the last step
+	lastArrival      time.Duration
+	active           bool
+	hint             float64 // smoothed, seconds
+	meanRun, baseRun float64 // latency of its runs, seconds
+	runs             float64
+	running          int
+	queued           int
+	lastProgress     time.Duration // last end of a run, or first start
+	hanging          bool
+	slotCap          float64 // slots it may have while they are short
+	cheap            bool
+	floor            float64 // slots it keeps in any case
+	entitlement      float64 // slots it is entitled to, the floor included
+	credit           float64 // slot-seconds it is owed
+	refused          int64
+	reserveUsedAt    time.Duration // when the reserve was last what let it start or stay
+	reserveInUse     bool
+	candidateTier    int // its tier while a slot is given
 }
 
 // Pools are the pools of one node. They belong to one goroutine.
 type Pools struct {
-	set     Settings
-	all     []*pool
-	live    []*pool // of them, those heard of within a minute: the others cost nothing
-	now     time.Duration
-	stepped time.Duration
-	limit   float64
-	short   bool
-	over    time.Duration // when the line was last over its bound
-	rates   float64       // of all live classes
-	usuals  float64
+	settings       Settings
+	pools          []*pool
+	active         []*pool // of them, those heard of within a minute: the others cost nothing
+	now            time.Duration
+	lastStep       time.Duration
+	limit          float64
+	shortage       bool
+	overflowAt     time.Duration // when the line was last over its bound
+	totalRate      float64       // of all live classes
+	totalUsualRate float64
 }
 
 var _ rules.Pools = (*Pools)(nil)
 
 // New returns pools that know nothing yet.
 func New(set Settings) *Pools {
-	p := &Pools{set: set, limit: 1}
+	p := &Pools{settings: set, limit: 1}
 	for _, c := range set.Classes {
-		p.all = append(p.all, &pool{Class: c, cap: math.Inf(1), saved: -time.Hour})
+		p.pools = append(p.pools, &pool{Class: c, slotCap: math.Inf(1), reserveUsedAt: -time.Hour})
 	}
 	return p
 }
 
 // length is how long a run of the class takes, in seconds: what runs took goes
 // before what callers say.
-func (c *pool) length() float64 {
+func (c *pool) expectedRun() float64 {
 	switch {
-	case c.runs >= learnRuns:
-		return c.run
+	case c.runs >= minRuns:
+		return c.meanRun
 	case c.hint > 0:
 		return c.hint
 	}
-	return firstGuess.Seconds()
+	return defaultRunTime.Seconds()
 }
 
 // density is what a slot earns in a second of the class's work.
-func (p *Pools) density(c *pool) float64 {
-	if p.set.UtilityPerWork {
+func (p *Pools) utilityDensity(c *pool) float64 {
+	if p.settings.UtilityPerWork {
 		return c.Utility
 	}
-	return c.Utility / max(c.length(), 0.0001)
+	return c.Utility / max(c.expectedRun(), 0.0001)
 }
 
 // slow is the class's latency over its base.
-func (c *pool) slow() float64 {
-	if c.runs < learnRuns || c.base <= 0 {
+func (c *pool) slowdown() float64 {
+	if c.runs < minRuns || c.baseRun <= 0 {
 		return 1
 	}
-	return c.run / c.base
+	return c.meanRun / c.baseRun
 }
 
 // Arrived tells of a request that was read, with its hint, 0 if there is none.
 func (p *Pools) Arrived(now time.Duration, class int, hint time.Duration) {
-	c := p.all[class]
-	c.arrived++
-	c.seen = now
-	if !c.heard {
-		c.heard = true
-		p.live = append(p.live, c)
+	c := p.pools[class]
+	c.arrivals++
+	c.lastArrival = now
+	if !c.active {
+		c.active = true
+		p.active = append(p.active, c)
 	}
 	if hint > 0 {
 		if c.hint == 0 {
 			c.hint = hint.Seconds()
 		}
-		c.hint += runAlpha * (hint.Seconds() - c.hint)
+		c.hint += runSmoothing * (hint.Seconds() - c.hint)
 	}
 }
 
 // Running tells that a class has n more runs on the cores, or fewer.
 func (p *Pools) RunningChanged(now time.Duration, class, n int) {
-	p.advance(now)
-	c := p.all[class]
+	p.accrueCredit(now)
+	c := p.pools[class]
 	if c.running == 0 {
-		c.progress = now
+		c.lastProgress = now
 	}
 	c.running += n
 	if n < 0 {
-		c.progress, c.hangs = now, false
+		c.lastProgress, c.hanging = now, false
 	}
 }
 
 // Ran tells how long a run took that went well. Nothing else teaches.
 func (p *Pools) RunSucceeded(_ time.Duration, class int, took time.Duration) {
-	c := p.all[class]
+	c := p.pools[class]
 	c.runs++
-	c.run += max(runAlpha, 1/c.runs) * (took.Seconds() - c.run)
-	if c.runs == learnRuns {
-		c.base = c.run
+	c.meanRun += max(runSmoothing, 1/c.runs) * (took.Seconds() - c.meanRun)
+	if c.runs == minRuns {
+		c.baseRun = c.meanRun
 	}
-	c.base = min(c.base*baseDrift, c.run)
+	c.baseRun = min(c.baseRun*baseDrift, c.meanRun)
 }
 
 // advance books the slot time since the last event: what a class is entitled to
 // and does not use is saved up, what it uses beyond that is overdrawn.
-func (p *Pools) advance(now time.Duration) {
+func (p *Pools) accrueCredit(now time.Duration) {
 	dt := (now - p.now).Seconds()
 	p.now = now
 	if dt <= 0 {
 		return
 	}
-	for _, c := range p.live {
+	for _, c := range p.active {
 		span := creditSpan.Seconds()
-		most := max(c.alloc*span, min(c.alloc, 1)*c.length())
-		c.credit += (c.alloc - float64(c.running)) * dt
-		c.credit = min(max(c.credit, -(c.alloc+1)*span), most)
+		most := max(c.entitlement*span, min(c.entitlement, 1)*c.expectedRun())
+		c.credit += (c.entitlement - float64(c.running)) * dt
+		c.credit = min(max(c.credit, -(c.entitlement+1)*span), most)
 	}
 }
 
 // Step follows the running limit: it moves rates, caps and entitlements, and
 // returns lines for the log.
 func (p *Pools) Step(now time.Duration, limit float64) (lines []string) {
-	p.advance(now)
-	dt := now - p.stepped
-	p.stepped, p.limit = now, max(limit, 1)
-	weight := min(dt.Seconds()/stepsLength.Seconds(), 5)
-	for _, c := range p.live {
-		p.follow(c, dt, weight)
-		p.hang(c)
-	}
-	p.live = slices.DeleteFunc(p.live, func(c *pool) bool { return !c.heard })
-	p.rates, p.usuals = 0, 0
-	for _, c := range p.live {
-		p.rates += c.rate
-		p.usuals += c.usual
-	}
-	p.judge()
-	p.caps(weight)
-	p.share()
-	return p.told()
+	p.accrueCredit(now)
+	dt := now - p.lastStep
+	p.lastStep, p.limit = now, max(limit, 1)
+	weight := min(dt.Seconds()/nominalStep.Seconds(), 5)
+	for _, c := range p.active {
+		p.updateRates(c, dt, weight)
+		p.detectHang(c)
+	}
+	p.active = slices.DeleteFunc(p.active, func(c *pool) bool { return !c.active })
+	p.totalRate, p.totalUsualRate = 0, 0
+	for _, c := range p.active {
+		p.totalRate += c.rate
+		p.totalUsualRate += c.usualRate
+	}
+	p.classifyCheap()
+	p.updateCaps(weight)
+	p.allocate()
+	return p.reserveMessages()
 }
 
 // follow moves a class's rates. A class is known by what it usually sends: what
 // goes beyond twice that is a flood, until it has lasted for half a minute.
-func (p *Pools) follow(c *pool, dt time.Duration, weight float64) {
+func (p *Pools) updateRates(c *pool, dt time.Duration, weight float64) {
 	if dt <= 0 {
 		return
 	}
-	rate := float64(c.arrived) / dt.Seconds()
-	c.arrived = 0
-	c.rate += min(1, rateAlpha*weight) * (rate - c.rate)
-	if c.rate > c.usual/100 { // silence is not what it usually sends
-		c.steps++
-		if c.steps > learnSteps { // a flood becomes usual slowly, however high it is
-			rate = min(rate, floodOver*max(c.usual, 1))
+	rate := float64(c.arrivals) / dt.Seconds()
+	c.arrivals = 0
+	c.rate += min(1, rateSmoothing*weight) * (rate - c.rate)
+	if c.rate > c.usualRate/100 { // silence is not what it usually sends
+		c.rateSteps++
+		if c.rateSteps > minRateSteps { // a flood becomes usual slowly, however high it is
+			rate = min(rate, floodFactor*max(c.usualRate, 1))
 		}
-		c.usual += max(usualAlpha*weight, 1/c.steps) * (rate - c.usual)
+		c.usualRate += max(usualRateSmoothing*weight, 1/c.rateSteps) * (rate - c.usualRate)
 	}
-	if c.running == 0 && p.now-c.seen > forget {
-		*c = pool{Class: c.Class, cap: c.cap, saved: c.saved, refused: c.refused, run: c.run, base: c.base, runs: c.runs}
+	if c.running == 0 && p.now-c.lastArrival > forgetAfter {
+		*c = pool{Class: c.Class, slotCap: c.slotCap, reserveUsedAt: c.reserveUsedAt, refused: c.refused, meanRun: c.meanRun, baseRun: c.baseRun, runs: c.runs}
 	}
 }
 
 // expected is the arrival rate up to which a class sends no flood: twice what it
 // usually does, and more as far as all others send more too, as they do when a
 // neighbour goes down.
-func (p *Pools) expected(c *pool) float64 {
-	rates, usual := p.rates-c.rate, p.usuals-c.usual
+func (p *Pools) expectedRate(c *pool) float64 {
+	rates, usual := p.totalRate-c.rate, p.totalUsualRate-c.usualRate
 	growth := 1.0
 	if usual > 0.1 {
 		growth = max(rates/usual, 1)
 	}
-	if len(p.live) < 2 { // alone it takes nothing from anybody
+	if len(p.active) < 2 { // alone it takes nothing from anybody
 		growth = math.Inf(1)
 	}
-	return floodOver * growth * max(c.usual, 1)
+	return floodFactor * growth * max(c.usualRate, 1)
 }
 
 // counted is the arrival rate that a class's entitlement follows.
-func (p *Pools) counted(c *pool) float64 { return min(c.rate, p.expected(c)) }
+func (p *Pools) countedRate(c *pool) float64 { return min(c.rate, p.expectedRate(c)) }
 
 // demand is how many slots the class's work takes.
-func (p *Pools) demand(c *pool) float64 { return headroom * p.counted(c) * c.length() }
+func (p *Pools) demand(c *pool) float64 { return demandHeadroom * p.countedRate(c) * c.expectedRun() }
 
 // hang notes a class of which nothing ends any more.
-func (p *Pools) hang(c *pool) {
-	quiet := p.now - c.progress
-	if c.running > 0 && c.runs >= learnRuns && quiet > quietLeast &&
-		quiet.Seconds()*float64(c.running) > quietGaps*c.run && quiet.Seconds() > 3*c.run {
-		c.hangs = true
+func (p *Pools) detectHang(c *pool) {
+	quiet := p.now - c.lastProgress
+	if c.running > 0 && c.runs >= minRuns && quiet > minHangTime &&
+		quiet.Seconds()*float64(c.running) > hangGaps*c.meanRun && quiet.Seconds() > 3*c.meanRun {
+		c.hanging = true
 	}
 }
 
 // judge says who is cheap: whose runs are short against the mean of what comes,
 // floods left out, so that nobody drags the mean along. One class alone is not.
-func (p *Pools) judge() {
+func (p *Pools) classifyCheap() {
 	sum, weight := 0.0, 0.0
-	for _, c := range p.live {
-		w := min(p.counted(c), max(c.usual, 0.1))
-		sum += w * c.length()
+	for _, c := range p.active {
+		w := min(p.countedRate(c), max(c.usualRate, 0.1))
+		sum += w * c.expectedRun()
 		weight += w
 	}
 	mean := sum / max(weight, 1e-9)
-	for _, c := range p.live {
-		bar := cheapFrom
+	for _, c := range p.active {
+		bar := cheapBelow
 		if c.cheap {
 			bar = cheapUntil
 		}
-		c.cheap = c.length() < bar*mean
+		c.cheap = c.expectedRun() < bar*mean
 	}
 }
 
 // caps keep a class whose own runs have become slow, not everybody's, from
 // filling the slots: the law of the running limit, by class.
-func (p *Pools) caps(weight float64) {
+func (p *Pools) updateCaps(weight float64) {
 	var slows []float64
-	for _, c := range p.live {
-		if c.runs >= learnRuns {
-			slows = append(slows, c.slow())
+	for _, c := range p.active {
+		if c.runs >= minRuns {
+			slows = append(slows, c.slowdown())
 		}
 	}
 	if len(slows) < 2 {
-		for _, c := range p.live {
-			c.cap = p.limit
+		for _, c := range p.active {
+			c.slotCap = p.limit
 		}
 		return
 	}
 	slices.Sort(slows)
 	others := slows[(len(slows)-1)/2]
-	for _, c := range p.live {
-		if math.IsInf(c.cap, 1) {
-			c.cap = p.limit
+	for _, c := range p.active {
+		if math.IsInf(c.slotCap, 1) {
+			c.slotCap = p.limit
 		}
-		if c.slow() > ownSlow*others {
-			c.cap *= 1 - (1-capShrink)*weight
+		if c.slowdown() > ownSlowdown*others {
+			c.slotCap *= 1 - (1-capShrink)*weight
 		} else {
-			c.cap += weight * max(capAdd, c.cap*(capGrow-1))
+			c.slotCap += weight * max(minCapGrowth, c.slotCap*(capGrow-1))
 		}
-		c.cap = max(min(c.cap, p.limit), 1, c.floor)
+		c.slotCap = max(min(c.slotCap, p.limit), 1, c.floor)
 	}
 }
 
 // share divides the limit: floors first, then by what a slot earns. Of classes
 // that earn about the same nobody goes first.
-func (p *Pools) share() {
+func (p *Pools) allocate() {
 	var cheap []*pool
-	active := slices.Clone(p.live)
+	active := slices.Clone(p.active)
 	total, left := 0.0, p.limit
 	for _, c := range active {
-		c.floor, c.alloc = 0, 0
+		c.floor, c.entitlement = 0, 0
 		total += p.demand(c)
 		c.floor = min(p.demand(c), c.Reserve*p.limit, left)
 		left -= c.floor
@@ -352,34 +352,34 @@
 			cheap = append(cheap, c)
 		}
 	}
-	room := min(p.set.Reserve*p.limit, left)
-	left -= fill(cheap, room, func(c *pool) float64 { return p.demand(c) - c.floor }, func(c *pool, x float64) { c.floor += x })
+	room := min(p.settings.Reserve*p.limit, left)
+	left -= distribute(cheap, room, func(c *pool) float64 { return p.demand(c) - c.floor }, func(c *pool, x float64) { c.floor += x })
 	for _, c := range active {
-		c.alloc = c.floor
+		c.entitlement = c.floor
 	}
-	slices.SortStableFunc(active, func(a, b *pool) int { return cmp.Compare(p.density(b), p.density(a)) })
+	slices.SortStableFunc(active, func(a, b *pool) int { return cmp.Compare(p.utilityDensity(b), p.utilityDensity(a)) })
 	for i := 0; i < len(active); {
 		j := i + 1
-		for j < len(active) && p.density(active[j]) > 0.9*p.density(active[i]) {
+		for j < len(active) && p.utilityDensity(active[j]) > 0.9*p.utilityDensity(active[i]) {
 			j++
 		}
-		left -= fill(active[i:j], left, func(c *pool) float64 { return p.demand(c) - c.alloc }, func(c *pool, x float64) { c.alloc += x })
+		left -= distribute(active[i:j], left, func(c *pool) float64 { return p.demand(c) - c.entitlement }, func(c *pool, x float64) { c.entitlement += x })
 		i = j
 	}
-	bar := shortFrom
-	if p.short {
-		bar = shortUntil
+	bar := shortageAbove
+	if p.shortage {
+		bar = shortageUntil
 	}
-	p.short = total > bar*p.limit || p.over > 0 && p.now-p.over < overFor
+	p.shortage = total > bar*p.limit || p.overflowAt > 0 && p.now-p.overflowAt < overflowHold
 	if spare := left; spare > 0 && total > 0 { // nobody's: everybody's by demand
 		for _, c := range active {
-			c.alloc += spare * p.demand(c) / total
+			c.entitlement += spare * p.demand(c) / total
 		}
 	}
 }
 
 // fill gives out room evenly, to nobody more than it wants, and returns what it gave.
-func fill(list []*pool, room float64, wants func(*pool) float64, give func(*pool, float64)) (given float64) {
+func distribute(list []*pool, room float64, wants func(*pool) float64, give func(*pool, float64)) (given float64) {
 	order := slices.Clone(list)
 	slices.SortStableFunc(order, func(a, b *pool) int { return cmp.Compare(wants(a), wants(b)) })
 	for i, c := range order {
@@ -393,8 +393,8 @@
 // Stuck is how many runs stand still in classes that hang: they hold slots and
 // no core, and the others need not wait for them.
 func (p *Pools) StalledRuns() (n int) {
-	for _, c := range p.live {
-		if c.hangs {
+	for _, c := range p.active {
+		if c.hanging {
 			n += c.running
 		}
 	}
@@ -403,8 +403,8 @@
 
 // keeps is how many more slots are kept free for a class's reserve: one heard of
 // lately has its floor at hand, as far as it does not use it.
-func (p *Pools) keeps(c *pool) float64 {
-	if p.limit < keepFrom || c.floor == 0 || p.now-c.seen > recent {
+func (p *Pools) unusedFloor(c *pool) float64 {
+	if p.limit < minReserveLimit || c.floor == 0 || p.now-c.lastArrival > recentTime {
 		return 0
 	}
 	return max(min(c.floor, math.Ceil(c.floor)-float64(c.running)), 0)
@@ -412,8 +412,8 @@
 
 // floods reports whether a class sends far more than it usually does, and more
 // than a little of what the slots can do.
-func (p *Pools) floods(c *pool) bool {
-	return c.rate > p.expected(c) && c.rate*c.length() > floodLeast*p.limit
+func (p *Pools) flooding(c *pool) bool {
+	return c.rate > p.expectedRate(c) && c.rate*c.expectedRun() > minFloodShare*p.limit
 }
 
 // tier orders the classes that may have a slot: 0 while none is short; else first
@@ -421,13 +421,13 @@
 // what it is entitled to, at last who is over its cap.
 func (p *Pools) tier(c *pool) int {
 	switch {
-	case !p.short:
+	case !p.shortage:
 		return 0
 	case c.floor > 0 && float64(c.running) < c.floor && c.credit > -c.floor*creditSpan.Seconds():
 		return 1
-	case float64(c.running) >= c.cap:
+	case float64(c.running) >= c.slotCap:
 		return 4
-	case c.credit <= 0 && p.floods(c):
+	case c.credit <= 0 && p.flooding(c):
 		return 3
 	}
 	return 2
@@ -436,31 +436,31 @@
 // Next says which of the line gets a free slot, -1 for none; slots is how many
 // there are, taken how many of them are taken.
 func (p *Pools) Next(now time.Duration, slots, taken int, line []rules.QueuedRequest) int {
-	p.advance(now)
+	p.accrueCredit(now)
 	kept := 0.0
-	for _, c := range p.live {
-		kept += p.keeps(c)
-		c.next = p.tier(c)
+	for _, c := range p.active {
+		kept += p.unusedFloor(c)
+		c.candidateTier = p.tier(c)
 	}
 	best, bestTier, most := -1, math.MaxInt, 0.0
 	for i, w := range line {
-		c := p.all[w.Class]
+		c := p.pools[w.Class]
 		most = max(most, w.Utility)
 		// A class within its floor may take what is kept; any other leaves it.
 		if c.floor == 0 || float64(c.running) >= c.floor {
-			if float64(taken) >= float64(slots)-math.Ceil(kept-p.keeps(c)-0.5) {
+			if float64(taken) >= float64(slots)-math.Ceil(kept-p.unusedFloor(c)-0.5) {
 				continue
 			}
 		}
-		if c.hangs && c.running > 0 {
+		if c.hanging && c.running > 0 {
 			continue
 		}
-		if c.next < bestTier || c.next == bestTier && p.short && w.Utility > line[best].Utility {
-			best, bestTier = i, c.next
+		if c.candidateTier < bestTier || c.candidateTier == bestTier && p.shortage && w.Utility > line[best].Utility {
+			best, bestTier = i, c.candidateTier
 		}
 	}
 	if best >= 0 && bestTier == 1 && line[best].Utility < most {
-		p.all[line[best].Class].saved = now
+		p.pools[line[best].Class].reserveUsedAt = now
 	}
 	return best
 }
@@ -469,21 +469,21 @@
 // more than their places, else of the classes that hold more than their floor's,
 // the request that earns least, of equals the newest.
 func (p *Pools) Evict(now time.Duration, bound int, line []rules.QueuedRequest) int {
-	p.advance(now)
-	p.over, p.short = now, true
-	for _, c := range p.live {
-		c.held = 0
+	p.accrueCredit(now)
+	p.overflowAt, p.shortage = now, true
+	for _, c := range p.active {
+		c.queued = 0
 	}
 	for _, w := range line {
-		p.all[w.Class].held++
+		p.pools[w.Class].queued++
 	}
-	for _, c := range p.live {
-		c.next = 0
+	for _, c := range p.active {
+		c.candidateTier = 0
 		switch {
-		case float64(c.held) <= math.Ceil(c.floor/p.limit*float64(bound)):
-			c.next = -1
-		case float64(c.held) > math.Ceil(c.alloc/p.limit*float64(bound)) && p.floods(c):
-			c.next = 1
+		case float64(c.queued) <= math.Ceil(c.floor/p.limit*float64(bound)):
+			c.candidateTier = -1
+		case float64(c.queued) > math.Ceil(c.entitlement/p.limit*float64(bound)) && p.flooding(c):
+			c.candidateTier = 1
 		}
 	}
 	worst, plain := -1, len(line)-1
@@ -492,32 +492,32 @@
 		if w.Utility < line[plain].Utility {
 			plain = i
 		}
-		over := p.all[w.Class].next
+		over := p.pools[w.Class].candidateTier
 		if over < 0 {
 			continue
 		}
-		if worst < 0 || over > p.all[line[worst].Class].next || over == p.all[line[worst].Class].next && w.Utility < line[worst].Utility {
+		if worst < 0 || over > p.pools[line[worst].Class].candidateTier || over == p.pools[line[worst].Class].candidateTier && w.Utility < line[worst].Utility {
 			worst = i
 		}
 	}
 	if worst < 0 {
 		return plain
 	}
-	if c := p.all[line[plain].Class]; worst != plain && c.floor > 0 {
-		c.saved = now
+	if c := p.pools[line[plain].Class]; worst != plain && c.floor > 0 {
+		c.reserveUsedAt = now
 	}
-	p.all[line[worst].Class].refused++
+	p.pools[line[worst].Class].refused++
 	return worst
 }
 
 // told says when a reserve begins to be what keeps a class alive, and when that ends.
-func (p *Pools) told() (lines []string) {
-	for _, c := range p.live {
-		saving := p.now-c.saved < recent
-		if saving == c.saving {
+func (p *Pools) reserveMessages() (lines []string) {
+	for _, c := range p.active {
+		saving := p.now-c.reserveUsedAt < recentTime
+		if saving == c.reserveInUse {
 			continue
 		}
-		c.saving = saving
+		c.reserveInUse = saving
 		if saving {
 			lines = append(lines, fmt.Sprintf("a reserve of %.1f slots keeps class %s alive", c.floor, c.Name))
 		} else {
@@ -529,18 +529,18 @@
 
 // Views tells what the pools do.
 func (p *Pools) Views(line []rules.QueuedRequest) []View {
-	for _, c := range p.all {
-		c.held = 0
+	for _, c := range p.pools {
+		c.queued = 0
 	}
 	for _, w := range line {
-		p.all[w.Class].held++
+		p.pools[w.Class].queued++
 	}
-	views := make([]View, len(p.all))
-	for i, c := range p.all {
+	views := make([]View, len(p.pools))
+	for i, c := range p.pools {
 		r := float64(c.running)
 		views[i] = View{
-			Name: c.Name, Running: c.running, Queued: c.held, Limit: c.alloc, Reserve: c.floor, Lent: max(c.alloc-r, 0),
-			Borrowed: max(r-c.alloc, 0), Refused: c.refused, Cheap: c.cheap, Hanging: c.hangs,
+			Name: c.Name, Running: c.running, Queued: c.queued, Limit: c.entitlement, Reserve: c.floor, Lent: max(c.entitlement-r, 0),
+			Borrowed: max(r-c.entitlement, 0), Refused: c.refused, Cheap: c.cheap, Hanging: c.hanging,
 		}
 	}
 	return views
--- a/decide/pools/pools_test.go
+++ b/decide/pools/pools_test.go
@@ -48,11 +48,11 @@
 				limit = rapid.Float64Range(0.1, 40).Draw(r, "limit")
 				p.Step(now, limit)
 				sum, floors := 0.0, 0.0
-				for _, c := range p.all {
-					if c.floor < 0 || c.alloc < c.floor-1e-9 || math.IsNaN(c.alloc+c.credit+c.cap+c.usual) {
-						r.Fatalf("floor %v, entitled to %v, owed %v, cap %v", c.floor, c.alloc, c.credit, c.cap)
+				for _, c := range p.pools {
+					if c.floor < 0 || c.entitlement < c.floor-1e-9 || math.IsNaN(c.entitlement+c.credit+c.slotCap+c.usualRate) {
+						r.Fatalf("floor %v, entitled to %v, owed %v, cap %v", c.floor, c.entitlement, c.credit, c.slotCap)
 					}
-					sum += c.alloc
+					sum += c.entitlement
 					floors += c.floor
 				}
 				if top := max(limit, 1); sum > top*(1+1e-9) || floors > (set.Reserve+own)*top+1e-9 {
@@ -67,11 +67,11 @@
 				if i < 0 {
 					continue
 				}
-				c := p.all[line[i].Class]
-				if p.short && c.next >= 3 {
+				c := p.pools[line[i].Class]
+				if p.shortage && c.candidateTier >= 3 {
 					for _, w := range line {
-						if o := p.all[w.Class]; o.next == 1 && !(o.hangs && o.running > 0) {
-							r.Fatalf("a class within its floor waits behind tier %d", c.next)
+						if o := p.pools[w.Class]; o.candidateTier == 1 && !(o.hanging && o.running > 0) {
+							r.Fatalf("a class within its floor waits behind tier %d", c.candidateTier)
 						}
 					}
 				}
@@ -88,17 +88,17 @@
 				if i < 0 || i >= len(line) {
 					r.Fatalf("place %d of %d", i, len(line))
 				}
-				over := func(c *pool) bool { return float64(c.held) > math.Ceil(c.floor/p.limit*float64(bound)) }
-				if !over(p.all[line[i].Class]) {
+				over := func(c *pool) bool { return float64(c.queued) > math.Ceil(c.floor/p.limit*float64(bound)) }
+				if !over(p.pools[line[i].Class]) {
 					for _, w := range line {
-						if over(p.all[w.Class]) {
+						if over(p.pools[w.Class]) {
 							r.Fatal("a class within its floor's places leaves before one that is over")
 						}
 					}
 				}
 				line = append(line[:i:i], line[i+1:]...)
 			}
-			for _, c := range p.all {
+			for _, c := range p.pools {
 				if c.running < 0 {
 					r.Fatal("fewer than no runs")
 				}
@@ -109,7 +109,7 @@
 
 // Who is cheap goes by what runs took once that is known, not by what callers say;
 // one class alone, and equals, are not.
-func TestCheapIsEarned(t *testing.T) {
+func TestCheapFollowsRunTimes(t *testing.T) {
 	feed := func(p *Pools, class int, hint, took time.Duration) {
 		for i := range 30 {
 			now := time.Duration(i) * 100 * time.Millisecond
@@ -129,16 +129,16 @@
 	feed(p, 0, 5*ms, 0)
 	feed(p, 1, 100*ms, 100*ms)
 	feed(p, 2, ms, 0)
-	if !p.all[2].cheap || p.all[1].cheap {
+	if !p.pools[2].cheap || p.pools[1].cheap {
 		t.Error("by hints: the claim is not believed while nothing is known")
 	}
 	feed(p, 2, ms, 120*ms)
-	if p.all[2].cheap || p.all[2].floor > 0 {
+	if p.pools[2].cheap || p.pools[2].floor > 0 {
 		t.Error("a class that lies in its hints keeps a reserve")
 	}
 	one := New(Settings{Classes: make([]Class, 1), Reserve: 0.1})
 	feed(one, 0, ms, ms)
-	if one.all[0].cheap {
+	if one.pools[0].cheap {
 		t.Error("a class alone is cheap")
 	}
 }
@@ -150,19 +150,19 @@
 		p.Arrived(0, i, 0)
 	}
 	p.Step(time.Second, 4)
-	if len(p.live) != 1000 {
-		t.Fatalf("%d live", len(p.live))
+	if len(p.active) != 1000 {
+		t.Fatalf("%d live", len(p.active))
 	}
-	p.Arrived(forget+time.Second, 7, 0)
-	p.Step(forget+2*time.Second, 4)
-	if len(p.live) != 1 {
-		t.Errorf("%d classes live on", len(p.live))
+	p.Arrived(forgetAfter+time.Second, 7, 0)
+	p.Step(forgetAfter+2*time.Second, 4)
+	if len(p.active) != 1 {
+		t.Errorf("%d classes live on", len(p.active))
 	}
 }
 
 // What a class lent comes back with the next slot that is free: the others may
 // hold all of them, the first end of a run is enough for its floor.
-func TestLentComesBack(t *testing.T) {
+func TestLentSlotsReturn(t *testing.T) {
 	p := New(Settings{Classes: []Class{{Utility: 1, Reserve: 0.25}, {Utility: 9}}})
 	now := time.Duration(0)
 	feed := func(class, n int) {
@@ -178,9 +178,9 @@
 	}
 	now += 3 * time.Second // class 0 is silent, and its slots are lent
 	for range 8 {
-		i := p.Next(now, 8, p.all[1].running, []rules.QueuedRequest{{Class: 1, Utility: 9}})
+		i := p.Next(now, 8, p.pools[1].running, []rules.QueuedRequest{{Class: 1, Utility: 9}})
 		if i != 0 {
-			t.Fatalf("slot %d is not lent", p.all[1].running)
+			t.Fatalf("slot %d is not lent", p.pools[1].running)
 		}
 		p.RunningChanged(now, 1, 1)
 	}
--- a/decide/recovery/eventdetector.go
+++ b/decide/recovery/eventdetector.go
@@ -14,21 +14,21 @@
 
 // Tuned values of events.
 const (
-	lostShare   = 0.2 // of the nodes lost within lostWithin that make an event
-	lostWithin  = 5 * time.Second
-	roomHalf    = 0.5
-	roomMost    = 0.95
-	roomFull    = 0.99
-	fullFor     = time.Second      // that it must stay full, or one report would end an event
-	eventMost   = 10 * time.Minute // then it is over, full or not: the fleet is smaller now
-	baseAlpha   = 0.02             // weight of a step in what room is usual
-	mostEvents  = 64
-	wordMost    = 1600 * time.Millisecond // two reports missed: a node that says nothing for so long is lost
-	sizeFade    = 0.999                   // of a node's size stays a report: half in eight minutes
-	trimTimes   = 4.0                     // of the median that one node's size counts
-	leaseNodes  = 20_000
-	tidyAfter   = 2 * time.Minute // a node that is away for so long is forgotten
-	leastToTell = 3               // nodes under which there is no share to speak of
+	minLostShare           = 0.2 // of the nodes lost within lostWithin that make an event
+	lossWindow             = 5 * time.Second
+	halfCapacity           = 0.5
+	mostCapacity           = 0.95
+	fullCapacity           = 0.99
+	fullDuration           = time.Second      // that it must stay full, or one report would end an event
+	maxEventDuration       = 10 * time.Minute // then it is over, full or not: the fleet is smaller now
+	usualCapacitySmoothing = 0.02             // weight of a step in what room is usual
+	maxEvents              = 64
+	reportTimeout          = 1600 * time.Millisecond // two reports missed: a node that says nothing for so long is lost
+	sizeDecay              = 0.999                   // of a node's size stays a report: half in eight minutes
+	maxSizeOverMedian      = 4.0                     // of the median that one node's size counts
+	maxTrackedNodes        = 20_000
+	forgetNodeAfter        = 2 * time.Minute // a node that is away for so long is forgotten
+	minNodes               = 3               // nodes under which there is no share to speak of
 )
 
 // Word is what a node says that counts here.
@@ -59,44 +59,44 @@
 	Over    bool
 	Why     string // how it ended
 
-	first, all float64 // first tries and all since the begin
-	fullAt     time.Duration
+	firstTries, allTries float64 // first tries and all since the begin
+	fullSince            time.Duration
 }
 
 // known is a node as of its last word.
-type known struct {
+type trackedNode struct {
 	NodeReport
-	at   time.Duration
-	size float64 // the highest limit of late: one that starts anew has not found its limit yet
-	lost bool    // in the present event, or gone
+	lastReport time.Duration
+	size       float64 // the highest limit of late: one that starts anew has not found its limit yet
+	lost       bool    // in the present event, or gone
 }
 
 // Events watches a fleet. It belongs to one goroutine.
 type EventDetector struct {
-	nodes  map[string]*known
-	losses []loss
-	usual  float64 // room
-	room   float64 // as of the last step, a share of that
-	open   *Event
-	list   []Event
-	number int
-	step   time.Duration
+	nodes         map[string]*trackedNode
+	losses        []loss
+	usualCapacity float64 // room
+	capacityShare float64 // as of the last step, a share of that
+	current       *Event
+	finished      []Event
+	lastNumber    int
+	lastStep      time.Duration
 }
 
 type loss struct {
-	at   time.Duration
-	name string
-	from time.Duration // the last word of its old life
-	till time.Duration // the first word of its next one, or awaited
-	size float64
+	noticed    time.Duration
+	name       string
+	lastReport time.Duration // the last word of its old life
+	returned   time.Duration // the first word of its next one, or awaited
+	size       float64
 }
 
-const awaited = time.Duration(math.MaxInt64)
+const notReturned = time.Duration(math.MaxInt64)
 
 // NewEvents returns a watch that has seen nothing; number is the last event's of an
 // earlier life of the service.
 func NewEventDetector(now time.Duration, number int) *EventDetector {
-	return &EventDetector{nodes: map[string]*known{}, number: number, step: now}
+	return &EventDetector{nodes: map[string]*trackedNode{}, lastNumber: number, lastStep: now}
 }
 
 // Heard takes a node's word. A new incarnation is a loss, even if its silence was
@@ -104,9 +104,9 @@
 func (e *EventDetector) Observe(now time.Duration, w NodeReport) {
 	k := e.nodes[w.Name]
 	if k == nil {
-		if len(e.nodes) < leaseNodes {
-			w = sane(w)
-			e.nodes[w.Name] = &known{NodeReport: w, at: now, size: w.Limit}
+		if len(e.nodes) < maxTrackedNodes {
+			w = clampReport(w)
+			e.nodes[w.Name] = &trackedNode{NodeReport: w, lastReport: now, size: w.Limit}
 		}
 		return
 	}
@@ -114,20 +114,20 @@
 		return
 	}
 	if w.Incarnation > k.Incarnation && !k.Leaving && !k.lost {
-		e.losses = append(e.losses, loss{now, w.Name, k.at, now, k.size})
+		e.losses = append(e.losses, loss{now, w.Name, k.lastReport, now, k.size})
 	}
 	for i, l := range e.losses {
-		if l.name == w.Name && l.till == awaited {
-			e.losses[i].till = now
+		if l.name == w.Name && l.returned == notReturned {
+			e.losses[i].returned = now
 		}
 	}
-	k.NodeReport, k.at, k.lost = sane(w), now, false
-	k.size = max(k.Limit, sizeFade*k.size)
+	k.NodeReport, k.lastReport, k.lost = clampReport(w), now, false
+	k.size = max(k.Limit, sizeDecay*k.size)
 }
 
 // sane bounds what a node says of itself: one that lies moves the fleet's figures
 // by no more than a node can.
-func sane(w NodeReport) NodeReport {
+func clampReport(w NodeReport) NodeReport {
 	clamp := func(x, most float64) float64 {
 		if !(x >= 0) {
 			return 0
@@ -140,23 +140,23 @@
 
 // Step watches; it returns lines for people when an event begins and ends.
 func (e *EventDetector) Step(now time.Duration) (lines []string) {
-	dt := (now - e.step).Seconds()
+	dt := (now - e.lastStep).Seconds()
 	if dt <= 0 {
 		return nil
 	}
-	before := e.step
-	e.step = now
+	before := e.lastStep
+	e.lastStep = now
 	room, whole, first, all := 0.0, 0.0, 0.0, 0.0
-	most := e.largest()
+	most := e.maxNodeSize()
 	for _, name := range slices.Sorted(maps.Keys(e.nodes)) { // sums of floats depend on the order
 		k := e.nodes[name]
-		switch silent := now - k.at; {
-		case silent > tidyAfter:
+		switch silent := now - k.lastReport; {
+		case silent > forgetNodeAfter:
 			delete(e.nodes, name)
 			continue
-		case silent > wordMost && !k.lost:
+		case silent > reportTimeout && !k.lost:
 			if k.lost = true; !k.Leaving {
-				e.losses = append(e.losses, loss{now - wordMost, name, k.at, awaited, k.size})
+				e.losses = append(e.losses, loss{now - reportTimeout, name, k.lastReport, notReturned, k.size})
 			}
 		}
 		whole += min(k.size, most)
@@ -166,75 +166,75 @@
 			all += k.ArrivalRate * dt
 		}
 	}
-	e.losses = slices.DeleteFunc(e.losses, func(l loss) bool { return now-l.at > lostWithin })
+	e.losses = slices.DeleteFunc(e.losses, func(l loss) bool { return now-l.noticed > lossWindow })
 	lost := map[string]bool{}
 	begin := now
 	for _, l := range e.losses {
 		lost[l.name] = true
-		begin = min(begin, l.at)
+		begin = min(begin, l.noticed)
 	}
-	if e.open == nil {
-		if n := len(e.nodes); n >= leastToTell && float64(len(lost)) > lostShare*float64(n) && e.usual > 0 {
-			lines = append(lines, e.begin(begin, lost))
+	if e.current == nil {
+		if n := len(e.nodes); n >= minNodes && float64(len(lost)) > minLostShare*float64(n) && e.usualCapacity > 0 {
+			lines = append(lines, e.beginEvent(begin, lost))
 		} else if room > 0 {
-			if e.usual == 0 {
-				e.usual = room
+			if e.usualCapacity == 0 {
+				e.usualCapacity = room
 			}
-			e.usual += min(baseAlpha*dt*10, 1) * (room - e.usual)
+			e.usualCapacity += min(usualCapacitySmoothing*dt*10, 1) * (room - e.usualCapacity)
 		}
 	}
-	if e.usual > 0 {
-		e.room = min(room/e.usual, 1)
+	if e.usualCapacity > 0 {
+		e.capacityShare = min(room/e.usualCapacity, 1)
 	}
-	if e.open == nil {
+	if e.current == nil {
 		return lines
 	}
-	o := e.open
-	o.first, o.all = o.first+first, o.all+all
-	if o.first > 0 {
-		o.Tries = math.Round(100*o.all/o.first) / 100
+	o := e.current
+	o.firstTries, o.allTries = o.firstTries+first, o.allTries+all
+	if o.firstTries > 0 {
+		o.Tries = math.Round(100*o.allTries/o.firstTries) / 100
 	}
 	for name := range lost {
-		o.Zones = with(o.Zones, e.nodes[name])
+		o.Zones = addZone(o.Zones, e.nodes[name])
 	}
 	o.Lost = max(o.Lost, len(lost))
-	share := min(room/e.usual, 1)
-	if down := e.down(before, most); down > 0 && whole > 0 { // less was there between two words than any word says
+	share := min(room/e.usualCapacity, 1)
+	if down := e.missingCapacity(before, most); down > 0 && whole > 0 { // less was there between two words than any word says
 		share = min(share, max(0, 1-down/whole))
 	}
 	since := now - o.Began
 	if share < o.Least {
 		o.Least, o.LeastAt, o.Half, o.Most = share, since, 0, 0
 	}
-	if o.Half == 0 && share >= roomHalf {
+	if o.Half == 0 && share >= halfCapacity {
 		o.Half = since
 	}
-	if o.Most == 0 && share >= roomMost {
+	if o.Most == 0 && share >= mostCapacity {
 		o.Most = since
 	}
-	if share < roomFull {
-		o.Full, o.fullAt = 0, -1
+	if share < fullCapacity {
+		o.Full, o.fullSince = 0, -1
 	} else if o.Full == 0 {
-		o.Full, o.fullAt = since, now
+		o.Full, o.fullSince = since, now
 	}
 	switch {
-	case o.Full > 0 && now-o.fullAt >= fullFor && now-o.Began > lostWithin:
+	case o.Full > 0 && now-o.fullSince >= fullDuration && now-o.Began > lossWindow:
 		o.Over, o.Why = true, "all is back"
-	case since >= eventMost:
+	case since >= maxEventDuration:
 		o.Over, o.Why = true, "it was given up: the fleet is smaller now"
 	}
 	if o.Over {
-		lines = append(lines, o.Line())
-		e.keep()
-		e.losses, e.usual = nil, room // these are told of
+		lines = append(lines, o.Summary())
+		e.archive()
+		e.losses, e.usualCapacity = nil, room // these are told of
 	}
 	return lines
 }
 
 // down is the most room that was missing at one moment between the lives of nodes, if one
 // of them was heard again after the time given.
-func (e *EventDetector) down(after time.Duration, most float64) (down float64) {
-	if !slices.ContainsFunc(e.losses, func(l loss) bool { return l.till != awaited && l.till > after }) {
+func (e *EventDetector) missingCapacity(after time.Duration, most float64) (down float64) {
+	if !slices.ContainsFunc(e.losses, func(l loss) bool { return l.returned != notReturned && l.returned > after }) {
 		return 0
 	}
 	type point struct { // in order of time, ends first: a node is away after from, up to till
@@ -244,12 +244,12 @@
 	points := make([]point, 0, 2*len(e.losses))
 	for _, l := range e.losses {
 		size := min(l.size, most)
-		points = append(points, point{l.from, size}, point{l.till, -size})
+		points = append(points, point{l.lastReport, size}, point{l.returned, -size})
 	}
 	slices.SortFunc(points, func(a, b point) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.more, b.more)) })
 	missing := 0.0
 	for _, p := range points {
-		if p.more < 0 && p.at != awaited {
+		if p.more < 0 && p.at != notReturned {
 			down = max(down, missing)
 		}
 		missing += p.more
@@ -259,21 +259,21 @@
 
 // largest is the most that one node's size counts: some times the median, so that one
 // liar does not make the fleet's room its own.
-func (e *EventDetector) largest() float64 {
+func (e *EventDetector) maxNodeSize() float64 {
 	sizes := make([]float64, 0, len(e.nodes))
 	for _, k := range e.nodes {
 		if k.size > 0 {
 			sizes = append(sizes, k.size)
 		}
 	}
-	if len(sizes) < leastToTell {
+	if len(sizes) < minNodes {
 		return math.MaxFloat64
 	}
 	slices.Sort(sizes)
-	return trimTimes * sizes[(len(sizes)-1)/2]
+	return maxSizeOverMedian * sizes[(len(sizes)-1)/2]
 }
 
-func with(zones []string, k *known) []string {
+func addZone(zones []string, k *trackedNode) []string {
 	if k == nil || k.Zone == "" || len(zones) >= 16 || slices.Contains(zones, k.Zone) {
 		return zones
 	}
@@ -282,23 +282,23 @@
 	return zones
 }
 
-func (e *EventDetector) begin(at time.Duration, lost map[string]bool) string {
-	e.number++
-	e.open = &Event{Number: e.number, Began: at, Lost: len(lost), Of: len(e.nodes), Least: 1, Tries: 1, fullAt: -1}
-	return fmt.Sprintf("event %d begins: %d of %d nodes were lost within %v", e.number, len(lost), len(e.nodes), lostWithin)
+func (e *EventDetector) beginEvent(at time.Duration, lost map[string]bool) string {
+	e.lastNumber++
+	e.current = &Event{Number: e.lastNumber, Began: at, Lost: len(lost), Of: len(e.nodes), Least: 1, Tries: 1, fullSince: -1}
+	return fmt.Sprintf("event %d begins: %d of %d nodes were lost within %v", e.lastNumber, len(lost), len(e.nodes), lossWindow)
 }
 
 // keep files the open event.
-func (e *EventDetector) keep() {
-	e.list = append(e.list, *e.open)
-	if len(e.list) > mostEvents {
-		e.list = slices.Delete(e.list, 0, len(e.list)-mostEvents)
+func (e *EventDetector) archive() {
+	e.finished = append(e.finished, *e.current)
+	if len(e.finished) > maxEvents {
+		e.finished = slices.Delete(e.finished, 0, len(e.finished)-maxEvents)
 	}
-	e.open = nil
+	e.current = nil
 }
 
 // Line says how an event was.
-func (o *Event) Line() string {
+func (o *Event) Summary() string {
 	at := func(d time.Duration) string {
 		if d == 0 {
 			return "-"
@@ -310,13 +310,13 @@
 }
 
 // Room is the share of the usual room that is there now, 0 = not known.
-func (e *EventDetector) Capacity() float64 { return e.room }
+func (e *EventDetector) Capacity() float64 { return e.capacityShare }
 
 // List tells the events, oldest first, the one under way last.
 func (e *EventDetector) List() []Event {
-	list := slices.Clone(e.list)
-	if e.open != nil {
-		list = append(list, *e.open)
+	list := slices.Clone(e.finished)
+	if e.current != nil {
+		list = append(list, *e.current)
 	}
 	return list
 }
@@ -329,10 +329,10 @@
 		if !o.Over {
 			o.Over, o.Why = true, "the service that watched it ended"
 		}
-		e.list = append(e.list, o)
-		e.number = max(e.number, o.Number)
+		e.finished = append(e.finished, o)
+		e.lastNumber = max(e.lastNumber, o.Number)
 	}
-	if n := len(e.list); n > mostEvents {
-		e.list = slices.Delete(e.list, 0, n-mostEvents)
+	if n := len(e.finished); n > maxEvents {
+		e.finished = slices.Delete(e.finished, 0, n-maxEvents)
 	}
 }
--- a/decide/recovery/eventdetector_test.go
+++ b/decide/recovery/eventdetector_test.go
@@ -10,7 +10,7 @@
 
 // watchFleet plays nodes that report each 0.7 s: warm says how warm node i is, nil-like
 // below 0 = it says nothing; inc is its life.
-func watchFleet(t *testing.T, e *EventDetector, n int, from, to time.Duration, warm func(i int, at time.Duration) float64, inc func(i int, at time.Duration) uint64) (lines []string) {
+func reportFleet(t *testing.T, e *EventDetector, n int, from, to time.Duration, warm func(i int, at time.Duration) float64, inc func(i int, at time.Duration) uint64) (lines []string) {
 	t.Helper()
 	for at := from; at < to; at += 100 * time.Millisecond {
 		for i := range n {
@@ -30,11 +30,11 @@
 	return lines
 }
 
-func once(int, time.Duration) uint64 { return 1 }
+func firstIncarnation(int, time.Duration) uint64 { return 1 }
 
 // Two thirds are killed at 10 s, come back cold at 11 s and are warm at 14 s: one event
 // with its times; a rolling restart of one node a second is none.
-func TestEventIsMeasured(t *testing.T) {
+func TestEventTimes(t *testing.T) {
 	e := NewEventDetector(0, 0)
 	warm := func(i int, at time.Duration) float64 {
 		if i >= 8 || at < 10*time.Second {
@@ -51,7 +51,7 @@
 		}
 		return 1
 	}
-	lines := watchFleet(t, e, 12, 0, 30*time.Second, warm, inc)
+	lines := reportFleet(t, e, 12, 0, 30*time.Second, warm, inc)
 	list := e.List()
 	if len(list) != 1 || !list[0].Over || len(lines) != 2 {
 		t.Fatalf("%d events, lines %q", len(list), lines)
@@ -63,7 +63,7 @@
 		t.Errorf("%+v", o)
 	}
 	e = NewEventDetector(0, 0)
-	if lines := watchFleet(t, e, 12, 0, 40*time.Second, func(int, time.Duration) float64 { return 1 },
+	if lines := reportFleet(t, e, 12, 0, 40*time.Second, func(int, time.Duration) float64 { return 1 },
 		func(i int, at time.Duration) uint64 {
 			return 1 + uint64(max(at/(3*time.Second)-time.Duration(i), 0)/12)
 		}); len(lines) > 0 {
@@ -74,7 +74,7 @@
 // All die together and are back within a second, and each says from its first word on that it
 // is nearly warm: the least room is that of the moment in which all were dead, told by the gap
 // between two lives. Killed one after the other, only those count that were away at one moment.
-func TestLeastRoomIsBetweenTwoWords(t *testing.T) {
+func TestLeastCapacityBetweenReports(t *testing.T) {
 	for name, tc := range map[string]struct {
 		apart    time.Duration
 		from, to float64
@@ -96,7 +96,7 @@
 			}
 			return 1
 		}
-		watchFleet(t, e, 6, 0, 19*time.Second, warm, inc)
+		reportFleet(t, e, 6, 0, 19*time.Second, warm, inc)
 		list := e.List()
 		if len(list) != 1 {
 			t.Fatalf("%s: %d events", name, len(list))
@@ -109,15 +109,15 @@
 
 // What is missing between lives is what a look at each return says, and a fleet of 20,000
 // nodes that restart together costs no more than sorting them.
-func TestDownIsTheMostAway(t *testing.T) {
+func TestMissingCapacity(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 7))
 	for range 300 {
 		e := NewEventDetector(0, 0)
 		for range rng.IntN(12) {
 			from := time.Duration(rng.IntN(10))
-			l := loss{from: from, till: from + 1 + time.Duration(rng.IntN(6)), size: float64(1 + rng.IntN(4))}
+			l := loss{lastReport: from, returned: from + 1 + time.Duration(rng.IntN(6)), size: float64(1 + rng.IntN(4))}
 			if rng.IntN(5) == 0 {
-				l.till = awaited
+				l.returned = notReturned
 			}
 			e.losses = append(e.losses, l)
 		}
@@ -125,22 +125,22 @@
 		for _, a := range e.losses {
 			missing := 0.0
 			for _, b := range e.losses {
-				if a.till != awaited && b.from < a.till && a.till <= b.till {
+				if a.returned != notReturned && b.lastReport < a.returned && a.returned <= b.returned {
 					missing += b.size
 				}
 			}
 			want = max(want, missing)
 		}
-		if got := e.down(0, 1e9); got != want {
+		if got := e.missingCapacity(0, 1e9); got != want {
 			t.Fatalf("%v missing of %+v, want %v", got, e.losses, want)
 		}
 	}
 	e := NewEventDetector(0, 0)
 	for i := range 20_000 {
-		e.losses = append(e.losses, loss{from: time.Duration(i), till: time.Duration(i) + time.Second, size: 1})
+		e.losses = append(e.losses, loss{lastReport: time.Duration(i), returned: time.Duration(i) + time.Second, size: 1})
 	}
 	began := time.Now()
-	if got := e.down(0, 1e9); got != 20_000 || time.Since(began) > time.Second {
+	if got := e.missingCapacity(0, 1e9); got != 20_000 || time.Since(began) > time.Second {
 		t.Errorf("%v of 20,000 missing, found in %v", got, time.Since(began))
 	}
 }
@@ -155,7 +155,7 @@
 		}
 		return 1
 	}
-	watchFleet(t, e, 12, 0, 20*time.Second, gone, once)
+	reportFleet(t, e, 12, 0, 20*time.Second, gone, firstIncarnation)
 	open := e.List()
 	if len(open) != 1 || open[0].Over || open[0].Number != 7 {
 		t.Fatalf("%+v", open)
@@ -165,20 +165,20 @@
 	if l := later.List(); len(l) != 1 || !l[0].Over || l[0].Began > -50*time.Minute {
 		t.Errorf("taken over as %+v", l)
 	}
-	lines := watchFleet(t, e, 12, 20*time.Second, eventMost+30*time.Second, gone, once)
+	lines := reportFleet(t, e, 12, 20*time.Second, maxEventDuration+30*time.Second, gone, firstIncarnation)
 	if l := e.List(); len(lines) != 1 || len(l) != 1 || !l[0].Over {
 		t.Errorf("%q %+v", lines, l)
 	}
-	for i := range 3 * mostEvents {
+	for i := range 3 * maxEvents {
 		later.Restore([]Event{{Number: i}}, 0)
 	}
-	if len(later.List()) > mostEvents {
+	if len(later.List()) > maxEvents {
 		t.Errorf("%d events are kept", len(later.List()))
 	}
 }
 
 // One node's nonsense moves the fleet's figures by no more than a node can.
-func TestEventsDoubtOneLiar(t *testing.T) {
+func TestImplausibleReport(t *testing.T) {
 	e := NewEventDetector(0, 0)
 	for at := time.Duration(0); at < 20*time.Second; at += 100 * time.Millisecond {
 		for i := range 12 {
@@ -192,7 +192,7 @@
 			t.Fatal(lines)
 		}
 	}
-	if math.IsNaN(e.usual) || e.usual < 40 || e.usual > 65 {
-		t.Errorf("usual room is %v", e.usual)
+	if math.IsNaN(e.usualCapacity) || e.usualCapacity < 40 || e.usualCapacity > 65 {
+		t.Errorf("usual room is %v", e.usualCapacity)
 	}
 }
--- a/decide/recovery/fairscheduler_test.go
+++ b/decide/recovery/fairscheduler_test.go
@@ -11,7 +11,7 @@
 
 // Never more than the bound at once, everybody has a turn in the end however many keep
 // theirs, and of two that wait the one served longest ago is first.
-func TestTurns(t *testing.T) {
+func TestFairScheduler(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		most := rapid.IntRange(1, 8).Draw(t, "most")
 		turns := NewFairScheduler(most, 100*time.Millisecond)
@@ -27,8 +27,8 @@
 			}
 			for _, g := range list {
 				for turn, name := range names { // nobody who waits was served longer ago
-					if name != names[g] && !slices.Contains(list, turn) && !served(held, turn) && at(since, name) < at(since, names[g]) {
-						t.Fatalf("%s (%v) before %s (%v)", names[g], at(since, names[g]), name, at(since, name))
+					if name != names[g] && !slices.Contains(list, turn) && !isActive(held, turn) && lastServedAt(since, name) < lastServedAt(since, names[g]) {
+						t.Fatalf("%s (%v) before %s (%v)", names[g], lastServedAt(since, names[g]), name, lastServedAt(since, name))
 					}
 				}
 			}
@@ -75,11 +75,11 @@
 	})
 }
 
-func at(since map[string]time.Duration, name string) time.Duration {
+func lastServedAt(since map[string]time.Duration, name string) time.Duration {
 	if d, known := since[name]; known {
 		return d
 	}
 	return -1
 }
 
-func served(held map[uint64]time.Duration, turn uint64) bool { _, ok := held[turn]; return ok }
+func isActive(held map[uint64]time.Duration, turn uint64) bool { _, ok := held[turn]; return ok }
--- a/decide/recovery/registry_test.go
+++ b/decide/recovery/registry_test.go
@@ -6,7 +6,7 @@
 )
 
 // Reports out of order, of dead lives, or of strangers change nothing of what is told.
-func TestWitness(t *testing.T) {
+func TestIncarnationRegistry(t *testing.T) {
 	w := NewIncarnationRegistry()
 	if w.Observe("n", 5, PreviousStore{ID: "a", Epoch: 1, Checkpoint: 1}) != nil {
 		t.Error("something was heard of a name that said nothing before")
@@ -24,10 +24,10 @@
 	if h := again.Observe("n", 7, PreviousStore{ID: "b", Epoch: 1}); h == nil || h.ID != "a" || h.Epoch != 2 {
 		t.Errorf("after a restart of the service: %v", h)
 	}
-	for i := range mostNames + 10 {
+	for i := range maxRegisteredNodes + 10 {
 		again.Observe(fmt.Sprint(i), 1, PreviousStore{ID: "x"})
 	}
-	if len(again.names) > mostNames || again.Observe("one more", 1, PreviousStore{ID: "x"}) != nil {
-		t.Errorf("%d names are held", len(again.names))
+	if len(again.nodes) > maxRegisteredNodes || again.Observe("one more", 1, PreviousStore{ID: "x"}) != nil {
+		t.Errorf("%d names are held", len(again.nodes))
 	}
 }
--- a/decide/recovery/snapshot.go
+++ b/decide/recovery/snapshot.go
@@ -16,14 +16,14 @@
 
 // Tuned values of priors.
 const (
-	priorHalf   = 30 * time.Minute // in which a prior's weight halves: load and code change
-	priorOldest = 12 * time.Hour   // and from which it has none
-	priorClock  = 5 * time.Minute  // a snapshot from so far ahead was made by another clock
-	priorRuns   = 6                // runs that a prior is held against
-	priorOff    = 2.5              // times, either way, that they may differ from it: work varies
-	pauseShort  = 5 * time.Second  // from one snapshot to the next
-	pauseLong   = time.Minute      // while what was learned hardly moves
-	movedBy     = 0.1              // that counts as moving
+	snapshotHalfLife    = 30 * time.Minute // in which a prior's weight halves: load and code change
+	maxSnapshotAge      = 12 * time.Hour   // and from which it has none
+	maxClockSkew        = 5 * time.Minute  // a snapshot from so far ahead was made by another clock
+	warmStartRuns       = 6                // runs that a prior is held against
+	maxRunTimeRatio     = 2.5              // times, either way, that they may differ from it: work varies
+	minSnapshotInterval = 5 * time.Second  // from one snapshot to the next
+	maxSnapshotInterval = time.Minute      // while what was learned hardly moves
+	significantChange   = 0.1              // that counts as moving
 )
 
 // Snapshot is what a life learned, as stored. Site and Machine are digests of what
@@ -48,18 +48,18 @@
 		return 0, "the site's settings are others now"
 	case s.Machine != machine:
 		return 0, "it is of another kind of machine: " + s.Machine
-	case len(s.Learned.Classes) != classes || !sound(&s.Learned):
+	case len(s.Learned.Classes) != classes || !plausible(&s.Learned):
 		return 0, "its figures make no sense"
-	case age > priorOldest:
+	case age > maxSnapshotAge:
 		return 0, fmt.Sprintf("it is %v old", age.Round(time.Minute))
-	case age < -priorClock:
+	case age < -maxClockSkew:
 		return 0, "it is from the future: the clock is off"
 	}
-	return math.Exp2(-max(age, 0).Seconds() / priorHalf.Seconds()), ""
+	return math.Exp2(-max(age, 0).Seconds() / snapshotHalfLife.Seconds()), ""
 }
 
 // sound reports whether figures can be what a module learned.
-func sound(l *rules.Learned) bool {
+func plausible(l *rules.Learned) bool {
 	ok := func(x, most float64) bool { return x >= 0 && x <= most } // false for what is no number
 	if !ok(l.Limit, 1e6) || !ok(l.Rate, 1e7) {
 		return false
@@ -75,24 +75,24 @@
 
 // Prior is a snapshot that was taken up and is still doubted.
 type WarmStart struct {
-	learned rules.Learned
-	speed   float64 // share of its usual speed that the node started at
-	runs    int
-	off     float64 // sum of the logarithms of took over expected
-	done    bool
+	learned      rules.Learned
+	initialSpeed float64 // share of its usual speed that the node started at
+	runs         int
+	logRatioSum  float64 // sum of the logarithms of took over expected
+	settled      bool
 }
 
 // NewPrior holds what was taken up against what is seen from now on; speed is what
 // Module.Prior was told.
 func NewWarmStart(l rules.Learned, speed float64) *WarmStart {
-	return &WarmStart{learned: l, speed: speed}
+	return &WarmStart{learned: l, initialSpeed: speed}
 }
 
 // Ran takes the end of a run, with the share of its speed that the node should have
 // reached. It returns a reason once the evidence speaks against the prior; then, or
 // once it has stood, Settled reports true.
-func (p *WarmStart) Ran(class int, took time.Duration, warm float64) (against string) {
-	if p.done || class < 0 || class >= len(p.learned.Classes) || took <= 0 {
+func (p *WarmStart) ObserveRun(class int, took time.Duration, warm float64) (against string) {
+	if p.settled || class < 0 || class >= len(p.learned.Classes) || took <= 0 {
 		return ""
 	}
 	c := &p.learned.Classes[class]
@@ -100,47 +100,47 @@
 		return ""
 	}
 	p.runs++
-	p.off += math.Log(took.Seconds() / (c.Mean / max(warm, p.speed, 1e-3)))
-	if p.runs < priorRuns {
+	p.logRatioSum += math.Log(took.Seconds() / (c.Mean / max(warm, p.initialSpeed, 1e-3)))
+	if p.runs < warmStartRuns {
 		return ""
 	}
-	p.done = true
-	if times := math.Exp(p.off / float64(p.runs)); times > priorOff || times < 1/priorOff {
+	p.settled = true
+	if times := math.Exp(p.logRatioSum / float64(p.runs)); times > maxRunTimeRatio || times < 1/maxRunTimeRatio {
 		return fmt.Sprintf("%d runs took %.1f times what it says", p.runs, times)
 	}
 	return ""
 }
 
 // Settled reports whether the prior was held against enough runs.
-func (p *WarmStart) Settled() bool { return p.done }
+func (p *WarmStart) Settled() bool { return p.settled }
 
 // Pace decides when a snapshot is worth storing: soon after what was learned moved,
 // seldom while it hardly does, never before it rests on anything.
 type SnapshotPacer struct {
-	at    time.Duration
-	last  rules.Learned
-	taken bool
+	lastStored time.Duration
+	last       rules.Learned
+	stored     bool
 }
 
 // Due reports whether to store a snapshot now; the caller then does.
 func (p *SnapshotPacer) Due(now time.Duration, l *rules.Learned) bool {
 	known := false
 	for _, c := range l.Classes {
-		known = known || c.Runs >= priorRuns
+		known = known || c.Runs >= warmStartRuns
 	}
-	wait := pauseLong
-	if moved(&p.last, l) {
-		wait = pauseShort
+	wait := maxSnapshotInterval
+	if changed(&p.last, l) {
+		wait = minSnapshotInterval
 	}
-	if !known || p.taken && now-p.at < wait {
+	if !known || p.stored && now-p.lastStored < wait {
 		return false
 	}
-	p.at, p.taken, p.last = now, true, *l
+	p.lastStored, p.stored, p.last = now, true, *l
 	return true
 }
 
-func moved(a, b *rules.Learned) bool {
-	far := func(x, y float64) bool { return math.Abs(x-y) > movedBy*max(math.Abs(x), math.Abs(y)) }
+func changed(a, b *rules.Learned) bool {
+	far := func(x, y float64) bool { return math.Abs(x-y) > significantChange*max(math.Abs(x), math.Abs(y)) }
 	if len(a.Classes) != len(b.Classes) || far(a.Limit, b.Limit) || far(a.Rate, b.Rate) {
 		return true
 	}
--- a/decide/recovery/snapshot_test.go
+++ b/decide/recovery/snapshot_test.go
@@ -46,13 +46,13 @@
 
 // A snapshot of a machine ten times as fast, or as slow, is dropped after a handful of
 // runs; a true one stands, cold or not.
-func TestPriorIsHeldAgainstRuns(t *testing.T) {
+func TestWarmStartIsCheckedAgainstRuns(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	play := func(real, warm float64) (runs int, against string) {
 		p := NewWarmStart(learned(0.02), warm)
 		for !p.Settled() {
 			runs++
-			if against = p.Ran(0, time.Duration(real/warm*(0.5+rnd.ExpFloat64()/2)*float64(time.Second)), warm); against != "" {
+			if against = p.ObserveRun(0, time.Duration(real/warm*(0.5+rnd.ExpFloat64()/2)*float64(time.Second)), warm); against != "" {
 				break
 			}
 		}
@@ -62,7 +62,7 @@
 		real, warm float64
 		stands     bool
 	}{{0.02, 1, true}, {0.02, 0.33, true}, {0.2, 1, false}, {0.002, 1, false}, {0.2, 0.33, false}} {
-		if runs, against := play(c.real, c.warm); (against == "") != c.stands || runs > 2*priorRuns {
+		if runs, against := play(c.real, c.warm); (against == "") != c.stands || runs > 2*warmStartRuns {
 			t.Errorf("runs of %v s at %v of the speed: after %d runs %q", c.real, c.warm, runs, against)
 		}
 	}
@@ -70,9 +70,9 @@
 
 // The module takes a prior up as a few runs' worth: evidence moves it at once, and
 // forgetting leaves it as new.
-func TestModuleTakesPrior(t *testing.T) {
+func TestModuleWarmStart(t *testing.T) {
 	set := rules.Settings{Cores: 2, MemoryKB: 1000, Classes: []rules.Class{{Deadline: 2 * time.Second, LatencyTarget: time.Second, Utility: 1}}}
-	m, err := rules.New(0, set, 1, nobody{})
+	m, err := rules.New(0, set, 1, idleHost{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,12 +92,12 @@
 	}
 }
 
-type nobody struct{ rules.Host }
+type idleHost struct{ rules.Host }
 
-func (nobody) SetHealth(bool, bool)             {}
-func (nobody) StartTimer(uint64, time.Duration) {}
+func (idleHost) SetHealth(bool, bool)             {}
+func (idleHost) StartTimer(uint64, time.Duration) {}
 
-func TestPace(t *testing.T) {
+func TestSnapshotPacer(t *testing.T) {
 	var p SnapshotPacer
 	var times []time.Duration
 	for now := time.Duration(0); now < 10*time.Minute; now += time.Second {
--- a/decide/recovery/startup_test.go
+++ b/decide/recovery/startup_test.go
@@ -7,12 +7,11 @@
 	"time"
 
 	"pgregory.net/rapid"
-
 )
 
 // Whatever comes in: states follow each other in their order, none lasts for ever, what
 // is asked for is a share and all of it in full service, and the times add up.
-func TestLifeProperties(t *testing.T) {
+func TestStartupProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ramp := time.Duration(rapid.IntRange(0, 60_000).Draw(t, "ramp")) * time.Millisecond
 		l := NewStartup(0, 0, StartupSettings{Cores: rapid.IntRange(0, 16).Draw(t, "cores"), ColdSpeed: rapid.Float64Range(-1, 2).Draw(t, "from"), WarmUpTime: ramp})
@@ -51,7 +50,7 @@
 				return
 			}
 		}
-		if now > listenMost+proveMost+min(ramp+warmSlack, warmMost)+time.Second {
+		if now > maxListening+maxProbing+min(ramp+warmUpSlack, maxWarming)+time.Second {
 			t.Fatalf("still %v after %v", last, now)
 		}
 	})
@@ -59,7 +58,7 @@
 
 // A cold node says that it is slow by what its runs take, and is in full service when
 // they no longer are; one that is as fast as ever is there much sooner.
-func TestLifeGoesByItsRuns(t *testing.T) {
+func TestStartupFollowsRunTimes(t *testing.T) {
 	full := func(cold bool, speed func(time.Duration) float64) (at time.Duration, asked float64) {
 		l := NewStartup(0, 10*time.Millisecond, StartupSettings{Cores: 2, ColdSpeed: 0.33, WarmUpTime: 3 * time.Second})
 		l.WorkerPoolUp(20*time.Millisecond, 20*time.Millisecond, cold)
--- a/decide/recovery/storecheck.go
+++ b/decide/recovery/storecheck.go
@@ -44,18 +44,18 @@
 	Incomplete                  // something that an earlier life knew is not there
 )
 
-var memoryNames = [...]string{"whole", "unproven", "lost"}
+var integrityNames = [...]string{"whole", "unproven", "lost"}
 
-func (s Integrity) String() string { return memoryNames[s] }
+func (s Integrity) String() string { return integrityNames[s] }
 
 // Tuned values of doubt.
 const (
-	listenFor = 3 * time.Second // for a word on an earlier life: four reports; after it a new store counts as the first
-	outlived  = time.Second     // a worker pool up for longer than the process by this has seen an earlier life
-	keysLeast = 0.9             // of the keys that the last mark counted must be there
-	keysSlack = 16              // or so many fewer: what the last second deleted
+	previousStoreWait = 3 * time.Second // for a word on an earlier life: four reports; after it a new store counts as the first
+	poolAgeMargin     = time.Second     // a worker pool up for longer than the process by this has seen an earlier life
+	minKeyShare       = 0.9             // of the keys that the last mark counted must be there
+	maxMissingKeys    = 16              // or so many fewer: what the last second deleted
 
-	mostFirsts = 1 << 15 // keys whose first try is remembered: beyond, their repeats are in doubt too
+	maxFirstTries = 1 << 15 // keys whose first try is remembered: beyond, their repeats are in doubt too
 )
 
 // Found is what a start found in the node's folder.
@@ -72,69 +72,69 @@
 // Doubt decides on one node's stored state. Times count from the start of the
 // process, on the loop's clock; New takes that start. It belongs to one goroutine.
 type StoreCheck struct {
-	found FoundState
-	start time.Duration
-	since time.Duration // nothing is missing from then on
-	state Integrity
-	why   string
-	until time.Duration // Unproven: for so long
-	asked int           // who have not answered yet
+	found           FoundState
+	processStart    time.Duration
+	completeSince   time.Duration // nothing is missing from then on
+	integrity       Integrity
+	reason          string
+	unverifiedUntil time.Duration // Unproven: for so long
+	pendingAnswers  int           // who have not answered yet
 
-	firsts map[uint64]struct{} // keys whose first try came to this life, while there is doubt
+	firstTries map[uint64]struct{} // keys whose first try came to this life, while there is doubt
 
 	InDoubt int // requests that were in doubt
 }
 
 // NewDoubt judges what a start found; asked is how many can be asked for earlier lives.
 func NewStoreCheck(start time.Duration, f FoundState, asked int) *StoreCheck {
-	d := &StoreCheck{found: f, start: start, since: f.CompleteSince, asked: asked}
+	d := &StoreCheck{found: f, processStart: start, completeSince: f.CompleteSince, pendingAnswers: asked}
 	switch {
 	case f.Node != "" && f.Node != f.Identity.Node:
-		d.lose("the folder is that of " + f.Node)
+		d.markIncomplete("the folder is that of " + f.Node)
 	case f.UnreadablePlaces > 0:
-		d.lose(fmt.Sprintf("%d places of its files can't be read", f.UnreadablePlaces))
-	case float64(f.Keys) < keysLeast*float64(f.Checkpoint.Keys)-keysSlack:
-		d.lose(fmt.Sprintf("it has %d keys, the last life counted %d", f.Keys, f.Checkpoint.Keys))
+		d.markIncomplete(fmt.Sprintf("%d places of its files can't be read", f.UnreadablePlaces))
+	case float64(f.Keys) < minKeyShare*float64(f.Checkpoint.Keys)-maxMissingKeys:
+		d.markIncomplete(fmt.Sprintf("it has %d keys, the last life counted %d", f.Keys, f.Checkpoint.Keys))
 	case f.Created && asked > 0:
-		d.state, d.until, d.why = Unverified, start+listenFor, "the folder was empty"
+		d.integrity, d.unverifiedUntil, d.reason = Unverified, start+previousStoreWait, "the folder was empty"
 	}
 	return d
 }
 
-func (d *StoreCheck) lose(why string) {
-	d.state, d.why, d.since = Incomplete, why, d.start
+func (d *StoreCheck) markIncomplete(why string) {
+	d.integrity, d.reason, d.completeSince = Incomplete, why, d.processStart
 }
 
 // Since is the time from which on nothing is missing: to be stored, so that a life
 // that comes soon doubts the same. When it changes the store is to have a new ID: its
 // marks go on from a copy's, and are no longer those that were heard.
-func (d *StoreCheck) CompleteSince() time.Duration { return d.since }
+func (d *StoreCheck) CompleteSince() time.Duration { return d.completeSince }
 
 // Heard takes what was last heard of this name from an earlier life, nil where the
 // one asked knows of none. It returns a line where that changed what is believed.
 func (d *StoreCheck) ObservePrevious(now time.Duration, h *PreviousStore) string {
-	d.asked--
+	d.pendingAnswers--
 	if h == nil {
-		if d.state == Unverified && d.asked <= 0 { // who was asked knows of no earlier life: as far as is known this is the first
-			d.state, d.why = Intact, ""
+		if d.integrity == Unverified && d.pendingAnswers <= 0 { // who was asked knows of no earlier life: as far as is known this is the first
+			d.integrity, d.reason = Intact, ""
 			return "no earlier life of this node is known: its empty memory is whole"
 		}
 		return ""
 	}
-	if d.state == Incomplete {
+	if d.integrity == Incomplete {
 		return ""
 	}
 	switch {
 	case h.ID != d.found.Identity.ID && d.found.Created:
-		d.lose("the folder was empty, and an earlier life was heard")
+		d.markIncomplete("the folder was empty, and an earlier life was heard")
 	case h.ID != d.found.Identity.ID:
-		d.lose("an earlier life was heard with another store")
+		d.markIncomplete("an earlier life was heard with another store")
 	case h.Epoch >= d.found.Identity.Epoch:
-		d.lose(fmt.Sprintf("life %d was heard, and this is life %d of the store: it is an older copy", h.Epoch, d.found.Identity.Epoch))
+		d.markIncomplete(fmt.Sprintf("life %d was heard, and this is life %d of the store: it is an older copy", h.Epoch, d.found.Identity.Epoch))
 	case h.Checkpoint > d.found.Checkpoint.N:
-		d.lose(fmt.Sprintf("mark %d was heard, and the store has %d: it is an older copy", h.Checkpoint, d.found.Checkpoint.N))
+		d.markIncomplete(fmt.Sprintf("mark %d was heard, and the store has %d: it is an older copy", h.Checkpoint, d.found.Checkpoint.N))
 	default:
-		d.state, d.why = Intact, ""
+		d.integrity, d.reason = Intact, ""
 		return ""
 	}
 	return d.Describe()
@@ -143,8 +143,8 @@
 // Pool takes since when the worker pool is up. One that saw an earlier life of the
 // node says that there was one.
 func (d *StoreCheck) WorkerPoolUp(up time.Duration) string {
-	if d.found.Created && d.state != Incomplete && up+outlived < d.start {
-		d.lose("the folder was empty, and the worker pool is older than the node")
+	if d.found.Created && d.integrity != Incomplete && up+poolAgeMargin < d.processStart {
+		d.markIncomplete("the folder was empty, and the worker pool is older than the node")
 		return d.Describe()
 	}
 	return ""
@@ -152,15 +152,15 @@
 
 // Line says how the memory stands, for people.
 func (d *StoreCheck) Describe() string {
-	return fmt.Sprintf("memory %s: %s; repeats of keyed and unsafe work from before the start are in doubt", d.state, cmp.Or(d.why, "-"))
+	return fmt.Sprintf("memory %s: %s; repeats of keyed and unsafe work from before the start are in doubt", d.integrity, cmp.Or(d.reason, "-"))
 }
 
 // State tells how the memory stands now, and why.
 func (d *StoreCheck) Integrity(now time.Duration) (Integrity, string) {
-	if d.state == Unverified && now >= d.until { // nobody said a word: what can't be known is on the operators' page
-		d.state, d.why = Intact, ""
+	if d.integrity == Unverified && now >= d.unverifiedUntil { // nobody said a word: what can't be known is on the operators' page
+		d.integrity, d.reason = Intact, ""
 	}
-	return d.state, d.why
+	return d.integrity, d.reason
 }
 
 // Asks reports whether a request of which nothing is remembered may have run in an
@@ -172,24 +172,24 @@
 	if effect == rules.Safe {
 		return false
 	}
-	since := d.since
+	since := d.completeSince
 	if s, _ := d.Integrity(now); s == Unverified {
-		since = d.start
+		since = d.processStart
 	}
 	asked := now - age
 	switch {
 	case since == math.MinInt64 || asked-window >= since:
 		return false
 	case !again && asked >= since:
-		if key != 0 && len(d.firsts) < mostFirsts {
-			if d.firsts == nil {
-				d.firsts = map[uint64]struct{}{}
+		if key != 0 && len(d.firstTries) < maxFirstTries {
+			if d.firstTries == nil {
+				d.firstTries = map[uint64]struct{}{}
 			}
-			d.firsts[key] = struct{}{}
+			d.firstTries[key] = struct{}{}
 		}
 		return false
 	case again && key != 0:
-		if _, here := d.firsts[key]; here { // its first try came to this life
+		if _, here := d.firstTries[key]; here { // its first try came to this life
 			return false
 		}
 	}
--- a/decide/recovery/storecheck_test.go
+++ b/decide/recovery/storecheck_test.go
@@ -11,14 +11,14 @@
 	"robinmast/rules"
 )
 
-const start = 5 * time.Second // of the process, on the loop's clock
+const processStart = 5 * time.Second // of the process, on the loop's clock
 
-func whole() FoundState {
+func completeStore() FoundState {
 	return FoundState{Identity: Identity{ID: "a", Node: "n1", Epoch: 4}, Node: "n1", Keys: 100, Checkpoint: Checkpoint{N: 9, Keys: 100}, CompleteSince: math.MinInt64}
 }
 
 // What a start finds and what it then hears, and how the memory stands for it.
-func TestMemoryStands(t *testing.T) {
+func TestIntegrity(t *testing.T) {
 	empty := FoundState{Identity: Identity{ID: "b", Node: "n1", Epoch: 1}, Created: true, CompleteSince: math.MinInt64}
 	for _, c := range []struct {
 		name  string
@@ -28,29 +28,29 @@
 		pool  time.Duration
 		want  Integrity
 	}{
-		{name: "all there", found: whole, heard: &PreviousStore{ID: "a", Epoch: 3, Checkpoint: 9}, want: Intact},
-		{name: "lives that were not heard", found: whole, heard: &PreviousStore{ID: "a", Epoch: 1, Checkpoint: 2}, want: Intact},
-		{name: "nobody to ask", found: whole, want: Intact},
+		{name: "all there", found: completeStore, heard: &PreviousStore{ID: "a", Epoch: 3, Checkpoint: 9}, want: Intact},
+		{name: "lives that were not heard", found: completeStore, heard: &PreviousStore{ID: "a", Epoch: 1, Checkpoint: 2}, want: Intact},
+		{name: "nobody to ask", found: completeStore, want: Intact},
 		{name: "first start", found: func() FoundState { return empty }, none: true, want: Intact},
 		{name: "not heard yet", found: func() FoundState { return empty }, want: Unverified},
 		{name: "emptied", found: func() FoundState { return empty }, heard: &PreviousStore{ID: "a", Epoch: 3}, want: Incomplete},
 		{name: "emptied, an old pool", found: func() FoundState { return empty }, pool: -time.Minute, want: Incomplete},
-		{name: "another store", found: whole, heard: &PreviousStore{ID: "c", Epoch: 1}, want: Incomplete},
-		{name: "yesterday's copy, by lives", found: whole, heard: &PreviousStore{ID: "a", Epoch: 4}, want: Incomplete},
-		{name: "yesterday's copy, by marks", found: whole, heard: &PreviousStore{ID: "a", Epoch: 3, Checkpoint: 10}, want: Incomplete},
-		{name: "another node's", found: func() FoundState { f := whole(); f.Node = "n2"; return f }, want: Incomplete},
-		{name: "half of it", found: func() FoundState { f := whole(); f.Keys = 50; return f }, want: Incomplete},
-		{name: "holes", found: func() FoundState { f := whole(); f.UnreadablePlaces = 1; return f }, want: Incomplete},
-		{name: "a few keys fewer", found: func() FoundState { f := whole(); f.Keys = 90; return f }, want: Intact},
+		{name: "another store", found: completeStore, heard: &PreviousStore{ID: "c", Epoch: 1}, want: Incomplete},
+		{name: "yesterday's copy, by lives", found: completeStore, heard: &PreviousStore{ID: "a", Epoch: 4}, want: Incomplete},
+		{name: "yesterday's copy, by marks", found: completeStore, heard: &PreviousStore{ID: "a", Epoch: 3, Checkpoint: 10}, want: Incomplete},
+		{name: "another node's", found: func() FoundState { f := completeStore(); f.Node = "n2"; return f }, want: Incomplete},
+		{name: "half of it", found: func() FoundState { f := completeStore(); f.Keys = 50; return f }, want: Incomplete},
+		{name: "holes", found: func() FoundState { f := completeStore(); f.UnreadablePlaces = 1; return f }, want: Incomplete},
+		{name: "a few keys fewer", found: func() FoundState { f := completeStore(); f.Keys = 90; return f }, want: Intact},
 	} {
-		d := NewStoreCheck(start, c.found(), 1)
+		d := NewStoreCheck(processStart, c.found(), 1)
 		if c.pool != 0 {
 			d.WorkerPoolUp(c.pool)
 		}
 		if c.heard != nil || c.none {
-			d.ObservePrevious(start+time.Second/2, c.heard)
+			d.ObservePrevious(processStart+time.Second/2, c.heard)
 		}
-		if s, why := d.Integrity(start + time.Second); s != c.want {
+		if s, why := d.Integrity(processStart + time.Second); s != c.want {
 			t.Errorf("%s: %v (%s), want %v", c.name, s, why, c.want)
 		}
 	}
@@ -58,7 +58,7 @@
 
 // Which requests are in doubt, and until when.
 func TestInDoubt(t *testing.T) {
-	f := whole()
+	f := completeStore()
 	f.UnreadablePlaces = 1
 	const window = 10 * time.Second
 	for _, c := range []struct {
@@ -76,30 +76,30 @@
 		{"a read", rules.Safe, true, time.Second, false},
 		{"unsafe", rules.Unsafe, true, time.Second, true},
 	} {
-		d := NewStoreCheck(start, f, 1)
-		if got := d.MayHaveRun(start+c.at+50*time.Millisecond, c.effect, window, 1, c.again, 50*time.Millisecond); got != c.want {
+		d := NewStoreCheck(processStart, f, 1)
+		if got := d.MayHaveRun(processStart+c.at+50*time.Millisecond, c.effect, window, 1, c.again, 50*time.Millisecond); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
-	d := NewStoreCheck(start, f, 1)
-	d.MayHaveRun(start+1, rules.Keyed, window, 7, false, 0)
-	if d.MayHaveRun(start+2, rules.Keyed, window, 7, true, 0) {
+	d := NewStoreCheck(processStart, f, 1)
+	d.MayHaveRun(processStart+1, rules.Keyed, window, 7, false, 0)
+	if d.MayHaveRun(processStart+2, rules.Keyed, window, 7, true, 0) {
 		t.Error("a repeat whose first try came to this life is in doubt")
 	}
-	if !d.MayHaveRun(start+2, rules.Keyed, window, 8, true, 0) || d.InDoubt != 1 {
+	if !d.MayHaveRun(processStart+2, rules.Keyed, window, 8, true, 0) || d.InDoubt != 1 {
 		t.Error("another is not, or is not counted")
 	}
 	// A life that comes soon after doubts the same, though its own store is whole.
-	f = whole()
-	f.CompleteSince = start - 2*time.Second
-	d = NewStoreCheck(start, f, 1)
-	d.ObservePrevious(start+1, &PreviousStore{ID: "a", Epoch: 3, Checkpoint: 9})
-	if !d.MayHaveRun(start+time.Second, rules.Keyed, window, 0, true, 0) || d.MayHaveRun(start+window-time.Second, rules.Keyed, window, 0, true, 0) {
+	f = completeStore()
+	f.CompleteSince = processStart - 2*time.Second
+	d = NewStoreCheck(processStart, f, 1)
+	d.ObservePrevious(processStart+1, &PreviousStore{ID: "a", Epoch: 3, Checkpoint: 9})
+	if !d.MayHaveRun(processStart+time.Second, rules.Keyed, window, 0, true, 0) || d.MayHaveRun(processStart+window-time.Second, rules.Keyed, window, 0, true, 0) {
 		t.Error("the doubt of the life before did not last as long as its window")
 	}
 	// Unproven ends, whatever is missing.
-	d = NewStoreCheck(start, FoundState{Identity: Identity{ID: "b", Epoch: 1}, Created: true, CompleteSince: math.MinInt64}, 1)
-	if !d.MayHaveRun(start+1, rules.Keyed, window, 0, true, 0) || d.MayHaveRun(start+listenFor, rules.Keyed, window, 0, true, 0) {
+	d = NewStoreCheck(processStart, FoundState{Identity: Identity{ID: "b", Epoch: 1}, Created: true, CompleteSince: math.MinInt64}, 1)
+	if !d.MayHaveRun(processStart+1, rules.Keyed, window, 0, true, 0) || d.MayHaveRun(processStart+previousStoreWait, rules.Keyed, window, 0, true, 0) {
 		t.Error("doubt without a word does not end, or never was")
 	}
 }
@@ -107,7 +107,7 @@
 // A model of a node whose folder is lost, rolled back or kept across its lives, that
 // runs each key once a life unless it is in doubt: where the witness lives, no key runs
 // twice within its window, whatever is done to the folder.
-func TestNoKeyRunsTwiceWhereThereIsEvidence(t *testing.T) {
+func TestNoKeyRunsTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const window = 10 * time.Second
 		type disk struct {
@@ -161,7 +161,7 @@
 					continue // failed
 				}
 				if again {
-					t.Fatalf("key %d ran at %v and again at %v in life %d: memory %v", key, first, at, life, d.state)
+					t.Fatalf("key %d ran at %v and again at %v in life %d: memory %v", key, first, at, life, d.integrity)
 				}
 				ran[key], now.keys[key] = at, at
 				now.mark = Checkpoint{now.mark.N + 1, len(now.keys)}
--- a/decide/resultcache/clock.go
+++ b/decide/resultcache/clock.go
@@ -9,7 +9,7 @@
 
 // SaveEvery is how often the mark has to be stored: what is known of the clock
 // is never older than this.
-const SaveEvery = time.Second
+const CheckpointInterval = time.Second
 
 // Mark is what is stored of the clocks, to be found at the next start.
 type ClockCheckpoint struct {
@@ -31,11 +31,11 @@
 
 // The ways.
 const (
-	First    ClockStep = iota // nothing was known
-	SameBoot                  // by the machine's own clock: exact
-	ByWall                    // by the wall clock
-	Back                      // the wall clock went back by up to the slack: no time passed
-	Doubtful                  // it went back further: nobody knows
+	NoCheckpoint        ClockStep = iota // nothing was known
+	SameBoot                             // by the machine's own clock: exact
+	WallClock                            // by the wall clock
+	WallBackWithinSlack                  // the wall clock went back by up to the slack: no time passed
+	WallBackTooFar                       // it went back further: nobody knows
 )
 
 func (s ClockStep) String() string {
@@ -44,32 +44,32 @@
 
 // clock is the module's time: base is Unix milliseconds at a monotonic zero.
 type clock struct {
-	base     int64
-	doubtful bool
+	base      int64
+	uncertain bool
 }
 
 // Begin sets the module's time from what the last life stored, nil if nothing.
 // It must come before anything else.
-func (m *Module) Begin(now time.Duration, r ClockReading, was *ClockCheckpoint) (ClockStep, time.Duration) {
-	step, unix := First, r.Wall
+func (m *Module) StartClock(now time.Duration, r ClockReading, was *ClockCheckpoint) (ClockStep, time.Duration) {
+	step, unix := NoCheckpoint, r.Wall
 	if was != nil {
 		passed := r.Wall - was.Wall
 		switch {
 		case was.Boot != "" && was.Boot == r.Boot && r.Up >= was.Up:
 			step, passed = SameBoot, r.Up-was.Up
 		case passed >= 0:
-			step = ByWall
-		case -passed <= m.set.Slack.Milliseconds():
-			step = Back
+			step = WallClock
+		case -passed <= m.settings.ClockSlack.Milliseconds():
+			step = WallBackWithinSlack
 		default:
-			step = Doubtful
+			step = WallBackTooFar
 		}
 		if step != SameBoot { // the last life went on for up to this after its last mark
-			passed = max(passed, SaveEvery.Milliseconds())
+			passed = max(passed, CheckpointInterval.Milliseconds())
 		}
 		unix = was.Unix + passed
 	}
-	m.clock = clock{base: unix - now.Milliseconds(), doubtful: step == Doubtful}
+	m.clock = clock{base: unix - now.Milliseconds(), uncertain: step == WallBackTooFar}
 	if was == nil {
 		return step, 0
 	}
@@ -80,6 +80,6 @@
 func (m *Module) Unix(now time.Duration) int64 { return m.clock.base + now.Milliseconds() }
 
 // Mark is what to store now.
-func (m *Module) Mark(now time.Duration, r ClockReading) ClockCheckpoint {
+func (m *Module) Checkpoint(now time.Duration, r ClockReading) ClockCheckpoint {
 	return ClockCheckpoint{Unix: m.Unix(now), Wall: r.Wall, Boot: r.Boot, Up: r.Up}
 }
--- a/decide/resultcache/clock_test.go
+++ b/decide/resultcache/clock_test.go
@@ -15,26 +15,26 @@
 		step ClockStep
 		unix int64
 	}{
-		"first":              {ClockReading{Wall: 9}, nil, First, 9},
+		"first":              {ClockReading{Wall: 9}, nil, NoCheckpoint, 9},
 		"same boot":          {ClockReading{Wall: 1, Boot: "a", Up: 7300}, was, SameBoot, 50_300},
 		"same boot, no time": {ClockReading{Wall: 1e9, Boot: "a", Up: 7000}, was, SameBoot, 50_000},
-		"other boot":         {ClockReading{Wall: 64_000, Boot: "b", Up: 100}, was, ByWall, 54_000},
-		"other boot, quick":  {ClockReading{Wall: 60_010, Boot: "b"}, was, ByWall, 51_000},
-		"boot unknown":       {ClockReading{Wall: 64_000}, &ClockCheckpoint{Unix: 50_000, Wall: 60_000}, ByWall, 54_000},
-		"up went back":       {ClockReading{Wall: 64_000, Boot: "a", Up: 10}, was, ByWall, 54_000},
-		"back a little":      {ClockReading{Wall: 58_000, Boot: "b"}, was, Back, 51_000},
-		"back too far":       {ClockReading{Wall: 57_999, Boot: "b"}, was, Doubtful, 51_000},
+		"other boot":         {ClockReading{Wall: 64_000, Boot: "b", Up: 100}, was, WallClock, 54_000},
+		"other boot, quick":  {ClockReading{Wall: 60_010, Boot: "b"}, was, WallClock, 51_000},
+		"boot unknown":       {ClockReading{Wall: 64_000}, &ClockCheckpoint{Unix: 50_000, Wall: 60_000}, WallClock, 54_000},
+		"up went back":       {ClockReading{Wall: 64_000, Boot: "a", Up: 10}, was, WallClock, 54_000},
+		"back a little":      {ClockReading{Wall: 58_000, Boot: "b"}, was, WallBackWithinSlack, 51_000},
+		"back too far":       {ClockReading{Wall: 57_999, Boot: "b"}, was, WallBackTooFar, 51_000},
 	} {
 		m := New(settings())
 		now := 123 * time.Second
-		step, _ := m.Begin(now, c.now, c.was)
+		step, _ := m.StartClock(now, c.now, c.was)
 		if step != c.step || m.Unix(now) != c.unix || m.Unix(now+ms) != c.unix+1 {
 			t.Errorf("%s: %v at %d, want %v at %d", name, step, m.Unix(now), c.step, c.unix)
 		}
 	}
 	m := New(settings())
-	m.Begin(0, ClockReading{Wall: 1000, Boot: "b"}, was) // 59 s back: in doubt
-	e := pay("k", 49_000)
+	m.StartClock(0, ClockReading{Wall: 1000, Boot: "b"}, was) // 59 s back: in doubt
+	e := keyedRecord("k", 49_000)
 	e.Kind = Intent
 	if got, drop := m.Restore(0, e); drop != Kept || got.Expires != 51_000+2000 {
 		t.Errorf("in doubt: %v, until %d", drop, got.Expires)
--- a/decide/resultcache/expiryheap.go
+++ b/decide/resultcache/expiryheap.go
@@ -4,48 +4,48 @@
 
 // ages is a heap of entries by expiry. Entries that left may linger in those
 // that note no places, until they come up or outnumber what is held.
-type ages struct {
-	list  []*held
-	place func(*held, int)
+type expiryHeap struct {
+	items       []*indexedRecord
+	setPosition func(*indexedRecord, int)
 }
 
-func (a *ages) Len() int { return len(a.list) }
-func (a *ages) Less(i, j int) bool {
-	if a.list[i].Expires != a.list[j].Expires {
-		return a.list[i].Expires < a.list[j].Expires
+func (a *expiryHeap) Len() int { return len(a.items) }
+func (a *expiryHeap) Less(i, j int) bool {
+	if a.items[i].Expires != a.items[j].Expires {
+		return a.items[i].Expires < a.items[j].Expires
 	}
-	return a.list[i].key < a.list[j].key
+	return a.items[i].key < a.items[j].key
 }
 
-func (a *ages) Swap(i, j int) {
-	a.list[i], a.list[j] = a.list[j], a.list[i]
-	if a.place != nil {
-		a.place(a.list[i], i)
-		a.place(a.list[j], j)
+func (a *expiryHeap) Swap(i, j int) {
+	a.items[i], a.items[j] = a.items[j], a.items[i]
+	if a.setPosition != nil {
+		a.setPosition(a.items[i], i)
+		a.setPosition(a.items[j], j)
 	}
 }
 
 // Push is for container/heap.
-func (a *ages) Push(x any) {
-	h := x.(*held)
-	if a.place != nil {
-		a.place(h, len(a.list))
+func (a *expiryHeap) Push(x any) {
+	h := x.(*indexedRecord)
+	if a.setPosition != nil {
+		a.setPosition(h, len(a.items))
 	}
-	a.list = append(a.list, h)
+	a.items = append(a.items, h)
 }
 
 // Pop is for container/heap.
-func (a *ages) Pop() any {
-	h := a.list[len(a.list)-1]
-	a.list[len(a.list)-1] = nil
-	a.list = a.list[:len(a.list)-1]
+func (a *expiryHeap) Pop() any {
+	h := a.items[len(a.items)-1]
+	a.items[len(a.items)-1] = nil
+	a.items = a.items[:len(a.items)-1]
 	return h
 }
 
 // first is the entry that expires soonest, nil if there is none.
-func (a *ages) first() *held {
-	for len(a.list) > 0 {
-		if h := a.list[0]; h.place >= 0 {
+func (a *expiryHeap) peek() *indexedRecord {
+	for len(a.items) > 0 {
+		if h := a.items[0]; h.position >= 0 {
 			return h
 		}
 		heap.Pop(a)
@@ -54,17 +54,17 @@
 }
 
 // trim throws out entries that left, once they are most of the heap.
-func (a *ages) trim(live int) {
-	if len(a.list) < 2*live+64 {
+func (a *expiryHeap) compact(live int) {
+	if len(a.items) < 2*live+64 {
 		return
 	}
-	kept := a.list[:0]
-	for _, h := range a.list {
-		if h.place >= 0 {
+	kept := a.items[:0]
+	for _, h := range a.items {
+		if h.position >= 0 {
 			kept = append(kept, h)
 		}
 	}
-	clear(a.list[len(kept):])
-	a.list = kept
+	clear(a.items[len(kept):])
+	a.items = kept
 	heap.Init(a)
 }
--- a/decide/resultcache/module.go
+++ b/decide/resultcache/module.go
@@ -26,14 +26,14 @@
 
 // Settings are the module's. Bounds of 0 hold nothing.
 type Settings struct {
-	Classes     map[string]Class
-	Tenants     map[string]bool // empty = there are none
-	Fresh       time.Duration   // how long a read's result may be given again, 0 = never
-	Bytes       int64           // most bytes of keys and results
-	Entries     int
-	Slack       time.Duration // how far the wall clock may be off across a restart
-	FailUnknown bool          // reads cut off by a crash fail instead of running again
-	Unsafe      bool          // intents for work that may run at most once
+	Classes          map[string]Class
+	Tenants          map[string]bool // empty = there are none
+	ReadFreshness    time.Duration   // how long a read's result may be given again, 0 = never
+	MaxBytes         int64           // most bytes of keys and results
+	MaxRecords       int
+	ClockSlack       time.Duration // how far the wall clock may be off across a restart
+	FailUnknownReads bool          // reads cut off by a crash fail instead of running again
+	RecordUnsafe     bool          // intents for work that may run at most once
 }
 
 // Kind is what is known of a run.
@@ -56,10 +56,10 @@
 
 // Key is the ID as one text; no two IDs share one.
 func (id RequestKey) Text() string {
-	return escape.Replace(id.Class) + "/" + escape.Replace(id.Tenant) + "/" + id.Name
+	return keyEscaper.Replace(id.Class) + "/" + keyEscaper.Replace(id.Tenant) + "/" + id.Name
 }
 
-var escape = strings.NewReplacer("%", "%25", "/", "%2F")
+var keyEscaper = strings.NewReplacer("%", "%25", "/", "%2F")
 
 // Entry is what is known of a run. Times are Unix milliseconds by Module.Unix.
 type Record struct {
@@ -67,17 +67,17 @@
 	Kind    Kind
 	Effect  rules.Effect // as the class had it
 	Run     string       // the run's name at the worker pool
-	Asked   int64        // when it reached the machine
+	Arrived int64        // when it reached the machine
 	Window  int64        // Keyed: its class's window then, milliseconds
 	Expires int64
 	Size    int64 // of the result, bytes
 }
 
 // overhead is what an entry takes besides its names and its result, in bytes.
-const overhead = 128
+const recordOverhead = 128
 
 func (e *Record) bytes() int64 {
-	return overhead + e.Size + int64(len(e.Class)+len(e.Tenant)+len(e.Name)+len(e.Run))
+	return recordOverhead + e.Size + int64(len(e.Class)+len(e.Tenant)+len(e.Name)+len(e.Run))
 }
 
 // Verdict is what a repeat of a remembered request is told after a restart.
@@ -96,48 +96,48 @@
 
 // The reasons. Kept is none.
 const (
-	Kept       DropReason = iota
-	Aged                  // its time is over
-	ClassGone             // the settings no longer have its class
-	TenantGone            // or its tenant
-	Changed               // its class has another effect now: nothing it said holds
-	NoRoom                // the bounds are smaller now
-	Reported              // unsafe work that may have run: told once, nothing can repeat it
-	Outdated              // a read's, and its newest record may be lost
-	numDrops
+	Kept             DropReason = iota
+	Expired                     // its time is over
+	ClassRemoved                // the settings no longer have its class
+	TenantRemoved               // or its tenant
+	EffectChanged               // its class has another effect now: nothing it said holds
+	NoRoom                      // the bounds are smaller now
+	UnsafeReported              // unsafe work that may have run: told once, nothing can repeat it
+	PossiblyOutdated            // a read's, and its newest record may be lost
+	numDropReasons
 )
 
-var dropWords = [numDrops]string{"kept", "aged", "class_gone", "tenant_gone", "effect_changed", "no_room", "unsafe_unknown", "outdated"}
+var dropReasonNames = [numDropReasons]string{"kept", "aged", "class_gone", "tenant_gone", "effect_changed", "no_room", "unsafe_unknown", "outdated"}
 
-func (d DropReason) String() string { return dropWords[d] }
+func (d DropReason) String() string { return dropReasonNames[d] }
 
 // held is an entry in the module.
-type held struct {
+type indexedRecord struct {
 	Record
-	key   string
-	place int // in the heap, -1 = not there
+	key      string
+	position int // in the heap, -1 = not there
 }
 
 // Module decides what is remembered. It belongs to one goroutine.
 type Module struct {
-	set   Settings
-	clock clock
-	all   map[string]*held
-	bytes int64
-	ages  ages // by expiry, soonest first
-	reads ages // of them, reads
-	pays  ages // of them, keyed with a result
+	settings        Settings
+	clock           clock
+	records         map[string]*indexedRecord
+	bytes           int64
+	byExpiry        expiryHeap // by expiry, soonest first
+	readsByExpiry   expiryHeap // of them, reads
+	resultsByExpiry expiryHeap // of them, keyed with a result
 }
 
 // New returns a module that remembers nothing.
 func New(set Settings) *Module {
-	m := &Module{set: set, all: map[string]*held{}}
-	m.ages.place = func(h *held, i int) { h.place = i }
+	m := &Module{settings: set, records: map[string]*indexedRecord{}}
+	m.byExpiry.setPosition = func(h *indexedRecord, i int) { h.position = i }
 	return m
 }
 
 // Len is the number of entries, Bytes what they take.
-func (m *Module) Len() int { return len(m.all) }
+func (m *Module) Len() int { return len(m.records) }
 
 // Bytes is what the entries take, results included.
 func (m *Module) Bytes() int64 { return m.bytes }
@@ -145,25 +145,25 @@
 // Wants reports whether a request of this class and effect is remembered at all,
 // and whether its run must wait for an intent. named tells that it has a key or
 // an item.
-func (m *Module) Wants(effect rules.Effect, named bool) (remember, intent bool) {
+func (m *Module) ShouldRecord(effect rules.Effect, named bool) (remember, intent bool) {
 	switch effect {
 	case rules.Keyed:
 		return named, named
 	case rules.Safe:
-		remember = named && m.set.Fresh > 0
-		return remember, remember && m.set.FailUnknown
+		remember = named && m.settings.ReadFreshness > 0
+		return remember, remember && m.settings.FailUnknownReads
 	default:
-		return m.set.Unsafe, m.set.Unsafe
+		return m.settings.RecordUnsafe, m.settings.RecordUnsafe
 	}
 }
 
 // Intend notes that a request is about to run. ok is false if there is no room
 // for it: it would run unremembered. evicted lists whose entries leave for it,
 // lost whose results do.
-func (m *Module) Intend(now time.Duration, e Record) (ok bool, orders StoreChanges) {
+func (m *Module) RecordIntent(now time.Duration, e Record) (ok bool, orders StoreChanges) {
 	e.Kind, e.Size = Intent, 0
 	key := e.Text()
-	if was := m.all[key]; was != nil {
+	if was := m.records[key]; was != nil {
 		m.remove(was)
 	}
 	if !m.makeRoom(now, &e, &orders) {
@@ -178,7 +178,7 @@
 func (m *Module) RunEnded(now time.Duration, e Record, good bool, size int64) (Record, bool, StoreChanges) {
 	var orders StoreChanges
 	key := e.Text()
-	was := m.all[key]
+	was := m.records[key]
 	if was != nil {
 		m.remove(was)
 	}
@@ -198,7 +198,7 @@
 		}
 		return e, false, orders
 	case e.Effect == rules.Safe:
-		e.Expires = m.Unix(now) + m.set.Fresh.Milliseconds()
+		e.Expires = m.Unix(now) + m.settings.ReadFreshness.Milliseconds()
 	}
 	if e.Expires <= m.Unix(now) { // the window closed while it ran
 		if was != nil {
@@ -225,7 +225,7 @@
 // Withdraw forgets the intent of a run that never began.
 func (m *Module) Withdraw(id RequestKey) (orders StoreChanges) {
 	key := id.Text()
-	if was := m.all[key]; was != nil && was.Kind == Intent {
+	if was := m.records[key]; was != nil && was.Kind == Intent {
 		m.remove(was)
 		orders.Delete = append(orders.Delete, key)
 	}
@@ -234,8 +234,8 @@
 
 // Orders are changes of the store that a decision brings with it.
 type StoreChanges struct {
-	Delete []string // entries that leave
-	Strip  []Record // entries whose results leave: stored as given here
+	Delete      []string // entries that leave
+	EvictResult []Record // entries whose results leave: stored as given here
 }
 
 // makeRoom makes room for e within the bounds: reads leave first, soonest to
@@ -243,25 +243,25 @@
 // Keyed entries themselves never leave in their window.
 func (m *Module) makeRoom(now time.Duration, e *Record, orders *StoreChanges) bool {
 	need := e.bytes()
-	if m.set.Entries < 1 || need > m.set.Bytes {
+	if m.settings.MaxRecords < 1 || need > m.settings.MaxBytes {
 		return false
 	}
-	m.drop(now, orders)
-	for len(m.all) >= m.set.Entries || m.bytes+need > m.set.Bytes {
-		if r := m.reads.first(); r != nil {
+	m.removeExpired(now, orders)
+	for len(m.records) >= m.settings.MaxRecords || m.bytes+need > m.settings.MaxBytes {
+		if r := m.readsByExpiry.peek(); r != nil {
 			m.remove(r)
 			orders.Delete = append(orders.Delete, r.key)
 			continue
 		}
-		p := m.pays.first()
-		if p == nil || len(m.all) >= m.set.Entries {
+		p := m.resultsByExpiry.peek()
+		if p == nil || len(m.records) >= m.settings.MaxRecords {
 			return false
 		}
 		was := p.Record
 		m.remove(p)
 		was.Kind, was.Size = ResultEvicted, 0
 		m.add(p.key, was)
-		orders.Strip = append(orders.Strip, was)
+		orders.EvictResult = append(orders.EvictResult, was)
 	}
 	return true
 }
@@ -269,13 +269,13 @@
 // Expire drops what aged out, and returns the keys.
 func (m *Module) Expire(now time.Duration) []string {
 	var o StoreChanges
-	m.drop(now, &o)
+	m.removeExpired(now, &o)
 	return o.Delete
 }
 
-func (m *Module) drop(now time.Duration, orders *StoreChanges) {
+func (m *Module) removeExpired(now time.Duration, orders *StoreChanges) {
 	unix := m.Unix(now)
-	for h := m.ages.first(); h != nil && h.Expires <= unix; h = m.ages.first() {
+	for h := m.byExpiry.peek(); h != nil && h.Expires <= unix; h = m.byExpiry.peek() {
 		m.remove(h)
 		orders.Delete = append(orders.Delete, h.key)
 	}
@@ -284,19 +284,19 @@
 // Restore takes over an entry from an earlier life of the node, or says why
 // not. What it returns is the entry as it holds now.
 func (m *Module) Restore(now time.Duration, e Record) (Record, DropReason) {
-	c, known := m.set.Classes[e.Class]
+	c, known := m.settings.Classes[e.Class]
 	unix := m.Unix(now)
 	switch {
 	case e.Expires <= unix:
-		return e, Aged
+		return e, Expired
 	case e.Effect == rules.Unsafe:
-		return e, Reported
+		return e, UnsafeReported
 	case !known:
-		return e, ClassGone
-	case len(m.set.Tenants) > 0 && !m.set.Tenants[e.Tenant]:
-		return e, TenantGone
-	case c.Effect != e.Effect || e.Effect == rules.Safe && m.set.Fresh <= 0:
-		return e, Changed
+		return e, ClassRemoved
+	case len(m.settings.Tenants) > 0 && !m.settings.Tenants[e.Tenant]:
+		return e, TenantRemoved
+	case c.Effect != e.Effect || e.Effect == rules.Safe && m.settings.ReadFreshness <= 0:
+		return e, EffectChanged
 	}
 	switch e.Effect {
 	case rules.Keyed: // its window is what the settings say now
@@ -305,22 +305,22 @@
 			e.Window = w
 		}
 	case rules.Safe:
-		e.Expires = min(e.Expires, unix+m.set.Fresh.Milliseconds())
-		if e.Kind == Intent && !m.set.FailUnknown {
-			return e, Aged // it may simply run again
+		e.Expires = min(e.Expires, unix+m.settings.ReadFreshness.Milliseconds())
+		if e.Kind == Intent && !m.settings.FailUnknownReads {
+			return e, Expired // it may simply run again
 		}
 	}
-	if m.clock.doubtful { // nobody knows how long the node was away
-		e.Expires = min(e.Expires, unix+m.set.Slack.Milliseconds())
+	if m.clock.uncertain { // nobody knows how long the node was away
+		e.Expires = min(e.Expires, unix+m.settings.ClockSlack.Milliseconds())
 	}
 	if e.Expires <= unix {
-		return e, Aged
+		return e, Expired
 	}
-	if e.Expires > unix+m.longest(c)+windowSlack { // written by a clock that ran ahead
-		e.Expires = unix + m.longest(c) + windowSlack
+	if e.Expires > unix+m.maxLifetime(c)+windowSlackMillis { // written by a clock that ran ahead
+		e.Expires = unix + m.maxLifetime(c) + windowSlackMillis
 	}
-	if m.all[e.Text()] != nil || len(m.all) >= m.set.Entries || m.bytes+e.bytes() > m.set.Bytes {
-		if e.Effect == rules.Safe || len(m.all) >= m.set.Entries {
+	if m.records[e.Text()] != nil || len(m.records) >= m.settings.MaxRecords || m.bytes+e.bytes() > m.settings.MaxBytes {
+		if e.Effect == rules.Safe || len(m.records) >= m.settings.MaxRecords {
 			return e, NoRoom
 		}
 		if e.Kind == Result {
@@ -333,21 +333,21 @@
 
 // windowSlack, in milliseconds, is what a keyed entry lives beyond its window,
 // so that a repeat at its very end is still known.
-const windowSlack = 50
+const windowSlackMillis = 50
 
 // longest is how long an entry of a class may live, in milliseconds.
-func (m *Module) longest(c Class) int64 {
+func (m *Module) maxLifetime(c Class) int64 {
 	if c.Effect == rules.Keyed {
 		return c.Window.Milliseconds()
 	}
-	return m.set.Fresh.Milliseconds()
+	return m.settings.ReadFreshness.Milliseconds()
 }
 
 // Tuned values of waiting for a run of an earlier life.
 const (
-	waitRuns  = 8.0                    // usual runs after which its end is not awaited any more
-	waitLeast = 500 * time.Millisecond // and at least so long
-	waitShare = 0.5                    // of the deadline, where no usual run is known
+	maxWaitRuns       = 8.0                    // usual runs after which its end is not awaited any more
+	minWait           = 500 * time.Millisecond // and at least so long
+	waitDeadlineShare = 0.5                    // of the deadline, where no usual run is known
 )
 
 // Awaits says how long repeats wait for the end of a run of an earlier life, from the
@@ -356,23 +356,23 @@
 // not known.
 func InFlightTimeout(usual, deadline time.Duration) time.Duration {
 	if usual <= 0 {
-		return time.Duration(waitShare * float64(deadline))
+		return time.Duration(waitDeadlineShare * float64(deadline))
 	}
-	return min(max(time.Duration(waitRuns*float64(usual)), waitLeast), deadline)
+	return min(max(time.Duration(maxWaitRuns*float64(usual)), minWait), deadline)
 }
 
 // Judge says what a repeat of a restored entry is told. poolSince is when the
 // worker pool came up, in Unix milliseconds: a run that was asked for before
 // that is over, whatever became of it; one asked for after may still go on.
-func (m *Module) Judge(e Record, poolSince int64) RepeatAction {
+func (m *Module) DecideRepeat(e Record, poolSince int64) RepeatAction {
 	switch e.Kind {
 	case Result:
 		return AnswerEarlier
 	case Intent:
-		if e.Effect == rules.Safe && !m.set.FailUnknown {
+		if e.Effect == rules.Safe && !m.settings.FailUnknownReads {
 			return RunAgain
 		}
-		if poolSince <= e.Asked {
+		if poolSince <= e.Arrived {
 			return WaitForRun
 		}
 	}
@@ -380,23 +380,23 @@
 }
 
 func (m *Module) add(key string, e Record) {
-	h := &held{Record: e, key: key, place: -1}
-	m.all[key] = h
+	h := &indexedRecord{Record: e, key: key, position: -1}
+	m.records[key] = h
 	m.bytes += e.bytes()
-	heap.Push(&m.ages, h)
+	heap.Push(&m.byExpiry, h)
 	switch {
 	case e.Effect == rules.Safe:
-		heap.Push(&m.reads, h)
+		heap.Push(&m.readsByExpiry, h)
 	case e.Kind == Result:
-		heap.Push(&m.pays, h)
+		heap.Push(&m.resultsByExpiry, h)
 	}
 }
 
-func (m *Module) remove(h *held) {
-	delete(m.all, h.key)
+func (m *Module) remove(h *indexedRecord) {
+	delete(m.records, h.key)
 	m.bytes -= h.Record.bytes()
-	heap.Remove(&m.ages, h.place)
-	h.place = -1 // the other two skip it when it comes up
-	m.reads.trim(len(m.all))
-	m.pays.trim(len(m.all))
+	heap.Remove(&m.byExpiry, h.position)
+	h.position = -1 // the other two skip it when it comes up
+	m.readsByExpiry.compact(len(m.records))
+	m.resultsByExpiry.compact(len(m.records))
 }
--- a/internal/recovery/keeper.go
+++ b/internal/recovery/keeper.go
@@ -33,10 +33,10 @@
 )
 
 const (
-	selfKey    = "life/self"
-	markKey    = "life/mark"
-	learnedKey = "life/learned"
-	markEvery  = time.Second
+	identityKey        = "life/self"
+	checkpointKey      = "life/mark"
+	snapshotKey        = "life/learned"
+	checkpointInterval = time.Second
 )
 
 // Counters count what came of it; any goroutine may read them.
@@ -66,26 +66,26 @@
 type Keeper struct {
 	Counters Counters
 
-	cfg     Config
-	log     *slog.Logger
-	self    decide.Identity        // the loop's
-	id      atomic.Pointer[string] // of the store, for reports
-	life    *decide.Startup
-	doubt   *decide.StoreCheck // nil = there are no remembered results
-	found   decide.FoundState
-	learned *rules.Learned // the snapshot as taken up
-	weight  float64
-	prior   *decide.WarmStart
-	pace    decide.SnapshotPacer
-	site    uint64
-	machine string
-	began   time.Time
-	marked  time.Duration
-	markN   uint64
-	noted   atomic.Uint64 // the last mark that the store has taken
-	since   time.Duration // as stored
-	unix    int64         // Unix milliseconds at the loop's zero
-	view    atomic.Pointer[View]
+	cfg              Config
+	log              *slog.Logger
+	identity         decide.Identity        // the loop's
+	storeID          atomic.Pointer[string] // of the store, for reports
+	startup          *decide.Startup
+	check            *decide.StoreCheck // nil = there are no remembered results
+	found            decide.FoundState
+	learned          *rules.Learned // the snapshot as taken up
+	weight           float64
+	warmStart        *decide.WarmStart
+	pacer            decide.SnapshotPacer
+	digest           uint64
+	machineKind      string
+	processStart     time.Time
+	lastCheckpoint   time.Duration
+	checkpoints      uint64
+	storedCheckpoint atomic.Uint64 // the last mark that the store has taken
+	storedSince      time.Duration // as stored
+	zeroUnix         int64         // Unix milliseconds at the loop's zero
+	view             atomic.Pointer[View]
 }
 
 // View is how a node stands on its way, for reports and counters.
@@ -99,7 +99,7 @@
 
 // Open reads what earlier lives left and begins a new one; began is the process's.
 func Open(cfg Config, began time.Time) (*Keeper, error) {
-	k := &Keeper{cfg: cfg, log: cfg.Log, began: began, machine: machine(cfg.Settings.Cores), site: settingsDigest(cfg.Settings, cfg.Names)}
+	k := &Keeper{cfg: cfg, log: cfg.Log, processStart: began, machineKind: machineDescription(cfg.Settings.Cores), digest: settingsDigest(cfg.Settings, cfg.Names)}
 	if k.cfg.Wall == nil {
 		k.cfg.Wall = func() int64 { return time.Now().UnixMilli() }
 	}
@@ -107,43 +107,43 @@
 		return k, nil
 	}
 	k.found = decide.FoundState{Keys: cfg.Store.Len(), UnreadablePlaces: len(cfg.Recovery.Damaged), CompleteSince: math.MinInt64}
-	switch err := k.get(selfKey, &k.self); {
+	switch err := k.get(identityKey, &k.identity); {
 	case errors.Is(err, store.ErrNotFound):
 		k.found.Created = cfg.Store.Len() == 0
 		if !k.found.Created { // results from before there were identities: whose they are is not known, that they are is
 			k.found.Node = cfg.Node
 		}
-		k.self = decide.Identity{ID: newID()}
+		k.identity = decide.Identity{ID: newStoreID()}
 	case err != nil:
 		k.found.UnreadablePlaces++
 		k.log.Error("the store's identity can't be read", "err", err)
 	default:
-		k.found.Node = k.self.Node
+		k.found.Node = k.identity.Node
 	}
-	if err := k.get(markKey, &k.found.Checkpoint); err != nil && !errors.Is(err, store.ErrNotFound) {
+	if err := k.get(checkpointKey, &k.found.Checkpoint); err != nil && !errors.Is(err, store.ErrNotFound) {
 		k.found.UnreadablePlaces++
 		k.log.Error("the store's mark can't be read", "err", err)
 	}
-	k.markN = k.found.Checkpoint.N
-	k.noted.Store(k.markN)
-	k.self.Node = cfg.Node
-	k.self.Epoch++
-	k.found.Identity = k.self
-	k.id.Store(&k.found.Identity.ID)
-	if err := k.put(selfKey, k.self, store.Durable); err != nil {
+	k.checkpoints = k.found.Checkpoint.N
+	k.storedCheckpoint.Store(k.checkpoints)
+	k.identity.Node = cfg.Node
+	k.identity.Epoch++
+	k.found.Identity = k.identity
+	k.storeID.Store(&k.found.Identity.ID)
+	if err := k.put(identityKey, k.identity, store.Durable); err != nil {
 		// The next life will find this one's number again, and doubt its memory.
 		k.log.Error("this life can't be noted in the store: the next start will doubt it", "err", err)
 	}
 	if cfg.Own.Snapshot {
-		k.takeUp()
+		k.loadSnapshot()
 	}
 	return k, nil
 }
 
 // takeUp reads the snapshot and says what becomes of it.
-func (k *Keeper) takeUp() {
+func (k *Keeper) loadSnapshot() {
 	var s decide.Snapshot
-	err := k.get(learnedKey, &s)
+	err := k.get(snapshotKey, &s)
 	if errors.Is(err, store.ErrNotFound) {
 		return
 	}
@@ -151,7 +151,7 @@
 		k.log.Warn("snapshot not taken up", "why", err)
 		return
 	}
-	weight, why := decide.SnapshotWeight(&s, k.site, k.machine, len(k.cfg.Settings.Classes), k.cfg.Wall())
+	weight, why := decide.SnapshotWeight(&s, k.digest, k.machineKind, len(k.cfg.Settings.Classes), k.cfg.Wall())
 	if weight <= 0 {
 		k.log.Info("snapshot not taken up", "why", why)
 		return
@@ -180,7 +180,7 @@
 }
 
 // later is put for what nobody waits for.
-func (k *Keeper) later(key string, v any) {
+func (k *Keeper) putAsync(key string, v any) {
 	var b store.Batch
 	text, err := cbor.Marshal(v)
 	if err != nil { // the types have nothing that can't be encoded
@@ -191,7 +191,7 @@
 		if err != nil {
 			k.Counters.Failed.Add(1)
 		} else if m, ok := v.(decide.Checkpoint); ok {
-			k.noted.Store(m.N)
+			k.storedCheckpoint.Store(m.N)
 		}
 	})
 }
@@ -204,41 +204,41 @@
 			set.UsualRuns = append(set.UsualRuns, c.Base)
 		}
 	}
-	start := now - time.Since(k.began)
-	k.life = decide.NewStartup(start, now, set)
-	k.unix = k.cfg.Wall() - now.Milliseconds()
+	start := now - time.Since(k.processStart)
+	k.startup = decide.NewStartup(start, now, set)
+	k.zeroUnix = k.cfg.Wall() - now.Milliseconds()
 	if k.cfg.Store == nil || !k.cfg.Results {
 		return
 	}
-	if k.self.CompleteSince != 0 {
-		k.found.CompleteSince = time.Duration(k.self.CompleteSince-k.unix) * time.Millisecond
+	if k.identity.CompleteSince != 0 {
+		k.found.CompleteSince = time.Duration(k.identity.CompleteSince-k.zeroUnix) * time.Millisecond
 	}
-	k.doubt = decide.NewStoreCheck(start, k.found, k.cfg.Listens)
-	k.since = k.found.CompleteSince
-	if s, _ := k.doubt.Integrity(now); s != decide.Intact {
-		k.tell(k.doubt.Describe())
+	k.check = decide.NewStoreCheck(start, k.found, k.cfg.Listens)
+	k.storedSince = k.found.CompleteSince
+	if s, _ := k.check.Integrity(now); s != decide.Intact {
+		k.reportIntegrity(k.check.Describe())
 	}
 }
 
 // tell says a line of the memory's, and stores from when on nothing is missing if
 // that changed.
-func (k *Keeper) tell(line string) {
+func (k *Keeper) reportIntegrity(line string) {
 	if line == "" {
 		return
 	}
-	k.log.Warn("comeback", "line", line, "store", k.self.ID, "life", k.self.Epoch)
-	if s := k.doubt.CompleteSince(); s != k.since {
-		k.since = s
-		k.self.CompleteSince = k.unix + s.Milliseconds()
-		id := newID() // its marks go on from a copy's: under the old name they would pass for those that were heard
-		k.self.ID = id
-		k.id.Store(&id)
-		k.later(selfKey, k.self)
+	k.log.Warn("comeback", "line", line, "store", k.identity.ID, "life", k.identity.Epoch)
+	if s := k.check.CompleteSince(); s != k.storedSince {
+		k.storedSince = s
+		k.identity.CompleteSince = k.zeroUnix + s.Milliseconds()
+		id := newStoreID() // its marks go on from a copy's: under the old name they would pass for those that were heard
+		k.identity.ID = id
+		k.storeID.Store(&id)
+		k.putAsync(identityKey, k.identity)
 	}
 }
 
 // newID is a random name for a store.
-func newID() string {
+func newStoreID() string {
 	var id [16]byte
 	_, _ = rand.Read(id[:]) // never fails
 	return hex.EncodeToString(id[:])
@@ -250,40 +250,40 @@
 	if k.cfg.Store == nil || !k.cfg.Results {
 		return nil
 	}
-	return &decide.PreviousStore{ID: *k.id.Load(), Epoch: k.found.Identity.Epoch, Checkpoint: k.noted.Load()}
+	return &decide.PreviousStore{ID: *k.storeID.Load(), Epoch: k.found.Identity.Epoch, Checkpoint: k.storedCheckpoint.Load()}
 }
 
 // Heard takes what a control service has heard of an earlier life, nil = of none.
 func (k *Keeper) ObservePrevious(now time.Duration, h *decide.PreviousStore) {
-	if k.doubt != nil {
-		k.tell(k.doubt.ObservePrevious(now, h))
+	if k.check != nil {
+		k.reportIntegrity(k.check.ObservePrevious(now, h))
 	}
 }
 
 // Room takes the share of the fleet's usual room that is there, as told.
 func (k *Keeper) FleetCapacity(since time.Duration, share float64) {
-	k.life.FleetCapacity(since, share)
+	k.startup.FleetCapacity(since, share)
 }
 
 // Bound takes the word that the worker pool is up. It returns what the module may
 // take as known, with its weight and the share of its speed that the node starts at.
 func (k *Keeper) WorkerPoolUp(now, since time.Duration, cold bool) (l *rules.Learned, weight, speed float64) {
-	k.life.WorkerPoolUp(now, since, cold)
-	if k.doubt != nil {
-		k.tell(k.doubt.WorkerPoolUp(since))
+	k.startup.WorkerPoolUp(now, since, cold)
+	if k.check != nil {
+		k.reportIntegrity(k.check.WorkerPoolUp(since))
 	}
 	if k.learned == nil {
 		return nil, 0, 0
 	}
-	speed = k.life.Speed(now)
-	k.prior = decide.NewWarmStart(*k.learned, speed)
+	speed = k.startup.Speed(now)
+	k.warmStart = decide.NewWarmStart(*k.learned, speed)
 	return k.learned, k.weight, speed
 }
 
 // InDoubt reports whether a request of which nothing is remembered may have run in
 // an earlier life and must not run again.
 func (k *Keeper) InDoubt(now time.Duration, class int, key uint64, again bool, age time.Duration) bool {
-	if k.doubt == nil {
+	if k.check == nil {
 		return false
 	}
 	c := &k.cfg.Settings.Classes[class]
@@ -294,7 +294,7 @@
 	if c.Effect == rules.Keyed && k.cfg.Own.RunKeyed || c.Effect == rules.Unsafe && k.cfg.Own.RunUnsafe {
 		return false
 	}
-	if !k.doubt.MayHaveRun(now, c.Effect, window, key, again, age) {
+	if !k.check.MayHaveRun(now, c.Effect, window, key, again, age) {
 		return false
 	}
 	k.Counters.InDoubt.Add(1)
@@ -302,16 +302,16 @@
 }
 
 // Arrived takes a request.
-func (k *Keeper) Arrived(now time.Duration, again bool) { k.life.Arrived(now, again) }
+func (k *Keeper) Arrived(now time.Duration, again bool) { k.startup.Arrived(now, again) }
 
 // Ran takes the end of a run that went well. It reports whether the module is to
 // forget what it took as known.
 func (k *Keeper) RunSucceeded(now time.Duration, class int, took, hint time.Duration) (forget bool) {
-	k.life.RunSucceeded(now, class, took, hint)
-	if k.prior == nil || k.prior.Settled() {
+	k.startup.RunSucceeded(now, class, took, hint)
+	if k.warmStart == nil || k.warmStart.Settled() {
 		return false
 	}
-	if against := k.prior.Ran(class, took, k.life.Speed(now)); against != "" {
+	if against := k.warmStart.ObserveRun(class, took, k.startup.Speed(now)); against != "" {
 		k.Counters.Dropped.Add(1)
 		k.log.Warn("snapshot dropped", "why", against)
 		k.learned = nil
@@ -324,27 +324,27 @@
 // speed that it has reached. learned is called where a snapshot may be due; short
 // tells that the whole fleet is.
 func (k *Keeper) Step(now time.Duration, short bool, learned func() rules.Learned) (ask, warm float64) {
-	k.life.FleetShortage(short)
-	ask, line := k.life.Step(now)
+	k.startup.FleetShortage(short)
+	ask, line := k.startup.Step(now)
 	if line != "" {
 		k.log.Info("comeback", "line", line, "in_doubt", k.Counters.InDoubt.Load())
 	}
-	warm = k.life.Speed(now)
-	s, _ := k.life.State()
+	warm = k.startup.Speed(now)
+	s, _ := k.startup.State()
 	v := View{State: s.String(), Ask: ask, Warm: warm}
-	if k.doubt != nil {
-		m, why := k.doubt.Integrity(now)
+	if k.check != nil {
+		m, why := k.check.Integrity(now)
 		v.Memory, v.Why = m.String(), why
 	}
 	k.view.Store(&v)
-	if k.cfg.Store == nil || now-k.marked < markEvery {
+	if k.cfg.Store == nil || now-k.lastCheckpoint < checkpointInterval {
 		return ask, warm
 	}
-	k.marked = now
-	k.mark()
+	k.lastCheckpoint = now
+	k.checkpoint()
 	if k.cfg.Own.Snapshot {
-		if l := learned(); k.pace.Due(now, &l) {
-			k.snapshot(l)
+		if l := learned(); k.pacer.Due(now, &l) {
+			k.storeSnapshot(l)
 		}
 	}
 	return ask, warm
@@ -352,16 +352,16 @@
 
 // mark notes how many keys the store holds: a life that finds fewer, or an older
 // mark than was heard, has lost some.
-func (k *Keeper) mark() {
+func (k *Keeper) checkpoint() {
 	if k.cfg.Results {
-		k.markN++
-		k.later(markKey, decide.Checkpoint{N: k.markN, Keys: k.cfg.Store.Len()})
+		k.checkpoints++
+		k.putAsync(checkpointKey, decide.Checkpoint{N: k.checkpoints, Keys: k.cfg.Store.Len()})
 	}
 }
 
-func (k *Keeper) snapshot(l rules.Learned) {
+func (k *Keeper) storeSnapshot(l rules.Learned) {
 	k.Counters.Snapshots.Add(1)
-	k.later(learnedKey, decide.Snapshot{Version: decide.SnapshotVersion, SettingsDigest: k.site, Machine: k.machine, Taken: k.cfg.Wall(), Learned: l})
+	k.putAsync(snapshotKey, decide.Snapshot{Version: decide.SnapshotVersion, SettingsDigest: k.digest, Machine: k.machineKind, Taken: k.cfg.Wall(), Learned: l})
 }
 
 // View shows how the node stands, nil before the first step.
@@ -372,14 +372,14 @@
 	if k.cfg.Store == nil {
 		return
 	}
-	k.mark()
+	k.checkpoint()
 	if k.cfg.Own.Snapshot && len(l.Classes) > 0 {
-		k.snapshot(l)
+		k.storeSnapshot(l)
 	}
 }
 
 // machine names the kind of machine.
-func machine(cores int) string {
+func machineDescription(cores int) string {
 	name := "unknown"
 	if f, err := os.Open("/proc/cpuinfo"); err == nil {
 		defer f.Close()
--- a/internal/recovery/keeper_test.go
+++ b/internal/recovery/keeper_test.go
@@ -20,36 +20,36 @@
 const second = time.Second
 
 // world is a node's disk across its lives.
-type world struct {
-	t    *testing.T
-	disk *vfs.Mem
-	wall int64
-	log  bytes.Buffer
-	set  rules.Settings
-	name string
-	full bool // the disk, once the store is open
+type testNode struct {
+	t        *testing.T
+	disk     *vfs.Mem
+	wall     int64
+	log      bytes.Buffer
+	settings rules.Settings
+	name     string
+	diskFull bool // the disk, once the store is open
 }
 
-func newWorld(t *testing.T) *world {
-	return &world{t: t, disk: vfs.NewMem(false), wall: 1_800_000_000_000, name: "n1", set: rules.Settings{
+func newTestNode(t *testing.T) *testNode {
+	return &testNode{t: t, disk: vfs.NewMem(false), wall: 1_800_000_000_000, name: "n1", settings: rules.Settings{
 		Cores: 2, ColdSpeed: 0.33, WarmUpTime: 3 * second, Classes: []rules.Class{
 			{Deadline: 2 * second}, {Effect: rules.Keyed, IdempotencyWindow: 10 * second, Deadline: 2 * second}, {Effect: rules.Unsafe, Deadline: 2 * second}},
 	}}
 }
 
 // life begins a life; end closes its store.
-func (w *world) life(snapshot bool) (k *Keeper, s *store.Store) {
+func (w *testNode) start(snapshot bool) (k *Keeper, s *store.Store) {
 	w.t.Helper()
 	s, rec, err := store.Open("/s", store.Options{FS: w.disk, Manual: true})
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	if w.full {
+	if w.diskFull {
 		w.disk.Fail(func(vfs.Op) error { return syscall.ENOSPC })
 	}
 	w.log.Reset()
 	k, err = Open(Config{Own: config.Recovery{Enabled: true, Snapshot: snapshot}, Store: s, Recovery: rec, Results: true, Node: w.name, Listens: 1,
-		Settings: w.set, Names: settings.Names{Classes: []string{"a", "b", "c"}}, Log: slog.New(slog.NewTextHandler(&w.log, nil)),
+		Settings: w.settings, Names: settings.Names{Classes: []string{"a", "b", "c"}}, Log: slog.New(slog.NewTextHandler(&w.log, nil)),
 		Wall: func() int64 { return w.wall }}, time.Now())
 	if err != nil {
 		w.t.Fatal(err)
@@ -58,7 +58,7 @@
 	return k, s
 }
 
-func (w *world) end(k *Keeper, s *store.Store, l rules.Learned) {
+func (w *testNode) stop(k *Keeper, s *store.Store, l rules.Learned) {
 	w.t.Helper()
 	k.Close(l)
 	if err := s.Close(); err != nil {
@@ -73,9 +73,9 @@
 
 // Lives are numbered, a store keeps its identity, and what was heard of the last life
 // tells a kept folder from an older copy.
-func TestLivesOnOneStore(t *testing.T) {
-	w := newWorld(t)
-	k, s := w.life(false)
+func TestIncarnationsOfOneStore(t *testing.T) {
+	w := newTestNode(t)
+	k, s := w.start(false)
 	first := *k.Identity()
 	if first.Epoch != 1 || len(first.ID) != 32 || !strings.Contains(w.log.String(), "memory unproven") {
 		t.Fatalf("%+v, says %s", first, w.log.String())
@@ -87,69 +87,69 @@
 	}
 	standin.Eventually(t, "marks", func() bool { return k.Identity().Checkpoint >= 3 })
 	heard := *k.Identity()
-	w.end(k, s, rules.Learned{})
-	k, s = w.life(false)
+	w.stop(k, s, rules.Learned{})
+	k, s = w.start(false)
 	k.ObservePrevious(second, &heard)
-	if m, why := k.doubt.Integrity(second); m != decide.Intact || k.Identity().Epoch != 2 || k.Identity().ID != first.ID {
+	if m, why := k.check.Integrity(second); m != decide.Intact || k.Identity().Epoch != 2 || k.Identity().ID != first.ID {
 		t.Errorf("memory %v (%s), %+v", m, why, k.Identity())
 	}
-	w.end(k, s, rules.Learned{})
+	w.stop(k, s, rules.Learned{})
 	w.disk = copied
-	k, s = w.life(false)
+	k, s = w.start(false)
 	k.ObservePrevious(second, &heard)
 	if !strings.Contains(w.log.String(), "older copy") || !k.InDoubt(2*second, 1, 1, true, 0) || k.InDoubt(2*second, 0, 1, true, 0) || k.Counters.InDoubt.Load() != 1 {
 		t.Errorf("an older copy is not doubted: %s", w.log.String())
 	}
 	standin.Eventually(t, "the doubt is stored", func() bool {
 		var id decide.Identity
-		return k.get(selfKey, &id) == nil && id.CompleteSince != 0
+		return k.get(identityKey, &id) == nil && id.CompleteSince != 0
 	})
-	w.end(k, s, rules.Learned{})
+	w.stop(k, s, rules.Learned{})
 	w.wall += 2000 // the next life, 2 s later, doubts the same
-	k, s = w.life(false)
+	k, s = w.start(false)
 	if !k.InDoubt(second, 1, 2, true, 0) || k.InDoubt(9*second, 1, 2, true, 0) {
 		t.Error("the life after does not doubt for the rest of the window, or for longer")
 	}
-	w.end(k, s, rules.Learned{})
+	w.stop(k, s, rules.Learned{})
 	w.name = "n2"
-	k, s = w.life(false)
+	k, s = w.start(false)
 	if !strings.Contains(w.log.String(), "the folder is that of n1") {
 		t.Errorf("another node's folder passes for its own: %s", w.log.String())
 	}
-	w.end(k, s, rules.Learned{})
+	w.stop(k, s, rules.Learned{})
 }
 
 // A full disk at the start: the node serves, says so, and the next life doubts.
 func TestStartOnFullDisk(t *testing.T) {
-	w := newWorld(t)
-	k, s := w.life(false)
-	w.end(k, s, rules.Learned{})
+	w := newTestNode(t)
+	k, s := w.start(false)
+	w.stop(k, s, rules.Learned{})
 	whole := w.disk
 	w.disk = whole.Clone()
-	w.full = true
-	k, s = w.life(false)
-	w.full = false
+	w.diskFull = true
+	k, s = w.start(false)
+	w.diskFull = false
 	if !strings.Contains(w.log.String(), "this life can't be noted") {
 		t.Fatalf("a full disk says %s", w.log.String())
 	}
 	heard := *k.Identity()
 	_ = s.Close() // as a crash would leave it
 	w.disk = whole
-	k, s = w.life(false)
+	k, s = w.start(false)
 	k.ObservePrevious(second, &heard)
-	if m, _ := k.doubt.Integrity(second); m != decide.Incomplete {
+	if m, _ := k.check.Integrity(second); m != decide.Incomplete {
 		t.Errorf("after a life that could not be noted memory is %v", m)
 	}
-	w.end(k, s, rules.Learned{})
+	w.stop(k, s, rules.Learned{})
 }
 
 // Snapshots go from life to life; what speaks against one keeps it from being taken
 // up, and runs that differ from it have it dropped.
-func TestSnapshotFromLifeToLife(t *testing.T) {
-	w := newWorld(t)
-	k, s := w.life(true)
-	w.end(k, s, learned())
-	k, s = w.life(true)
+func TestSnapshotAcrossRestarts(t *testing.T) {
+	w := newTestNode(t)
+	k, s := w.start(true)
+	w.stop(k, s, learned())
+	k, s = w.start(true)
 	l, weight, speed := k.WorkerPoolUp(second, second, true)
 	if l == nil || weight < 0.9 || speed > 0.4 || !strings.Contains(w.log.String(), "snapshot taken up") {
 		t.Fatalf("%v at %v, speed %v: %s", l, weight, speed, w.log.String())
@@ -161,9 +161,9 @@
 	if !dropped || k.Counters.Dropped.Load() != 1 {
 		t.Error("runs sixteen times as long do not speak against it")
 	}
-	w.end(k, s, rules.Learned{})
+	w.stop(k, s, rules.Learned{})
 	for name, change := range map[string]func(){
-		"another site": func() { w.set.WarmUpTime++ },
+		"another site": func() { w.settings.WarmUpTime++ },
 		"too old":      func() { w.wall += (13 * time.Hour).Milliseconds() },
 		"clock back":   func() { w.wall -= (14 * time.Hour).Milliseconds() },
 		"bit flips": func() {
@@ -172,7 +172,7 @@
 				t.Fatal(err)
 			}
 			var b store.Batch
-			b.Put(learnedKey, []byte{0xa5, 1, 2, 3}, 0)
+			b.Put(snapshotKey, []byte{0xa5, 1, 2, 3}, 0)
 			if err := s.Apply(&b, store.Durable); err != nil {
 				t.Fatal(err)
 			}
@@ -181,14 +181,14 @@
 			}
 		},
 	} {
-		was, disk, wall := w.set, w.disk, w.wall
+		was, disk, wall := w.settings, w.disk, w.wall
 		w.disk = disk.Clone()
 		change()
-		k, s := w.life(true)
+		k, s := w.start(true)
 		if l, _, _ := k.WorkerPoolUp(second, second, false); l != nil || !strings.Contains(w.log.String(), "snapshot not taken up") {
 			t.Errorf("%s: taken up: %s", name, w.log.String())
 		}
 		_ = s.Close()
-		w.set, w.disk, w.wall = was, disk, wall
+		w.settings, w.disk, w.wall = was, disk, wall
 	}
 }
--- a/internal/resultcache/cache.go
+++ b/internal/resultcache/cache.go
@@ -30,13 +30,13 @@
 )
 
 const (
-	factsPrefix = "m/"
-	bodyPrefix  = "b/"
-	clockKey    = "clock"
-	lateRead    = 10 * time.Second // entries stay this much longer, for repeats read late
-	fetchQueue  = 256              // results that may wait to be read
-	namedRuns   = 8                // runs named in one log line
-	failLogGap  = 5 * time.Second
+	recordPrefix       = "m/"
+	resultPrefix       = "b/"
+	clockKey           = "clock"
+	expiryGrace        = 10 * time.Second // entries stay this much longer, for repeats read late
+	maxPendingFetches  = 256              // results that may wait to be read
+	maxNamedRuns       = 8                // runs named in one log line
+	failureLogInterval = 5 * time.Second
 )
 
 // ErrNoRoom says that an entry found no room within the bounds of [results].
@@ -76,38 +76,38 @@
 
 	cfg      Config
 	log      *slog.Logger
-	mod      *decide.Module
+	module   *decide.Module
 	store    *store.Store
 	recovery store.Recovery
-	enc      cbor.EncMode
-
-	base atomic.Int64 // the module's Unix time at Open; 0 = not known yet
-
-	batch   store.Batch
-	waiting []func(error)
-	sync    bool          // somebody waits for the batch to be durable
-	marked  time.Duration // when the clocks' mark was stored
-	swept   time.Duration
-	told    time.Time // of failed writes
-	fetches chan fetch
-	fetched chan struct{}
+	encoder  cbor.EncMode
+
+	clockBase atomic.Int64 // the module's Unix time at Open; 0 = not known yet
+
+	batch          store.Batch
+	pending        []func(error)
+	needsSync      bool          // somebody waits for the batch to be durable
+	lastCheckpoint time.Duration // when the clocks' mark was stored
+	lastExpiry     time.Duration
+	lastFailureLog time.Time // of failed writes
+	fetches        chan fetchRequest
+	fetcherDone    chan struct{}
 }
 
-type fetch struct {
+type fetchRequest struct {
 	key  string
 	done func([]byte, error)
 }
 
 // facts is an entry as stored: CBOR (RFC 8949) with numbered fields, so that later
 // versions may add some.
-type facts struct {
+type storedRecord struct {
 	Kind    decide.Kind  `cbor:"1,keyasint"`
 	Effect  rules.Effect `cbor:"2,keyasint"`
 	Class   string       `cbor:"3,keyasint"`
 	Tenant  string       `cbor:"4,keyasint"`
 	Name    string       `cbor:"5,keyasint"`
 	Run     string       `cbor:"6,keyasint"`
-	Asked   int64        `cbor:"7,keyasint"`
+	Arrived int64        `cbor:"7,keyasint"`
 	Window  int64        `cbor:"8,keyasint"`
 	Expires int64        `cbor:"9,keyasint"`
 	Size    int64        `cbor:"10,keyasint"`
@@ -115,7 +115,7 @@
 
 // Open opens the memory in its folder. Nothing is restored yet.
 func Open(cfg Config) (*Cache, error) {
-	m := &Cache{cfg: cfg, log: cfg.Log, fetches: make(chan fetch, fetchQueue), fetched: make(chan struct{})}
+	m := &Cache{cfg: cfg, log: cfg.Log, fetches: make(chan fetchRequest, maxPendingFetches), fetcherDone: make(chan struct{})}
 	if m.cfg.Clocks == nil {
 		m.cfg.Clocks = systemClocks
 	}
@@ -124,13 +124,13 @@
 		m.cfg.Elapsed = func() time.Duration { return time.Since(began) }
 	}
 	var err error
-	if m.enc, err = cbor.CoreDetEncOptions().EncMode(); err != nil {
+	if m.encoder, err = cbor.CoreDetEncOptions().EncMode(); err != nil {
 		return nil, fmt.Errorf("results: %w", err)
 	}
 	set := decide.Settings{
-		Classes: map[string]decide.Class{}, Tenants: map[string]bool{}, Fresh: cfg.Settings.ReadFreshness,
-		Bytes: cfg.Results.Bytes, Entries: cfg.Results.Entries, Slack: cfg.Results.Slack,
-		FailUnknown: cfg.Results.FailUnknown, Unsafe: cfg.Results.Unsafe,
+		Classes: map[string]decide.Class{}, Tenants: map[string]bool{}, ReadFreshness: cfg.Settings.ReadFreshness,
+		MaxBytes: cfg.Results.Bytes, MaxRecords: cfg.Results.Entries, ClockSlack: cfg.Results.Slack,
+		FailUnknownReads: cfg.Results.FailUnknown, RecordUnsafe: cfg.Results.Unsafe,
 	}
 	for i, name := range cfg.Names.Classes {
 		c := cfg.Settings.Classes[i]
@@ -139,10 +139,10 @@
 	for _, name := range cfg.Names.Tenants {
 		set.Tenants[name] = true
 	}
-	m.mod = decide.New(set)
+	m.module = decide.New(set)
 	m.store, m.recovery, err = store.Open(cfg.Results.Dir, store.Options{
 		FS: cfg.FS, Segment: cfg.Store.Segment, Interval: cfg.Store.Interval, CompactionRate: cfg.Store.CompactionRate, Spread: cfg.Spread,
-		Now: m.unix,
+		Now: m.storeTime,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("results: %w", err)
@@ -153,8 +153,8 @@
 
 // unix is the store's clock: the module's own time. Before that is known
 // nothing has expired.
-func (m *Cache) unix() int64 {
-	base := m.base.Load()
+func (m *Cache) storeTime() int64 {
+	base := m.clockBase.Load()
 	if base == 0 {
 		return 0
 	}
@@ -198,9 +198,9 @@
 			was = nil
 		}
 	}
-	step, away := m.mod.Begin(now, m.cfg.Clocks(), was)
-	m.base.Store(m.mod.Unix(now) - m.cfg.Elapsed().Milliseconds())
-	if step == decide.Doubtful {
+	step, away := m.module.StartClock(now, m.cfg.Clocks(), was)
+	m.clockBase.Store(m.module.Unix(now) - m.cfg.Elapsed().Milliseconds())
+	if step == decide.WallBackTooFar {
 		m.log.Warn("the wall clock went back across the restart: remembered results live on for the slack only", "slack", m.cfg.Results.Slack)
 	}
 	var kept []RestoredRecord
@@ -208,33 +208,33 @@
 	unreadable, doubted := 0, 0
 	var runs []string
 	var b store.Batch
-	err = m.store.Scan(factsPrefix, func(key string, err error) {
+	err = m.store.Scan(recordPrefix, func(key string, err error) {
 		unreadable++
 	}, func(e store.Entry) error {
-		key := e.Key[len(factsPrefix):]
-		var f facts
+		key := e.Key[len(recordPrefix):]
+		var f storedRecord
 		if err := cbor.Unmarshal(e.Value, &f); err != nil || (decide.RequestKey{Class: f.Class, Tenant: f.Tenant, Name: f.Name}).Text() != key {
 			unreadable++
 			return nil
 		}
 		var entry decide.Record
-		drop := decide.Outdated
+		drop := decide.PossiblyOutdated
 		if e.Doubt {
 			doubted++
 		}
 		if !e.Doubt || f.Effect != rules.Safe { // an older intent or result of keyed work is still true
-			entry, drop = m.mod.Restore(now, f.entry())
+			entry, drop = m.module.Restore(now, f.record())
 		}
 		drops[drop]++
 		if drop != decide.Kept {
-			if drop == decide.Reported && len(runs) < namedRuns {
+			if drop == decide.UnsafeReported && len(runs) < maxNamedRuns {
 				runs = append(runs, f.Run)
 			}
 			b.Delete(e.Key)
-			b.Delete(bodyPrefix + key)
+			b.Delete(resultPrefix + key)
 			return nil
 		}
-		kept = append(kept, RestoredRecord{Record: entry, Class: slices.Index(m.cfg.Names.Classes, entry.Class), Key: key, Expires: now + time.Duration(entry.Expires-m.mod.Unix(now))*time.Millisecond})
+		kept = append(kept, RestoredRecord{Record: entry, Class: slices.Index(m.cfg.Names.Classes, entry.Class), Key: key, Expires: now + time.Duration(entry.Expires-m.module.Unix(now))*time.Millisecond})
 		return nil
 	})
 	if err != nil {
@@ -242,16 +242,16 @@
 	}
 	if b.Len() > 0 {
 		if err := m.store.Apply(&b, store.Soon); err != nil {
-			m.failed(err) // they will be dropped again next time
+			m.logFailure(err) // they will be dropped again next time
 		}
 	}
 	m.Counters.Restored.Store(int64(len(kept)))
-	m.Counters.Aged.Add(int64(drops[decide.Aged]))
+	m.Counters.Aged.Add(int64(drops[decide.Expired]))
 	args := []any{
-		"kept", len(kept), "bytes", m.mod.Bytes(), "clock", step.String(), "away", away,
+		"kept", len(kept), "bytes", m.module.Bytes(), "clock", step.String(), "away", away,
 		"recovery", m.recovery.Took, "restore", time.Since(began), "checkpoint", m.recovery.Checkpoint, "read_bytes", m.recovery.Read,
 	}
-	for d := decide.Aged; d <= decide.Outdated; d++ {
+	for d := decide.Expired; d <= decide.PossiblyOutdated; d++ {
 		if drops[d] > 0 {
 			args = append(args, "dropped_"+d.String(), drops[d])
 		}
@@ -270,16 +270,16 @@
 		m.log.Error("remembered results that can't be read", "entries", unreadable)
 	}
 	if len(runs) > 0 {
-		m.log.Warn("unsafe work that may have run before the restart", "count", drops[decide.Reported], "runs", runs)
+		m.log.Warn("unsafe work that may have run before the restart", "count", drops[decide.UnsafeReported], "runs", runs)
 	}
-	m.mark(now)
+	m.putClockCheckpoint(now)
 	return kept, nil
 }
 
-func (f facts) entry() decide.Record {
+func (f storedRecord) record() decide.Record {
 	return decide.Record{
 		RequestKey: decide.RequestKey{Class: f.Class, Tenant: f.Tenant, Name: f.Name}, Kind: f.Kind, Effect: f.Effect, Run: f.Run,
-		Asked: f.Asked, Window: f.Window, Expires: f.Expires, Size: f.Size,
+		Arrived: f.Arrived, Window: f.Window, Expires: f.Expires, Size: f.Size,
 	}
 }
 
@@ -299,13 +299,13 @@
 
 // Wants reports whether x is remembered, and whether its run must wait for an intent.
 func (m *Cache) Wants(x *exchange.Exchange) (remember, intent bool) {
-	return m.mod.Wants(m.cfg.Settings.Classes[x.Class].Effect, m.RequestKey(x).Name != "")
+	return m.module.ShouldRecord(m.cfg.Settings.Classes[x.Class].Effect, m.RequestKey(x).Name != "")
 }
 
 // entry is what is known of x; expires is on the loop's clock.
-func (m *Cache) entry(now time.Duration, x *exchange.Exchange, expires time.Duration) decide.Record {
+func (m *Cache) record(now time.Duration, x *exchange.Exchange, expires time.Duration) decide.Record {
 	c := m.cfg.Settings.Classes[x.Class]
-	e := decide.Record{RequestKey: m.RequestKey(x), Effect: c.Effect, Run: x.Txn, Asked: m.mod.Unix(now), Expires: m.mod.Unix(expires)}
+	e := decide.Record{RequestKey: m.RequestKey(x), Effect: c.Effect, Run: x.Txn, Arrived: m.module.Unix(now), Expires: m.module.Unix(expires)}
 	if c.Effect == rules.Keyed {
 		e.Window = c.IdempotencyWindow.Milliseconds()
 	}
@@ -315,9 +315,9 @@
 // Intend notes that x is about to run. done is called once the note is as
 // durable as set, or with why it is not; the run must wait for it.
 func (m *Cache) StoreIntent(now time.Duration, x *exchange.Exchange, expires time.Duration, done func(error)) {
-	e := m.entry(now, x, expires)
-	ok, orders := m.mod.Intend(now, e)
-	m.obey(orders)
+	e := m.record(now, x, expires)
+	ok, orders := m.module.RecordIntent(now, e)
+	m.applyChanges(orders)
 	if !ok {
 		m.Counters.NoRoom.Add(1)
 		done(ErrNoRoom)
@@ -326,30 +326,30 @@
 	e.Kind = decide.Intent
 	m.Counters.Intents.Add(1)
 	m.put(e)
-	m.batch.Delete(bodyPrefix + e.Text())
-	m.wait(done)
+	m.batch.Delete(resultPrefix + e.Text())
+	m.notifyWhenWritten(done)
 }
 
 // Ended notes how x's run ended. With done set it is called once that is as
 // durable as set, or could not be stored; kept tells whether the result is.
 func (m *Cache) RunEnded(now time.Duration, x *exchange.Exchange, expires time.Duration, good bool, body []byte, done func(kept bool)) {
-	m.ended(now, m.entry(now, x, expires), good, body, done)
+	m.recordEnd(now, m.record(now, x, expires), good, body, done)
 }
 
 // Late notes the end of a run of an earlier life.
 func (m *Cache) LateRunEnded(now time.Duration, r RestoredRecord, good bool, body []byte) {
 	m.Counters.Late.Add(1)
-	m.ended(now, r.Record, good, body, nil)
+	m.recordEnd(now, r.Record, good, body, nil)
 }
 
-func (m *Cache) ended(now time.Duration, e decide.Record, good bool, body []byte, done func(kept bool)) {
-	e, keep, orders := m.mod.RunEnded(now, e, good, int64(len(body)))
-	m.obey(orders)
+func (m *Cache) recordEnd(now time.Duration, e decide.Record, good bool, body []byte, done func(kept bool)) {
+	e, keep, orders := m.module.RunEnded(now, e, good, int64(len(body)))
+	m.applyChanges(orders)
 	if keep {
 		m.put(e)
 		if e.Kind == decide.Result {
 			m.Counters.Stored.Add(1)
-			m.batch.Put(bodyPrefix+e.Text(), body, e.Expires+lateRead.Milliseconds())
+			m.batch.Put(resultPrefix+e.Text(), body, e.Expires+expiryGrace.Milliseconds())
 		}
 	}
 	switch {
@@ -357,17 +357,19 @@
 	case !keep:
 		done(false)
 	default:
-		m.wait(func(err error) { done(err == nil && e.Kind == decide.Result) })
+		m.notifyWhenWritten(func(err error) { done(err == nil && e.Kind == decide.Result) })
 	}
 }
 
 // Withdraw forgets the intent of a run that never began.
-func (m *Cache) Withdraw(x *exchange.Exchange) { m.remove(m.mod.Withdraw(m.RequestKey(x)).Delete) }
+func (m *Cache) Withdraw(x *exchange.Exchange) {
+	m.deleteRecords(m.module.Withdraw(m.RequestKey(x)).Delete)
+}
 
 // Judge says what a repeat of an earlier life's request is told; pool is when
 // the worker pool came up, on the loop's clock.
 func (m *Cache) DecideRepeat(r RestoredRecord, pool time.Duration) decide.RepeatAction {
-	return m.mod.Judge(r.Record, m.mod.Unix(pool))
+	return m.module.DecideRepeat(r.Record, m.module.Unix(pool))
 }
 
 // Told counts what a repeat of an earlier life's request was told.
@@ -380,68 +382,68 @@
 }
 
 func (m *Cache) put(e decide.Record) {
-	text, err := m.enc.Marshal(facts{
+	text, err := m.encoder.Marshal(storedRecord{
 		Kind: e.Kind, Effect: e.Effect, Class: e.Class, Tenant: e.Tenant, Name: e.Name, Run: e.Run,
-		Asked: e.Asked, Window: e.Window, Expires: e.Expires, Size: e.Size,
+		Arrived: e.Arrived, Window: e.Window, Expires: e.Expires, Size: e.Size,
 	})
 	if err != nil { // the type has nothing that can't be encoded
 		panic(err)
 	}
-	m.batch.Put(factsPrefix+e.Text(), text, e.Expires+lateRead.Milliseconds())
+	m.batch.Put(recordPrefix+e.Text(), text, e.Expires+expiryGrace.Milliseconds())
 }
 
 // obey carries out what a decision brings with it.
-func (m *Cache) obey(o decide.StoreChanges) {
-	m.Counters.Evicted.Add(int64(len(o.Delete) + len(o.Strip)))
-	m.remove(o.Delete)
-	for _, e := range o.Strip {
+func (m *Cache) applyChanges(o decide.StoreChanges) {
+	m.Counters.Evicted.Add(int64(len(o.Delete) + len(o.EvictResult)))
+	m.deleteRecords(o.Delete)
+	for _, e := range o.EvictResult {
 		m.put(e)
-		m.batch.Delete(bodyPrefix + e.Text())
+		m.batch.Delete(resultPrefix + e.Text())
 	}
 }
 
-func (m *Cache) remove(keys []string) {
+func (m *Cache) deleteRecords(keys []string) {
 	for _, k := range keys {
-		m.batch.Delete(factsPrefix + k)
-		m.batch.Delete(bodyPrefix + k)
+		m.batch.Delete(recordPrefix + k)
+		m.batch.Delete(resultPrefix + k)
 	}
 }
 
-func (m *Cache) wait(done func(error)) {
-	m.waiting = append(m.waiting, done)
-	m.sync = m.sync || m.cfg.Results.Durable
+func (m *Cache) notifyWhenWritten(done func(error)) {
+	m.pending = append(m.pending, done)
+	m.needsSync = m.needsSync || m.cfg.Results.Durable
 }
 
 // mark puts the clocks' mark into the batch.
-func (m *Cache) mark(now time.Duration) {
-	text, err := m.enc.Marshal(m.mod.Mark(now, m.cfg.Clocks()))
+func (m *Cache) putClockCheckpoint(now time.Duration) {
+	text, err := m.encoder.Marshal(m.module.Checkpoint(now, m.cfg.Clocks()))
 	if err != nil { // the type has nothing that can't be encoded
 		panic(err)
 	}
 	m.batch.Put(clockKey, text, 0)
-	m.marked = now
+	m.lastCheckpoint = now
 }
 
 // Flush hands all that was noted since the last time to the store, as one
 // batch: a tick costs one sync, whatever it holds.
 func (m *Cache) Flush(now time.Duration) {
-	if now-m.swept > time.Second {
-		m.swept = now
-		old := m.mod.Expire(now - lateRead)
+	if now-m.lastExpiry > time.Second {
+		m.lastExpiry = now
+		old := m.module.Expire(now - expiryGrace)
 		m.Counters.Aged.Add(int64(len(old)))
-		m.remove(old)
+		m.deleteRecords(old)
 	}
-	if now-m.marked >= decide.SaveEvery && (m.mod.Len() > 0 || m.batch.Len() > 0) {
-		m.mark(now)
+	if now-m.lastCheckpoint >= decide.CheckpointInterval && (m.module.Len() > 0 || m.batch.Len() > 0) {
+		m.putClockCheckpoint(now)
 	}
 	if m.batch.Len() == 0 {
 		return
 	}
-	b, waiting, d := m.batch, m.waiting, store.Soon
-	if m.sync {
+	b, waiting, d := m.batch, m.pending, store.Soon
+	if m.needsSync {
 		d = store.Durable
 	}
-	m.batch, m.waiting, m.sync = store.Batch{}, nil, false
+	m.batch, m.pending, m.needsSync = store.Batch{}, nil, false
 	m.store.ApplyAsync(&b, d, func(err error) {
 		if err != nil {
 			m.Counters.Failed.Add(1)
@@ -453,9 +455,9 @@
 }
 
 // failed tells of a write that failed, now and then.
-func (m *Cache) failed(err error) {
-	if time.Since(m.told) > failLogGap {
-		m.told = time.Now()
+func (m *Cache) logFailure(err error) {
+	if time.Since(m.lastFailureLog) > failureLogInterval {
+		m.lastFailureLog = time.Now()
 		m.log.Error("remembered results can't be written", "err", err)
 	}
 }
@@ -463,28 +465,28 @@
 // Refused tells why an intent could not be written. It reports whether the run
 // goes on unremembered.
 func (m *Cache) RunsUnrecorded(err error) bool {
-	m.failed(err)
+	m.logFailure(err)
 	return m.cfg.Results.RunUnwritten
 }
 
 // Fetch reads a stored result; done is called by another goroutine.
 func (m *Cache) Fetch(key string, done func(body []byte, err error)) {
 	select {
-	case m.fetches <- fetch{key, done}:
+	case m.fetches <- fetchRequest{key, done}:
 	default:
 		done(nil, store.ErrBusy)
 	}
 }
 
 func (m *Cache) fetcher() {
-	defer close(m.fetched)
+	defer close(m.fetcherDone)
 	for f := range m.fetches {
-		f.done(m.store.Get(bodyPrefix + f.key))
+		f.done(m.store.Get(resultPrefix + f.key))
 	}
 }
 
 // Count is the number of entries, Bytes what they take; both belong to the loop.
-func (m *Cache) Count() int { return m.mod.Len() }
+func (m *Cache) Count() int { return m.module.Len() }
 
 // Recovery tells what opening the store found.
 func (m *Cache) Recovery() store.Recovery { return m.recovery }
@@ -494,10 +496,10 @@
 
 // Close stores what is still to be stored and closes. The loop must have ended.
 func (m *Cache) Close(now time.Duration) error {
-	m.mark(now)
+	m.putClockCheckpoint(now)
 	m.Flush(now)
 	close(m.fetches)
-	<-m.fetched
+	<-m.fetcherDone
 	if err := m.store.Close(); err != nil {
 		return fmt.Errorf("results: %w", err)
 	}
