--- a/decide/recovery/eventdetector.go
+++ b/decide/recovery/eventdetector.go
@@ -1,6 +1,3 @@
-// This file owns the fleet's events: when most of it was lost, how little was left,
-// and how long it took to come back, by what nodes report.
-
 package recovery
 
 import (
@@ -12,258 +9,263 @@
 	"time"
 )
 
-// Tuned values of events.
+// Parameters of the EventDetector.
 const (
-	minLostShare           = 0.2 // of the nodes lost within lostWithin that make an event
+	minLostShare           = 0.2 // share of the nodes that must be lost within lossWindow for an event
 	lossWindow             = 5 * time.Second
 	halfCapacity           = 0.5
 	mostCapacity           = 0.95
 	fullCapacity           = 0.99
-	fullDuration           = time.Second      // that it must stay full, or one report would end an event
-	maxEventDuration       = 10 * time.Minute // then it is over, full or not: the fleet is smaller now
-	usualCapacitySmoothing = 0.02             // weight of a step in what room is usual
+	fullDuration           = time.Second      // for which capacity must stay full, so that one report does not end an event
+	maxEventDuration       = 10 * time.Minute // then the event ends anyway: the fleet is smaller now
+	usualCapacitySmoothing = 0.02             // weight of a tenth of a second in the usual capacity
 	maxEvents              = 64
-	reportTimeout          = 1600 * time.Millisecond // two reports missed: a node that says nothing for so long is lost
-	sizeDecay              = 0.999                   // of a node's size stays a report: half in eight minutes
-	maxSizeOverMedian      = 4.0                     // of the median that one node's size counts
+	reportTimeout          = 1600 * time.Millisecond // two missed reports: a node that is silent for longer is lost
+	sizeDecay              = 0.999                   // factor per report: a node's size halves in eight minutes
+	maxSizeOverMedian      = 4.0                     // a node's size counts for at most so many times the median
 	maxTrackedNodes        = 20_000
-	forgetNodeAfter        = 2 * time.Minute // a node that is away for so long is forgotten
-	minNodes               = 3               // nodes under which there is no share to speak of
+	forgetNodeAfter        = 2 * time.Minute // a node that is silent for longer is removed
+	minNodes               = 3               // with fewer nodes there are no events, and no limit on a node's size
 )
 
-// Word is what a node says that counts here.
+// NodeReport is the part of a node's report that the EventDetector uses.
 type NodeReport struct {
 	Name, Zone      string
 	Incarnation     uint64
-	Leaving         bool    // it drains: that is no loss
-	Warm            float64 // share of its usual speed
-	Limit           float64 // running limit, its size
-	ArrivalRate     float64 // arrivals a second
-	FurtherTryShare float64 // share of them that are further tries
+	Leaving         bool    // it drains, so its silence is no loss
+	Warm            float64 // share of its usual speed that it has reached
+	Limit           float64 // concurrency limit, which is the node's size
+	ArrivalRate     float64 // requests per second
+	FurtherTryShare float64 // share of the arrivals that are further tries
 }
 
-// Event is one time that most were lost. Times count on the fleet's clock; a time
-// of 0 for Half, Most and Full means that it has not come yet.
+// Event is a period that began with the loss of many nodes. Began is on the control service's
+// clock, the other times count from it; 0 for Half, Most and Full means not yet. It is stored as
+// JSON under its field names.
 type Event struct {
 	Number  int
 	Began   time.Duration
-	Lost    int      // nodes
-	Of      int      // nodes that there were
-	Zones   []string // of which nodes were lost
-	Least   float64  // share of the usual room that was left
+	Lost    int      // nodes lost
+	Of      int      // nodes in the fleet when it began
+	Zones   []string // zones of lost nodes, at most 16
+	Least   float64  // least share of the usual capacity
 	LeastAt time.Duration
-	Half    time.Duration // from the begin until half, 0.95 and all of the room was back
+	Half    time.Duration // until half, 0.95 and 0.99 of the usual capacity were back
 	Most    time.Duration
 	Full    time.Duration
-	Tries   float64 // tries a first try since it began
+	Tries   float64 // tries per first try since it began
 	Over    bool
-	Why     string // how it ended
+	Why     string // why it ended
 
-	firstTries, allTries float64 // first tries and all since the begin
+	firstTries, allTries float64 // since it began
 	fullSince            time.Duration
 }
 
-// known is a node as of its last word.
+// trackedNode is a node as of its last report.
 type trackedNode struct {
 	NodeReport
 	lastReport time.Duration
-	size       float64 // the highest limit of late: one that starts anew has not found its limit yet
-	lost       bool    // in the present event, or gone
+	size       float64 // highest recent limit: a restarted node has not found its limit yet
+	lost       bool    // silent for longer than reportTimeout
 }
 
-// Events watches a fleet. It belongs to one goroutine.
+// EventDetector detects, from the nodes' reports, when many nodes of a fleet were lost at about
+// the same time, and measures how much capacity was left and how long it took to come back.
 type EventDetector struct {
 	nodes         map[string]*trackedNode
-	losses        []loss
+	losses        []loss  // of the last lossWindow, or counted by the current event
 	usualCapacity float64 // room
-	capacityShare float64 // as of the last step, a share of that
+	capacityShare float64 // share of usualCapacity at the last step; 0 = unknown
 	current       *Event
 	finished      []Event
 	lastNumber    int
 	lastStep      time.Duration
 }
 
+// loss is one incarnation of a node that was lost.
 type loss struct {
 	noticed    time.Duration
 	name       string
-	lastReport time.Duration // the last word of its old life
-	returned   time.Duration // the first word of its next one, or awaited
+	lastReport time.Duration // of the lost incarnation
+	returned   time.Duration // first report of the next incarnation, or notReturned
 	size       float64
 }
 
 const notReturned = time.Duration(math.MaxInt64)
 
-// NewEvents returns a watch that has seen nothing; number is the last event's of an
-// earlier life of the service.
+// NewEventDetector returns a detector without nodes; number is that of the last event of an
+// earlier incarnation of the control service.
 func NewEventDetector(now time.Duration, number int) *EventDetector {
 	return &EventDetector{nodes: map[string]*trackedNode{}, lastNumber: number, lastStep: now}
 }
 
-// Heard takes a node's word. A new incarnation is a loss, even if its silence was
-// too short to show.
-func (e *EventDetector) Observe(now time.Duration, w NodeReport) {
-	k := e.nodes[w.Name]
-	if k == nil {
-		if len(e.nodes) < maxTrackedNodes {
-			w = clampReport(w)
-			e.nodes[w.Name] = &trackedNode{NodeReport: w, lastReport: now, size: w.Limit}
+// Observe takes a node's report. A new incarnation counts as a loss of the previous one, even
+// if no report was missed.
+func (d *EventDetector) Observe(now time.Duration, report NodeReport) {
+	node := d.nodes[report.Name]
+	if node == nil {
+		if len(d.nodes) < maxTrackedNodes {
+			report = clampReport(report)
+			d.nodes[report.Name] = &trackedNode{NodeReport: report, lastReport: now, size: report.Limit}
 		}
 		return
 	}
-	if w.Incarnation < k.Incarnation {
+	if report.Incarnation < node.Incarnation {
 		return
 	}
-	if w.Incarnation > k.Incarnation && !k.Leaving && !k.lost {
-		e.losses = append(e.losses, loss{now, w.Name, k.lastReport, now, k.size})
+	if report.Incarnation > node.Incarnation && !node.Leaving && !node.lost {
+		d.losses = append(d.losses, loss{now, report.Name, node.lastReport, now, node.size})
 	}
-	for i, l := range e.losses {
-		if l.name == w.Name && l.returned == notReturned {
-			e.losses[i].returned = now
+	for i, l := range d.losses {
+		if l.name == report.Name && l.returned == notReturned {
+			d.losses[i].returned = now
 		}
 	}
-	k.NodeReport, k.lastReport, k.lost = clampReport(w), now, false
-	k.size = max(k.Limit, sizeDecay*k.size)
+	node.NodeReport, node.lastReport, node.lost = clampReport(report), now, false
+	node.size = max(node.Limit, sizeDecay*node.size)
 }
 
-// sane bounds what a node says of itself: one that lies moves the fleet's figures
-// by no more than a node can.
-func clampReport(w NodeReport) NodeReport {
-	clamp := func(x, most float64) float64 {
+// clampReport bounds the figures of a report, so that one wrong report cannot move the fleet's
+// figures by more than a node can.
+func clampReport(report NodeReport) NodeReport {
+	clamp := func(x, limit float64) float64 {
 		if !(x >= 0) {
 			return 0
 		}
-		return min(x, most)
+		return min(x, limit)
 	}
-	w.Warm, w.Limit, w.ArrivalRate, w.FurtherTryShare = clamp(w.Warm, 1), clamp(w.Limit, 1e4), clamp(w.ArrivalRate, 1e6), clamp(w.FurtherTryShare, 1)
-	return w
+	report.Warm, report.Limit, report.ArrivalRate, report.FurtherTryShare = clamp(report.Warm, 1), clamp(report.Limit, 1e4), clamp(report.ArrivalRate, 1e6), clamp(report.FurtherTryShare, 1)
+	return report
 }
 
-// Step watches; it returns lines for people when an event begins and ends.
-func (e *EventDetector) Step(now time.Duration) (lines []string) {
-	dt := (now - e.lastStep).Seconds()
+// Step measures the fleet's capacity, and begins or ends an event. It returns the log lines for
+// that.
+func (d *EventDetector) Step(now time.Duration) (lines []string) {
+	dt := (now - d.lastStep).Seconds()
 	if dt <= 0 {
 		return nil
 	}
-	before := e.lastStep
-	e.lastStep = now
-	room, whole, first, all := 0.0, 0.0, 0.0, 0.0
-	most := e.maxNodeSize()
-	for _, name := range slices.Sorted(maps.Keys(e.nodes)) { // sums of floats depend on the order
-		k := e.nodes[name]
-		switch silent := now - k.lastReport; {
+	before := d.lastStep
+	d.lastStep = now
+	capacity, total, firstTries, allTries := 0.0, 0.0, 0.0, 0.0
+	maxSize := d.maxNodeSize()
+	for _, name := range slices.Sorted(maps.Keys(d.nodes)) { // sums of floats depend on the order
+		node := d.nodes[name]
+		switch silent := now - node.lastReport; {
 		case silent > forgetNodeAfter:
-			delete(e.nodes, name)
+			delete(d.nodes, name)
 			continue
-		case silent > reportTimeout && !k.lost:
-			if k.lost = true; !k.Leaving {
-				e.losses = append(e.losses, loss{now - reportTimeout, name, k.lastReport, notReturned, k.size})
+		case silent > reportTimeout && !node.lost:
+			if node.lost = true; !node.Leaving {
+				d.losses = append(d.losses, loss{now - reportTimeout, name, node.lastReport, notReturned, node.size})
 			}
 		}
-		whole += min(k.size, most)
-		if !k.lost {
-			room += min(k.size, most) * k.Warm
-			first += k.ArrivalRate * (1 - k.FurtherTryShare) * dt
-			all += k.ArrivalRate * dt
+		total += min(node.size, maxSize)
+		if !node.lost {
+			capacity += min(node.size, maxSize) * node.Warm
+			firstTries += node.ArrivalRate * (1 - node.FurtherTryShare) * dt
+			allTries += node.ArrivalRate * dt
 		}
 	}
-	e.losses = slices.DeleteFunc(e.losses, func(l loss) bool { return now-l.noticed > lossWindow })
+	d.losses = slices.DeleteFunc(d.losses, func(l loss) bool { return now-l.noticed > lossWindow })
 	lost := map[string]bool{}
 	begin := now
-	for _, l := range e.losses {
+	for _, l := range d.losses {
 		lost[l.name] = true
 		begin = min(begin, l.noticed)
 	}
-	if e.current == nil {
-		if n := len(e.nodes); n >= minNodes && float64(len(lost)) > minLostShare*float64(n) && e.usualCapacity > 0 {
-			lines = append(lines, e.beginEvent(begin, lost))
-		} else if room > 0 {
-			if e.usualCapacity == 0 {
-				e.usualCapacity = room
+	if d.current == nil {
+		if n := len(d.nodes); n >= minNodes && float64(len(lost)) > minLostShare*float64(n) && d.usualCapacity > 0 {
+			lines = append(lines, d.beginEvent(begin, lost))
+		} else if capacity > 0 {
+			if d.usualCapacity == 0 {
+				d.usualCapacity = capacity
 			}
-			e.usualCapacity += min(usualCapacitySmoothing*dt*10, 1) * (room - e.usualCapacity)
+			d.usualCapacity += min(usualCapacitySmoothing*dt*10, 1) * (capacity - d.usualCapacity)
 		}
 	}
-	if e.usualCapacity > 0 {
-		e.capacityShare = min(room/e.usualCapacity, 1)
+	if d.usualCapacity > 0 {
+		d.capacityShare = min(capacity/d.usualCapacity, 1)
 	}
-	if e.current == nil {
+	if d.current == nil {
 		return lines
 	}
-	o := e.current
-	o.firstTries, o.allTries = o.firstTries+first, o.allTries+all
-	if o.firstTries > 0 {
-		o.Tries = math.Round(100*o.allTries/o.firstTries) / 100
+	event := d.current
+	event.firstTries, event.allTries = event.firstTries+firstTries, event.allTries+allTries
+	if event.firstTries > 0 {
+		event.Tries = math.Round(100*event.allTries/event.firstTries) / 100
 	}
 	for name := range lost {
-		o.Zones = addZone(o.Zones, e.nodes[name])
+		event.Zones = addZone(event.Zones, d.nodes[name])
 	}
-	o.Lost = max(o.Lost, len(lost))
-	share := min(room/e.usualCapacity, 1)
-	if down := e.missingCapacity(before, most); down > 0 && whole > 0 { // less was there between two words than any word says
-		share = min(share, max(0, 1-down/whole))
+	event.Lost = max(event.Lost, len(lost))
+	share := min(capacity/d.usualCapacity, 1)
+	// Between two reports less capacity was there than any report says.
+	if missing := d.missingCapacity(before, maxSize); missing > 0 && total > 0 {
+		share = min(share, max(0, 1-missing/total))
 	}
-	since := now - o.Began
-	if share < o.Least {
-		o.Least, o.LeastAt, o.Half, o.Most = share, since, 0, 0
+	since := now - event.Began
+	if share < event.Least {
+		event.Least, event.LeastAt, event.Half, event.Most = share, since, 0, 0
 	}
-	if o.Half == 0 && share >= halfCapacity {
-		o.Half = since
+	if event.Half == 0 && share >= halfCapacity {
+		event.Half = since
 	}
-	if o.Most == 0 && share >= mostCapacity {
-		o.Most = since
+	if event.Most == 0 && share >= mostCapacity {
+		event.Most = since
 	}
 	if share < fullCapacity {
-		o.Full, o.fullSince = 0, -1
-	} else if o.Full == 0 {
-		o.Full, o.fullSince = since, now
+		event.Full, event.fullSince = 0, -1
+	} else if event.Full == 0 {
+		event.Full, event.fullSince = since, now
 	}
 	switch {
-	case o.Full > 0 && now-o.fullSince >= fullDuration && now-o.Began > lossWindow:
-		o.Over, o.Why = true, "all is back"
+	case event.Full > 0 && now-event.fullSince >= fullDuration && now-event.Began > lossWindow:
+		event.Over, event.Why = true, "all is back"
 	case since >= maxEventDuration:
-		o.Over, o.Why = true, "it was given up: the fleet is smaller now"
+		event.Over, event.Why = true, "it was given up: the fleet is smaller now"
 	}
-	if o.Over {
-		lines = append(lines, o.Summary())
-		e.archive()
-		e.losses, e.usualCapacity = nil, room // these are told of
+	if event.Over {
+		lines = append(lines, event.Summary())
+		d.archive()
+		d.losses, d.usualCapacity = nil, capacity // the losses are part of the event that ended
 	}
 	return lines
 }
 
-// down is the most room that was missing at one moment between the lives of nodes, if one
-// of them was heard again after the time given.
-func (e *EventDetector) missingCapacity(after time.Duration, most float64) (down float64) {
-	if !slices.ContainsFunc(e.losses, func(l loss) bool { return l.returned != notReturned && l.returned > after }) {
+// missingCapacity returns the most capacity that was missing at one moment between two
+// incarnations of nodes, 0 if no node returned after the given time.
+func (d *EventDetector) missingCapacity(after time.Duration, maxSize float64) (peak float64) {
+	if !slices.ContainsFunc(d.losses, func(l loss) bool { return l.returned != notReturned && l.returned > after }) {
 		return 0
 	}
-	type point struct { // in order of time, ends first: a node is away after from, up to till
+	type point struct { // ordered by time, ends first: a node is away after lastReport, up to returned
 		at   time.Duration
 		more float64
 	}
-	points := make([]point, 0, 2*len(e.losses))
-	for _, l := range e.losses {
-		size := min(l.size, most)
+	points := make([]point, 0, 2*len(d.losses))
+	for _, l := range d.losses {
+		size := min(l.size, maxSize)
 		points = append(points, point{l.lastReport, size}, point{l.returned, -size})
 	}
 	slices.SortFunc(points, func(a, b point) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.more, b.more)) })
 	missing := 0.0
 	for _, p := range points {
 		if p.more < 0 && p.at != notReturned {
-			down = max(down, missing)
+			peak = max(peak, missing)
 		}
 		missing += p.more
 	}
-	return down
+	return peak
 }
 
-// largest is the most that one node's size counts: some times the median, so that one
-// liar does not make the fleet's room its own.
-func (e *EventDetector) maxNodeSize() float64 {
-	sizes := make([]float64, 0, len(e.nodes))
-	for _, k := range e.nodes {
-		if k.size > 0 {
-			sizes = append(sizes, k.size)
+// maxNodeSize returns the most that one node's size counts: a multiple of the median, so that
+// one wrong report does not dominate the fleet's capacity.
+func (d *EventDetector) maxNodeSize() float64 {
+	sizes := make([]float64, 0, len(d.nodes))
+	for _, node := range d.nodes {
+		if node.size > 0 {
+			sizes = append(sizes, node.size)
 		}
 	}
 	if len(sizes) < minNodes {
@@ -273,31 +275,33 @@
 	return maxSizeOverMedian * sizes[(len(sizes)-1)/2]
 }
 
-func addZone(zones []string, k *trackedNode) []string {
-	if k == nil || k.Zone == "" || len(zones) >= 16 || slices.Contains(zones, k.Zone) {
+// addZone returns zones with the zone of node k, sorted and at most 16 long.
+func addZone(zones []string, node *trackedNode) []string {
+	if node == nil || node.Zone == "" || len(zones) >= 16 || slices.Contains(zones, node.Zone) {
 		return zones
 	}
-	zones = append(zones, k.Zone)
+	zones = append(zones, node.Zone)
 	slices.Sort(zones)
 	return zones
 }
 
-func (e *EventDetector) beginEvent(at time.Duration, lost map[string]bool) string {
-	e.lastNumber++
-	e.current = &Event{Number: e.lastNumber, Began: at, Lost: len(lost), Of: len(e.nodes), Least: 1, Tries: 1, fullSince: -1}
-	return fmt.Sprintf("event %d begins: %d of %d nodes were lost within %v", e.lastNumber, len(lost), len(e.nodes), lossWindow)
+// beginEvent opens an event and returns its log line.
+func (d *EventDetector) beginEvent(at time.Duration, lost map[string]bool) string {
+	d.lastNumber++
+	d.current = &Event{Number: d.lastNumber, Began: at, Lost: len(lost), Of: len(d.nodes), Least: 1, Tries: 1, fullSince: -1}
+	return fmt.Sprintf("event %d started: %d of %d nodes were lost within %v", d.lastNumber, len(lost), len(d.nodes), lossWindow)
 }
 
-// keep files the open event.
-func (e *EventDetector) archive() {
-	e.finished = append(e.finished, *e.current)
-	if len(e.finished) > maxEvents {
-		e.finished = slices.Delete(e.finished, 0, len(e.finished)-maxEvents)
+// archive moves the current event to the finished ones.
+func (d *EventDetector) archive() {
+	d.finished = append(d.finished, *d.current)
+	if len(d.finished) > maxEvents {
+		d.finished = slices.Delete(d.finished, 0, len(d.finished)-maxEvents)
 	}
-	e.current = nil
+	d.current = nil
 }
 
-// Line says how an event was.
+// Summary describes a finished event for the log.
 func (o *Event) Summary() string {
 	at := func(d time.Duration) string {
 		if d == 0 {
@@ -305,34 +309,34 @@
 		}
 		return d.Round(100 * time.Millisecond).String()
 	}
-	return fmt.Sprintf("event %d is over, %s: %d of %d nodes, least room %.2f after %v, half after %s, 0.95 after %s, all after %s, tries a first try %.2f",
+	return fmt.Sprintf("event %d ended, %s: %d of %d nodes lost, least capacity %.2f after %v, half after %s, 0.95 after %s, full after %s, %.2f tries per first try",
 		o.Number, o.Why, o.Lost, o.Of, o.Least, o.LeastAt.Round(100*time.Millisecond), at(o.Half), at(o.Most), at(o.Full), o.Tries)
 }
 
-// Room is the share of the usual room that is there now, 0 = not known.
-func (e *EventDetector) Capacity() float64 { return e.capacityShare }
+// Capacity returns the share of the usual capacity that is there now, 0 = unknown.
+func (d *EventDetector) Capacity() float64 { return d.capacityShare }
 
-// List tells the events, oldest first, the one under way last.
-func (e *EventDetector) List() []Event {
-	list := slices.Clone(e.finished)
-	if e.current != nil {
-		list = append(list, *e.current)
+// List returns the events, oldest first, the current one last.
+func (d *EventDetector) List() []Event {
+	list := slices.Clone(d.finished)
+	if d.current != nil {
+		list = append(list, *d.current)
 	}
 	return list
 }
 
-// Restore takes up events of an earlier life of the service; shift brings their
-// times to this clock. One that was under way is over: nobody watched.
-func (e *EventDetector) Restore(list []Event, shift time.Duration) {
-	for _, o := range list {
-		o.Began += shift
-		if !o.Over {
-			o.Over, o.Why = true, "the service that watched it ended"
+// Restore adds events of an earlier incarnation of the control service; shift converts their
+// times to this clock. An event that had not ended counts as over, as nobody observed its end.
+func (d *EventDetector) Restore(list []Event, shift time.Duration) {
+	for _, event := range list {
+		event.Began += shift
+		if !event.Over {
+			event.Over, event.Why = true, "the service that watched it ended"
 		}
-		e.finished = append(e.finished, o)
-		e.lastNumber = max(e.lastNumber, o.Number)
+		d.finished = append(d.finished, event)
+		d.lastNumber = max(d.lastNumber, event.Number)
 	}
-	if n := len(e.finished); n > maxEvents {
-		e.finished = slices.Delete(e.finished, 0, n-maxEvents)
+	if n := len(d.finished); n > maxEvents {
+		d.finished = slices.Delete(d.finished, 0, n-maxEvents)
 	}
 }
--- a/decide/recovery/fairscheduler.go
+++ b/decide/recovery/fairscheduler.go
@@ -1,7 +1,3 @@
-// This file owns whose turn it is to be given a whole answer, after all proxies lost
-// the service at once and come back together: so many at a time, whoever was served
-// longest ago first, and nobody who takes nothing keeps others waiting.
-
 package recovery
 
 import (
@@ -10,82 +6,85 @@
 	"time"
 )
 
-// Turns is a bounded number of turns. It belongs to one goroutine at a time.
+// FairScheduler decides which of the waiting clients are served at once, after all proxies lost
+// the control service and reconnect together: a bounded number at a time, the one that was served
+// longest ago first. A client that does not finish in time does not hold up the others.
 type FairScheduler struct {
-	limit      int           // turns at once
-	maxHold    time.Duration // after which one that was not given back counts as over
+	limit      int           // clients served at once
+	maxHold    time.Duration // after which a ticket that was not released expires
 	active     map[uint64]time.Duration
 	queue      []waiter
-	lastServed map[string]time.Duration // when a name was served
+	lastServed map[string]time.Duration // by name, when it was granted a ticket
 	lastTicket uint64
 
-	Overdue int // turns that were not given back in time
+	Overdue int // tickets that expired before they were released
 }
 
+// waiter is a request that was not granted yet.
 type waiter struct {
 	ticket     uint64
 	name       string
 	lastServed time.Duration // -1 = never
 }
 
-const maxServedNames = 20_000 // names whose last turn is remembered
+const maxServedNames = 20_000 // names in lastServed
 
-// NewTurns returns turns for most at once, each for hold at most.
-func NewFairScheduler(most int, hold time.Duration) *FairScheduler {
-	return &FairScheduler{limit: max(most, 1), maxHold: hold, active: map[uint64]time.Duration{}, lastServed: map[string]time.Duration{}}
+// NewFairScheduler returns a scheduler of limit tickets at once, each for maxHold at most.
+func NewFairScheduler(limit int, maxHold time.Duration) *FairScheduler {
+	return &FairScheduler{limit: max(limit, 1), maxHold: maxHold, active: map[uint64]time.Duration{}, lastServed: map[string]time.Duration{}}
 }
 
-// Ask asks for a turn for a name and returns its number; Step grants it.
-func (t *FairScheduler) Request(name string) uint64 {
-	t.lastTicket++
-	a := waiter{ticket: t.lastTicket, name: name, lastServed: -1}
-	if at, known := t.lastServed[name]; known {
-		a.lastServed = at
+// Request queues a request of a client and returns its ticket, which Grant grants.
+func (s *FairScheduler) Request(name string) uint64 {
+	s.lastTicket++
+	request := waiter{ticket: s.lastTicket, name: name, lastServed: -1}
+	if at, known := s.lastServed[name]; known {
+		request.lastServed = at
 	}
-	i, _ := slices.BinarySearchFunc(t.queue, a, func(x, y waiter) int {
+	i, _ := slices.BinarySearchFunc(s.queue, request, func(x, y waiter) int {
 		return cmp.Or(cmp.Compare(x.lastServed, y.lastServed), cmp.Compare(x.ticket, y.ticket))
 	})
-	t.queue = slices.Insert(t.queue, i, a)
-	return a.ticket
+	s.queue = slices.Insert(s.queue, i, request)
+	return request.ticket
 }
 
-// Done gives a turn back, or an ask that was not granted yet.
-func (t *FairScheduler) Release(turn uint64) {
-	if _, held := t.active[turn]; held {
-		delete(t.active, turn)
+// Release returns a granted ticket, or withdraws a request that was not granted yet.
+func (s *FairScheduler) Release(ticket uint64) {
+	if _, granted := s.active[ticket]; granted {
+		delete(s.active, ticket)
 		return
 	}
-	t.queue = slices.DeleteFunc(t.queue, func(a waiter) bool { return a.ticket == turn })
+	s.queue = slices.DeleteFunc(s.queue, func(request waiter) bool { return request.ticket == ticket })
 }
 
-// Step grants what is free, and returns the turns granted and when to step again at
-// the latest, 0 if nobody waits.
-func (t *FairScheduler) Grant(now time.Duration) (granted []uint64, again time.Duration) {
-	for turn, since := range t.active {
-		if now-since >= t.maxHold {
-			delete(t.active, turn)
-			t.Overdue++
+// Grant grants free tickets to the waiting requests. It returns the tickets granted, and after
+// how long it must be called again at the latest, 0 if no request waits.
+func (s *FairScheduler) Grant(now time.Duration) (granted []uint64, again time.Duration) {
+	for ticket, since := range s.active {
+		if now-since >= s.maxHold {
+			delete(s.active, ticket)
+			s.Overdue++
 		}
 	}
-	for len(t.queue) > 0 && len(t.active) < t.limit {
-		a := t.queue[0]
-		t.queue = t.queue[1:]
-		t.active[a.ticket] = now
-		if _, known := t.lastServed[a.name]; known || len(t.lastServed) < maxServedNames {
-			t.lastServed[a.name] = now
+	for len(s.queue) > 0 && len(s.active) < s.limit {
+		request := s.queue[0]
+		s.queue = s.queue[1:]
+		s.active[request.ticket] = now
+		if _, known := s.lastServed[request.name]; known || len(s.lastServed) < maxServedNames {
+			s.lastServed[request.name] = now
 		}
-		granted = append(granted, a.ticket)
+		granted = append(granted, request.ticket)
 	}
-	if len(t.queue) == 0 {
-		t.queue = nil
+	if len(s.queue) == 0 {
+		s.queue = nil
 		return granted, 0
 	}
-	again = t.maxHold
-	for _, since := range t.active {
-		again = min(again, max(t.maxHold-(now-since), time.Millisecond))
+	again = s.maxHold
+	for _, since := range s.active {
+		again = min(again, max(s.maxHold-(now-since), time.Millisecond))
 	}
 	return granted, again
 }
 
-// Waiting is how many wait for a turn.
-func (t *FairScheduler) Waiting() int { return len(t.queue) }
+// Waiting returns the number of waiting requests.
+func (s *FairScheduler) Waiting() int { return len(s.queue) }
--- a/decide/recovery/registry.go
+++ b/decide/recovery/registry.go
@@ -2,93 +2,92 @@
 
 import "slices"
 
-// Witness keeps, for a control service, what nodes last said of their stores, so
-// that a node that comes back can be told what was heard of its name. It belongs to
-// one goroutine.
+// IncarnationRegistry keeps, for a control service, what nodes last reported about their
+// stores, so that a restarted node can be told what its earlier incarnation reported.
 type IncarnationRegistry struct {
 	nodes map[string]*storeHistory
 }
 
-// lives are what was heard under a name.
+// storeHistory is what was reported under one node name.
 type storeHistory struct {
-	Stores      []PreviousStore `json:"all"`    // by store, the highest that was heard of each, the latest last
-	Previous    PreviousStore   `json:"before"` // the life before it, as of its end
-	Incarnation uint64          `json:"inc"`    // of the present life
-	HasPrevious bool            `json:"had"`    // there was one before
+	Stores      []PreviousStore `json:"all"`    // the highest report of each store, the latest last
+	Previous    PreviousStore   `json:"before"` // of the previous incarnation, as of its last report
+	Incarnation uint64          `json:"inc"`    // the current one
+	HasPrevious bool            `json:"had"`    // whether Previous is set
 }
 
-// note takes what is said of a store. One that says less than was heard of it is an
-// older copy: it takes nothing back, and does not count as the latest that was heard.
-func (l *storeHistory) observe(h PreviousStore) {
-	if i := slices.IndexFunc(l.Stores, func(o PreviousStore) bool { return o.ID == h.ID }); i >= 0 {
-		if was := l.Stores[i]; h.Epoch < was.Epoch || h.Checkpoint < was.Checkpoint || h == was {
+// observe takes a report about a store. A report below the highest one of the same store comes
+// from an older copy: it changes nothing, and does not count as the latest.
+func (s *storeHistory) observe(store PreviousStore) {
+	if i := slices.IndexFunc(s.Stores, func(known PreviousStore) bool { return known.ID == store.ID }); i >= 0 {
+		if known := s.Stores[i]; store.Epoch < known.Epoch || store.Checkpoint < known.Checkpoint || store == known {
 			return
 		}
-		l.Stores = slices.Delete(l.Stores, i, i+1)
+		s.Stores = slices.Delete(s.Stores, i, i+1)
 	}
-	l.Stores = append(l.Stores, h)
-	if len(l.Stores) > maxStoresPerNode {
-		l.Stores = slices.Delete(l.Stores, 0, len(l.Stores)-maxStoresPerNode)
+	s.Stores = append(s.Stores, store)
+	if len(s.Stores) > maxStoresPerNode {
+		s.Stores = slices.Delete(s.Stores, 0, len(s.Stores)-maxStoresPerNode)
 	}
 }
 
 const (
 	maxRegisteredNodes = 20_000
-	maxStoresPerNode   = 8 // of a name whose last word is kept
+	maxStoresPerNode   = 8 // of one node name
 )
 
-// NewWitness returns a witness that has heard nothing.
+// NewIncarnationRegistry returns an empty registry.
 func NewIncarnationRegistry() *IncarnationRegistry {
 	return &IncarnationRegistry{nodes: map[string]*storeHistory{}}
 }
 
-// Said takes a node's word and returns what was heard of an earlier life, nil if
-// nothing was. An older incarnation changes nothing.
-func (w *IncarnationRegistry) Observe(name string, inc uint64, h PreviousStore) *PreviousStore {
-	l := w.nodes[name]
+// Observe takes a node's report and returns what its previous incarnation last reported, nil if
+// none did. A report of an older incarnation changes nothing.
+func (r *IncarnationRegistry) Observe(name string, incarnation uint64, store PreviousStore) *PreviousStore {
+	history := r.nodes[name]
 	switch {
-	case h.ID == "" || len(h.ID) > 64:
+	case store.ID == "" || len(store.ID) > 64:
 		return nil
-	case l == nil && len(w.nodes) >= maxRegisteredNodes:
+	case history == nil && len(r.nodes) >= maxRegisteredNodes:
 		return nil
-	case l == nil:
-		l = &storeHistory{Incarnation: inc}
-		w.nodes[name] = l
-		l.observe(h)
-	case inc > l.Incarnation:
-		l.Previous, l.Incarnation, l.HasPrevious = l.Stores[len(l.Stores)-1], inc, true
-		l.observe(h)
-	case inc == l.Incarnation:
-		l.observe(h)
+	case history == nil:
+		history = &storeHistory{Incarnation: incarnation}
+		r.nodes[name] = history
+		history.observe(store)
+	case incarnation > history.Incarnation:
+		history.Previous, history.Incarnation, history.HasPrevious = history.Stores[len(history.Stores)-1], incarnation, true
+		history.observe(store)
+	case incarnation == history.Incarnation:
+		history.observe(store)
 	}
-	if inc != l.Incarnation || !l.HasPrevious {
+	if incarnation != history.Incarnation || !history.HasPrevious {
 		return nil
 	}
-	out := l.Previous
+	out := history.Previous
 	return &out
 }
 
-// Saved is a witness as stored.
+// SavedRegistry is the stored form of an IncarnationRegistry.
 type SavedRegistry struct {
 	Names map[string]storeHistory `json:"names"`
 }
 
-// Save is what to store.
-func (w *IncarnationRegistry) Save() SavedRegistry {
-	s := SavedRegistry{Names: make(map[string]storeHistory, len(w.nodes))}
-	for name, l := range w.nodes {
-		c := *l
-		c.Stores = slices.Clone(l.Stores)
-		s.Names[name] = c
+// Save returns what to store.
+func (r *IncarnationRegistry) Save() SavedRegistry {
+	saved := SavedRegistry{Names: make(map[string]storeHistory, len(r.nodes))}
+	for name, history := range r.nodes {
+		copied := *history
+		copied.Stores = slices.Clone(history.Stores)
+		saved.Names[name] = copied
 	}
-	return s
+	return saved
 }
 
-// Restore takes up what was stored.
-func (w *IncarnationRegistry) Restore(s SavedRegistry) {
-	for name, l := range s.Names {
-		if len(w.nodes) < maxRegisteredNodes && len(l.Stores) > 0 && len(l.Stores) <= maxStoresPerNode {
-			w.nodes[name] = &l
+// Restore adds what was stored.
+func (r *IncarnationRegistry) Restore(saved SavedRegistry) {
+	for name, history := range saved.Names {
+		if len(r.nodes) < maxRegisteredNodes && len(history.Stores) > 0 && len(history.Stores) <= maxStoresPerNode {
+			r.nodes[name] = &history
 		}
 	}
 }
--- a/decide/recovery/snapshot.go
+++ b/decide/recovery/snapshot.go
@@ -1,6 +1,3 @@
-// This file owns how far a snapshot of what an earlier life learned is believed,
-// and when the evidence speaks against it.
-
 package recovery
 
 import (
@@ -11,24 +8,23 @@
 	"robinmast/rules"
 )
 
-// SnapshotVersion is of the snapshot's form. Another one is not read.
+// SnapshotVersion is the version of the snapshot format. Other versions are not read.
 const SnapshotVersion = 1
 
-// Tuned values of priors.
+// Parameters of snapshots and warm starts.
 const (
-	snapshotHalfLife    = 30 * time.Minute // in which a prior's weight halves: load and code change
-	maxSnapshotAge      = 12 * time.Hour   // and from which it has none
-	maxClockSkew        = 5 * time.Minute  // a snapshot from so far ahead was made by another clock
-	warmStartRuns       = 6                // runs that a prior is held against
-	maxRunTimeRatio     = 2.5              // times, either way, that they may differ from it: work varies
-	minSnapshotInterval = 5 * time.Second  // from one snapshot to the next
-	maxSnapshotInterval = time.Minute      // while what was learned hardly moves
-	significantChange   = 0.1              // that counts as moving
+	snapshotHalfLife    = 30 * time.Minute // half-life of a snapshot's weight: load and code change
+	maxSnapshotAge      = 12 * time.Hour   // older snapshots are not used
+	maxClockSkew        = 5 * time.Minute  // a snapshot from further in the future was taken by a wrong clock
+	warmStartRuns       = 6                // runs that a warm start is checked against
+	maxRunTimeRatio     = 2.5              // factor, either way, by which run times may differ from it: work varies
+	minSnapshotInterval = 5 * time.Second  // between snapshots
+	maxSnapshotInterval = time.Minute      // while the learned figures hardly change
+	significantChange   = 0.1              // relative change of a figure that counts
 )
 
-// Snapshot is what a life learned, as stored. Site and Machine are digests of what
-// the figures depend on: figures of another site or another kind of machine say
-// nothing here.
+// Snapshot is the stored form of what an incarnation learned. SettingsDigest and Machine name
+// what the figures depend on: those of other settings or another kind of machine do not apply.
 type Snapshot struct {
 	Version        int           `cbor:"1,keyasint"`
 	SettingsDigest uint64        `cbor:"2,keyasint"`
@@ -37,35 +33,35 @@
 	Learned        rules.Learned `cbor:"5,keyasint"`
 }
 
-// Weigh says how far a snapshot is to be believed, 0 to 1, and why not where it is
-// not. unix is the time now, in milliseconds.
-func SnapshotWeight(s *Snapshot, site uint64, machine string, classes int, unix int64) (weight float64, why string) {
-	age := time.Duration(unix-s.Taken) * time.Millisecond
+// SnapshotWeight returns how far a snapshot is trusted, 0 to 1, and the reason if the weight is
+// 0. unixMillis is the current Unix time.
+func SnapshotWeight(snapshot *Snapshot, settingsDigest uint64, machine string, classes int, unixMillis int64) (weight float64, why string) {
+	age := time.Duration(unixMillis-snapshot.Taken) * time.Millisecond
 	switch {
-	case s.Version != SnapshotVersion:
-		return 0, fmt.Sprintf("it has form %d, this program knows %d", s.Version, SnapshotVersion)
-	case s.SettingsDigest != site:
-		return 0, "the site's settings are others now"
-	case s.Machine != machine:
-		return 0, "it is of another kind of machine: " + s.Machine
-	case len(s.Learned.Classes) != classes || !plausible(&s.Learned):
-		return 0, "its figures make no sense"
+	case snapshot.Version != SnapshotVersion:
+		return 0, fmt.Sprintf("it has format %d, this program reads %d", snapshot.Version, SnapshotVersion)
+	case snapshot.SettingsDigest != settingsDigest:
+		return 0, "the settings have changed"
+	case snapshot.Machine != machine:
+		return 0, "it was taken on another kind of machine: " + snapshot.Machine
+	case len(snapshot.Learned.Classes) != classes || !plausible(&snapshot.Learned):
+		return 0, "its figures are implausible"
 	case age > maxSnapshotAge:
 		return 0, fmt.Sprintf("it is %v old", age.Round(time.Minute))
 	case age < -maxClockSkew:
-		return 0, "it is from the future: the clock is off"
+		return 0, "its time is in the future: a clock is wrong"
 	}
 	return math.Exp2(-max(age, 0).Seconds() / snapshotHalfLife.Seconds()), ""
 }
 
-// sound reports whether figures can be what a module learned.
-func plausible(l *rules.Learned) bool {
-	ok := func(x, most float64) bool { return x >= 0 && x <= most } // false for what is no number
-	if !ok(l.Limit, 1e6) || !ok(l.Rate, 1e7) {
+// plausible reports whether the figures can be what a decision module learned.
+func plausible(learned *rules.Learned) bool {
+	within := func(x, limit float64) bool { return x >= 0 && x <= limit } // false for NaN
+	if !within(learned.Limit, 1e6) || !within(learned.Rate, 1e7) {
 		return false
 	}
-	for _, c := range l.Classes {
-		if !ok(c.Mean, 3600) || !ok(c.Base, 3600) || !ok(c.Runs, math.MaxFloat64) || !ok(c.Hint, 3600) || !ok(c.Var, 1e8) ||
+	for _, c := range learned.Classes {
+		if !within(c.Mean, 3600) || !within(c.Base, 3600) || !within(c.Runs, math.MaxFloat64) || !within(c.Hint, 3600) || !within(c.Var, 1e8) ||
 			math.IsNaN(c.Cov) || math.Abs(c.Cov) > 1e8 {
 			return false
 		}
@@ -73,79 +69,80 @@
 	return true
 }
 
-// Prior is a snapshot that was taken up and is still doubted.
+// WarmStart checks a snapshot that is in use against the runs that follow.
 type WarmStart struct {
 	learned      rules.Learned
-	initialSpeed float64 // share of its usual speed that the node started at
+	initialSpeed float64 // share of its usual speed at which the node started
 	runs         int
-	logRatioSum  float64 // sum of the logarithms of took over expected
+	logRatioSum  float64 // sum of the logarithms of actual over expected run time
 	settled      bool
 }
 
-// NewPrior holds what was taken up against what is seen from now on; speed is what
-// Module.Prior was told.
-func NewWarmStart(l rules.Learned, speed float64) *WarmStart {
-	return &WarmStart{learned: l, initialSpeed: speed}
+// NewWarmStart returns a check of the learned figures; speed is the one that was passed to
+// rules.Module.WarmStart.
+func NewWarmStart(learned rules.Learned, speed float64) *WarmStart {
+	return &WarmStart{learned: learned, initialSpeed: speed}
 }
 
-// Ran takes the end of a run, with the share of its speed that the node should have
-// reached. It returns a reason once the evidence speaks against the prior; then, or
-// once it has stood, Settled reports true.
-func (p *WarmStart) ObserveRun(class int, took time.Duration, warm float64) (against string) {
-	if p.settled || class < 0 || class >= len(p.learned.Classes) || took <= 0 {
+// ObserveRun takes a finished run, with the share of its usual speed that the node should have
+// reached. It returns the reason if the runs contradict the snapshot, else "". After enough runs
+// Settled reports true, whatever the outcome.
+func (w *WarmStart) ObserveRun(class int, took time.Duration, speed float64) (reason string) {
+	if w.settled || class < 0 || class >= len(w.learned.Classes) || took <= 0 {
 		return ""
 	}
-	c := &p.learned.Classes[class]
+	c := &w.learned.Classes[class]
 	if c.Runs < 1 || c.Mean <= 0 {
 		return ""
 	}
-	p.runs++
-	p.logRatioSum += math.Log(took.Seconds() / (c.Mean / max(warm, p.initialSpeed, 1e-3)))
-	if p.runs < warmStartRuns {
+	w.runs++
+	w.logRatioSum += math.Log(took.Seconds() / (c.Mean / max(speed, w.initialSpeed, 1e-3)))
+	if w.runs < warmStartRuns {
 		return ""
 	}
-	p.settled = true
-	if times := math.Exp(p.logRatioSum / float64(p.runs)); times > maxRunTimeRatio || times < 1/maxRunTimeRatio {
-		return fmt.Sprintf("%d runs took %.1f times what it says", p.runs, times)
+	w.settled = true
+	if ratio := math.Exp(w.logRatioSum / float64(w.runs)); ratio > maxRunTimeRatio || ratio < 1/maxRunTimeRatio {
+		return fmt.Sprintf("%d runs took %.1f times as long as it predicts", w.runs, ratio)
 	}
 	return ""
 }
 
-// Settled reports whether the prior was held against enough runs.
-func (p *WarmStart) Settled() bool { return p.settled }
+// Settled reports whether the snapshot was checked against enough runs.
+func (w *WarmStart) Settled() bool { return w.settled }
 
-// Pace decides when a snapshot is worth storing: soon after what was learned moved,
-// seldom while it hardly does, never before it rests on anything.
+// SnapshotPacer decides when to store a snapshot: soon after the learned figures changed,
+// seldom while they hardly change, and never before they rest on enough runs.
 type SnapshotPacer struct {
 	lastStored time.Duration
 	last       rules.Learned
 	stored     bool
 }
 
-// Due reports whether to store a snapshot now; the caller then does.
-func (p *SnapshotPacer) Due(now time.Duration, l *rules.Learned) bool {
-	known := false
-	for _, c := range l.Classes {
-		known = known || c.Runs >= warmStartRuns
+// Due reports whether to store a snapshot now. The caller must then store it.
+func (p *SnapshotPacer) Due(now time.Duration, learned *rules.Learned) bool {
+	enoughRuns := false
+	for _, c := range learned.Classes {
+		enoughRuns = enoughRuns || c.Runs >= warmStartRuns
 	}
 	wait := maxSnapshotInterval
-	if changed(&p.last, l) {
+	if changed(&p.last, learned) {
 		wait = minSnapshotInterval
 	}
-	if !known || p.stored && now-p.lastStored < wait {
+	if !enoughRuns || p.stored && now-p.lastStored < wait {
 		return false
 	}
-	p.lastStored, p.stored, p.last = now, true, *l
+	p.lastStored, p.stored, p.last = now, true, *learned
 	return true
 }
 
+// changed reports whether the figures differ by more than significantChange.
 func changed(a, b *rules.Learned) bool {
-	far := func(x, y float64) bool { return math.Abs(x-y) > significantChange*max(math.Abs(x), math.Abs(y)) }
-	if len(a.Classes) != len(b.Classes) || far(a.Limit, b.Limit) || far(a.Rate, b.Rate) {
+	differs := func(x, y float64) bool { return math.Abs(x-y) > significantChange*max(math.Abs(x), math.Abs(y)) }
+	if len(a.Classes) != len(b.Classes) || differs(a.Limit, b.Limit) || differs(a.Rate, b.Rate) {
 		return true
 	}
 	for i := range a.Classes {
-		if far(a.Classes[i].Mean, b.Classes[i].Mean) {
+		if differs(a.Classes[i].Mean, b.Classes[i].Mean) {
 			return true
 		}
 	}
--- a/decide/recovery/startup.go
+++ b/decide/recovery/startup.go
@@ -1,14 +1,23 @@
-// Package comeback decides how a node and a fleet come back after most of it is
-// gone: in which state a node is from its start to full service and how much it asks
-// for there (this file), how far a snapshot of what was learned is believed
-// (prior.go), what of its stored state is in doubt (doubt.go), and what an event
-// looked like for the fleet (events.go). It must never do I/O, read a clock or log,
-// and never refuse what the node has room to finish: what it asks for only weighs
-// where callers have a choice.
+// Package recovery decides how a node, and a fleet that lost most of its nodes, return
+// to full service:
 //
-// Invariants, held by TestLifeProperties: states follow each other in their order and
-// none lasts for ever, whatever is missing; what is asked for lies within 0 and 1,
-// and is 1 in full service; the times of all states add up to the time to full service.
+//   - Startup tracks the state of a node from its start to full service, and the share
+//     of its usual load that it requests on the way.
+//   - WarmStart and SnapshotWeight decide how far a snapshot of learned figures is trusted.
+//   - StoreCheck decides whether the node's store is complete, and which requests are in
+//     doubt because an earlier incarnation may have run them.
+//   - IncarnationRegistry, EventDetector and FairScheduler serve the control service: what
+//     nodes last reported of their stores, events in which many nodes were lost, and the
+//     order in which reconnecting proxies get their configuration.
+//
+// The package does no I/O, reads no clock and writes no log; times are passed in. It never
+// refuses a request: the requested share only matters where callers have a choice of nodes.
+// Each type belongs to one goroutine at a time.
+//
+// Invariants of Startup, checked by TestStartupProperties: states follow each other in
+// their order, and each ends even if the input that it waits for never comes; the requested
+// share is within 0 and 1, and is 1 in full service; the durations of all states add up to
+// the time since the start of the process.
 package recovery
 
 import (
@@ -18,52 +27,52 @@
 	"time"
 )
 
-// State is where a node stands between its start and full service.
+// State is a step of a node between its start and full service.
 type State uint8
 
-// The states, in their order. What is allowed in each, and what ends it, stands in
-// docs/comeback.md.
+// The states, in their order. docs/comeback.md says what is allowed in each and what ends it.
 const (
-	Recovering State = iota // its store is read; it does not listen
-	Listening               // it listens, and its worker pool has not been heard: nothing runs
-	Probing                 // its first runs show how fast it is
-	Warming                 // it is slower than it will be
+	Recovering State = iota // reads its store; does not listen yet
+	Listening               // listens; the worker pool has not reported yet, so nothing runs
+	Probing                 // measures its speed by its first runs
+	Warming                 // slower than it will be
 	FullService
 	numStates
 )
 
 var stateNames = [numStates]string{"recovering", "listening", "proving", "warming", "full"}
 
+// String returns the published name of the state.
 func (s State) String() string { return stateNames[s] }
 
-// Tuned values of a life.
+// Parameters of Startup.
 const (
-	maxListening      = 20 * time.Second       // without a worker pool; then the wait for it is Proving's, which ends too
-	probeRunsPerCore  = 3                      // runs a core that show its speed
-	maxProbing        = 2 * time.Second        // without so many: nothing comes, so nothing is to be proved
-	minRequestedShare = 0.25                   // of its share that a node of unknown speed asks for at the least
-	warmSpeed         = 0.92                   // of its usual speed that counts as warm
-	warmDuration      = 300 * time.Millisecond // for so long
-	warmUpSlack       = time.Second            // beyond the ramp that the settings name
-	maxWarming        = 30 * time.Second       // whatever is measured
-	speedSmoothing    = 0.15                   // weight of a run in the speed
-	minSpeed          = 0.05                   // of its usual speed: a slower one still has to prove itself
-	minUsualRuns      = 3                      // runs of a class before its usual run is believed
-	scarceCapacity    = 0.6                    // of the fleet's usual room, under which all ask for all
-	capacityTTL       = 2500 * time.Millisecond
-	maxShareStep      = 0.2 // that what is asked for moves by in a step at most: callers swing
-	idleSeconds       = 1   // without an arrival after which a warming node's speed is the ramp's
+	maxListening      = 20 * time.Second        // without a worker pool; Probing, which also ends by time, then waits for it
+	probeRunsPerCore  = 3                       // completed runs per core after which the speed counts as measured
+	maxProbing        = 2 * time.Second         // with fewer runs: without requests there is nothing to measure
+	minRequestedShare = 0.25                    // of the usual share, requested while the speed is unknown or low
+	warmSpeed         = 0.92                    // share of the usual speed that counts as warm
+	warmDuration      = 300 * time.Millisecond  // for which the node must stay warm
+	warmUpSlack       = time.Second             // beyond the warm-up time of the settings
+	maxWarming        = 30 * time.Second        // whatever speed is measured
+	speedSmoothing    = 0.15                    // weight of a run in the smoothed speed
+	minSpeed          = 0.05                    // share of the usual speed; lower values are raised to it
+	minUsualRuns      = 3                       // runs of a class before its usual run time is trusted
+	scarceCapacity    = 0.6                     // share of the fleet's usual capacity below which every node requests its full share
+	capacityTTL       = 2500 * time.Millisecond // after which a reported fleet capacity is ignored
+	maxShareStep      = 0.2                     // largest increase of the requested share per step: callers shift load abruptly
+	idleSeconds       = 1                       // without an arrival after which the speed is that of the warm-up ramp
 )
 
-// LifeSettings are what a life depends on.
+// StartupSettings are the settings of a Startup.
 type StartupSettings struct {
 	Cores      int
-	ColdSpeed  float64       // least share of its speed that a cold pool starts at
-	WarmUpTime time.Duration // after which it is warm
-	UsualRuns  []float64     // seconds of a usual run by class, of an earlier life; 0 = not known
+	ColdSpeed  float64       // least share of the usual speed that a cold worker pool starts at
+	WarmUpTime time.Duration // after which a cold worker pool is warm
+	UsualRuns  []float64     // usual run time by class in seconds, from a snapshot; 0 = unknown
 }
 
-// Life is one node's way from its start to full service. It belongs to one goroutine.
+// Startup tracks one node from the start of its process to full service.
 type Startup struct {
 	settings     StartupSettings
 	processStart time.Duration
@@ -73,178 +82,178 @@
 
 	poolReported    bool
 	cold            bool
-	poolStart       time.Duration // when the worker pool came up
-	finishedRuns    int           // runs
-	speed           float64       // of its usual, smoothed; 0 = nothing is known
-	warmSince       time.Duration // since when it has been warm enough, -1 = it is not
-	lastArrival     time.Duration // the last arrival
+	poolStart       time.Duration // when the worker pool started
+	finishedRuns    int           // successful runs
+	speed           float64       // smoothed share of the usual speed; 0 = unknown
+	warmSince       time.Duration // since when the node has been warm, -1 = it is not
+	lastArrival     time.Duration
 	arrivals        int
-	furtherTries    int // of them, marked as further tries
+	furtherTries    int // arrivals marked as further tries
 	fleetShort      bool
-	fleetCapacity   float64 // of the fleet's usual, as told
+	fleetCapacity   float64 // reported share of the fleet's usual capacity; 0 = unknown
 	fleetCapacityAt time.Duration
 	requestedShare  float64
 }
 
-// NewLife returns the life of a process that began at that time and has now read its
-// store.
-func NewStartup(began, now time.Duration, set StartupSettings) *Startup {
-	l := &Startup{settings: set, processStart: began, stateSince: began, warmSince: -1, lastArrival: now}
-	l.settings.ColdSpeed = min(max(l.settings.ColdSpeed, minSpeed), 1)
-	l.enterState(now, Listening)
-	return l
+// NewStartup returns the Startup of a process that started at processStart and has read
+// its store by now.
+func NewStartup(processStart, now time.Duration, settings StartupSettings) *Startup {
+	s := &Startup{settings: settings, processStart: processStart, stateSince: processStart, warmSince: -1, lastArrival: now}
+	s.settings.ColdSpeed = min(max(s.settings.ColdSpeed, minSpeed), 1)
+	s.enterState(now, Listening)
+	return s
 }
 
-// turn begins a state.
-func (l *Startup) enterState(now time.Duration, s State) {
-	l.durations[l.state] += max(now-l.stateSince, 0)
-	l.state, l.stateSince = s, now
+// enterState ends the current state and begins s.
+func (s *Startup) enterState(now time.Duration, state State) {
+	s.durations[s.state] += max(now-s.stateSince, 0)
+	s.state, s.stateSince = state, now
 }
 
-// Bound takes the word that the worker pool is up, since when, and whether it began cold.
-func (l *Startup) WorkerPoolUp(now, since time.Duration, cold bool) {
-	if l.poolReported {
+// WorkerPoolUp reports that the worker pool is up, since when, and whether it started cold.
+func (s *Startup) WorkerPoolUp(now, since time.Duration, cold bool) {
+	if s.poolReported {
 		return
 	}
-	l.poolReported, l.cold, l.poolStart = true, cold, since
-	if l.state == Listening {
-		l.enterState(now, Probing)
+	s.poolReported, s.cold, s.poolStart = true, cold, since
+	if s.state == Listening {
+		s.enterState(now, Probing)
 	}
 }
 
-// Arrived takes a request; again marks a further try.
-func (l *Startup) Arrived(now time.Duration, again bool) {
-	l.lastArrival = now
-	if l.state == FullService {
+// Arrived reports the arrival of a request; furtherTry marks a further try.
+func (s *Startup) Arrived(now time.Duration, furtherTry bool) {
+	s.lastArrival = now
+	if s.state == FullService {
 		return
 	}
-	l.arrivals++
-	if again {
-		l.furtherTries++
+	s.arrivals++
+	if furtherTry {
+		s.furtherTries++
 	}
 }
 
-// Short takes whether all of the fleet is short: then everybody asks for all it can
-// do, and the last ones back are not left idle.
-func (l *Startup) FleetShortage(short bool) { l.fleetShort = short }
+// FleetShortage reports whether the whole fleet is short of capacity: then every node
+// requests its full share, so that the nodes that return last are not left idle.
+func (s *Startup) FleetShortage(short bool) { s.fleetShort = short }
 
-// Room takes the share of the fleet's usual room that is there, as of the time given:
-// while little of it is, everybody asks for all it can do.
-func (l *Startup) FleetCapacity(since time.Duration, share float64) {
-	if share > 0 && share <= 1 && since >= l.fleetCapacityAt { // what is no number is no word
-		l.fleetCapacity, l.fleetCapacityAt = share, since
+// FleetCapacity reports the share of the fleet's usual capacity that was there at the time
+// since. While it is low, every node requests its full share.
+func (s *Startup) FleetCapacity(since time.Duration, share float64) {
+	if share > 0 && share <= 1 && since >= s.fleetCapacityAt { // false for NaN
+		s.fleetCapacity, s.fleetCapacityAt = share, since
 	}
 }
 
-// scarce reports whether the fleet has little room, or none at all, for its load.
-func (l *Startup) capacityScarce(now time.Duration) bool {
-	return l.fleetShort || l.fleetCapacity > 0 && l.fleetCapacity < scarceCapacity && now-l.fleetCapacityAt < capacityTTL
+// capacityScarce reports whether the fleet has too little capacity for its load.
+func (s *Startup) capacityScarce(now time.Duration) bool {
+	return s.fleetShort || s.fleetCapacity > 0 && s.fleetCapacity < scarceCapacity && now-s.fleetCapacityAt < capacityTTL
 }
 
-// Ran takes the end of a run that went well: how long it took, and what a usual run
-// of its work takes on a warm core by its caller's hint, 0 = not told.
-func (l *Startup) RunSucceeded(_ time.Duration, class int, took, hint time.Duration) {
-	if l.state == FullService || took <= 0 {
+// RunSucceeded reports a successful run: how long it took, and the caller's hint of how long
+// its work takes on a warm core, 0 = no hint.
+func (s *Startup) RunSucceeded(_ time.Duration, class int, took, hint time.Duration) {
+	if s.state == FullService || took <= 0 {
 		return
 	}
-	l.finishedRuns++
+	s.finishedRuns++
 	usual := hint.Seconds()
-	if usual <= 0 && class >= 0 && class < len(l.settings.UsualRuns) {
-		usual = l.settings.UsualRuns[class]
+	if usual <= 0 && class >= 0 && class < len(s.settings.UsualRuns) {
+		usual = s.settings.UsualRuns[class]
 	}
 	if usual <= 0 {
 		return
 	}
-	x := min(usual/took.Seconds(), 1)
-	if l.speed == 0 {
-		l.speed = x
+	speed := min(usual/took.Seconds(), 1)
+	if s.speed == 0 {
+		s.speed = speed
 		return
 	}
-	l.speed += speedSmoothing * (x - l.speed)
+	s.speed += speedSmoothing * (speed - s.speed)
 }
 
-// Warm is the share of its usual speed that the node has reached: by the ramp of the
-// settings, and by its runs where they say less. Hints are rough and cores are
-// shared, so that runs never make it less than half of what the ramp says.
-func (l *Startup) Speed(now time.Duration) float64 {
+// Speed returns the share of its usual speed that the node has reached: by the warm-up ramp
+// of the settings, or by its runs if they are slower. Hints are rough and cores are shared,
+// so runs never lower it below half of the ramp's value.
+func (s *Startup) Speed(now time.Duration) float64 {
 	ramp := 1.0
-	if l.cold && l.settings.WarmUpTime > 0 {
-		ramp = min(1, l.settings.ColdSpeed+(1-l.settings.ColdSpeed)*max(now-l.poolStart, 0).Seconds()/l.settings.WarmUpTime.Seconds())
+	if s.cold && s.settings.WarmUpTime > 0 {
+		ramp = min(1, s.settings.ColdSpeed+(1-s.settings.ColdSpeed)*max(now-s.poolStart, 0).Seconds()/s.settings.WarmUpTime.Seconds())
 	}
-	if l.state == FullService {
+	if s.state == FullService {
 		return 1
 	}
-	if l.speed == 0 || now-l.lastArrival > idleSeconds*time.Second {
+	if s.speed == 0 || now-s.lastArrival > idleSeconds*time.Second {
 		return ramp
 	}
-	return min(ramp, max(l.speed, ramp/2, minSpeed))
+	return min(ramp, max(s.speed, ramp/2, minSpeed))
 }
 
-// Step moves the life on. It returns what the node asks for, as a share of what it
-// would in full service, and a line once it is there.
-func (l *Startup) Step(now time.Duration) (ask float64, line string) {
+// Step moves to the next state if the current one is over. It returns the share of its
+// full-service load that the node requests, and a log line when it reaches full service.
+func (s *Startup) Step(now time.Duration) (share float64, line string) {
 	switch {
-	case l.state == Listening && now-l.stateSince >= maxListening:
-		l.enterState(now, Probing)
-	case l.state == Probing && (l.finishedRuns >= probeRunsPerCore*max(l.settings.Cores, 1) || now-l.stateSince >= maxProbing):
-		l.enterState(now, Warming)
-	case l.state == Warming:
-		if l.Speed(now) < warmSpeed {
-			l.warmSince = -1
-		} else if l.warmSince < 0 {
-			l.warmSince = now
+	case s.state == Listening && now-s.stateSince >= maxListening:
+		s.enterState(now, Probing)
+	case s.state == Probing && (s.finishedRuns >= probeRunsPerCore*max(s.settings.Cores, 1) || now-s.stateSince >= maxProbing):
+		s.enterState(now, Warming)
+	case s.state == Warming:
+		if s.Speed(now) < warmSpeed {
+			s.warmSince = -1
+		} else if s.warmSince < 0 {
+			s.warmSince = now
 		}
-		most := min(l.settings.WarmUpTime+warmUpSlack, maxWarming)
-		if l.warmSince >= 0 && now-l.warmSince >= warmDuration || now-l.stateSince >= most {
-			l.enterState(now, FullService)
-			line = l.summary(now)
+		maxTime := min(s.settings.WarmUpTime+warmUpSlack, maxWarming)
+		if s.warmSince >= 0 && now-s.warmSince >= warmDuration || now-s.stateSince >= maxTime {
+			s.enterState(now, FullService)
+			line = s.summary(now)
 		}
 	}
 	want := 1.0
-	switch l.state {
+	switch s.state {
 	case Listening:
 		want = 0
 	case Probing:
-		want = max(min(l.Speed(now), l.settings.ColdSpeed), minRequestedShare)
+		want = max(min(s.Speed(now), s.settings.ColdSpeed), minRequestedShare)
 	case Warming:
-		want = max(l.Speed(now), minRequestedShare)
+		want = max(s.Speed(now), minRequestedShare)
 	}
-	if l.capacityScarce(now) && l.state > Listening {
+	if s.capacityScarce(now) && s.state > Listening {
 		want = 1
 	}
-	if l.state == FullService || want < l.requestedShare {
-		l.requestedShare = want
+	if s.state == FullService || want < s.requestedShare {
+		s.requestedShare = want
 	} else {
-		l.requestedShare = min(l.requestedShare+maxShareStep, want)
+		s.requestedShare = min(s.requestedShare+maxShareStep, want)
 	}
-	return l.requestedShare, line
+	return s.requestedShare, line
 }
 
-// line says how the way was.
-func (l *Startup) summary(now time.Duration) string {
+// summary describes the startup for the log.
+func (s *Startup) summary(now time.Duration) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "back in full service after %v:", (now - l.processStart).Round(time.Millisecond))
-	for s := Recovering; s < FullService; s++ {
-		fmt.Fprintf(&b, " %s %v,", s, l.durations[s].Round(time.Millisecond))
+	fmt.Fprintf(&b, "back in full service after %v:", (now - s.processStart).Round(time.Millisecond))
+	for state := Recovering; state < FullService; state++ {
+		fmt.Fprintf(&b, " %s %v,", state, s.durations[state].Round(time.Millisecond))
 	}
-	fmt.Fprintf(&b, " %d runs, tries a first try %.2f", l.finishedRuns, l.TriesPerRequest())
+	fmt.Fprintf(&b, " %d runs, %.2f tries per first try", s.finishedRuns, s.TriesPerRequest())
 	return b.String()
 }
 
-// Tries is how many tries came for each first one on the way.
-func (l *Startup) TriesPerRequest() float64 {
-	if l.arrivals == l.furtherTries {
+// TriesPerRequest returns the number of tries per first try until full service.
+func (s *Startup) TriesPerRequest() float64 {
+	if s.arrivals == s.furtherTries {
 		return 1
 	}
-	return math.Round(100*float64(l.arrivals)/float64(l.arrivals-l.furtherTries)) / 100
+	return math.Round(100*float64(s.arrivals)/float64(s.arrivals-s.furtherTries)) / 100
 }
 
-// State tells the state, and since when it lasts.
-func (l *Startup) State() (State, time.Duration) { return l.state, l.stateSince }
+// State returns the state and when it began.
+func (s *Startup) State() (State, time.Duration) { return s.state, s.stateSince }
 
-// Took tells how long each state has lasted.
-func (l *Startup) Durations(now time.Duration) (all [numStates]time.Duration) {
-	all = l.durations
-	all[l.state] += max(now-l.stateSince, 0)
+// Durations returns how long each state has lasted.
+func (s *Startup) Durations(now time.Duration) (all [numStates]time.Duration) {
+	all = s.durations
+	all[s.state] += max(now-s.stateSince, 0)
 	return all
 }
--- a/decide/recovery/storecheck.go
+++ b/decide/recovery/storecheck.go
@@ -1,6 +1,3 @@
-// This file owns what is believed of a node's own stored state: whether what it
-// remembers is all that it knew, and which requests are in doubt while it is not.
-
 package recovery
 
 import (
@@ -12,187 +9,192 @@
 	"robinmast/rules"
 )
 
-// Identity names a store and the life that uses it. It is stored durably before the
-// life answers anything.
+// Identity names a store and the incarnation of the node that uses it. It is stored durably
+// before that incarnation answers a request.
 type Identity struct {
-	ID            string `cbor:"1,keyasint" json:"id"`    // random, made with the store
-	Node          string `cbor:"2,keyasint" json:"-"`     // whose it is
-	Epoch         uint64 `cbor:"3,keyasint" json:"epoch"` // lives begun on it, this one counted
-	CompleteSince int64  `cbor:"4,keyasint" json:"-"`     // Unix ms from which on nothing is missing, 0 = from its begin
+	ID            string `cbor:"1,keyasint" json:"id"`    // random, created with the store
+	Node          string `cbor:"2,keyasint" json:"-"`     // the node that owns the store
+	Epoch         uint64 `cbor:"3,keyasint" json:"epoch"` // incarnations that used the store, this one included
+	CompleteSince int64  `cbor:"4,keyasint" json:"-"`     // Unix milliseconds; nothing later is missing; 0 = nothing is missing
 }
 
-// Heard is what somebody else last heard of this name from an earlier life.
+// PreviousStore is what a control service last received about the store of an earlier
+// incarnation of a node.
 type PreviousStore struct {
 	ID         string `json:"id"`
 	Epoch      uint64 `json:"epoch"`
-	Checkpoint uint64 `json:"mark"` // the last that the store was known to hold
+	Checkpoint uint64 `json:"mark"` // last checkpoint that the store was known to hold
 }
 
-// Mark is stored each second: how many there were, and how many keys the store held.
+// Checkpoint is stored each second, so that a store that lost keys can be recognised.
 type Checkpoint struct {
-	N    uint64 `cbor:"1,keyasint"`
-	Keys int    `cbor:"2,keyasint"`
+	N    uint64 `cbor:"1,keyasint"` // number of the checkpoint, counted over all incarnations
+	Keys int    `cbor:"2,keyasint"` // in the store
 }
 
-// Memory is how a node's memory stands.
+// Integrity says whether a node's store holds all that earlier incarnations stored.
 type Integrity uint8
 
-// The ways a memory may stand.
+// The values of Integrity.
 const (
-	Intact     Integrity = iota // nothing speaks against it
-	Unverified                  // the store is new, and nobody has said yet whether there was an earlier one
-	Incomplete                  // something that an earlier life knew is not there
+	Intact     Integrity = iota // no evidence of loss
+	Unverified                  // the store is new, and no control service has answered yet whether there was an earlier one
+	Incomplete                  // something that an earlier incarnation stored is missing
 )
 
 var integrityNames = [...]string{"whole", "unproven", "lost"}
 
+// String returns the published name.
 func (s Integrity) String() string { return integrityNames[s] }
 
-// Tuned values of doubt.
+// Parameters of StoreCheck.
 const (
-	previousStoreWait = 3 * time.Second // for a word on an earlier life: four reports; after it a new store counts as the first
-	poolAgeMargin     = time.Second     // a worker pool up for longer than the process by this has seen an earlier life
-	minKeyShare       = 0.9             // of the keys that the last mark counted must be there
-	maxMissingKeys    = 16              // or so many fewer: what the last second deleted
+	previousStoreWait = 3 * time.Second // wait for a report of an earlier incarnation, four reports long; then a new store counts as the first
+	poolAgeMargin     = time.Second     // a worker pool older than the process by this much served an earlier incarnation
+	minKeyShare       = 0.9             // share of the keys counted by the last checkpoint that must be there
+	maxMissingKeys    = 16              // may be missing beyond that: deleted since the last checkpoint
 
-	maxFirstTries = 1 << 15 // keys whose first try is remembered: beyond, their repeats are in doubt too
+	maxFirstTries = 1 << 15 // first tries recorded; repeats of further ones are in doubt too
 )
 
-// Found is what a start found in the node's folder.
+// FoundState is what a start found in the node's store.
 type FoundState struct {
-	Identity         Identity      // of this life
-	Created          bool          // the store was made by this life
-	Node             string        // whose it was before, "" where it was made
+	Identity         Identity      // of this incarnation
+	Created          bool          // the store was created by this incarnation
+	Node             string        // the node that owned the store before, "" if it was created now
 	Keys             int           // in the store
-	Checkpoint       Checkpoint    // the last one in the store
-	UnreadablePlaces int           // places of the files that can't be read
-	CompleteSince    time.Duration // from which on nothing is missing, by an earlier life; math.MinInt64 = from its begin
+	Checkpoint       Checkpoint    // the last in the store
+	UnreadablePlaces int           // damaged places in the files
+	CompleteSince    time.Duration // nothing later is missing, by an earlier incarnation; math.MinInt64 = nothing is missing
 }
 
-// Doubt decides on one node's stored state. Times count from the start of the
-// process, on the loop's clock; New takes that start. It belongs to one goroutine.
+// StoreCheck decides whether one node's store is complete, and which requests are in doubt.
+// All times are on the clock of the node's event loop.
 type StoreCheck struct {
 	found           FoundState
 	processStart    time.Duration
-	completeSince   time.Duration // nothing is missing from then on
+	completeSince   time.Duration // nothing stored later is missing
 	integrity       Integrity
 	reason          string
-	unverifiedUntil time.Duration // Unproven: for so long
-	pendingAnswers  int           // who have not answered yet
+	unverifiedUntil time.Duration // end of Unverified
+	pendingAnswers  int           // control services that have not answered yet
 
-	firstTries map[uint64]struct{} // keys whose first try came to this life, while there is doubt
+	firstTries map[uint64]struct{} // keys whose first try reached this incarnation, while the store is in doubt
 
-	InDoubt int // requests that were in doubt
+	InDoubt int // number of requests that were in doubt
 }
 
-// NewDoubt judges what a start found; asked is how many can be asked for earlier lives.
-func NewStoreCheck(start time.Duration, f FoundState, asked int) *StoreCheck {
-	d := &StoreCheck{found: f, processStart: start, completeSince: f.CompleteSince, pendingAnswers: asked}
+// NewStoreCheck evaluates what a start found. pendingAnswers is the number of control services
+// that can be asked for earlier incarnations.
+func NewStoreCheck(processStart time.Duration, found FoundState, pendingAnswers int) *StoreCheck {
+	c := &StoreCheck{found: found, processStart: processStart, completeSince: found.CompleteSince, pendingAnswers: pendingAnswers}
 	switch {
-	case f.Node != "" && f.Node != f.Identity.Node:
-		d.markIncomplete("the folder is that of " + f.Node)
-	case f.UnreadablePlaces > 0:
-		d.markIncomplete(fmt.Sprintf("%d places of its files can't be read", f.UnreadablePlaces))
-	case float64(f.Keys) < minKeyShare*float64(f.Checkpoint.Keys)-maxMissingKeys:
-		d.markIncomplete(fmt.Sprintf("it has %d keys, the last life counted %d", f.Keys, f.Checkpoint.Keys))
-	case f.Created && asked > 0:
-		d.integrity, d.unverifiedUntil, d.reason = Unverified, start+previousStoreWait, "the folder was empty"
+	case found.Node != "" && found.Node != found.Identity.Node:
+		c.markIncomplete("the folder is that of " + found.Node)
+	case found.UnreadablePlaces > 0:
+		c.markIncomplete(fmt.Sprintf("%d places in its files are unreadable", found.UnreadablePlaces))
+	case float64(found.Keys) < minKeyShare*float64(found.Checkpoint.Keys)-maxMissingKeys:
+		c.markIncomplete(fmt.Sprintf("it has %d keys, the previous incarnation counted %d", found.Keys, found.Checkpoint.Keys))
+	case found.Created && pendingAnswers > 0:
+		c.integrity, c.unverifiedUntil, c.reason = Unverified, processStart+previousStoreWait, "the folder was empty"
 	}
-	return d
+	return c
 }
 
-func (d *StoreCheck) markIncomplete(why string) {
-	d.integrity, d.reason, d.completeSince = Incomplete, why, d.processStart
+func (c *StoreCheck) markIncomplete(reason string) {
+	c.integrity, c.reason, c.completeSince = Incomplete, reason, c.processStart
 }
 
-// Since is the time from which on nothing is missing: to be stored, so that a life
-// that comes soon doubts the same. When it changes the store is to have a new ID: its
-// marks go on from a copy's, and are no longer those that were heard.
-func (d *StoreCheck) CompleteSince() time.Duration { return d.completeSince }
-
-// Heard takes what was last heard of this name from an earlier life, nil where the
-// one asked knows of none. It returns a line where that changed what is believed.
-func (d *StoreCheck) ObservePrevious(now time.Duration, h *PreviousStore) string {
-	d.pendingAnswers--
-	if h == nil {
-		if d.integrity == Unverified && d.pendingAnswers <= 0 { // who was asked knows of no earlier life: as far as is known this is the first
-			d.integrity, d.reason = Intact, ""
-			return "no earlier life of this node is known: its empty memory is whole"
+// CompleteSince returns the time after which nothing is missing. It must be stored, so that an
+// incarnation that follows soon holds the same requests in doubt. When it changes, the store
+// needs a new ID: its checkpoints continue those of a copy, and are no longer those that the
+// control services received.
+func (c *StoreCheck) CompleteSince() time.Duration { return c.completeSince }
+
+// ObservePrevious takes what one control service received from an earlier incarnation, nil if
+// it knows of none. It returns a log line if that changed the integrity, else "".
+func (c *StoreCheck) ObservePrevious(now time.Duration, previous *PreviousStore) string {
+	c.pendingAnswers--
+	if previous == nil {
+		if c.integrity == Unverified && c.pendingAnswers <= 0 { // as far as is known this is the first incarnation
+			c.integrity, c.reason = Intact, ""
+			return "no earlier incarnation of this node is known: its empty store is complete"
 		}
 		return ""
 	}
-	if d.integrity == Incomplete {
+	if c.integrity == Incomplete {
 		return ""
 	}
 	switch {
-	case h.ID != d.found.Identity.ID && d.found.Created:
-		d.markIncomplete("the folder was empty, and an earlier life was heard")
-	case h.ID != d.found.Identity.ID:
-		d.markIncomplete("an earlier life was heard with another store")
-	case h.Epoch >= d.found.Identity.Epoch:
-		d.markIncomplete(fmt.Sprintf("life %d was heard, and this is life %d of the store: it is an older copy", h.Epoch, d.found.Identity.Epoch))
-	case h.Checkpoint > d.found.Checkpoint.N:
-		d.markIncomplete(fmt.Sprintf("mark %d was heard, and the store has %d: it is an older copy", h.Checkpoint, d.found.Checkpoint.N))
+	case previous.ID != c.found.Identity.ID && c.found.Created:
+		c.markIncomplete("the folder was empty, and an earlier life was heard")
+	case previous.ID != c.found.Identity.ID:
+		c.markIncomplete("an earlier life was heard with another store")
+	case previous.Epoch >= c.found.Identity.Epoch:
+		c.markIncomplete(fmt.Sprintf("incarnation %d was reported, and this is incarnation %d of the store: it is an older copy", previous.Epoch, c.found.Identity.Epoch))
+	case previous.Checkpoint > c.found.Checkpoint.N:
+		c.markIncomplete(fmt.Sprintf("checkpoint %d was reported, and the store has %d: it is an older copy", previous.Checkpoint, c.found.Checkpoint.N))
 	default:
-		d.integrity, d.reason = Intact, ""
+		c.integrity, c.reason = Intact, ""
 		return ""
 	}
-	return d.Describe()
+	return c.Describe()
 }
 
-// Pool takes since when the worker pool is up. One that saw an earlier life of the
-// node says that there was one.
-func (d *StoreCheck) WorkerPoolUp(up time.Duration) string {
-	if d.found.Created && d.integrity != Incomplete && up+poolAgeMargin < d.processStart {
-		d.markIncomplete("the folder was empty, and the worker pool is older than the node")
-		return d.Describe()
+// WorkerPoolUp reports since when the worker pool is up. A pool that is older than the process
+// served an earlier incarnation, so an empty store has lost something. It returns a log line if
+// that changed the integrity, else "".
+func (c *StoreCheck) WorkerPoolUp(since time.Duration) string {
+	if c.found.Created && c.integrity != Incomplete && since+poolAgeMargin < c.processStart {
+		c.markIncomplete("the folder was empty, and the worker pool is older than the node")
+		return c.Describe()
 	}
 	return ""
 }
 
-// Line says how the memory stands, for people.
-func (d *StoreCheck) Describe() string {
-	return fmt.Sprintf("memory %s: %s; repeats of keyed and unsafe work from before the start are in doubt", d.integrity, cmp.Or(d.reason, "-"))
+// Describe returns the integrity and its reason as a log line.
+func (c *StoreCheck) Describe() string {
+	return fmt.Sprintf("memory %s: %s; repeats of keyed and unsafe work from before the start are in doubt", c.integrity, cmp.Or(c.reason, "-"))
 }
 
-// State tells how the memory stands now, and why.
-func (d *StoreCheck) Integrity(now time.Duration) (Integrity, string) {
-	if d.integrity == Unverified && now >= d.unverifiedUntil { // nobody said a word: what can't be known is on the operators' page
-		d.integrity, d.reason = Intact, ""
+// Integrity returns the integrity of the store now, and the reason if it is not Intact.
+func (c *StoreCheck) Integrity(now time.Duration) (Integrity, string) {
+	if c.integrity == Unverified && now >= c.unverifiedUntil { // no answer: the operators' page says what cannot be known
+		c.integrity, c.reason = Intact, ""
 	}
-	return d.integrity, d.reason
+	return c.integrity, c.reason
 }
 
-// Asks reports whether a request of which nothing is remembered may have run in an
-// earlier life: it is a further try, or came to the machine before the start, its
-// effect matters, and a first try from before the start could still be repeated.
-// window is how long after the first try a repeat may come; key links tries, 0 = none
-// does; age counts since the request reached the machine.
-func (d *StoreCheck) MayHaveRun(now time.Duration, effect rules.Effect, window time.Duration, key uint64, again bool, age time.Duration) bool {
+// MayHaveRun reports whether a request without a record may have run in an earlier
+// incarnation: its class is keyed or unsafe, it is a further try or reached the machine before
+// the start, and a first try from before the start could still be repeated. window is how long
+// after the first try a repeat may come; key links the tries of a request, 0 = nothing does;
+// age is the time since the request reached the machine.
+func (c *StoreCheck) MayHaveRun(now time.Duration, effect rules.Effect, window time.Duration, key uint64, furtherTry bool, age time.Duration) bool {
 	if effect == rules.Safe {
 		return false
 	}
-	since := d.completeSince
-	if s, _ := d.Integrity(now); s == Unverified {
-		since = d.processStart
+	since := c.completeSince
+	if integrity, _ := c.Integrity(now); integrity == Unverified {
+		since = c.processStart
 	}
-	asked := now - age
+	arrived := now - age
 	switch {
-	case since == math.MinInt64 || asked-window >= since:
+	case since == math.MinInt64 || arrived-window >= since:
 		return false
-	case !again && asked >= since:
-		if key != 0 && len(d.firstTries) < maxFirstTries {
-			if d.firstTries == nil {
-				d.firstTries = map[uint64]struct{}{}
+	case !furtherTry && arrived >= since:
+		if key != 0 && len(c.firstTries) < maxFirstTries {
+			if c.firstTries == nil {
+				c.firstTries = map[uint64]struct{}{}
 			}
-			d.firstTries[key] = struct{}{}
+			c.firstTries[key] = struct{}{}
 		}
 		return false
-	case again && key != 0:
-		if _, here := d.firstTries[key]; here { // its first try came to this life
+	case furtherTry && key != 0:
+		if _, here := c.firstTries[key]; here { // its first try reached this incarnation
 			return false
 		}
 	}
-	d.InDoubt++
+	c.InDoubt++
 	return true
 }
--- a/decide/resultcache/clock.go
+++ b/decide/resultcache/clock.go
@@ -1,62 +1,62 @@
-// This file owns the module's own Unix time, by which entries age. It runs on
-// the node's monotonic clock while the node lives, so that no step of the wall
-// clock touches it, and is carried across a restart by what is known of the time
-// between. It must never run backwards.
-
 package resultcache
 
 import "time"
 
-// SaveEvery is how often the mark has to be stored: what is known of the clock
-// is never older than this.
+// CheckpointInterval is how often the clock's checkpoint has to be stored. A checkpoint found at
+// a start is at most this much older than the end of the previous incarnation.
 const CheckpointInterval = time.Second
 
-// Mark is what is stored of the clocks, to be found at the next start.
+// ClockCheckpoint is the stored state of the clocks, for the next start. It is stored as CBOR
+// under its field names.
 type ClockCheckpoint struct {
-	Unix int64  // the module's own time, milliseconds
+	Unix int64  // the module's time, milliseconds
 	Wall int64  // the wall clock, Unix milliseconds
-	Boot string // names the machine's start, "" = not known
-	Up   int64  // since that start, milliseconds
+	Boot string // identifies the boot of the machine, "" = unknown
+	Up   int64  // time since that boot, milliseconds
 }
 
-// Reading is what the clocks say at a start.
+// ClockReading is a reading of the clocks.
 type ClockReading struct {
-	Wall int64
-	Boot string
-	Up   int64
+	Wall int64  // the wall clock, Unix milliseconds
+	Boot string // identifies the boot of the machine, "" = unknown
+	Up   int64  // time since that boot, milliseconds
 }
 
-// Step is how the time between two lives was told.
+// ClockStep is how the time between two incarnations was determined.
 type ClockStep uint8
 
-// The ways.
+// The values of ClockStep.
 const (
-	NoCheckpoint        ClockStep = iota // nothing was known
-	SameBoot                             // by the machine's own clock: exact
+	NoCheckpoint        ClockStep = iota // no checkpoint was stored
+	SameBoot                             // by the machine's time since boot: exact
 	WallClock                            // by the wall clock
-	WallBackWithinSlack                  // the wall clock went back by up to the slack: no time passed
-	WallBackTooFar                       // it went back further: nobody knows
+	WallBackWithinSlack                  // the wall clock went back by no more than Settings.ClockSlack: taken as no time
+	WallBackTooFar                       // the wall clock went back further: the time is unknown
 )
 
+// String returns the name of the step in log lines.
 func (s ClockStep) String() string {
 	return [...]string{"first", "same_boot", "by_wall", "back_within_slack", "doubtful"}[s]
 }
 
-// clock is the module's time: base is Unix milliseconds at a monotonic zero.
+// clock is the module's Unix time, by which records expire. It follows the node's monotonic clock,
+// so that steps of the wall clock do not affect it, is carried across a restart by a
+// ClockCheckpoint, and never runs backwards.
 type clock struct {
-	base      int64
-	uncertain bool
+	base      int64 // Unix milliseconds at the monotonic clock's zero
+	uncertain bool  // the time since the previous incarnation is unknown
 }
 
-// Begin sets the module's time from what the last life stored, nil if nothing.
-// It must come before anything else.
-func (m *Module) StartClock(now time.Duration, r ClockReading, was *ClockCheckpoint) (ClockStep, time.Duration) {
-	step, unix := NoCheckpoint, r.Wall
-	if was != nil {
-		passed := r.Wall - was.Wall
+// StartClock sets the module's time from the checkpoint that the previous incarnation stored, nil
+// if there is none. It returns how it did so, and the time since that checkpoint. It must be called
+// before any other method.
+func (m *Module) StartClock(now time.Duration, reading ClockReading, previous *ClockCheckpoint) (ClockStep, time.Duration) {
+	step, unix := NoCheckpoint, reading.Wall
+	if previous != nil {
+		passed := reading.Wall - previous.Wall
 		switch {
-		case was.Boot != "" && was.Boot == r.Boot && r.Up >= was.Up:
-			step, passed = SameBoot, r.Up-was.Up
+		case previous.Boot != "" && previous.Boot == reading.Boot && reading.Up >= previous.Up:
+			step, passed = SameBoot, reading.Up-previous.Up
 		case passed >= 0:
 			step = WallClock
 		case -passed <= m.settings.ClockSlack.Milliseconds():
@@ -64,22 +64,22 @@
 		default:
 			step = WallBackTooFar
 		}
-		if step != SameBoot { // the last life went on for up to this after its last mark
+		if step != SameBoot { // the previous incarnation ran for up to this after its last checkpoint
 			passed = max(passed, CheckpointInterval.Milliseconds())
 		}
-		unix = was.Unix + passed
+		unix = previous.Unix + passed
 	}
 	m.clock = clock{base: unix - now.Milliseconds(), uncertain: step == WallBackTooFar}
-	if was == nil {
+	if previous == nil {
 		return step, 0
 	}
-	return step, time.Duration(unix-was.Unix) * time.Millisecond
+	return step, time.Duration(unix-previous.Unix) * time.Millisecond
 }
 
-// Unix is the module's time, in Unix milliseconds.
+// Unix returns the module's time in Unix milliseconds.
 func (m *Module) Unix(now time.Duration) int64 { return m.clock.base + now.Milliseconds() }
 
-// Mark is what to store now.
-func (m *Module) Checkpoint(now time.Duration, r ClockReading) ClockCheckpoint {
-	return ClockCheckpoint{Unix: m.Unix(now), Wall: r.Wall, Boot: r.Boot, Up: r.Up}
+// Checkpoint returns what to store now.
+func (m *Module) Checkpoint(now time.Duration, reading ClockReading) ClockCheckpoint {
+	return ClockCheckpoint{Unix: m.Unix(now), Wall: reading.Wall, Boot: reading.Boot, Up: reading.Up}
 }
--- a/decide/resultcache/expiryheap.go
+++ b/decide/resultcache/expiryheap.go
@@ -2,69 +2,74 @@
 
 import "container/heap"
 
-// ages is a heap of entries by expiry. Entries that left may linger in those
-// that note no places, until they come up or outnumber what is held.
+// expiryHeap is a heap of records by expiry. A heap without setPosition keeps removed records
+// until they reach its top or outnumber the records of the module.
 type expiryHeap struct {
 	items       []*indexedRecord
 	setPosition func(*indexedRecord, int)
 }
 
-func (a *expiryHeap) Len() int { return len(a.items) }
-func (a *expiryHeap) Less(i, j int) bool {
-	if a.items[i].Expires != a.items[j].Expires {
-		return a.items[i].Expires < a.items[j].Expires
+// Len implements heap.Interface.
+func (h *expiryHeap) Len() int { return len(h.items) }
+
+// Less implements heap.Interface.
+func (h *expiryHeap) Less(i, j int) bool {
+	if h.items[i].Expires != h.items[j].Expires {
+		return h.items[i].Expires < h.items[j].Expires
 	}
-	return a.items[i].key < a.items[j].key
+	return h.items[i].key < h.items[j].key
 }
 
-func (a *expiryHeap) Swap(i, j int) {
-	a.items[i], a.items[j] = a.items[j], a.items[i]
-	if a.setPosition != nil {
-		a.setPosition(a.items[i], i)
-		a.setPosition(a.items[j], j)
+// Swap implements heap.Interface.
+func (h *expiryHeap) Swap(i, j int) {
+	h.items[i], h.items[j] = h.items[j], h.items[i]
+	if h.setPosition != nil {
+		h.setPosition(h.items[i], i)
+		h.setPosition(h.items[j], j)
 	}
 }
 
-// Push is for container/heap.
-func (a *expiryHeap) Push(x any) {
-	h := x.(*indexedRecord)
-	if a.setPosition != nil {
-		a.setPosition(h, len(a.items))
+// Push implements heap.Interface.
+func (h *expiryHeap) Push(x any) {
+	record := x.(*indexedRecord)
+	if h.setPosition != nil {
+		h.setPosition(record, len(h.items))
 	}
-	a.items = append(a.items, h)
+	h.items = append(h.items, record)
 }
 
-// Pop is for container/heap.
-func (a *expiryHeap) Pop() any {
-	h := a.items[len(a.items)-1]
-	a.items[len(a.items)-1] = nil
-	a.items = a.items[:len(a.items)-1]
-	return h
+// Pop implements heap.Interface.
+func (h *expiryHeap) Pop() any {
+	record := h.items[len(h.items)-1]
+	h.items[len(h.items)-1] = nil
+	h.items = h.items[:len(h.items)-1]
+	return record
 }
 
-// first is the entry that expires soonest, nil if there is none.
-func (a *expiryHeap) peek() *indexedRecord {
-	for len(a.items) > 0 {
-		if h := a.items[0]; h.position >= 0 {
-			return h
+// peek returns the record that expires first, nil if there is none.
+func (h *expiryHeap) peek() *indexedRecord {
+	for len(h.items) > 0 {
+		if record := h.items[0]; record.position >= 0 {
+			return record
 		}
-		heap.Pop(a)
+		heap.Pop(h)
 	}
 	return nil
 }
 
-// trim throws out entries that left, once they are most of the heap.
-func (a *expiryHeap) compact(live int) {
-	if len(a.items) < 2*live+64 {
+// compact discards removed records once they are most of the heap; live is the number of
+// records of the module.
+func (h *expiryHeap) compact(live int) {
+	if len(h.items) < 2*live+64 {
 		return
 	}
-	kept := a.items[:0]
-	for _, h := range a.items {
-		if h.position >= 0 {
-			kept = append(kept, h)
+	kept := h.items[:0]
+	for _, record := range h.items {
+		if record.position >= 0 {
+			kept = append(kept, record)
 		}
 	}
-	clear(a.items[len(kept):])
-	a.items = kept
-	heap.Init(a)
+	clear(h.items[len(kept):])
+	h.items = kept
+	heap.Init(h)
 }
--- a/decide/resultcache/module.go
+++ b/decide/resultcache/module.go
@@ -1,13 +1,15 @@
-// Package recall decides what is remembered across restarts: what gets an
-// intent before its run and a result after, what a repeat is told after a
-// restart, what ages out, what leaves first when a bound is met, and what a
-// change of the settings or a clock that jumped means. It holds no results,
-// only what is known of them. It must never do I/O, read a clock or log.
+// Package resultcache decides which runs are recorded across restarts of the node: which requests
+// need a stored intent before their run and a stored result after it, how a repeat of a recorded
+// request is answered after a restart, when records expire, which are evicted first when a bound is
+// reached, and what a change of the settings or a step of the wall clock means for them. It holds
+// the records, not the results themselves.
 //
-// Invariants, held by TestInvariants: the entries never pass the bounds; no
-// keyed entry leaves before its window is over, at worst its result does; an
-// entry never outlives its window by more than Settings.Slack, and never comes
-// back once it aged out.
+// The package does no I/O, reads no clock and writes no log; times are passed in. A Module belongs
+// to one goroutine.
+//
+// Invariants, checked by TestInvariants: the records never exceed the bounds; no keyed record is
+// evicted before its window is over, at worst its result is; a record never outlives its window by
+// more than Settings.ClockSlack, and never comes back once it expired.
 package resultcache
 
 import (
@@ -18,324 +20,325 @@
 	"robinmast/rules"
 )
 
-// Class is what the settings say of a class, by name.
+// Class holds the settings of a request class.
 type Class struct {
 	Effect rules.Effect
 	Window time.Duration // Keyed: how long after reaching the machine a repeat may come
 }
 
-// Settings are the module's. Bounds of 0 hold nothing.
+// Settings are the settings of a Module. With a bound of 0 nothing is recorded.
 type Settings struct {
 	Classes          map[string]Class
-	Tenants          map[string]bool // empty = there are none
-	ReadFreshness    time.Duration   // how long a read's result may be given again, 0 = never
-	MaxBytes         int64           // most bytes of keys and results
+	Tenants          map[string]bool // the known tenants, empty = no tenants are used
+	ReadFreshness    time.Duration   // how long the result of a read may be reused, 0 = never
+	MaxBytes         int64           // bound on the bytes of keys and results
 	MaxRecords       int
-	ClockSlack       time.Duration // how far the wall clock may be off across a restart
-	FailUnknownReads bool          // reads cut off by a crash fail instead of running again
-	RecordUnsafe     bool          // intents for work that may run at most once
+	ClockSlack       time.Duration // how far the wall clock may be wrong across a restart
+	FailUnknownReads bool          // repeats of reads that a crash interrupted fail instead of running again
+	RecordUnsafe     bool          // store intents for unsafe work, which may run at most once
 }
 
-// Kind is what is known of a run.
+// Kind is what a record says about a run.
 type Kind uint8
 
-// The kinds of entries. They are stored: never renumber.
+// The kinds of records. They are stored: never renumber them.
 const (
-	Intent        Kind = 1 // it may have run; nothing is known of its end
+	Intent        Kind = 1 // it may have run; its end is unknown
 	Result        Kind = 2 // it ran, and its result is stored
 	Failed        Kind = 3 // it ran and failed
-	ResultEvicted Kind = 4 // it ran, and its result had to leave
+	ResultEvicted Kind = 4 // it ran, and its result was evicted
 )
 
-// ID names what the tries of a request have in common. Results never cross
-// tenants or classes.
+// RequestKey identifies all tries of a request. Results are never shared between tenants or
+// classes.
 type RequestKey struct {
 	Class, Tenant string
-	Name          string // the key of a keyed request, the item of a read, the run of an unsafe one
+	Name          string // the idempotency key of a keyed request, the item of a read, the run of an unsafe one
 }
 
-// Key is the ID as one text; no two IDs share one.
-func (id RequestKey) Text() string {
-	return keyEscaper.Replace(id.Class) + "/" + keyEscaper.Replace(id.Tenant) + "/" + id.Name
+// Text returns the key as one text, which is different for different keys.
+func (k RequestKey) Text() string {
+	return keyEscaper.Replace(k.Class) + "/" + keyEscaper.Replace(k.Tenant) + "/" + k.Name
 }
 
 var keyEscaper = strings.NewReplacer("%", "%25", "/", "%2F")
 
-// Entry is what is known of a run. Times are Unix milliseconds by Module.Unix.
+// Record is what is known about a run. Times are Unix milliseconds by Module.Unix.
 type Record struct {
 	RequestKey
 	Kind    Kind
-	Effect  rules.Effect // as the class had it
-	Run     string       // the run's name at the worker pool
-	Arrived int64        // when it reached the machine
-	Window  int64        // Keyed: its class's window then, milliseconds
+	Effect  rules.Effect // the effect that the class had then
+	Run     string       // name of the run at the worker pool
+	Arrived int64        // when the request reached the machine
+	Window  int64        // Keyed: the window that the class had then, milliseconds
 	Expires int64
 	Size    int64 // of the result, bytes
 }
 
-// overhead is what an entry takes besides its names and its result, in bytes.
+// recordOverhead is what a record takes besides its names and its result, in bytes.
 const recordOverhead = 128
 
-func (e *Record) bytes() int64 {
-	return recordOverhead + e.Size + int64(len(e.Class)+len(e.Tenant)+len(e.Name)+len(e.Run))
+// bytes returns what the record and its result take.
+func (r *Record) bytes() int64 {
+	return recordOverhead + r.Size + int64(len(r.Class)+len(r.Tenant)+len(r.Name)+len(r.Run))
 }
 
-// Verdict is what a repeat of a remembered request is told after a restart.
+// RepeatAction is how a repeat of a recorded request is handled after a restart.
 type RepeatAction uint8
 
-// The verdicts.
+// The values of RepeatAction.
 const (
-	RunAgain      RepeatAction = iota // nothing speaks against a run
-	WaitForRun                        // its run may still go on: wait for its end
-	AnswerEarlier                     // the earlier answer
-	FailRepeat                        // it ran, or may have, and there is no result
+	RunAgain      RepeatAction = iota // it may run
+	WaitForRun                        // the earlier run may still be in progress: wait for its end
+	AnswerEarlier                     // answer with the stored result
+	FailRepeat                        // it ran, or may have run, and there is no result
 )
 
-// Drop says why an entry was not taken over at a start.
+// DropReason is why a record was not restored at a start.
 type DropReason uint8
 
-// The reasons. Kept is none.
+// The reasons. Kept means that the record was restored.
 const (
 	Kept             DropReason = iota
-	Expired                     // its time is over
-	ClassRemoved                // the settings no longer have its class
-	TenantRemoved               // or its tenant
-	EffectChanged               // its class has another effect now: nothing it said holds
-	NoRoom                      // the bounds are smaller now
-	UnsafeReported              // unsafe work that may have run: told once, nothing can repeat it
-	PossiblyOutdated            // a read's, and its newest record may be lost
+	Expired                     // its lifetime is over
+	ClassRemoved                // its class is no longer in the settings
+	TenantRemoved               // its tenant is no longer in the settings
+	EffectChanged               // its class has another effect now, so the record no longer applies
+	NoRoom                      // it does not fit into the bounds
+	UnsafeReported              // unsafe work that may have run: reported once, as nothing can repeat it
+	PossiblyOutdated            // of a read, and a newer record may be lost
 	numDropReasons
 )
 
 var dropReasonNames = [numDropReasons]string{"kept", "aged", "class_gone", "tenant_gone", "effect_changed", "no_room", "unsafe_unknown", "outdated"}
 
+// String returns the name of the reason in log lines.
 func (d DropReason) String() string { return dropReasonNames[d] }
 
-// held is an entry in the module.
+// indexedRecord is a record in a Module.
 type indexedRecord struct {
 	Record
 	key      string
-	position int // in the heap, -1 = not there
+	position int // in Module.byExpiry, -1 = removed
 }
 
-// Module decides what is remembered. It belongs to one goroutine.
+// Module decides what is recorded.
 type Module struct {
 	settings        Settings
 	clock           clock
 	records         map[string]*indexedRecord
 	bytes           int64
-	byExpiry        expiryHeap // by expiry, soonest first
-	readsByExpiry   expiryHeap // of them, reads
-	resultsByExpiry expiryHeap // of them, keyed with a result
+	byExpiry        expiryHeap // all records
+	readsByExpiry   expiryHeap // records of reads
+	resultsByExpiry expiryHeap // records of keyed requests with a result
 }
 
-// New returns a module that remembers nothing.
-func New(set Settings) *Module {
-	m := &Module{settings: set, records: map[string]*indexedRecord{}}
-	m.byExpiry.setPosition = func(h *indexedRecord, i int) { h.position = i }
+// New returns a Module without records.
+func New(settings Settings) *Module {
+	m := &Module{settings: settings, records: map[string]*indexedRecord{}}
+	m.byExpiry.setPosition = func(record *indexedRecord, position int) { record.position = position }
 	return m
 }
 
-// Len is the number of entries, Bytes what they take.
+// Len returns the number of records.
 func (m *Module) Len() int { return len(m.records) }
 
-// Bytes is what the entries take, results included.
+// Bytes returns what the records and their results take.
 func (m *Module) Bytes() int64 { return m.bytes }
 
-// Wants reports whether a request of this class and effect is remembered at all,
-// and whether its run must wait for an intent. named tells that it has a key or
-// an item.
-func (m *Module) ShouldRecord(effect rules.Effect, named bool) (remember, intent bool) {
+// ShouldRecord reports whether a request of this effect is recorded, and whether its run must wait
+// for a stored intent. named says that the request has a key or an item.
+func (m *Module) ShouldRecord(effect rules.Effect, named bool) (record, intent bool) {
 	switch effect {
 	case rules.Keyed:
 		return named, named
 	case rules.Safe:
-		remember = named && m.settings.ReadFreshness > 0
-		return remember, remember && m.settings.FailUnknownReads
+		record = named && m.settings.ReadFreshness > 0
+		return record, record && m.settings.FailUnknownReads
 	default:
 		return m.settings.RecordUnsafe, m.settings.RecordUnsafe
 	}
 }
 
-// Intend notes that a request is about to run. ok is false if there is no room
-// for it: it would run unremembered. evicted lists whose entries leave for it,
-// lost whose results do.
-func (m *Module) RecordIntent(now time.Duration, e Record) (ok bool, orders StoreChanges) {
-	e.Kind, e.Size = Intent, 0
-	key := e.Text()
-	if was := m.records[key]; was != nil {
-		m.remove(was)
+// RecordIntent records that a request is about to run. ok is false if the bounds leave no room:
+// the request would run without a record. changes holds what is evicted for it.
+func (m *Module) RecordIntent(now time.Duration, record Record) (ok bool, changes StoreChanges) {
+	record.Kind, record.Size = Intent, 0
+	key := record.Text()
+	if previous := m.records[key]; previous != nil {
+		m.remove(previous)
 	}
-	if !m.makeRoom(now, &e, &orders) {
-		return false, orders
+	if !m.makeRoom(now, &record, &changes) {
+		return false, changes
 	}
-	m.add(key, e)
-	return true, orders
+	m.add(key, record)
+	return true, changes
 }
 
-// Ended notes how a run ended: with a result of size bytes, or failed. It
-// reports whether that is to be stored, as what.
-func (m *Module) RunEnded(now time.Duration, e Record, good bool, size int64) (Record, bool, StoreChanges) {
-	var orders StoreChanges
-	key := e.Text()
-	was := m.records[key]
-	if was != nil {
-		m.remove(was)
+// RunEnded records how a run ended: with a result of size bytes, or failed. It returns the record,
+// and whether it must be stored.
+func (m *Module) RunEnded(now time.Duration, record Record, succeeded bool, size int64) (Record, bool, StoreChanges) {
+	var changes StoreChanges
+	key := record.Text()
+	previous := m.records[key]
+	if previous != nil {
+		m.remove(previous)
 	}
-	e.Kind, e.Size = Failed, 0
-	if good {
-		e.Kind, e.Size = Result, size
+	record.Kind, record.Size = Failed, 0
+	if succeeded {
+		record.Kind, record.Size = Result, size
 	}
 	switch {
-	case e.Effect == rules.Unsafe:
-		if was != nil {
-			orders.Delete = append(orders.Delete, key)
+	case record.Effect == rules.Unsafe:
+		if previous != nil {
+			changes.Delete = append(changes.Delete, key)
 		}
-		return e, false, orders
-	case e.Effect == rules.Safe && !good: // it may run again; nothing is worth keeping
-		if was != nil {
-			orders.Delete = append(orders.Delete, key)
+		return record, false, changes
+	case record.Effect == rules.Safe && !succeeded: // it may run again, so a failure need not be recorded
+		if previous != nil {
+			changes.Delete = append(changes.Delete, key)
 		}
-		return e, false, orders
-	case e.Effect == rules.Safe:
-		e.Expires = m.Unix(now) + m.settings.ReadFreshness.Milliseconds()
+		return record, false, changes
+	case record.Effect == rules.Safe:
+		record.Expires = m.Unix(now) + m.settings.ReadFreshness.Milliseconds()
 	}
-	if e.Expires <= m.Unix(now) { // the window closed while it ran
-		if was != nil {
-			orders.Delete = append(orders.Delete, key)
+	if record.Expires <= m.Unix(now) { // the window ended during the run
+		if previous != nil {
+			changes.Delete = append(changes.Delete, key)
 		}
-		return e, false, orders
+		return record, false, changes
 	}
-	if !m.makeRoom(now, &e, &orders) {
-		if e.Effect == rules.Safe {
-			return e, false, orders
+	if !m.makeRoom(now, &record, &changes) {
+		if record.Effect == rules.Safe {
+			return record, false, changes
 		}
-		e.Kind, e.Size = ResultEvicted, 0 // that it ran is what counts
-		if !m.makeRoom(now, &e, &orders) {
-			if was == nil {
-				return e, false, orders
+		record.Kind, record.Size = ResultEvicted, 0 // record at least that it ran
+		if !m.makeRoom(now, &record, &changes) {
+			if previous == nil {
+				return record, false, changes
 			}
-			// Its intent had room, and what says that it ran takes no more.
+			// Its intent had room, and a record without a result takes no more.
 		}
 	}
-	m.add(key, e)
-	return e, true, orders
+	m.add(key, record)
+	return record, true, changes
 }
 
-// Withdraw forgets the intent of a run that never began.
-func (m *Module) Withdraw(id RequestKey) (orders StoreChanges) {
-	key := id.Text()
-	if was := m.records[key]; was != nil && was.Kind == Intent {
-		m.remove(was)
-		orders.Delete = append(orders.Delete, key)
+// Withdraw removes the intent of a request that never started.
+func (m *Module) Withdraw(request RequestKey) (changes StoreChanges) {
+	key := request.Text()
+	if record := m.records[key]; record != nil && record.Kind == Intent {
+		m.remove(record)
+		changes.Delete = append(changes.Delete, key)
 	}
-	return orders
+	return changes
 }
 
-// Orders are changes of the store that a decision brings with it.
+// StoreChanges are the changes to the store that follow from a decision.
 type StoreChanges struct {
-	Delete      []string // entries that leave
-	EvictResult []Record // entries whose results leave: stored as given here
+	Delete      []string // keys of records to delete
+	EvictResult []Record // records whose results are evicted, to be stored as given here
 }
 
-// makeRoom makes room for e within the bounds: reads leave first, soonest to
-// expire first; then results of keyed requests, of which stays that they ran.
-// Keyed entries themselves never leave in their window.
-func (m *Module) makeRoom(now time.Duration, e *Record, orders *StoreChanges) bool {
-	need := e.bytes()
+// makeRoom makes room for a record within the bounds. It evicts records of reads first, the next
+// to expire first; then results of keyed requests, whose records say from then on that they ran.
+// Records of keyed requests are never evicted within their window.
+func (m *Module) makeRoom(now time.Duration, record *Record, changes *StoreChanges) bool {
+	need := record.bytes()
 	if m.settings.MaxRecords < 1 || need > m.settings.MaxBytes {
 		return false
 	}
-	m.removeExpired(now, orders)
+	m.removeExpired(now, changes)
 	for len(m.records) >= m.settings.MaxRecords || m.bytes+need > m.settings.MaxBytes {
-		if r := m.readsByExpiry.peek(); r != nil {
-			m.remove(r)
-			orders.Delete = append(orders.Delete, r.key)
+		if read := m.readsByExpiry.peek(); read != nil {
+			m.remove(read)
+			changes.Delete = append(changes.Delete, read.key)
 			continue
 		}
-		p := m.resultsByExpiry.peek()
-		if p == nil || len(m.records) >= m.settings.MaxRecords {
+		withResult := m.resultsByExpiry.peek()
+		if withResult == nil || len(m.records) >= m.settings.MaxRecords {
 			return false
 		}
-		was := p.Record
-		m.remove(p)
-		was.Kind, was.Size = ResultEvicted, 0
-		m.add(p.key, was)
-		orders.EvictResult = append(orders.EvictResult, was)
+		evicted := withResult.Record
+		m.remove(withResult)
+		evicted.Kind, evicted.Size = ResultEvicted, 0
+		m.add(withResult.key, evicted)
+		changes.EvictResult = append(changes.EvictResult, evicted)
 	}
 	return true
 }
 
-// Expire drops what aged out, and returns the keys.
+// Expire removes the expired records and returns their keys.
 func (m *Module) Expire(now time.Duration) []string {
-	var o StoreChanges
-	m.removeExpired(now, &o)
-	return o.Delete
+	var changes StoreChanges
+	m.removeExpired(now, &changes)
+	return changes.Delete
 }
 
-func (m *Module) removeExpired(now time.Duration, orders *StoreChanges) {
+// removeExpired removes the expired records and adds their keys to changes.
+func (m *Module) removeExpired(now time.Duration, changes *StoreChanges) {
 	unix := m.Unix(now)
-	for h := m.byExpiry.peek(); h != nil && h.Expires <= unix; h = m.byExpiry.peek() {
-		m.remove(h)
-		orders.Delete = append(orders.Delete, h.key)
+	for record := m.byExpiry.peek(); record != nil && record.Expires <= unix; record = m.byExpiry.peek() {
+		m.remove(record)
+		changes.Delete = append(changes.Delete, record.key)
 	}
 }
 
-// Restore takes over an entry from an earlier life of the node, or says why
-// not. What it returns is the entry as it holds now.
-func (m *Module) Restore(now time.Duration, e Record) (Record, DropReason) {
-	c, known := m.settings.Classes[e.Class]
+// Restore takes over a record of an earlier incarnation of the node, or returns the reason why not.
+// It returns the record as it is valid now.
+func (m *Module) Restore(now time.Duration, record Record) (Record, DropReason) {
+	class, known := m.settings.Classes[record.Class]
 	unix := m.Unix(now)
 	switch {
-	case e.Expires <= unix:
-		return e, Expired
-	case e.Effect == rules.Unsafe:
-		return e, UnsafeReported
+	case record.Expires <= unix:
+		return record, Expired
+	case record.Effect == rules.Unsafe:
+		return record, UnsafeReported
 	case !known:
-		return e, ClassRemoved
-	case len(m.settings.Tenants) > 0 && !m.settings.Tenants[e.Tenant]:
-		return e, TenantRemoved
-	case c.Effect != e.Effect || e.Effect == rules.Safe && m.settings.ReadFreshness <= 0:
-		return e, EffectChanged
+		return record, ClassRemoved
+	case len(m.settings.Tenants) > 0 && !m.settings.Tenants[record.Tenant]:
+		return record, TenantRemoved
+	case class.Effect != record.Effect || record.Effect == rules.Safe && m.settings.ReadFreshness <= 0:
+		return record, EffectChanged
 	}
-	switch e.Effect {
-	case rules.Keyed: // its window is what the settings say now
-		if w := c.Window.Milliseconds(); w != e.Window {
-			e.Expires += w - e.Window
-			e.Window = w
+	switch record.Effect {
+	case rules.Keyed: // the window is that of the present settings
+		if w := class.Window.Milliseconds(); w != record.Window {
+			record.Expires += w - record.Window
+			record.Window = w
 		}
 	case rules.Safe:
-		e.Expires = min(e.Expires, unix+m.settings.ReadFreshness.Milliseconds())
-		if e.Kind == Intent && !m.settings.FailUnknownReads {
-			return e, Expired // it may simply run again
+		record.Expires = min(record.Expires, unix+m.settings.ReadFreshness.Milliseconds())
+		if record.Kind == Intent && !m.settings.FailUnknownReads {
+			return record, Expired // it may run again
 		}
 	}
-	if m.clock.uncertain { // nobody knows how long the node was away
-		e.Expires = min(e.Expires, unix+m.settings.ClockSlack.Milliseconds())
+	if m.clock.uncertain { // it is unknown for how long the node was away
+		record.Expires = min(record.Expires, unix+m.settings.ClockSlack.Milliseconds())
 	}
-	if e.Expires <= unix {
-		return e, Expired
+	if record.Expires <= unix {
+		return record, Expired
 	}
-	if e.Expires > unix+m.maxLifetime(c)+windowSlackMillis { // written by a clock that ran ahead
-		e.Expires = unix + m.maxLifetime(c) + windowSlackMillis
+	if record.Expires > unix+m.maxLifetime(class)+windowSlackMillis { // written with a clock that was ahead
+		record.Expires = unix + m.maxLifetime(class) + windowSlackMillis
 	}
-	if m.records[e.Text()] != nil || len(m.records) >= m.settings.MaxRecords || m.bytes+e.bytes() > m.settings.MaxBytes {
-		if e.Effect == rules.Safe || len(m.records) >= m.settings.MaxRecords {
-			return e, NoRoom
+	if m.records[record.Text()] != nil || len(m.records) >= m.settings.MaxRecords || m.bytes+record.bytes() > m.settings.MaxBytes {
+		if record.Effect == rules.Safe || len(m.records) >= m.settings.MaxRecords {
+			return record, NoRoom
 		}
-		if e.Kind == Result {
-			e.Kind, e.Size = ResultEvicted, 0
+		if record.Kind == Result {
+			record.Kind, record.Size = ResultEvicted, 0
 		}
 	}
-	m.add(e.Text(), e)
-	return e, Kept
+	m.add(record.Text(), record)
+	return record, Kept
 }
 
-// windowSlack, in milliseconds, is what a keyed entry lives beyond its window,
-// so that a repeat at its very end is still known.
+// windowSlackMillis is how long a record may live beyond its window, in milliseconds, so that a
+// repeat at its very end still finds it.
 const windowSlackMillis = 50
 
-// longest is how long an entry of a class may live, in milliseconds.
+// maxLifetime returns how long a record of a class may live, in milliseconds.
 func (m *Module) maxLifetime(c Class) int64 {
 	if c.Effect == rules.Keyed {
 		return c.Window.Milliseconds()
@@ -343,17 +346,16 @@
 	return m.settings.ReadFreshness.Milliseconds()
 }
 
-// Tuned values of waiting for a run of an earlier life.
+// Parameters of InFlightTimeout.
 const (
-	maxWaitRuns       = 8.0                    // usual runs after which its end is not awaited any more
-	minWait           = 500 * time.Millisecond // and at least so long
-	waitDeadlineShare = 0.5                    // of the deadline, where no usual run is known
+	maxWaitRuns       = 8.0                    // usual run times after which the end of a run is not awaited any more
+	minWait           = 500 * time.Millisecond // lower bound of that time
+	waitDeadlineShare = 0.5                    // of the deadline, if the usual run time is unknown
 )
 
-// Awaits says how long repeats wait for the end of a run of an earlier life, from the
-// moment that the worker pool is heard: it may have been cut off between its intent
-// and its begin, and then nothing ever tells. usual is a usual run of its class, 0 =
-// not known.
+// InFlightTimeout returns how long repeats wait for the end of a run of an earlier incarnation, from
+// the first message of the worker pool on: if the node crashed between the intent and the start of
+// the run, its end is never reported. usual is the usual run time of the class, 0 = unknown.
 func InFlightTimeout(usual, deadline time.Duration) time.Duration {
 	if usual <= 0 {
 		return time.Duration(waitDeadlineShare * float64(deadline))
@@ -361,42 +363,44 @@
 	return min(max(time.Duration(maxWaitRuns*float64(usual)), minWait), deadline)
 }
 
-// Judge says what a repeat of a restored entry is told. poolSince is when the
-// worker pool came up, in Unix milliseconds: a run that was asked for before
-// that is over, whatever became of it; one asked for after may still go on.
-func (m *Module) DecideRepeat(e Record, poolSince int64) RepeatAction {
-	switch e.Kind {
+// DecideRepeat decides how a repeat of a restored record is handled. poolSince is when the worker
+// pool started, in Unix milliseconds: a run requested before that is over, one requested later may
+// still be in progress.
+func (m *Module) DecideRepeat(record Record, poolSince int64) RepeatAction {
+	switch record.Kind {
 	case Result:
 		return AnswerEarlier
 	case Intent:
-		if e.Effect == rules.Safe && !m.settings.FailUnknownReads {
+		if record.Effect == rules.Safe && !m.settings.FailUnknownReads {
 			return RunAgain
 		}
-		if poolSince <= e.Arrived {
+		if poolSince <= record.Arrived {
 			return WaitForRun
 		}
 	}
 	return FailRepeat
 }
 
-func (m *Module) add(key string, e Record) {
-	h := &indexedRecord{Record: e, key: key, position: -1}
-	m.records[key] = h
-	m.bytes += e.bytes()
-	heap.Push(&m.byExpiry, h)
+// add adds a record under its key.
+func (m *Module) add(key string, record Record) {
+	indexed := &indexedRecord{Record: record, key: key, position: -1}
+	m.records[key] = indexed
+	m.bytes += record.bytes()
+	heap.Push(&m.byExpiry, indexed)
 	switch {
-	case e.Effect == rules.Safe:
-		heap.Push(&m.readsByExpiry, h)
-	case e.Kind == Result:
-		heap.Push(&m.resultsByExpiry, h)
+	case record.Effect == rules.Safe:
+		heap.Push(&m.readsByExpiry, indexed)
+	case record.Kind == Result:
+		heap.Push(&m.resultsByExpiry, indexed)
 	}
 }
 
-func (m *Module) remove(h *indexedRecord) {
-	delete(m.records, h.key)
-	m.bytes -= h.Record.bytes()
-	heap.Remove(&m.byExpiry, h.position)
-	h.position = -1 // the other two skip it when it comes up
+// remove removes a record.
+func (m *Module) remove(record *indexedRecord) {
+	delete(m.records, record.key)
+	m.bytes -= record.Record.bytes()
+	heap.Remove(&m.byExpiry, record.position)
+	record.position = -1 // the other heaps skip it when it reaches their top
 	m.readsByExpiry.compact(len(m.records))
 	m.resultsByExpiry.compact(len(m.records))
 }
