--- a/decide/pools/pools.go
+++ b/decide/pools/pools.go
@@ -1,13 +1,15 @@
-// Package pools decides how the classes of a node share its running slots: what
-// each is entitled to, what is lent and comes back, and what the cheapest keep
-// under any load. It implements rules.Pools. It must never do I/O, read a clock
-// or log, and never act on a name: names are for lines that people read.
+// Package pools decides how the request classes of a node share its concurrency slots: how many each
+// is entitled to, when unused ones are lent to other classes and returned, and how many the classes
+// with the shortest runs keep under any load. It implements rules.Pools.
 //
-// Invariants, held by TestInvariants: entitlements add up to the limit at most,
-// and a reserve never passes its share of it; while slots are short a class within
-// its floor gets the next one that is free, before a flood and before who is over
-// its cap; whoever leaves a full line leaves a class that holds more than its
-// floor's places there, if any does.
+// The package does no I/O, reads no clock and writes no log; times are passed in, log lines are
+// returned. Names of classes only appear in those lines and in views, no decision depends on them.
+// Pools belong to one goroutine.
+//
+// Invariants, checked by TestInvariants: entitlements add up to at most the limit, and reserves to at
+// most their share of it; while slots are short, a class within its floor gets the next free one
+// before classes that flood and classes over their cap; a request evicted from a full queue belongs
+// to a class that has more requests there than its floor allows, if there is one.
 package pools
 
 import (
@@ -20,117 +22,117 @@
 	"robinmast/rules"
 )
 
-// Tuned values. Shares are of 1.
+// Parameters. Shares are of 1; weights and factors of a step are for a step of nominalStep.
 const (
-	rateSmoothing      = 0.1                    // weight of a step in the arrival rate: one second of memory
-	usualRateSmoothing = 1.0 / 300              // the same in the usual rate: half a minute
-	minRateSteps       = 20                     // steps after which a class's usual rate is known
-	floodFactor        = 2.0                    // times its usual rate that counts for a class: the rest is a flood
-	runSmoothing       = 0.08                   // weight of a run in its class's latency
-	minRuns            = 5                      // runs before the latency is believed; until then hints are
-	baseDrift          = 1.002                  // the base creeps up so that one lucky run is forgotten
-	cheapBelow         = 0.5                    // of the mean run makes a class cheap
-	cheapUntil         = 0.7                    // and this much more costly it is so no longer
-	minFloodShare      = 0.1                    // of the limit that a flood's work takes at least
-	demandHeadroom     = 1.15                   // of the demand a class is entitled to: rates lag
-	shortageAbove      = 1.0                    // demand over the limit from which slots are short
-	shortageUntil      = 0.85                   // and under which they no longer are
-	overflowHold       = time.Second            // that slots stay short after the line was over its bound
-	creditSpan         = 500 * time.Millisecond // of its entitlement that a class may save up, or overdraw
-	ownSlowdown        = 1.3                    // slowness over that of the others that is a class's own
-	capShrink          = 0.95                   // of its cap a step while it is so
-	capGrow            = 1.03                   // and back
-	minCapGrowth       = 0.08                   // least growth
-	hangGaps           = 10.0                   // usual gaps without an end of a run after which a class hangs
-	minHangTime        = 300 * time.Millisecond // and at least this long
-	recentTime         = 2 * time.Second        // a class heard of for so long has its reserve kept free
-	minReserveLimit    = 4.0                    // slots from which one is kept free for a reserve
-	defaultRunTime     = 300 * time.Millisecond // a run's length before anything is known
-	forgetAfter        = time.Minute            // after so long without a request a class is as new
-	nominalStep        = 100 * time.Millisecond // that the weights above are meant for
+	rateSmoothing      = 0.1                    // weight of a step in the arrival rate: a time constant of one second
+	usualRateSmoothing = 1.0 / 300              // weight of a step in the usual arrival rate: half a minute
+	minRateSteps       = 20                     // steps after which the usual rate of a class is known
+	floodFactor        = 2.0                    // multiple of the usual rate beyond which arrivals are a flood
+	runSmoothing       = 0.08                   // weight of a run in the mean run time of its class
+	minRuns            = 5                      // runs before the mean run time is used; until then hints are
+	baseDrift          = 1.002                  // growth of the base run time per run, so that one very short run has no lasting effect
+	cheapBelow         = 0.5                    // share of the mean run time below which a class becomes cheap
+	cheapUntil         = 0.7                    // share from which it no longer is
+	minFloodShare      = 0.1                    // share of the limit that a flood needs at least to count as one
+	demandHeadroom     = 1.15                   // factor on the demand, because smoothed rates lag
+	shortageAbove      = 1.0                    // ratio of demand to limit above which slots become short
+	shortageUntil      = 0.85                   // ratio below which they no longer are
+	overflowHold       = time.Second            // slots stay short for this long after the queue exceeded its bound
+	creditSpan         = 500 * time.Millisecond // of its entitlement, the credit that a class may accrue or overdraw
+	ownSlowdown        = 1.3                    // ratio to the others' slowdown above which a class is slow by itself
+	capShrink          = 0.95                   // factor on its cap per step while it is
+	capGrow            = 1.03                   // factor on its cap per step otherwise
+	minCapGrowth       = 0.08                   // least growth of a cap per step, in slots
+	hangGaps           = 10.0                   // usual times between ends of runs after which a class without one hangs
+	minHangTime        = 300 * time.Millisecond // and at least this time
+	recentTime         = 2 * time.Second        // a class with an arrival within this time has its reserve kept free
+	minReserveLimit    = 4.0                    // limit from which slots are kept free for reserves
+	defaultRunTime     = 300 * time.Millisecond // expected run time before there are hints or runs
+	forgetAfter        = time.Minute            // without arrivals for this long, a class is reset
+	nominalStep        = 100 * time.Millisecond // length of a step for the weights above
 )
 
-// Class is what the settings say of a class.
+// Class holds the settings of a request class.
 type Class struct {
 	Utility float64
-	Reserve float64 // share of the slots it keeps in any case, 0 = only what it earns by being cheap
-	Name    string  // for lines that people read
+	Reserve float64 // share of the slots that it keeps under any load; 0 = only its part of Settings.Reserve while cheap
+	Name    string  // for log lines and views
 }
 
-// Settings are the module's.
+// Settings are the settings of Pools.
 type Settings struct {
 	Classes        []Class
-	Reserve        float64 // share of the slots that the cheapest classes keep
-	UtilityPerWork bool    // worth counts for each unit of work
+	Reserve        float64 // share of the slots that cheap classes keep
+	UtilityPerWork bool    // utilities are per unit of work, not per request
 }
 
-// View is what a class's pool does at present.
+// View is the present state of the pool of one class.
 type View struct {
 	Name     string
-	Running  int
-	Queued   int
-	Limit    float64 // slots it is entitled to
-	Reserve  float64 // of them, kept in any case
-	Lent     float64 // of its slots, not used by it
-	Borrowed float64 // slots it uses beyond its own
-	Refused  int64   // that left a full line since they held more than their places
-	Cheap    bool
-	Hanging  bool
+	Running  int     // runs in progress
+	Queued   int     // requests in the queue
+	Limit    float64 // slots that it is entitled to
+	Reserve  float64 // of them, kept under any load
+	Lent     float64 // slots of its entitlement that it does not use
+	Borrowed float64 // slots that it uses beyond its entitlement
+	Refused  int64   // requests evicted from a full queue because the class had too many there
+	Cheap    bool    // its runs are short compared with the mean
+	Hanging  bool    // its runs no longer end
 }
 
-// pool is one class's.
+// pool is the state of one class.
 type pool struct {
 	Class
-	rate, usualRate  float64 // arrivals a second, now and as a rule
-	rateSteps        float64 // that the second was learned from
+	rate, usualRate  float64 // arrivals per second, recent and long-term
+	rateSteps        float64 // number of steps in usualRate
 	arrivals         int     // since the last step
 	lastArrival      time.Duration
-	active           bool
-	hint             float64 // smoothed, seconds
-	meanRun, baseRun float64 // latency of its runs, seconds
-	runs             float64
+	active           bool    // in Pools.active
+	hint             float64 // smoothed hint of its run time, seconds
+	meanRun, baseRun float64 // run time, smoothed and without load, seconds
+	runs             float64 // successful runs
 	running          int
 	queued           int
-	lastProgress     time.Duration // last end of a run, or first start
-	hanging          bool
-	slotCap          float64 // slots it may have while they are short
+	lastProgress     time.Duration // last end of a run, or start of the first
+	hanging          bool          // its runs no longer end
+	slotCap          float64       // slots that it may use while they are short
 	cheap            bool
-	floor            float64 // slots it keeps in any case
-	entitlement      float64 // slots it is entitled to, the floor included
-	credit           float64 // slot-seconds it is owed
+	floor            float64 // slots that it keeps under any load
+	entitlement      float64 // slots that it is entitled to, the floor included
+	credit           float64 // slot-seconds that it is owed
 	refused          int64
-	reserveUsedAt    time.Duration // when the reserve was last what let it start or stay
+	reserveUsedAt    time.Duration // when its reserve last made the difference for one of its requests
 	reserveInUse     bool
-	candidateTier    int // its tier while a slot is given
+	candidateTier    int // its tier in a decision of Next or Evict
 }
 
-// Pools are the pools of one node. They belong to one goroutine.
+// Pools are the pools of one node.
 type Pools struct {
 	settings       Settings
 	pools          []*pool
-	active         []*pool // of them, those heard of within a minute: the others cost nothing
+	active         []*pool // those with an arrival within forgetAfter; the others cost no time
 	now            time.Duration
 	lastStep       time.Duration
 	limit          float64
 	shortage       bool
-	overflowAt     time.Duration // when the line was last over its bound
-	totalRate      float64       // of all live classes
+	overflowAt     time.Duration // when the queue last exceeded its bound
+	totalRate      float64       // of all active classes
 	totalUsualRate float64
 }
 
 var _ rules.Pools = (*Pools)(nil)
 
-// New returns pools that know nothing yet.
-func New(set Settings) *Pools {
-	p := &Pools{settings: set, limit: 1}
-	for _, c := range set.Classes {
+// New returns pools without any measurements.
+func New(settings Settings) *Pools {
+	p := &Pools{settings: settings, limit: 1}
+	for _, c := range settings.Classes {
 		p.pools = append(p.pools, &pool{Class: c, slotCap: math.Inf(1), reserveUsedAt: -time.Hour})
 	}
 	return p
 }
 
-// length is how long a run of the class takes, in seconds: what runs took goes
-// before what callers say.
+// expectedRun returns the expected run time of the class in seconds: the measured one if there are
+// enough runs, else that of the callers' hints.
 func (c *pool) expectedRun() float64 {
 	switch {
 	case c.runs >= minRuns:
@@ -141,7 +143,7 @@
 	return defaultRunTime.Seconds()
 }
 
-// density is what a slot earns in a second of the class's work.
+// utilityDensity returns the utility per slot-second of the class's work.
 func (p *Pools) utilityDensity(c *pool) float64 {
 	if p.settings.UtilityPerWork {
 		return c.Utility
@@ -149,7 +151,7 @@
 	return c.Utility / max(c.expectedRun(), 0.0001)
 }
 
-// slow is the class's latency over its base.
+// slowdown returns the ratio of the class's run time to that without load.
 func (c *pool) slowdown() float64 {
 	if c.runs < minRuns || c.baseRun <= 0 {
 		return 1
@@ -157,7 +159,7 @@
 	return c.meanRun / c.baseRun
 }
 
-// Arrived tells of a request that was read, with its hint, 0 if there is none.
+// Arrived reports a request that was read, with its hint of the run time, 0 = no hint.
 func (p *Pools) Arrived(now time.Duration, class int, hint time.Duration) {
 	c := p.pools[class]
 	c.arrivals++
@@ -174,7 +176,7 @@
 	}
 }
 
-// Running tells that a class has n more runs on the cores, or fewer.
+// RunningChanged reports that a class has n more runs in progress, fewer if n is negative.
 func (p *Pools) RunningChanged(now time.Duration, class, n int) {
 	p.accrueCredit(now)
 	c := p.pools[class]
@@ -187,7 +189,7 @@
 	}
 }
 
-// Ran tells how long a run took that went well. Nothing else teaches.
+// RunSucceeded reports how long a successful run took. Only successful runs are measured.
 func (p *Pools) RunSucceeded(_ time.Duration, class int, took time.Duration) {
 	c := p.pools[class]
 	c.runs++
@@ -198,8 +200,8 @@
 	c.baseRun = min(c.baseRun*baseDrift, c.meanRun)
 }
 
-// advance books the slot time since the last event: what a class is entitled to
-// and does not use is saved up, what it uses beyond that is overdrawn.
+// accrueCredit accounts for the slot time since the last event: a class gains credit for the part of
+// its entitlement that it does not use, and loses credit for what it uses beyond it.
 func (p *Pools) accrueCredit(now time.Duration) {
 	dt := (now - p.now).Seconds()
 	p.now = now
@@ -208,14 +210,13 @@
 	}
 	for _, c := range p.active {
 		span := creditSpan.Seconds()
-		most := max(c.entitlement*span, min(c.entitlement, 1)*c.expectedRun())
+		maxCredit := max(c.entitlement*span, min(c.entitlement, 1)*c.expectedRun())
 		c.credit += (c.entitlement - float64(c.running)) * dt
-		c.credit = min(max(c.credit, -(c.entitlement+1)*span), most)
+		c.credit = min(max(c.credit, -(c.entitlement+1)*span), maxCredit)
 	}
 }
 
-// Step follows the running limit: it moves rates, caps and entitlements, and
-// returns lines for the log.
+// Step takes the concurrency limit, and updates rates, caps and entitlements. It returns log lines.
 func (p *Pools) Step(now time.Duration, limit float64) (lines []string) {
 	p.accrueCredit(now)
 	dt := now - p.lastStep
@@ -237,8 +238,8 @@
 	return p.reserveMessages()
 }
 
-// follow moves a class's rates. A class is known by what it usually sends: what
-// goes beyond twice that is a flood, until it has lasted for half a minute.
+// updateRates updates the arrival rates of a class. Arrivals beyond floodFactor times the usual rate
+// are a flood, until they have lasted for about half a minute and are usual themselves.
 func (p *Pools) updateRates(c *pool, dt time.Duration, weight float64) {
 	if dt <= 0 {
 		return
@@ -246,7 +247,7 @@
 	rate := float64(c.arrivals) / dt.Seconds()
 	c.arrivals = 0
 	c.rate += min(1, rateSmoothing*weight) * (rate - c.rate)
-	if c.rate > c.usualRate/100 { // silence is not what it usually sends
+	if c.rate > c.usualRate/100 { // times without requests do not lower the usual rate
 		c.rateSteps++
 		if c.rateSteps > minRateSteps { // a flood becomes usual slowly, however high it is
 			rate = min(rate, floodFactor*max(c.usualRate, 1))
@@ -258,28 +259,27 @@
 	}
 }
 
-// expected is the arrival rate up to which a class sends no flood: twice what it
-// usually does, and more as far as all others send more too, as they do when a
-// neighbour goes down.
+// expectedRate returns the arrival rate up to which a class does not flood: twice its usual rate, and
+// more if all other classes also send more than usual, as they do when another node fails.
 func (p *Pools) expectedRate(c *pool) float64 {
-	rates, usual := p.totalRate-c.rate, p.totalUsualRate-c.usualRate
+	otherRates, otherUsualRates := p.totalRate-c.rate, p.totalUsualRate-c.usualRate
 	growth := 1.0
-	if usual > 0.1 {
-		growth = max(rates/usual, 1)
+	if otherUsualRates > 0.1 {
+		growth = max(otherRates/otherUsualRates, 1)
 	}
-	if len(p.active) < 2 { // alone it takes nothing from anybody
+	if len(p.active) < 2 { // a single class takes nothing from others
 		growth = math.Inf(1)
 	}
 	return floodFactor * growth * max(c.usualRate, 1)
 }
 
-// counted is the arrival rate that a class's entitlement follows.
+// countedRate returns the arrival rate on which the entitlement of a class is based.
 func (p *Pools) countedRate(c *pool) float64 { return min(c.rate, p.expectedRate(c)) }
 
-// demand is how many slots the class's work takes.
+// demand returns the number of slots that the work of a class needs.
 func (p *Pools) demand(c *pool) float64 { return demandHeadroom * p.countedRate(c) * c.expectedRun() }
 
-// hang notes a class of which nothing ends any more.
+// detectHang marks a class whose runs no longer end.
 func (p *Pools) detectHang(c *pool) {
 	quiet := p.now - c.lastProgress
 	if c.running > 0 && c.runs >= minRuns && quiet > minHangTime &&
@@ -288,8 +288,9 @@
 	}
 }
 
-// judge says who is cheap: whose runs are short against the mean of what comes,
-// floods left out, so that nobody drags the mean along. One class alone is not.
+// classifyCheap decides which classes are cheap: those whose runs are short compared with the mean
+// over the arrivals. Floods are left out, so that no class can shift the mean. A single class is not
+// cheap.
 func (p *Pools) classifyCheap() {
 	sum, weight := 0.0, 0.0
 	for _, c := range p.active {
@@ -299,36 +300,36 @@
 	}
 	mean := sum / max(weight, 1e-9)
 	for _, c := range p.active {
-		bar := cheapBelow
+		threshold := cheapBelow
 		if c.cheap {
-			bar = cheapUntil
+			threshold = cheapUntil
 		}
-		c.cheap = c.expectedRun() < bar*mean
+		c.cheap = c.expectedRun() < threshold*mean
 	}
 }
 
-// caps keep a class whose own runs have become slow, not everybody's, from
-// filling the slots: the law of the running limit, by class.
+// updateCaps updates the caps of the classes, which keep a class whose runs alone have become slow
+// from filling the slots: the rule of the concurrency limit, per class.
 func (p *Pools) updateCaps(weight float64) {
-	var slows []float64
+	var slowdowns []float64
 	for _, c := range p.active {
 		if c.runs >= minRuns {
-			slows = append(slows, c.slowdown())
+			slowdowns = append(slowdowns, c.slowdown())
 		}
 	}
-	if len(slows) < 2 {
+	if len(slowdowns) < 2 {
 		for _, c := range p.active {
 			c.slotCap = p.limit
 		}
 		return
 	}
-	slices.Sort(slows)
-	others := slows[(len(slows)-1)/2]
+	slices.Sort(slowdowns)
+	median := slowdowns[(len(slowdowns)-1)/2]
 	for _, c := range p.active {
 		if math.IsInf(c.slotCap, 1) {
 			c.slotCap = p.limit
 		}
-		if c.slowdown() > ownSlowdown*others {
+		if c.slowdown() > ownSlowdown*median {
 			c.slotCap *= 1 - (1-capShrink)*weight
 		} else {
 			c.slotCap += weight * max(minCapGrowth, c.slotCap*(capGrow-1))
@@ -337,23 +338,23 @@
 	}
 }
 
-// share divides the limit: floors first, then by what a slot earns. Of classes
-// that earn about the same nobody goes first.
+// allocate divides the limit between the classes: floors first, then the demands in the order of
+// utility density. Classes of about the same density share evenly.
 func (p *Pools) allocate() {
 	var cheap []*pool
 	active := slices.Clone(p.active)
-	total, left := 0.0, p.limit
+	demand, unassigned := 0.0, p.limit
 	for _, c := range active {
 		c.floor, c.entitlement = 0, 0
-		total += p.demand(c)
-		c.floor = min(p.demand(c), c.Reserve*p.limit, left)
-		left -= c.floor
+		demand += p.demand(c)
+		c.floor = min(p.demand(c), c.Reserve*p.limit, unassigned)
+		unassigned -= c.floor
 		if c.cheap {
 			cheap = append(cheap, c)
 		}
 	}
-	room := min(p.settings.Reserve*p.limit, left)
-	left -= distribute(cheap, room, func(c *pool) float64 { return p.demand(c) - c.floor }, func(c *pool, x float64) { c.floor += x })
+	reserve := min(p.settings.Reserve*p.limit, unassigned)
+	unassigned -= distribute(cheap, reserve, func(c *pool) float64 { return p.demand(c) - c.floor }, func(c *pool, slots float64) { c.floor += slots })
 	for _, c := range active {
 		c.entitlement = c.floor
 	}
@@ -363,35 +364,35 @@
 		for j < len(active) && p.utilityDensity(active[j]) > 0.9*p.utilityDensity(active[i]) {
 			j++
 		}
-		left -= distribute(active[i:j], left, func(c *pool) float64 { return p.demand(c) - c.entitlement }, func(c *pool, x float64) { c.entitlement += x })
+		unassigned -= distribute(active[i:j], unassigned, func(c *pool) float64 { return p.demand(c) - c.entitlement }, func(c *pool, slots float64) { c.entitlement += slots })
 		i = j
 	}
-	bar := shortageAbove
+	threshold := shortageAbove
 	if p.shortage {
-		bar = shortageUntil
+		threshold = shortageUntil
 	}
-	p.shortage = total > bar*p.limit || p.overflowAt > 0 && p.now-p.overflowAt < overflowHold
-	if spare := left; spare > 0 && total > 0 { // nobody's: everybody's by demand
+	p.shortage = demand > threshold*p.limit || p.overflowAt > 0 && p.now-p.overflowAt < overflowHold
+	if spare := unassigned; spare > 0 && demand > 0 { // what is left is divided in proportion to demand
 		for _, c := range active {
-			c.entitlement += spare * p.demand(c) / total
+			c.entitlement += spare * p.demand(c) / demand
 		}
 	}
 }
 
-// fill gives out room evenly, to nobody more than it wants, and returns what it gave.
+// distribute gives out room evenly, to no class more than it wants, and returns how much it gave.
 func distribute(list []*pool, room float64, wants func(*pool) float64, give func(*pool, float64)) (given float64) {
 	order := slices.Clone(list)
 	slices.SortStableFunc(order, func(a, b *pool) int { return cmp.Compare(wants(a), wants(b)) })
 	for i, c := range order {
-		x := max(min(wants(c), (room-given)/float64(len(order)-i)), 0)
-		give(c, x)
-		given += x
+		share := max(min(wants(c), (room-given)/float64(len(order)-i)), 0)
+		give(c, share)
+		given += share
 	}
 	return given
 }
 
-// Stuck is how many runs stand still in classes that hang: they hold slots and
-// no core, and the others need not wait for them.
+// StalledRuns returns the number of runs in hanging classes: they hold slots but no core, so the
+// other classes need not wait for them.
 func (p *Pools) StalledRuns() (n int) {
 	for _, c := range p.active {
 		if c.hanging {
@@ -401,8 +402,8 @@
 	return n
 }
 
-// keeps is how many more slots are kept free for a class's reserve: one heard of
-// lately has its floor at hand, as far as it does not use it.
+// unusedFloor returns how many slots are kept free for a class: the part of its floor that it does not
+// use, if it had an arrival recently.
 func (p *Pools) unusedFloor(c *pool) float64 {
 	if p.limit < minReserveLimit || c.floor == 0 || p.now-c.lastArrival > recentTime {
 		return 0
@@ -410,15 +411,15 @@
 	return max(min(c.floor, math.Ceil(c.floor)-float64(c.running)), 0)
 }
 
-// floods reports whether a class sends far more than it usually does, and more
-// than a little of what the slots can do.
+// flooding reports whether a class sends far more than usual, and enough to take a substantial share
+// of the slots.
 func (p *Pools) flooding(c *pool) bool {
 	return c.rate > p.expectedRate(c) && c.rate*c.expectedRun() > minFloodShare*p.limit
 }
 
-// tier orders the classes that may have a slot: 0 while none is short; else first
-// who is within its floor, then everybody by what is earned, then a flood beyond
-// what it is entitled to, at last who is over its cap.
+// tier ranks the classes for a free slot: 0 for all while slots are not short; else 1 for a class
+// within its floor, 2 for others, 3 for a flood beyond its entitlement, 4 for a class over its cap.
+// Requests of one tier go by utility.
 func (p *Pools) tier(c *pool) int {
 	switch {
 	case !p.shortage:
@@ -433,49 +434,49 @@
 	return 2
 }
 
-// Next says which of the line gets a free slot, -1 for none; slots is how many
-// there are, taken how many of them are taken.
-func (p *Pools) Next(now time.Duration, slots, taken int, line []rules.QueuedRequest) int {
+// Next returns the index of the queued request that gets a free slot, -1 for none. slots is the number
+// of slots, taken how many of them are in use.
+func (p *Pools) Next(now time.Duration, slots, taken int, queue []rules.QueuedRequest) int {
 	p.accrueCredit(now)
-	kept := 0.0
+	reserved := 0.0
 	for _, c := range p.active {
-		kept += p.unusedFloor(c)
+		reserved += p.unusedFloor(c)
 		c.candidateTier = p.tier(c)
 	}
-	best, bestTier, most := -1, math.MaxInt, 0.0
-	for i, w := range line {
-		c := p.pools[w.Class]
-		most = max(most, w.Utility)
-		// A class within its floor may take what is kept; any other leaves it.
+	best, bestTier, maxUtility := -1, math.MaxInt, 0.0
+	for i, request := range queue {
+		c := p.pools[request.Class]
+		maxUtility = max(maxUtility, request.Utility)
+		// Only a class within its floor may take a slot that is kept free for a reserve.
 		if c.floor == 0 || float64(c.running) >= c.floor {
-			if float64(taken) >= float64(slots)-math.Ceil(kept-p.unusedFloor(c)-0.5) {
+			if float64(taken) >= float64(slots)-math.Ceil(reserved-p.unusedFloor(c)-0.5) {
 				continue
 			}
 		}
 		if c.hanging && c.running > 0 {
 			continue
 		}
-		if c.candidateTier < bestTier || c.candidateTier == bestTier && p.shortage && w.Utility > line[best].Utility {
+		if c.candidateTier < bestTier || c.candidateTier == bestTier && p.shortage && request.Utility > queue[best].Utility {
 			best, bestTier = i, c.candidateTier
 		}
 	}
-	if best >= 0 && bestTier == 1 && line[best].Utility < most {
-		p.pools[line[best].Class].reserveUsedAt = now
+	if best >= 0 && bestTier == 1 && queue[best].Utility < maxUtility {
+		p.pools[queue[best].Class].reserveUsedAt = now
 	}
 	return best
 }
 
-// Leaves says who leaves a line that is over its bound: of the floods that hold
-// more than their places, else of the classes that hold more than their floor's,
-// the request that earns least, of equals the newest.
-func (p *Pools) Evict(now time.Duration, bound int, line []rules.QueuedRequest) int {
+// Evict returns the index of the request to evict from a queue that exceeds its bound: the one of least
+// utility, of equals the newest, among floods that hold more places than they are entitled to, else
+// among classes that hold more than those of their floor, else among all.
+func (p *Pools) Evict(now time.Duration, bound int, queue []rules.QueuedRequest) int {
 	p.accrueCredit(now)
 	p.overflowAt, p.shortage = now, true
 	for _, c := range p.active {
 		c.queued = 0
 	}
-	for _, w := range line {
-		p.pools[w.Class].queued++
+	for _, request := range queue {
+		p.pools[request.Class].queued++
 	}
 	for _, c := range p.active {
 		c.candidateTier = 0
@@ -486,61 +487,61 @@
 			c.candidateTier = 1
 		}
 	}
-	worst, plain := -1, len(line)-1
-	for i := len(line) - 1; i >= 0; i-- {
-		w := line[i]
-		if w.Utility < line[plain].Utility {
-			plain = i
+	chosen, lowest := -1, len(queue)-1
+	for i := len(queue) - 1; i >= 0; i-- {
+		request := queue[i]
+		if request.Utility < queue[lowest].Utility {
+			lowest = i
 		}
-		over := p.pools[w.Class].candidateTier
-		if over < 0 {
+		tier := p.pools[request.Class].candidateTier
+		if tier < 0 {
 			continue
 		}
-		if worst < 0 || over > p.pools[line[worst].Class].candidateTier || over == p.pools[line[worst].Class].candidateTier && w.Utility < line[worst].Utility {
-			worst = i
+		if chosen < 0 || tier > p.pools[queue[chosen].Class].candidateTier || tier == p.pools[queue[chosen].Class].candidateTier && request.Utility < queue[chosen].Utility {
+			chosen = i
 		}
 	}
-	if worst < 0 {
-		return plain
+	if chosen < 0 {
+		return lowest
 	}
-	if c := p.pools[line[plain].Class]; worst != plain && c.floor > 0 {
+	if c := p.pools[queue[lowest].Class]; chosen != lowest && c.floor > 0 {
 		c.reserveUsedAt = now
 	}
-	p.pools[line[worst].Class].refused++
-	return worst
+	p.pools[queue[chosen].Class].refused++
+	return chosen
 }
 
-// told says when a reserve begins to be what keeps a class alive, and when that ends.
+// reserveMessages returns a log line for each class that begins or ceases to depend on its reserve.
 func (p *Pools) reserveMessages() (lines []string) {
 	for _, c := range p.active {
-		saving := p.now-c.reserveUsedAt < recentTime
-		if saving == c.reserveInUse {
+		inUse := p.now-c.reserveUsedAt < recentTime
+		if inUse == c.reserveInUse {
 			continue
 		}
-		c.reserveInUse = saving
-		if saving {
-			lines = append(lines, fmt.Sprintf("a reserve of %.1f slots keeps class %s alive", c.floor, c.Name))
+		c.reserveInUse = inUse
+		if inUse {
+			lines = append(lines, fmt.Sprintf("reserve of %.1f slots in use by class %s", c.floor, c.Name))
 		} else {
-			lines = append(lines, fmt.Sprintf("class %s no longer needs its reserve", c.Name))
+			lines = append(lines, fmt.Sprintf("reserve no longer in use by class %s", c.Name))
 		}
 	}
 	return lines
 }
 
-// Views tells what the pools do.
-func (p *Pools) Views(line []rules.QueuedRequest) []View {
+// Views returns the state of all pools, by class; queue is the node's queue.
+func (p *Pools) Views(queue []rules.QueuedRequest) []View {
 	for _, c := range p.pools {
 		c.queued = 0
 	}
-	for _, w := range line {
-		p.pools[w.Class].queued++
+	for _, request := range queue {
+		p.pools[request.Class].queued++
 	}
 	views := make([]View, len(p.pools))
 	for i, c := range p.pools {
-		r := float64(c.running)
+		running := float64(c.running)
 		views[i] = View{
-			Name: c.Name, Running: c.running, Queued: c.queued, Limit: c.entitlement, Reserve: c.floor, Lent: max(c.entitlement-r, 0),
-			Borrowed: max(r-c.entitlement, 0), Refused: c.refused, Cheap: c.cheap, Hanging: c.hanging,
+			Name: c.Name, Running: c.running, Queued: c.queued, Limit: c.entitlement, Reserve: c.floor, Lent: max(c.entitlement-running, 0),
+			Borrowed: max(running-c.entitlement, 0), Refused: c.refused, Cheap: c.cheap, Hanging: c.hanging,
 		}
 	}
 	return views
--- a/internal/recovery/keeper.go
+++ b/internal/recovery/keeper.go
@@ -1,12 +1,10 @@
-// Package comeback owns a node's way back to full service: it keeps the store's
-// identity and the snapshot of what was learned, feeds decide/comeback with what the
-// loop sees, and says its lines. It must never decide what is believed, and never
-// make the loop wait: the only write that is waited for is the identity's, before
-// the node listens.
+// Package recovery brings a node back to full service after a start. It stores the store's identity,
+// its checkpoints and the snapshot of what the decision module learned, passes the events of the
+// node's loop to decide/recovery, which takes the decisions, and logs the results. It never blocks
+// the loop: the only write that it waits for is that of the identity, before the node listens.
 //
-// The store holds the identity under "life/self", the last count of keys under
-// "life/mark" and the snapshot under "life/learned", all as CBOR (RFC 8949) with
-// numbered fields.
+// The store holds the identity under "life/self", the last checkpoint under "life/mark" and the
+// snapshot under "life/learned", all as CBOR (RFC 8949) with numbered fields.
 package recovery
 
 import (
@@ -39,41 +37,41 @@
 	checkpointInterval = time.Second
 )
 
-// Counters count what came of it; any goroutine may read them.
+// Counters are the counters of a Keeper; any goroutine may read them.
 type Counters struct {
-	InDoubt   atomic.Int64 // requests that were failed since they may have run in a life that is not remembered
-	Snapshots atomic.Int64 // written
+	InDoubt   atomic.Int64 // requests failed because they may have run in an earlier incarnation whose records are lost
+	Snapshots atomic.Int64 // snapshots written
 	Failed    atomic.Int64 // writes that failed
-	Dropped   atomic.Int64 // priors that the evidence spoke against
+	Dropped   atomic.Int64 // snapshots discarded because runs contradicted them
 }
 
-// Config is what a Keeper needs.
+// Config is the configuration of a Keeper.
 type Config struct {
-	Own      config.Recovery
-	Store    *store.Store   // nil = nothing outlives the node
-	Recovery store.Recovery // of its opening
-	Results  bool           // the store holds remembered results: what is missing there is in doubt
-	Node     string
-	Listens  int // control services that can be asked for earlier lives
+	Own      config.Recovery // the [comeback] section
+	Store    *store.Store    // nil = nothing is stored
+	Recovery store.Recovery  // what opening the store found
+	Results  bool            // the store holds the result cache, so requests whose records may be missing are in doubt
+	Node     string          // name of the node
+	Listens  int             // control services that can be asked for earlier incarnations
 	Settings rules.Settings
 	Names    settings.Names
 	Log      *slog.Logger
 	Wall     func() int64 // Unix milliseconds, nil = the system's
 }
 
-// Keeper is one life. Its methods belong to the node's loop but for Identity and
-// the counters.
+// Keeper manages the recovery of one incarnation of a node. Its methods belong to the node's loop,
+// except Identity, View and the counters, which any goroutine may use.
 type Keeper struct {
 	Counters Counters
 
 	cfg              Config
 	log              *slog.Logger
-	identity         decide.Identity        // the loop's
-	storeID          atomic.Pointer[string] // of the store, for reports
+	identity         decide.Identity        // belongs to the loop
+	storeID          atomic.Pointer[string] // ID of the store, for reports
 	startup          *decide.Startup
-	check            *decide.StoreCheck // nil = there are no remembered results
+	check            *decide.StoreCheck // nil = there is no result cache
 	found            decide.FoundState
-	learned          *rules.Learned // the snapshot as taken up
+	learned          *rules.Learned // of the snapshot in use, nil = none
 	weight           float64
 	warmStart        *decide.WarmStart
 	pacer            decide.SnapshotPacer
@@ -82,24 +80,25 @@
 	processStart     time.Time
 	lastCheckpoint   time.Duration
 	checkpoints      uint64
-	storedCheckpoint atomic.Uint64 // the last mark that the store has taken
-	storedSince      time.Duration // as stored
-	zeroUnix         int64         // Unix milliseconds at the loop's zero
+	storedCheckpoint atomic.Uint64 // number of the last checkpoint that was stored
+	storedSince      time.Duration // StoreCheck.CompleteSince as last stored
+	zeroUnix         int64         // Unix milliseconds at the zero of the loop's clock
 	view             atomic.Pointer[View]
 }
 
-// View is how a node stands on its way, for reports and counters.
+// View is the state of a node's recovery, for reports and counters.
 type View struct {
-	State  string
-	Ask    float64
-	Warm   float64
-	Memory string
-	Why    string
+	State  string  // name of the recovery.State
+	Ask    float64 // requested share of the load in full service
+	Warm   float64 // share of its usual speed that the node has reached
+	Memory string  // name of the recovery.Integrity, "" without a result cache
+	Why    string  // reason for Memory
 }
 
-// Open reads what earlier lives left and begins a new one; began is the process's.
-func Open(cfg Config, began time.Time) (*Keeper, error) {
-	k := &Keeper{cfg: cfg, log: cfg.Log, processStart: began, machineKind: machineDescription(cfg.Settings.Cores), digest: settingsDigest(cfg.Settings, cfg.Names)}
+// Open reads what earlier incarnations stored and begins a new one; processStart is when the process
+// started.
+func Open(cfg Config, processStart time.Time) (*Keeper, error) {
+	k := &Keeper{cfg: cfg, log: cfg.Log, processStart: processStart, machineKind: machineDescription(cfg.Settings.Cores), digest: settingsDigest(cfg.Settings, cfg.Names)}
 	if k.cfg.Wall == nil {
 		k.cfg.Wall = func() int64 { return time.Now().UnixMilli() }
 	}
@@ -110,19 +109,19 @@
 	switch err := k.get(identityKey, &k.identity); {
 	case errors.Is(err, store.ErrNotFound):
 		k.found.Created = cfg.Store.Len() == 0
-		if !k.found.Created { // results from before there were identities: whose they are is not known, that they are is
+		if !k.found.Created { // written before stores had an identity: taken as this node's
 			k.found.Node = cfg.Node
 		}
 		k.identity = decide.Identity{ID: newStoreID()}
 	case err != nil:
 		k.found.UnreadablePlaces++
-		k.log.Error("the store's identity can't be read", "err", err)
+		k.log.Error("store identity is unreadable", "err", err)
 	default:
 		k.found.Node = k.identity.Node
 	}
 	if err := k.get(checkpointKey, &k.found.Checkpoint); err != nil && !errors.Is(err, store.ErrNotFound) {
 		k.found.UnreadablePlaces++
-		k.log.Error("the store's mark can't be read", "err", err)
+		k.log.Error("store checkpoint is unreadable", "err", err)
 	}
 	k.checkpoints = k.found.Checkpoint.N
 	k.storedCheckpoint.Store(k.checkpoints)
@@ -131,8 +130,8 @@
 	k.found.Identity = k.identity
 	k.storeID.Store(&k.found.Identity.ID)
 	if err := k.put(identityKey, k.identity, store.Durable); err != nil {
-		// The next life will find this one's number again, and doubt its memory.
-		k.log.Error("this life can't be noted in the store: the next start will doubt it", "err", err)
+		// The next incarnation will use the same number and hold its store incomplete.
+		k.log.Error("this life can't be noted in the store: after the next start requests will be in doubt", "err", err)
 	}
 	if cfg.Own.Snapshot {
 		k.loadSnapshot()
@@ -140,10 +139,10 @@
 	return k, nil
 }
 
-// takeUp reads the snapshot and says what becomes of it.
+// loadSnapshot reads the snapshot and logs whether it is used.
 func (k *Keeper) loadSnapshot() {
-	var s decide.Snapshot
-	err := k.get(snapshotKey, &s)
+	var snapshot decide.Snapshot
+	err := k.get(snapshotKey, &snapshot)
 	if errors.Is(err, store.ErrNotFound) {
 		return
 	}
@@ -151,16 +150,17 @@
 		k.log.Warn("snapshot not taken up", "why", err)
 		return
 	}
-	weight, why := decide.SnapshotWeight(&s, k.digest, k.machineKind, len(k.cfg.Settings.Classes), k.cfg.Wall())
+	weight, why := decide.SnapshotWeight(&snapshot, k.digest, k.machineKind, len(k.cfg.Settings.Classes), k.cfg.Wall())
 	if weight <= 0 {
 		k.log.Info("snapshot not taken up", "why", why)
 		return
 	}
-	k.learned, k.weight = &s.Learned, weight
-	k.log.Info("snapshot taken up, doubted", "age", time.Duration(k.cfg.Wall()-s.Taken)*time.Millisecond, "weight", math.Round(100*weight)/100,
-		"limit", math.Round(s.Learned.Limit), "rate", math.Round(s.Learned.Rate))
+	k.learned, k.weight = &snapshot.Learned, weight
+	k.log.Info("snapshot taken up, to be checked against runs", "age", time.Duration(k.cfg.Wall()-snapshot.Taken)*time.Millisecond, "weight", math.Round(100*weight)/100,
+		"limit", math.Round(snapshot.Learned.Limit), "rate", math.Round(snapshot.Learned.Rate))
 }
 
+// get reads the value of a key from the store.
 func (k *Keeper) get(key string, into any) error {
 	text, err := k.cfg.Store.Get(key)
 	if err == nil {
@@ -169,6 +169,7 @@
 	return err
 }
 
+// put writes a value to the store and waits for it.
 func (k *Keeper) put(key string, v any, d store.Durability) error {
 	var b store.Batch
 	text, err := cbor.Marshal(v)
@@ -179,7 +180,7 @@
 	return k.cfg.Store.Apply(&b, d)
 }
 
-// later is put for what nobody waits for.
+// putAsync writes a value to the store without waiting for it.
 func (k *Keeper) putAsync(key string, v any) {
 	var b store.Batch
 	text, err := cbor.Marshal(v)
@@ -190,22 +191,23 @@
 	k.cfg.Store.ApplyAsync(&b, store.Soon, func(err error) {
 		if err != nil {
 			k.Counters.Failed.Add(1)
-		} else if m, ok := v.(decide.Checkpoint); ok {
-			k.storedCheckpoint.Store(m.N)
+		} else if checkpoint, ok := v.(decide.Checkpoint); ok {
+			k.storedCheckpoint.Store(checkpoint.N)
 		}
 	})
 }
 
-// Begin takes the loop's time, before anything else: the process has now read its store.
+// Begin starts the recovery at the loop's time now, when the process has read its store. It must be
+// called before the other methods of the loop.
 func (k *Keeper) Begin(now time.Duration) {
-	set := decide.StartupSettings{Cores: k.cfg.Settings.Cores, ColdSpeed: k.cfg.Settings.ColdSpeed, WarmUpTime: k.cfg.Settings.WarmUpTime}
+	settings := decide.StartupSettings{Cores: k.cfg.Settings.Cores, ColdSpeed: k.cfg.Settings.ColdSpeed, WarmUpTime: k.cfg.Settings.WarmUpTime}
 	if k.learned != nil {
 		for _, c := range k.learned.Classes {
-			set.UsualRuns = append(set.UsualRuns, c.Base)
+			settings.UsualRuns = append(settings.UsualRuns, c.Base)
 		}
 	}
-	start := now - time.Since(k.processStart)
-	k.startup = decide.NewStartup(start, now, set)
+	processStart := now - time.Since(k.processStart)
+	k.startup = decide.NewStartup(processStart, now, settings)
 	k.zeroUnix = k.cfg.Wall() - now.Milliseconds()
 	if k.cfg.Store == nil || !k.cfg.Results {
 		return
@@ -213,39 +215,38 @@
 	if k.identity.CompleteSince != 0 {
 		k.found.CompleteSince = time.Duration(k.identity.CompleteSince-k.zeroUnix) * time.Millisecond
 	}
-	k.check = decide.NewStoreCheck(start, k.found, k.cfg.Listens)
+	k.check = decide.NewStoreCheck(processStart, k.found, k.cfg.Listens)
 	k.storedSince = k.found.CompleteSince
-	if s, _ := k.check.Integrity(now); s != decide.Intact {
+	if integrity, _ := k.check.Integrity(now); integrity != decide.Intact {
 		k.reportIntegrity(k.check.Describe())
 	}
 }
 
-// tell says a line of the memory's, and stores from when on nothing is missing if
-// that changed.
+// reportIntegrity logs a line of the StoreCheck, if any, and stores CompleteSince if it changed.
 func (k *Keeper) reportIntegrity(line string) {
 	if line == "" {
 		return
 	}
 	k.log.Warn("comeback", "line", line, "store", k.identity.ID, "life", k.identity.Epoch)
-	if s := k.check.CompleteSince(); s != k.storedSince {
-		k.storedSince = s
-		k.identity.CompleteSince = k.zeroUnix + s.Milliseconds()
-		id := newStoreID() // its marks go on from a copy's: under the old name they would pass for those that were heard
+	if completeSince := k.check.CompleteSince(); completeSince != k.storedSince {
+		k.storedSince = completeSince
+		k.identity.CompleteSince = k.zeroUnix + completeSince.Milliseconds()
+		id := newStoreID() // its checkpoints continue those of a copy: under the old ID they would pass for those already reported
 		k.identity.ID = id
 		k.storeID.Store(&id)
 		k.putAsync(identityKey, k.identity)
 	}
 }
 
-// newID is a random name for a store.
+// newStoreID returns a random ID for a store.
 func newStoreID() string {
 	var id [16]byte
 	_, _ = rand.Read(id[:]) // never fails
 	return hex.EncodeToString(id[:])
 }
 
-// Identity is what reports say of the store, nil where there is none; any goroutine
-// may ask.
+// Identity returns what the node's reports say about its store, nil if there is no result cache. Any
+// goroutine may call it.
 func (k *Keeper) Identity() *decide.PreviousStore {
 	if k.cfg.Store == nil || !k.cfg.Results {
 		return nil
@@ -253,21 +254,22 @@
 	return &decide.PreviousStore{ID: *k.storeID.Load(), Epoch: k.found.Identity.Epoch, Checkpoint: k.storedCheckpoint.Load()}
 }
 
-// Heard takes what a control service has heard of an earlier life, nil = of none.
-func (k *Keeper) ObservePrevious(now time.Duration, h *decide.PreviousStore) {
+// ObservePrevious takes what a control service knows of an earlier incarnation, nil = of none.
+func (k *Keeper) ObservePrevious(now time.Duration, previous *decide.PreviousStore) {
 	if k.check != nil {
-		k.reportIntegrity(k.check.ObservePrevious(now, h))
+		k.reportIntegrity(k.check.ObservePrevious(now, previous))
 	}
 }
 
-// Room takes the share of the fleet's usual room that is there, as told.
+// FleetCapacity takes the share of the fleet's usual capacity that was there at the time since.
 func (k *Keeper) FleetCapacity(since time.Duration, share float64) {
 	k.startup.FleetCapacity(since, share)
 }
 
-// Bound takes the word that the worker pool is up. It returns what the module may
-// take as known, with its weight and the share of its speed that the node starts at.
-func (k *Keeper) WorkerPoolUp(now, since time.Duration, cold bool) (l *rules.Learned, weight, speed float64) {
+// WorkerPoolUp reports that the worker pool is up, since when, and whether it started cold. It returns
+// what the decision module may start from, nil = nothing, with its weight and the share of its usual
+// speed at which the node starts.
+func (k *Keeper) WorkerPoolUp(now, since time.Duration, cold bool) (learned *rules.Learned, weight, speed float64) {
 	k.startup.WorkerPoolUp(now, since, cold)
 	if k.check != nil {
 		k.reportIntegrity(k.check.WorkerPoolUp(since))
@@ -280,78 +282,80 @@
 	return k.learned, k.weight, speed
 }
 
-// InDoubt reports whether a request of which nothing is remembered may have run in
-// an earlier life and must not run again.
-func (k *Keeper) InDoubt(now time.Duration, class int, key uint64, again bool, age time.Duration) bool {
+// InDoubt reports whether a request without a record may have run in an earlier incarnation and must
+// not run again. key links the tries of a request, 0 = nothing does; age is the time since the request
+// reached the machine.
+func (k *Keeper) InDoubt(now time.Duration, class int, key uint64, furtherTry bool, age time.Duration) bool {
 	if k.check == nil {
 		return false
 	}
 	c := &k.cfg.Settings.Classes[class]
 	window := c.IdempotencyWindow
-	if c.Effect == rules.Unsafe { // nothing links its tries: one may come as long as its caller waits
+	if c.Effect == rules.Unsafe { // nothing links its tries, and a further one may come as long as its caller waits
 		window = c.Deadline
 	}
 	if c.Effect == rules.Keyed && k.cfg.Own.RunKeyed || c.Effect == rules.Unsafe && k.cfg.Own.RunUnsafe {
 		return false
 	}
-	if !k.check.MayHaveRun(now, c.Effect, window, key, again, age) {
+	if !k.check.MayHaveRun(now, c.Effect, window, key, furtherTry, age) {
 		return false
 	}
 	k.Counters.InDoubt.Add(1)
 	return true
 }
 
-// Arrived takes a request.
-func (k *Keeper) Arrived(now time.Duration, again bool) { k.startup.Arrived(now, again) }
+// Arrived reports the arrival of a request; furtherTry marks a further try.
+func (k *Keeper) Arrived(now time.Duration, furtherTry bool) { k.startup.Arrived(now, furtherTry) }
 
-// Ran takes the end of a run that went well. It reports whether the module is to
-// forget what it took as known.
-func (k *Keeper) RunSucceeded(now time.Duration, class int, took, hint time.Duration) (forget bool) {
+// RunSucceeded reports a successful run: how long it took, and the caller's hint of that, 0 = no hint.
+// It returns whether the decision module must discard what it took from the snapshot.
+func (k *Keeper) RunSucceeded(now time.Duration, class int, took, hint time.Duration) (discard bool) {
 	k.startup.RunSucceeded(now, class, took, hint)
 	if k.warmStart == nil || k.warmStart.Settled() {
 		return false
 	}
-	if against := k.warmStart.ObserveRun(class, took, k.startup.Speed(now)); against != "" {
+	if reason := k.warmStart.ObserveRun(class, took, k.startup.Speed(now)); reason != "" {
 		k.Counters.Dropped.Add(1)
-		k.log.Warn("snapshot dropped", "why", against)
+		k.log.Warn("snapshot dropped", "why", reason)
 		k.learned = nil
 		return true
 	}
 	return false
 }
 
-// Step moves the life on: it returns what the node asks for and the share of its
-// speed that it has reached. learned is called where a snapshot may be due; short
-// tells that the whole fleet is.
-func (k *Keeper) Step(now time.Duration, short bool, learned func() rules.Learned) (ask, warm float64) {
+// Step advances the recovery, and stores a checkpoint and a snapshot when they are due. short says
+// that the whole fleet is short of capacity; learned is called if a snapshot may be due. It returns the
+// share of its full-service load that the node requests, and the share of its usual speed that it has
+// reached.
+func (k *Keeper) Step(now time.Duration, short bool, learned func() rules.Learned) (share, speed float64) {
 	k.startup.FleetShortage(short)
-	ask, line := k.startup.Step(now)
+	share, line := k.startup.Step(now)
 	if line != "" {
 		k.log.Info("comeback", "line", line, "in_doubt", k.Counters.InDoubt.Load())
 	}
-	warm = k.startup.Speed(now)
-	s, _ := k.startup.State()
-	v := View{State: s.String(), Ask: ask, Warm: warm}
+	speed = k.startup.Speed(now)
+	state, _ := k.startup.State()
+	view := View{State: state.String(), Ask: share, Warm: speed}
 	if k.check != nil {
-		m, why := k.check.Integrity(now)
-		v.Memory, v.Why = m.String(), why
+		integrity, reason := k.check.Integrity(now)
+		view.Memory, view.Why = integrity.String(), reason
 	}
-	k.view.Store(&v)
+	k.view.Store(&view)
 	if k.cfg.Store == nil || now-k.lastCheckpoint < checkpointInterval {
-		return ask, warm
+		return share, speed
 	}
 	k.lastCheckpoint = now
 	k.checkpoint()
 	if k.cfg.Own.Snapshot {
-		if l := learned(); k.pacer.Due(now, &l) {
-			k.storeSnapshot(l)
+		if figures := learned(); k.pacer.Due(now, &figures) {
+			k.storeSnapshot(figures)
 		}
 	}
-	return ask, warm
+	return share, speed
 }
 
-// mark notes how many keys the store holds: a life that finds fewer, or an older
-// mark than was heard, has lost some.
+// checkpoint stores how many keys the store holds: an incarnation that finds fewer, or an older
+// checkpoint than a control service received, has lost some.
 func (k *Keeper) checkpoint() {
 	if k.cfg.Results {
 		k.checkpoints++
@@ -359,26 +363,27 @@
 	}
 }
 
-func (k *Keeper) storeSnapshot(l rules.Learned) {
+// storeSnapshot stores what the decision module learned.
+func (k *Keeper) storeSnapshot(learned rules.Learned) {
 	k.Counters.Snapshots.Add(1)
-	k.putAsync(snapshotKey, decide.Snapshot{Version: decide.SnapshotVersion, SettingsDigest: k.digest, Machine: k.machineKind, Taken: k.cfg.Wall(), Learned: l})
+	k.putAsync(snapshotKey, decide.Snapshot{Version: decide.SnapshotVersion, SettingsDigest: k.digest, Machine: k.machineKind, Taken: k.cfg.Wall(), Learned: learned})
 }
 
-// View shows how the node stands, nil before the first step.
+// View returns the state of the recovery, nil before the first step.
 func (k *Keeper) View() *View { return k.view.Load() }
 
-// Close stores what was learned; the loop has ended, the store is still open.
-func (k *Keeper) Close(l rules.Learned) {
+// Close stores a last checkpoint and snapshot. The loop must have ended, and the store must be open.
+func (k *Keeper) Close(learned rules.Learned) {
 	if k.cfg.Store == nil {
 		return
 	}
 	k.checkpoint()
-	if k.cfg.Own.Snapshot && len(l.Classes) > 0 {
-		k.storeSnapshot(l)
+	if k.cfg.Own.Snapshot && len(learned.Classes) > 0 {
+		k.storeSnapshot(learned)
 	}
 }
 
-// machine names the kind of machine.
+// machineDescription describes the kind of machine that learned figures apply to.
 func machineDescription(cores int) string {
 	name := "unknown"
 	if f, err := os.Open("/proc/cpuinfo"); err == nil {
--- a/internal/resultcache/cache.go
+++ b/internal/resultcache/cache.go
@@ -1,10 +1,10 @@
-// Package recall owns what the node remembers across restarts: it keeps, in a
-// store, what decide/recall decides to keep, and reads it back. It must never
-// decide what is kept or what a repeat is told, and never make the loop wait:
-// what needs the disk is told by callback.
+// Package resultcache stores the results of a node's runs, so that repeats of requests get the same
+// answer after a restart. decide/resultcache decides what is recorded and how repeats are handled; this
+// package writes its records to a store and reads them back. It never blocks the node's loop: the
+// outcome of whatever needs the disk is reported by callback.
 //
-// The store holds, for each entry, its facts under "m/KEY" and its result under
-// "b/KEY", and the clocks' mark under "clock".
+// The store holds the record of a run under "m/KEY", its result under "b/KEY", and the checkpoint of
+// the clocks under "clock".
 package resultcache
 
 import (
@@ -33,44 +33,44 @@
 	recordPrefix       = "m/"
 	resultPrefix       = "b/"
 	clockKey           = "clock"
-	expiryGrace        = 10 * time.Second // entries stay this much longer, for repeats read late
-	maxPendingFetches  = 256              // results that may wait to be read
+	expiryGrace        = 10 * time.Second // records stay in the store this much longer, for repeats that are read late
+	maxPendingFetches  = 256              // reads of results that may be pending
 	maxNamedRuns       = 8                // runs named in one log line
-	failureLogInterval = 5 * time.Second
+	failureLogInterval = 5 * time.Second  // least time between log lines about failed writes
 )
 
-// ErrNoRoom says that an entry found no room within the bounds of [results].
-var ErrNoRoom = errors.New("no room for another remembered request")
+// ErrNoRoom reports that the bounds of [results] leave no room for a record.
+var ErrNoRoom = errors.New("no room for another record within the bounds of [results]")
 
-// Counters count what became of what is remembered.
+// Counters are the counters of a Cache; any goroutine may read them.
 type Counters struct {
 	Intents  atomic.Int64 // runs that waited for an intent
 	Stored   atomic.Int64 // results stored
-	Restored atomic.Int64 // entries taken over at the start
-	Answered atomic.Int64 // repeats answered from an earlier life
-	Unknown  atomic.Int64 // repeats failed, since their run may have happened
-	Late     atomic.Int64 // ends of runs of an earlier life, told by a pool that outlived it
-	Aged     atomic.Int64 // entries dropped by age
-	Evicted  atomic.Int64 // entries or results that left for others
-	NoRoom   atomic.Int64 // requests that found no room
+	Restored atomic.Int64 // records restored at the start
+	Answered atomic.Int64 // repeats answered with the result of an earlier incarnation
+	Unknown  atomic.Int64 // repeats failed because the request ran, or may have run, and there is no result
+	Late     atomic.Int64 // ends of runs of an earlier incarnation, reported by a worker pool that outlived it
+	Aged     atomic.Int64 // records removed because they expired
+	Evicted  atomic.Int64 // records or results evicted for others
+	NoRoom   atomic.Int64 // requests for whose record there was no room
 	Failed   atomic.Int64 // writes that failed
 }
 
-// Config is what a Memory needs.
+// Config is the configuration of a Cache.
 type Config struct {
 	Results  config.Results
 	Store    config.Store
 	Settings rules.Settings
 	Names    settings.Names
 	Log      *slog.Logger
-	Spread   time.Duration              // over which stores that open together begin their upkeep
-	FS       vfs.FS                     // nil = the real one
-	Clocks   func() decide.ClockReading // nil = the system's
+	Spread   time.Duration              // time over which stores that open together spread the start of their maintenance
+	FS       vfs.FS                     // nil = the real file system
+	Clocks   func() decide.ClockReading // nil = the system's clocks
 	Elapsed  func() time.Duration       // since Open, on the loop's clock; nil = the system's
 }
 
-// Memory is what is remembered. Its methods belong to the node's loop but for
-// Fetch's callback and the counters.
+// Cache stores the records and results of a node's runs. Its methods belong to the node's loop, except
+// Store and the counters, which any goroutine may use; the callback of Fetch runs in another goroutine.
 type Cache struct {
 	Counters Counters
 
@@ -81,25 +81,26 @@
 	recovery store.Recovery
 	encoder  cbor.EncMode
 
-	clockBase atomic.Int64 // the module's Unix time at Open; 0 = not known yet
+	clockBase atomic.Int64 // the module's Unix time at Open, milliseconds; 0 = not known yet
 
 	batch          store.Batch
 	pending        []func(error)
-	needsSync      bool          // somebody waits for the batch to be durable
-	lastCheckpoint time.Duration // when the clocks' mark was stored
+	needsSync      bool          // a callback in pending waits for a durable write
+	lastCheckpoint time.Duration // when the clocks' checkpoint was stored
 	lastExpiry     time.Duration
-	lastFailureLog time.Time // of failed writes
+	lastFailureLog time.Time // about a failed write
 	fetches        chan fetchRequest
 	fetcherDone    chan struct{}
 }
 
+// fetchRequest is a call of Fetch.
 type fetchRequest struct {
 	key  string
 	done func([]byte, error)
 }
 
-// facts is an entry as stored: CBOR (RFC 8949) with numbered fields, so that later
-// versions may add some.
+// storedRecord is the stored form of a decide.Record: CBOR (RFC 8949) with numbered fields, so that
+// later versions can add fields.
 type storedRecord struct {
 	Kind    decide.Kind  `cbor:"1,keyasint"`
 	Effect  rules.Effect `cbor:"2,keyasint"`
@@ -113,394 +114,406 @@
 	Size    int64        `cbor:"10,keyasint"`
 }
 
-// Open opens the memory in its folder. Nothing is restored yet.
+// Open opens the store of the cache. The records are not restored yet.
 func Open(cfg Config) (*Cache, error) {
-	m := &Cache{cfg: cfg, log: cfg.Log, fetches: make(chan fetchRequest, maxPendingFetches), fetcherDone: make(chan struct{})}
-	if m.cfg.Clocks == nil {
-		m.cfg.Clocks = systemClocks
+	c := &Cache{cfg: cfg, log: cfg.Log, fetches: make(chan fetchRequest, maxPendingFetches), fetcherDone: make(chan struct{})}
+	if c.cfg.Clocks == nil {
+		c.cfg.Clocks = systemClocks
 	}
-	if m.cfg.Elapsed == nil {
+	if c.cfg.Elapsed == nil {
 		began := time.Now()
-		m.cfg.Elapsed = func() time.Duration { return time.Since(began) }
+		c.cfg.Elapsed = func() time.Duration { return time.Since(began) }
 	}
 	var err error
-	if m.encoder, err = cbor.CoreDetEncOptions().EncMode(); err != nil {
+	if c.encoder, err = cbor.CoreDetEncOptions().EncMode(); err != nil {
 		return nil, fmt.Errorf("results: %w", err)
 	}
-	set := decide.Settings{
+	settings := decide.Settings{
 		Classes: map[string]decide.Class{}, Tenants: map[string]bool{}, ReadFreshness: cfg.Settings.ReadFreshness,
 		MaxBytes: cfg.Results.Bytes, MaxRecords: cfg.Results.Entries, ClockSlack: cfg.Results.Slack,
 		FailUnknownReads: cfg.Results.FailUnknown, RecordUnsafe: cfg.Results.Unsafe,
 	}
 	for i, name := range cfg.Names.Classes {
-		c := cfg.Settings.Classes[i]
-		set.Classes[name] = decide.Class{Effect: c.Effect, Window: c.IdempotencyWindow}
+		class := cfg.Settings.Classes[i]
+		settings.Classes[name] = decide.Class{Effect: class.Effect, Window: class.IdempotencyWindow}
 	}
 	for _, name := range cfg.Names.Tenants {
-		set.Tenants[name] = true
+		settings.Tenants[name] = true
 	}
-	m.module = decide.New(set)
-	m.store, m.recovery, err = store.Open(cfg.Results.Dir, store.Options{
+	c.module = decide.New(settings)
+	c.store, c.recovery, err = store.Open(cfg.Results.Dir, store.Options{
 		FS: cfg.FS, Segment: cfg.Store.Segment, Interval: cfg.Store.Interval, CompactionRate: cfg.Store.CompactionRate, Spread: cfg.Spread,
-		Now: m.storeTime,
+		Now: c.storeTime,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("results: %w", err)
 	}
-	go m.fetcher()
-	return m, nil
+	go c.fetcher()
+	return c, nil
 }
 
-// unix is the store's clock: the module's own time. Before that is known
-// nothing has expired.
-func (m *Cache) storeTime() int64 {
-	base := m.clockBase.Load()
+// storeTime is the store's clock, in Unix milliseconds: the module's time, or 0 before it is known, so
+// that nothing expires until then.
+func (c *Cache) storeTime() int64 {
+	base := c.clockBase.Load()
 	if base == 0 {
 		return 0
 	}
-	return base + m.cfg.Elapsed().Milliseconds()
+	return base + c.cfg.Elapsed().Milliseconds()
 }
 
-// systemClocks reads the wall clock, and the machine's own since its start.
+// systemClocks reads the wall clock, and the time since the boot of the machine if it is available.
 func systemClocks() decide.ClockReading {
-	r := decide.ClockReading{Wall: time.Now().UnixMilli()}
+	reading := decide.ClockReading{Wall: time.Now().UnixMilli()}
 	var ts unix.Timespec
 	id, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts) != nil {
-		return r // without them the wall clock has to do
+		return reading // the wall clock alone has to do
 	}
-	r.Boot, r.Up = strings.TrimSpace(string(id)), ts.Nano()/int64(time.Millisecond)
-	return r
+	reading.Boot, reading.Up = strings.TrimSpace(string(id)), ts.Nano()/int64(time.Millisecond)
+	return reading
 }
 
-// Remembered is an entry of an earlier life.
+// RestoredRecord is a record of an earlier incarnation.
 type RestoredRecord struct {
 	Record  decide.Record
-	Class   int           // of the settings
-	Key     string        // as KeyOf gives it
+	Class   int           // index in the settings
+	Key     string        // RequestKey.Text of the record
 	Expires time.Duration // on the loop's clock
 }
 
-// Restore takes over what earlier lives left, now being the loop's time. It is
-// called once, before anything else.
-func (m *Cache) Restore(now time.Duration) ([]RestoredRecord, error) {
+// Restore restores the records of earlier incarnations; now is the loop's time. It must be called once,
+// before any other method. The error is that of reading the store.
+func (c *Cache) Restore(now time.Duration) ([]RestoredRecord, error) {
 	began := time.Now()
-	var was *decide.ClockCheckpoint
-	text, err := m.store.Get(clockKey)
+	var previous *decide.ClockCheckpoint
+	text, err := c.store.Get(clockKey)
 	switch {
 	case errors.Is(err, store.ErrNotFound):
 	case err != nil:
-		m.log.Warn("remembered clock can't be read: the wall clock has to do", "err", err)
+		c.log.Warn("clock checkpoint is unreadable: using the wall clock", "err", err)
 	default:
-		was = &decide.ClockCheckpoint{}
-		if err := cbor.Unmarshal(text, was); err != nil {
-			m.log.Warn("remembered clock can't be read: the wall clock has to do", "err", err)
-			was = nil
+		previous = &decide.ClockCheckpoint{}
+		if err := cbor.Unmarshal(text, previous); err != nil {
+			c.log.Warn("clock checkpoint is unreadable: using the wall clock", "err", err)
+			previous = nil
 		}
 	}
-	step, away := m.module.StartClock(now, m.cfg.Clocks(), was)
-	m.clockBase.Store(m.module.Unix(now) - m.cfg.Elapsed().Milliseconds())
+	step, away := c.module.StartClock(now, c.cfg.Clocks(), previous)
+	c.clockBase.Store(c.module.Unix(now) - c.cfg.Elapsed().Milliseconds())
 	if step == decide.WallBackTooFar {
-		m.log.Warn("the wall clock went back across the restart: remembered results live on for the slack only", "slack", m.cfg.Results.Slack)
+		c.log.Warn("wall clock went back across the restart: restored results expire after the slack", "slack", c.cfg.Results.Slack)
 	}
-	var kept []RestoredRecord
-	drops := map[decide.DropReason]int{}
-	unreadable, doubted := 0, 0
+	var restored []RestoredRecord
+	dropped := map[decide.DropReason]int{}
+	unreadable, possiblyOutdated := 0, 0
 	var runs []string
-	var b store.Batch
-	err = m.store.Scan(recordPrefix, func(key string, err error) {
+	var batch store.Batch
+	err = c.store.Scan(recordPrefix, func(key string, err error) {
 		unreadable++
-	}, func(e store.Entry) error {
-		key := e.Key[len(recordPrefix):]
-		var f storedRecord
-		if err := cbor.Unmarshal(e.Value, &f); err != nil || (decide.RequestKey{Class: f.Class, Tenant: f.Tenant, Name: f.Name}).Text() != key {
+	}, func(entry store.Entry) error {
+		key := entry.Key[len(recordPrefix):]
+		var stored storedRecord
+		if err := cbor.Unmarshal(entry.Value, &stored); err != nil || (decide.RequestKey{Class: stored.Class, Tenant: stored.Tenant, Name: stored.Name}).Text() != key {
 			unreadable++
 			return nil
 		}
-		var entry decide.Record
-		drop := decide.PossiblyOutdated
-		if e.Doubt {
-			doubted++
+		var record decide.Record
+		reason := decide.PossiblyOutdated
+		if entry.Doubt {
+			possiblyOutdated++
 		}
-		if !e.Doubt || f.Effect != rules.Safe { // an older intent or result of keyed work is still true
-			entry, drop = m.module.Restore(now, f.record())
+		if !entry.Doubt || stored.Effect != rules.Safe { // an older intent or result of keyed work still holds
+			record, reason = c.module.Restore(now, stored.record())
 		}
-		drops[drop]++
-		if drop != decide.Kept {
-			if drop == decide.UnsafeReported && len(runs) < maxNamedRuns {
-				runs = append(runs, f.Run)
+		dropped[reason]++
+		if reason != decide.Kept {
+			if reason == decide.UnsafeReported && len(runs) < maxNamedRuns {
+				runs = append(runs, stored.Run)
 			}
-			b.Delete(e.Key)
-			b.Delete(resultPrefix + key)
+			batch.Delete(entry.Key)
+			batch.Delete(resultPrefix + key)
 			return nil
 		}
-		kept = append(kept, RestoredRecord{Record: entry, Class: slices.Index(m.cfg.Names.Classes, entry.Class), Key: key, Expires: now + time.Duration(entry.Expires-m.module.Unix(now))*time.Millisecond})
+		restored = append(restored, RestoredRecord{Record: record, Class: slices.Index(c.cfg.Names.Classes, record.Class), Key: key, Expires: now + time.Duration(record.Expires-c.module.Unix(now))*time.Millisecond})
 		return nil
 	})
 	if err != nil {
 		return nil, fmt.Errorf("results: restore: %w", err)
 	}
-	if b.Len() > 0 {
-		if err := m.store.Apply(&b, store.Soon); err != nil {
-			m.logFailure(err) // they will be dropped again next time
+	if batch.Len() > 0 {
+		if err := c.store.Apply(&batch, store.Soon); err != nil {
+			c.logFailure(err) // the next start will discard them again
 		}
 	}
-	m.Counters.Restored.Store(int64(len(kept)))
-	m.Counters.Aged.Add(int64(drops[decide.Expired]))
+	c.Counters.Restored.Store(int64(len(restored)))
+	c.Counters.Aged.Add(int64(dropped[decide.Expired]))
 	args := []any{
-		"kept", len(kept), "bytes", m.module.Bytes(), "clock", step.String(), "away", away,
-		"recovery", m.recovery.Took, "restore", time.Since(began), "checkpoint", m.recovery.Checkpoint, "read_bytes", m.recovery.Read,
+		"kept", len(restored), "bytes", c.module.Bytes(), "clock", step.String(), "away", away,
+		"recovery", c.recovery.Took, "restore", time.Since(began), "checkpoint", c.recovery.Checkpoint, "read_bytes", c.recovery.Read,
 	}
-	for d := decide.Expired; d <= decide.PossiblyOutdated; d++ {
-		if drops[d] > 0 {
-			args = append(args, "dropped_"+d.String(), drops[d])
+	for reason := decide.Expired; reason <= decide.PossiblyOutdated; reason++ {
+		if dropped[reason] > 0 {
+			args = append(args, "dropped_"+reason.String(), dropped[reason])
 		}
 	}
-	m.log.Info("remembered results", args...)
-	for _, f := range m.recovery.Torn {
-		m.log.Info("store: the torn end of a write that was never acknowledged is cut", "file", f.File, "offset", f.Offset, "bytes", f.Size)
+	c.log.Info("remembered results", args...)
+	for _, fault := range c.recovery.Torn {
+		c.log.Info("store: truncated an incomplete write that was never acknowledged",
+			"file", fault.File, "offset", fault.Offset, "bytes", fault.Size)
 	}
-	for _, f := range m.recovery.Damaged {
-		m.log.Error("store: damage; all other records are served, the file is set aside", "file", f.File, "offset", f.Offset, "bytes", f.Size, "reason", f.Reason)
+	for _, fault := range c.recovery.Damaged {
+		c.log.Error("store: damage; all other records are served, the file is set aside",
+			"file", fault.File, "offset", fault.Offset, "bytes", fault.Size, "reason", fault.Reason)
 	}
-	if doubted > 0 {
-		m.log.Warn("remembered results whose newest record may be lost: reads among them are dropped, keyed ones stand", "entries", doubted)
+	if possiblyOutdated > 0 {
+		c.log.Warn("newer records of some results may be lost: reads are discarded, keyed ones restored", "entries", possiblyOutdated)
 	}
 	if unreadable > 0 {
-		m.log.Error("remembered results that can't be read", "entries", unreadable)
+		c.log.Error("stored results are unreadable", "entries", unreadable)
 	}
 	if len(runs) > 0 {
-		m.log.Warn("unsafe work that may have run before the restart", "count", drops[decide.UnsafeReported], "runs", runs)
+		c.log.Warn("unsafe work that may have run before the restart", "count", dropped[decide.UnsafeReported], "runs", runs)
 	}
-	m.putClockCheckpoint(now)
-	return kept, nil
+	c.putClockCheckpoint(now)
+	return restored, nil
 }
 
-func (f storedRecord) record() decide.Record {
+// record returns the decide.Record.
+func (s storedRecord) record() decide.Record {
 	return decide.Record{
-		RequestKey: decide.RequestKey{Class: f.Class, Tenant: f.Tenant, Name: f.Name}, Kind: f.Kind, Effect: f.Effect, Run: f.Run,
-		Arrived: f.Arrived, Window: f.Window, Expires: f.Expires, Size: f.Size,
+		RequestKey: decide.RequestKey{Class: s.Class, Tenant: s.Tenant, Name: s.Name}, Kind: s.Kind, Effect: s.Effect, Run: s.Run,
+		Arrived: s.Arrived, Window: s.Window, Expires: s.Expires, Size: s.Size,
 	}
 }
 
-// ID is what x's tries have in common; its Name is empty for a request that has nothing.
-func (m *Cache) RequestKey(x *exchange.Exchange) decide.RequestKey {
-	id := decide.RequestKey{Class: x.ClassName, Tenant: x.TenantName}
-	switch m.cfg.Settings.Classes[x.Class].Effect {
+// RequestKey returns the key of all tries of x. Its Name is empty if nothing links them.
+func (c *Cache) RequestKey(x *exchange.Exchange) decide.RequestKey {
+	key := decide.RequestKey{Class: x.ClassName, Tenant: x.TenantName}
+	switch c.cfg.Settings.Classes[x.Class].Effect {
 	case rules.Keyed:
-		id.Name = x.Unique
+		key.Name = x.Unique
 	case rules.Safe:
-		id.Name = x.Item
+		key.Name = x.Item
 	default:
-		id.Name = x.Txn
+		key.Name = x.Txn
 	}
-	return id
+	return key
 }
 
-// Wants reports whether x is remembered, and whether its run must wait for an intent.
-func (m *Cache) Wants(x *exchange.Exchange) (remember, intent bool) {
-	return m.module.ShouldRecord(m.cfg.Settings.Classes[x.Class].Effect, m.RequestKey(x).Name != "")
+// Wants reports whether x is recorded, and whether its run must wait for a stored intent.
+func (c *Cache) Wants(x *exchange.Exchange) (record, intent bool) {
+	return c.module.ShouldRecord(c.cfg.Settings.Classes[x.Class].Effect, c.RequestKey(x).Name != "")
 }
 
-// entry is what is known of x; expires is on the loop's clock.
-func (m *Cache) record(now time.Duration, x *exchange.Exchange, expires time.Duration) decide.Record {
-	c := m.cfg.Settings.Classes[x.Class]
-	e := decide.Record{RequestKey: m.RequestKey(x), Effect: c.Effect, Run: x.Txn, Arrived: m.module.Unix(now), Expires: m.module.Unix(expires)}
-	if c.Effect == rules.Keyed {
-		e.Window = c.IdempotencyWindow.Milliseconds()
+// record returns a record of x; expires is on the loop's clock.
+func (c *Cache) record(now time.Duration, x *exchange.Exchange, expires time.Duration) decide.Record {
+	class := c.cfg.Settings.Classes[x.Class]
+	record := decide.Record{
+		RequestKey: c.RequestKey(x), Effect: class.Effect, Run: x.Txn,
+		Arrived: c.module.Unix(now), Expires: c.module.Unix(expires),
 	}
-	return e
+	if class.Effect == rules.Keyed {
+		record.Window = class.IdempotencyWindow.Milliseconds()
+	}
+	return record
 }
 
-// Intend notes that x is about to run. done is called once the note is as
-// durable as set, or with why it is not; the run must wait for it.
-func (m *Cache) StoreIntent(now time.Duration, x *exchange.Exchange, expires time.Duration, done func(error)) {
-	e := m.record(now, x, expires)
-	ok, orders := m.module.RecordIntent(now, e)
-	m.applyChanges(orders)
+// StoreIntent records that x is about to run. done is called once the record is as durable as
+// configured, or with the error; the run must wait for it. expires is on the loop's clock.
+func (c *Cache) StoreIntent(now time.Duration, x *exchange.Exchange, expires time.Duration, done func(error)) {
+	record := c.record(now, x, expires)
+	ok, changes := c.module.RecordIntent(now, record)
+	c.applyChanges(changes)
 	if !ok {
-		m.Counters.NoRoom.Add(1)
+		c.Counters.NoRoom.Add(1)
 		done(ErrNoRoom)
 		return
 	}
-	e.Kind = decide.Intent
-	m.Counters.Intents.Add(1)
-	m.put(e)
-	m.batch.Delete(resultPrefix + e.Text())
-	m.notifyWhenWritten(done)
+	record.Kind = decide.Intent
+	c.Counters.Intents.Add(1)
+	c.put(record)
+	c.batch.Delete(resultPrefix + record.Text())
+	c.notifyWhenWritten(done)
 }
 
-// Ended notes how x's run ended. With done set it is called once that is as
-// durable as set, or could not be stored; kept tells whether the result is.
-func (m *Cache) RunEnded(now time.Duration, x *exchange.Exchange, expires time.Duration, good bool, body []byte, done func(kept bool)) {
-	m.recordEnd(now, m.record(now, x, expires), good, body, done)
+// RunEnded records how the run of x ended. done, if not nil, is called once the record is as durable as
+// configured, or could not be stored; its argument says whether the result is stored.
+func (c *Cache) RunEnded(now time.Duration, x *exchange.Exchange, expires time.Duration, succeeded bool, body []byte, done func(stored bool)) {
+	c.recordEnd(now, c.record(now, x, expires), succeeded, body, done)
 }
 
-// Late notes the end of a run of an earlier life.
-func (m *Cache) LateRunEnded(now time.Duration, r RestoredRecord, good bool, body []byte) {
-	m.Counters.Late.Add(1)
-	m.recordEnd(now, r.Record, good, body, nil)
+// LateRunEnded records the end of a run of an earlier incarnation.
+func (c *Cache) LateRunEnded(now time.Duration, restored RestoredRecord, succeeded bool, body []byte) {
+	c.Counters.Late.Add(1)
+	c.recordEnd(now, restored.Record, succeeded, body, nil)
 }
 
-func (m *Cache) recordEnd(now time.Duration, e decide.Record, good bool, body []byte, done func(kept bool)) {
-	e, keep, orders := m.module.RunEnded(now, e, good, int64(len(body)))
-	m.applyChanges(orders)
-	if keep {
-		m.put(e)
-		if e.Kind == decide.Result {
-			m.Counters.Stored.Add(1)
-			m.batch.Put(resultPrefix+e.Text(), body, e.Expires+expiryGrace.Milliseconds())
+// recordEnd records the end of a run, see RunEnded.
+func (c *Cache) recordEnd(now time.Duration, record decide.Record, succeeded bool, body []byte, done func(stored bool)) {
+	record, mustStore, changes := c.module.RunEnded(now, record, succeeded, int64(len(body)))
+	c.applyChanges(changes)
+	if mustStore {
+		c.put(record)
+		if record.Kind == decide.Result {
+			c.Counters.Stored.Add(1)
+			c.batch.Put(resultPrefix+record.Text(), body, record.Expires+expiryGrace.Milliseconds())
 		}
 	}
 	switch {
 	case done == nil:
-	case !keep:
+	case !mustStore:
 		done(false)
 	default:
-		m.notifyWhenWritten(func(err error) { done(err == nil && e.Kind == decide.Result) })
+		c.notifyWhenWritten(func(err error) { done(err == nil && record.Kind == decide.Result) })
 	}
 }
 
-// Withdraw forgets the intent of a run that never began.
-func (m *Cache) Withdraw(x *exchange.Exchange) {
-	m.deleteRecords(m.module.Withdraw(m.RequestKey(x)).Delete)
+// Withdraw removes the intent of a request that never started.
+func (c *Cache) Withdraw(x *exchange.Exchange) {
+	c.deleteRecords(c.module.Withdraw(c.RequestKey(x)).Delete)
 }
 
-// Judge says what a repeat of an earlier life's request is told; pool is when
-// the worker pool came up, on the loop's clock.
-func (m *Cache) DecideRepeat(r RestoredRecord, pool time.Duration) decide.RepeatAction {
-	return m.module.DecideRepeat(r.Record, m.module.Unix(pool))
+// DecideRepeat decides how a repeat of a request of an earlier incarnation is handled. poolStart is when
+// the worker pool started, on the loop's clock.
+func (c *Cache) DecideRepeat(restored RestoredRecord, poolStart time.Duration) decide.RepeatAction {
+	return c.module.DecideRepeat(restored.Record, c.module.Unix(poolStart))
 }
 
-// Told counts what a repeat of an earlier life's request was told.
-func (m *Cache) CountRepeat(good bool) {
-	if good {
-		m.Counters.Answered.Add(1)
+// CountRepeat counts a repeat of a request of an earlier incarnation: answered, or failed.
+func (c *Cache) CountRepeat(answered bool) {
+	if answered {
+		c.Counters.Answered.Add(1)
 		return
 	}
-	m.Counters.Unknown.Add(1)
+	c.Counters.Unknown.Add(1)
 }
 
-func (m *Cache) put(e decide.Record) {
-	text, err := m.encoder.Marshal(storedRecord{
-		Kind: e.Kind, Effect: e.Effect, Class: e.Class, Tenant: e.Tenant, Name: e.Name, Run: e.Run,
-		Arrived: e.Arrived, Window: e.Window, Expires: e.Expires, Size: e.Size,
+// put adds a record to the batch.
+func (c *Cache) put(record decide.Record) {
+	text, err := c.encoder.Marshal(storedRecord{
+		Kind: record.Kind, Effect: record.Effect, Class: record.Class, Tenant: record.Tenant, Name: record.Name, Run: record.Run,
+		Arrived: record.Arrived, Window: record.Window, Expires: record.Expires, Size: record.Size,
 	})
 	if err != nil { // the type has nothing that can't be encoded
 		panic(err)
 	}
-	m.batch.Put(recordPrefix+e.Text(), text, e.Expires+expiryGrace.Milliseconds())
+	c.batch.Put(recordPrefix+record.Text(), text, record.Expires+expiryGrace.Milliseconds())
 }
 
-// obey carries out what a decision brings with it.
-func (m *Cache) applyChanges(o decide.StoreChanges) {
-	m.Counters.Evicted.Add(int64(len(o.Delete) + len(o.EvictResult)))
-	m.deleteRecords(o.Delete)
-	for _, e := range o.EvictResult {
-		m.put(e)
-		m.batch.Delete(resultPrefix + e.Text())
+// applyChanges adds the changes that follow from a decision to the batch.
+func (c *Cache) applyChanges(changes decide.StoreChanges) {
+	c.Counters.Evicted.Add(int64(len(changes.Delete) + len(changes.EvictResult)))
+	c.deleteRecords(changes.Delete)
+	for _, record := range changes.EvictResult {
+		c.put(record)
+		c.batch.Delete(resultPrefix + record.Text())
 	}
 }
 
-func (m *Cache) deleteRecords(keys []string) {
-	for _, k := range keys {
-		m.batch.Delete(recordPrefix + k)
-		m.batch.Delete(resultPrefix + k)
+// deleteRecords adds the deletion of records and their results to the batch.
+func (c *Cache) deleteRecords(keys []string) {
+	for _, key := range keys {
+		c.batch.Delete(recordPrefix + key)
+		c.batch.Delete(resultPrefix + key)
 	}
 }
 
-func (m *Cache) notifyWhenWritten(done func(error)) {
-	m.pending = append(m.pending, done)
-	m.needsSync = m.needsSync || m.cfg.Results.Durable
+// notifyWhenWritten calls done when the current batch is written, or could not be.
+func (c *Cache) notifyWhenWritten(done func(error)) {
+	c.pending = append(c.pending, done)
+	c.needsSync = c.needsSync || c.cfg.Results.Durable
 }
 
-// mark puts the clocks' mark into the batch.
-func (m *Cache) putClockCheckpoint(now time.Duration) {
-	text, err := m.encoder.Marshal(m.module.Checkpoint(now, m.cfg.Clocks()))
+// putClockCheckpoint adds a checkpoint of the clocks to the batch.
+func (c *Cache) putClockCheckpoint(now time.Duration) {
+	text, err := c.encoder.Marshal(c.module.Checkpoint(now, c.cfg.Clocks()))
 	if err != nil { // the type has nothing that can't be encoded
 		panic(err)
 	}
-	m.batch.Put(clockKey, text, 0)
-	m.lastCheckpoint = now
+	c.batch.Put(clockKey, text, 0)
+	c.lastCheckpoint = now
 }
 
-// Flush hands all that was noted since the last time to the store, as one
-// batch: a tick costs one sync, whatever it holds.
-func (m *Cache) Flush(now time.Duration) {
-	if now-m.lastExpiry > time.Second {
-		m.lastExpiry = now
-		old := m.module.Expire(now - expiryGrace)
-		m.Counters.Aged.Add(int64(len(old)))
-		m.deleteRecords(old)
+// Flush writes everything recorded since the last call to the store, as one batch: a control interval
+// costs one sync, however much was recorded.
+func (c *Cache) Flush(now time.Duration) {
+	if now-c.lastExpiry > time.Second {
+		c.lastExpiry = now
+		expired := c.module.Expire(now - expiryGrace)
+		c.Counters.Aged.Add(int64(len(expired)))
+		c.deleteRecords(expired)
 	}
-	if now-m.lastCheckpoint >= decide.CheckpointInterval && (m.module.Len() > 0 || m.batch.Len() > 0) {
-		m.putClockCheckpoint(now)
+	if now-c.lastCheckpoint >= decide.CheckpointInterval && (c.module.Len() > 0 || c.batch.Len() > 0) {
+		c.putClockCheckpoint(now)
 	}
-	if m.batch.Len() == 0 {
+	if c.batch.Len() == 0 {
 		return
 	}
-	b, waiting, d := m.batch, m.pending, store.Soon
-	if m.needsSync {
-		d = store.Durable
+	batch, pending, durability := c.batch, c.pending, store.Soon
+	if c.needsSync {
+		durability = store.Durable
 	}
-	m.batch, m.pending, m.needsSync = store.Batch{}, nil, false
-	m.store.ApplyAsync(&b, d, func(err error) {
+	c.batch, c.pending, c.needsSync = store.Batch{}, nil, false
+	c.store.ApplyAsync(&batch, durability, func(err error) {
 		if err != nil {
-			m.Counters.Failed.Add(1)
+			c.Counters.Failed.Add(1)
 		}
-		for _, done := range waiting {
+		for _, done := range pending {
 			done(err)
 		}
 	})
 }
 
-// failed tells of a write that failed, now and then.
-func (m *Cache) logFailure(err error) {
-	if time.Since(m.lastFailureLog) > failureLogInterval {
-		m.lastFailureLog = time.Now()
-		m.log.Error("remembered results can't be written", "err", err)
+// logFailure logs a failed write, at most once per failureLogInterval.
+func (c *Cache) logFailure(err error) {
+	if time.Since(c.lastFailureLog) > failureLogInterval {
+		c.lastFailureLog = time.Now()
+		c.log.Error("results can't be written to the store", "err", err)
 	}
 }
 
-// Refused tells why an intent could not be written. It reports whether the run
-// goes on unremembered.
-func (m *Cache) RunsUnrecorded(err error) bool {
-	m.logFailure(err)
-	return m.cfg.Results.RunUnwritten
+// RunsUnrecorded takes the error of an intent that could not be written, and reports whether the request
+// runs without a record.
+func (c *Cache) RunsUnrecorded(err error) bool {
+	c.logFailure(err)
+	return c.cfg.Results.RunUnwritten
 }
 
-// Fetch reads a stored result; done is called by another goroutine.
-func (m *Cache) Fetch(key string, done func(body []byte, err error)) {
+// Fetch reads a stored result. done is called by another goroutine, or at once with store.ErrBusy if
+// too many reads are pending.
+func (c *Cache) Fetch(key string, done func(body []byte, err error)) {
 	select {
-	case m.fetches <- fetchRequest{key, done}:
+	case c.fetches <- fetchRequest{key, done}:
 	default:
 		done(nil, store.ErrBusy)
 	}
 }
 
-func (m *Cache) fetcher() {
-	defer close(m.fetcherDone)
-	for f := range m.fetches {
-		f.done(m.store.Get(resultPrefix + f.key))
+// fetcher reads the requested results until Close.
+func (c *Cache) fetcher() {
+	defer close(c.fetcherDone)
+	for f := range c.fetches {
+		f.done(c.store.Get(resultPrefix + f.key))
 	}
 }
 
-// Count is the number of entries, Bytes what they take; both belong to the loop.
-func (m *Cache) Count() int { return m.module.Len() }
+// Count returns the number of records.
+func (c *Cache) Count() int { return c.module.Len() }
 
-// Recovery tells what opening the store found.
-func (m *Cache) Recovery() store.Recovery { return m.recovery }
+// Recovery returns what opening the store found.
+func (c *Cache) Recovery() store.Recovery { return c.recovery }
 
-// Store is the store beneath, for its counters.
-func (m *Cache) Store() *store.Store { return m.store }
+// Store returns the underlying store, for its counters.
+func (c *Cache) Store() *store.Store { return c.store }
 
-// Close stores what is still to be stored and closes. The loop must have ended.
-func (m *Cache) Close(now time.Duration) error {
-	m.putClockCheckpoint(now)
-	m.Flush(now)
-	close(m.fetches)
-	<-m.fetcherDone
-	if err := m.store.Close(); err != nil {
+// Close writes what is not written yet and closes the store. The loop must have ended.
+func (c *Cache) Close(now time.Duration) error {
+	c.putClockCheckpoint(now)
+	c.Flush(now)
+	close(c.fetches)
+	<-c.fetcherDone
+	if err := c.store.Close(); err != nil {
 		return fmt.Errorf("results: %w", err)
 	}
 	return nil
