--- a/decide/recovery/fairscheduler_test.go
+++ b/decide/recovery/fairscheduler_test.go
@@ -9,39 +9,39 @@
 	"pgregory.net/rapid"
 )
 
-// Never more than the bound at once, everybody has a turn in the end however many keep
-// theirs, and of two that wait the one served longest ago is first.
+// There are never more active tickets than the limit, every request is granted in the end even if
+// clients keep their tickets, and of two waiting clients the one served longest ago is first.
 func TestFairScheduler(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		most := rapid.IntRange(1, 8).Draw(t, "most")
-		turns := NewFairScheduler(most, 100*time.Millisecond)
+		limit := rapid.IntRange(1, 8).Draw(t, "most")
+		scheduler := NewFairScheduler(limit, 100*time.Millisecond)
 		names, since := map[uint64]string{}, map[string]time.Duration{}
-		held := map[uint64]time.Duration{}
+		active := map[uint64]time.Duration{}
 		now := time.Duration(0)
-		granted := func() {
-			list, again := turns.Grant(now)
-			for turn, at := range held {
+		grant := func() {
+			list, again := scheduler.Grant(now)
+			for ticket, at := range active {
 				if now-at >= 100*time.Millisecond {
-					delete(held, turn)
+					delete(active, ticket)
 				}
 			}
 			for _, g := range list {
-				for turn, name := range names { // nobody who waits was served longer ago
-					if name != names[g] && !slices.Contains(list, turn) && !isActive(held, turn) && lastServedAt(since, name) < lastServedAt(since, names[g]) {
+				for ticket, name := range names { // no waiting client was served longer ago
+					if name != names[g] && !slices.Contains(list, ticket) && !isActive(active, ticket) && lastServedAt(since, name) < lastServedAt(since, names[g]) {
 						t.Fatalf("%s (%v) before %s (%v)", names[g], lastServedAt(since, names[g]), name, lastServedAt(since, name))
 					}
 				}
 			}
 			for _, g := range list {
 				since[names[g]] = now
-				held[g] = now
+				active[g] = now
 				delete(names, g)
 			}
-			if len(held) > most {
-				t.Fatalf("%d turns at once", len(held))
+			if len(active) > limit {
+				t.Fatalf("%d tickets at once", len(active))
 			}
-			if again == 0 != (turns.Waiting() == 0) {
-				t.Fatalf("%d wait, step again in %v", turns.Waiting(), again)
+			if again == 0 != (scheduler.Waiting() == 0) {
+				t.Fatalf("%d wait, grant again in %v", scheduler.Waiting(), again)
 			}
 		}
 		for range 200 {
@@ -54,27 +54,28 @@
 					busy = busy || n == name
 				}
 				if !busy {
-					names[turns.Request(name)] = name
+					names[scheduler.Request(name)] = name
 				}
 			case 1:
-				for turn := range held {
-					turns.Release(turn)
-					delete(held, turn)
+				for ticket := range active {
+					scheduler.Release(ticket)
+					delete(active, ticket)
 					break
 				}
 			}
-			granted()
+			grant()
 		}
 		for range 100 {
 			now += 100 * time.Millisecond
-			granted()
+			grant()
 		}
-		if turns.Waiting() > 0 || len(names) > 0 {
-			t.Fatalf("%d never had a turn", turns.Waiting())
+		if scheduler.Waiting() > 0 || len(names) > 0 {
+			t.Fatalf("%d were never granted", scheduler.Waiting())
 		}
 	})
 }
 
+// lastServedAt returns when a name was last served, -1 if never.
 func lastServedAt(since map[string]time.Duration, name string) time.Duration {
 	if d, known := since[name]; known {
 		return d
@@ -82,4 +83,7 @@
 	return -1
 }
 
-func isActive(held map[uint64]time.Duration, turn uint64) bool { _, ok := held[turn]; return ok }
+func isActive(active map[uint64]time.Duration, ticket uint64) bool {
+	_, ok := active[ticket]
+	return ok
+}
--- a/decide/recovery/registry_test.go
+++ b/decide/recovery/registry_test.go
@@ -5,29 +5,30 @@
 	"testing"
 )
 
-// Reports out of order, of dead lives, or of strangers change nothing of what is told.
+// Reports that arrive out of order or come from an older incarnation do not change what the registry
+// returns, it survives a restart of the service, and the number of names is bounded.
 func TestIncarnationRegistry(t *testing.T) {
-	w := NewIncarnationRegistry()
-	if w.Observe("n", 5, PreviousStore{ID: "a", Epoch: 1, Checkpoint: 1}) != nil {
-		t.Error("something was heard of a name that said nothing before")
+	registry := NewIncarnationRegistry()
+	if registry.Observe("n", 5, PreviousStore{ID: "a", Epoch: 1, Checkpoint: 1}) != nil {
+		t.Error("a previous store is returned for a name without reports")
 	}
-	w.Observe("n", 5, PreviousStore{ID: "a", Epoch: 1, Checkpoint: 8})
-	w.Observe("n", 5, PreviousStore{ID: "a", Epoch: 1, Checkpoint: 3}) // overtaken
-	w.Observe("n", 4, PreviousStore{ID: "z", Epoch: 9})                // of a dead life
+	registry.Observe("n", 5, PreviousStore{ID: "a", Epoch: 1, Checkpoint: 8})
+	registry.Observe("n", 5, PreviousStore{ID: "a", Epoch: 1, Checkpoint: 3}) // out of order
+	registry.Observe("n", 4, PreviousStore{ID: "z", Epoch: 9})                // of an older incarnation
 	for range 2 {
-		if h := w.Observe("n", 6, PreviousStore{ID: "a", Epoch: 2, Checkpoint: 8}); h == nil || *h != (PreviousStore{ID: "a", Epoch: 1, Checkpoint: 8}) {
-			t.Errorf("heard %v", h)
+		if previous := registry.Observe("n", 6, PreviousStore{ID: "a", Epoch: 2, Checkpoint: 8}); previous == nil || *previous != (PreviousStore{ID: "a", Epoch: 1, Checkpoint: 8}) {
+			t.Errorf("previous store is %v", previous)
 		}
 	}
-	again := NewIncarnationRegistry()
-	again.Restore(w.Save())
-	if h := again.Observe("n", 7, PreviousStore{ID: "b", Epoch: 1}); h == nil || h.ID != "a" || h.Epoch != 2 {
-		t.Errorf("after a restart of the service: %v", h)
+	restored := NewIncarnationRegistry()
+	restored.Restore(registry.Save())
+	if previous := restored.Observe("n", 7, PreviousStore{ID: "b", Epoch: 1}); previous == nil || previous.ID != "a" || previous.Epoch != 2 {
+		t.Errorf("after a restart of the service: %v", previous)
 	}
 	for i := range maxRegisteredNodes + 10 {
-		again.Observe(fmt.Sprint(i), 1, PreviousStore{ID: "x"})
+		restored.Observe(fmt.Sprint(i), 1, PreviousStore{ID: "x"})
 	}
-	if len(again.nodes) > maxRegisteredNodes || again.Observe("one more", 1, PreviousStore{ID: "x"}) != nil {
-		t.Errorf("%d names are held", len(again.nodes))
+	if len(restored.nodes) > maxRegisteredNodes || restored.Observe("one more", 1, PreviousStore{ID: "x"}) != nil {
+		t.Errorf("%d names are registered", len(restored.nodes))
 	}
 }
--- a/decide/recovery/snapshot_test.go
+++ b/decide/recovery/snapshot_test.go
@@ -9,11 +9,13 @@
 	"robinmast/rules"
 )
 
+// learned returns figures of one class with the given mean run time in seconds.
 func learned(mean float64) rules.Learned {
 	return rules.Learned{Limit: 4, Rate: 90, Classes: []rules.LearnedClass{{Mean: mean, Base: mean, Runs: 100, Hint: mean, Var: 1e-4, Cov: 1e-4}}}
 }
 
-// What makes a snapshot worth nothing, one by one.
+// A snapshot is not used if its version, settings or machine differ, if it is too old or from the
+// future, or if its figures are implausible. Its weight halves with its half-life.
 func TestWeigh(t *testing.T) {
 	const unix = int64(1_800_000_000_000)
 	good := Snapshot{Version: SnapshotVersion, SettingsDigest: 7, Machine: "m", Taken: unix - 60_000, Learned: learned(0.02)}
@@ -21,55 +23,55 @@
 		t.Fatalf("%v %s", w, why)
 	}
 	for name, change := range map[string]func(*Snapshot){
-		"version": func(s *Snapshot) { s.Version++ },
-		"site":    func(s *Snapshot) { s.SettingsDigest++ },
-		"machine": func(s *Snapshot) { s.Machine = "n" },
-		"old":     func(s *Snapshot) { s.Taken -= 13 * 3_600_000 },
-		"future":  func(s *Snapshot) { s.Taken += 3_600_000 },
-		"classes": func(s *Snapshot) { s.Learned.Classes = nil },
-		"nan":     func(s *Snapshot) { s.Learned.Limit = math.NaN() },
-		"million": func(s *Snapshot) { s.Learned.Classes = []rules.LearnedClass{{Mean: 1e6, Runs: 9}} },
-		"below":   func(s *Snapshot) { s.Learned.Rate = -1 },
+		"version":   func(s *Snapshot) { s.Version++ },
+		"settings":  func(s *Snapshot) { s.SettingsDigest++ },
+		"machine":   func(s *Snapshot) { s.Machine = "n" },
+		"old":       func(s *Snapshot) { s.Taken -= 13 * 3_600_000 },
+		"future":    func(s *Snapshot) { s.Taken += 3_600_000 },
+		"classes":   func(s *Snapshot) { s.Learned.Classes = nil },
+		"nan":       func(s *Snapshot) { s.Learned.Limit = math.NaN() },
+		"too large": func(s *Snapshot) { s.Learned.Classes = []rules.LearnedClass{{Mean: 1e6, Runs: 9}} },
+		"negative":  func(s *Snapshot) { s.Learned.Rate = -1 },
 	} {
 		s := good
 		change(&s)
 		if w, why := SnapshotWeight(&s, 7, "m", 1, unix); w != 0 || why == "" {
-			t.Errorf("%s: believed at %v", name, w)
+			t.Errorf("%s: weight %v", name, w)
 		}
 	}
 	old := good
 	old.Taken = unix - (30 * time.Minute).Milliseconds()
 	if w, _ := SnapshotWeight(&old, 7, "m", 1, unix); math.Abs(w-0.5) > 0.01 {
-		t.Errorf("half an hour old it weighs %v", w)
+		t.Errorf("weight %v after half an hour", w)
 	}
 }
 
-// A snapshot of a machine ten times as fast, or as slow, is dropped after a handful of
-// runs; a true one stands, cold or not.
+// A snapshot that is wrong by a factor of ten, either way, is contradicted after a few runs. A correct
+// one is not, whether the node is cold or warm.
 func TestWarmStartIsCheckedAgainstRuns(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 1))
-	play := func(real, warm float64) (runs int, against string) {
-		p := NewWarmStart(learned(0.02), warm)
-		for !p.Settled() {
+	check := func(runTime, speed float64) (runs int, reason string) {
+		warmStart := NewWarmStart(learned(0.02), speed)
+		for !warmStart.Settled() {
 			runs++
-			if against = p.ObserveRun(0, time.Duration(real/warm*(0.5+rnd.ExpFloat64()/2)*float64(time.Second)), warm); against != "" {
+			if reason = warmStart.ObserveRun(0, time.Duration(runTime/speed*(0.5+rnd.ExpFloat64()/2)*float64(time.Second)), speed); reason != "" {
 				break
 			}
 		}
 		return
 	}
 	for _, c := range []struct {
-		real, warm float64
-		stands     bool
+		runTime, speed float64
+		accepted       bool
 	}{{0.02, 1, true}, {0.02, 0.33, true}, {0.2, 1, false}, {0.002, 1, false}, {0.2, 0.33, false}} {
-		if runs, against := play(c.real, c.warm); (against == "") != c.stands || runs > 2*warmStartRuns {
-			t.Errorf("runs of %v s at %v of the speed: after %d runs %q", c.real, c.warm, runs, against)
+		if runs, reason := check(c.runTime, c.speed); (reason == "") != c.accepted || runs > 2*warmStartRuns {
+			t.Errorf("runs of %v s at %v of the usual speed: after %d runs %q", c.runTime, c.speed, runs, reason)
 		}
 	}
 }
 
-// The module takes a prior up as a few runs' worth: evidence moves it at once, and
-// forgetting leaves it as new.
+// The decision module weights a snapshot like a few runs, so that measured runs soon outweigh it, does
+// not let it replace figures that it already has, and is as new after it discarded the snapshot.
 func TestModuleWarmStart(t *testing.T) {
 	set := rules.Settings{Cores: 2, MemoryKB: 1000, Classes: []rules.Class{{Deadline: 2 * time.Second, LatencyTarget: time.Second, Utility: 1}}}
 	m, err := rules.New(0, set, 1, idleHost{})
@@ -80,34 +82,36 @@
 	m.WarmStart(learned(0.02), 1, 0.5)
 	got := m.Learned()
 	if c := got.Classes[0]; math.Abs(c.Mean-0.04) > 1e-9 || c.Base != 0 || c.Runs > 4 || math.Abs(got.Rate-45) > 1e-9 {
-		t.Errorf("taken up as %+v", got)
+		t.Errorf("warm start gives %+v", got)
 	}
-	m.WarmStart(learned(5), 1, 1) // what is known already stays
+	m.WarmStart(learned(5), 1, 1) // figures that are known already stay
 	if c := m.Learned().Classes[0]; math.Abs(c.Mean-0.04) > 1e-9 {
-		t.Errorf("a second prior changed %+v", c)
+		t.Errorf("a second warm start changed %+v", c)
 	}
 	m.DiscardWarmStart()
 	if got := m.Learned(); got.Rate != fresh.Rate || got.Classes[0] != fresh.Classes[0] {
-		t.Errorf("not forgotten: %+v", got)
+		t.Errorf("not discarded: %+v", got)
 	}
 }
 
+// idleHost ignores what a module without requests does.
 type idleHost struct{ rules.Host }
 
 func (idleHost) SetHealth(bool, bool)             {}
 func (idleHost) StartTimer(uint64, time.Duration) {}
 
+// A snapshot is stored seldom while the figures do not change, and not before they rest on enough runs.
 func TestSnapshotPacer(t *testing.T) {
-	var p SnapshotPacer
+	var pacer SnapshotPacer
 	var times []time.Duration
 	for now := time.Duration(0); now < 10*time.Minute; now += time.Second {
-		l := learned(0.02)
+		figures := learned(0.02)
 		if now < 10*time.Second {
-			l.Classes[0].Runs = 2
+			figures.Classes[0].Runs = 2
 		} else if now < time.Minute {
-			l.Limit += now.Seconds()
+			figures.Limit += now.Seconds()
 		}
-		if p.Due(now, &l) {
+		if pacer.Due(now, &figures) {
 			times = append(times, now)
 		}
 	}
--- a/decide/recovery/storecheck_test.go
+++ b/decide/recovery/storecheck_test.go
@@ -11,61 +11,64 @@
 	"robinmast/rules"
 )
 
-const processStart = 5 * time.Second // of the process, on the loop's clock
+const processStart = 5 * time.Second // on the clock of the node's event loop
 
+// completeStore returns what a start finds in a store without losses.
 func completeStore() FoundState {
 	return FoundState{Identity: Identity{ID: "a", Node: "n1", Epoch: 4}, Node: "n1", Keys: 100, Checkpoint: Checkpoint{N: 9, Keys: 100}, CompleteSince: math.MinInt64}
 }
 
-// What a start finds and what it then hears, and how the memory stands for it.
+// The integrity of the store follows from what a start finds in it and from what control services and
+// the worker pool report of earlier incarnations.
 func TestIntegrity(t *testing.T) {
 	empty := FoundState{Identity: Identity{ID: "b", Node: "n1", Epoch: 1}, Created: true, CompleteSince: math.MinInt64}
 	for _, c := range []struct {
-		name  string
-		found func() FoundState
-		heard *PreviousStore // nil = nothing was said
-		none  bool           // it was said that there was no earlier life
-		pool  time.Duration
-		want  Integrity
+		name     string
+		found    func() FoundState
+		previous *PreviousStore // nil = no report
+		none     bool           // reported: there was no earlier incarnation
+		pool     time.Duration
+		want     Integrity
 	}{
-		{name: "all there", found: completeStore, heard: &PreviousStore{ID: "a", Epoch: 3, Checkpoint: 9}, want: Intact},
-		{name: "lives that were not heard", found: completeStore, heard: &PreviousStore{ID: "a", Epoch: 1, Checkpoint: 2}, want: Intact},
-		{name: "nobody to ask", found: completeStore, want: Intact},
+		{name: "complete", found: completeStore, previous: &PreviousStore{ID: "a", Epoch: 3, Checkpoint: 9}, want: Intact},
+		{name: "incarnations that were not reported", found: completeStore, previous: &PreviousStore{ID: "a", Epoch: 1, Checkpoint: 2}, want: Intact},
+		{name: "no report", found: completeStore, want: Intact},
 		{name: "first start", found: func() FoundState { return empty }, none: true, want: Intact},
-		{name: "not heard yet", found: func() FoundState { return empty }, want: Unverified},
-		{name: "emptied", found: func() FoundState { return empty }, heard: &PreviousStore{ID: "a", Epoch: 3}, want: Incomplete},
-		{name: "emptied, an old pool", found: func() FoundState { return empty }, pool: -time.Minute, want: Incomplete},
-		{name: "another store", found: completeStore, heard: &PreviousStore{ID: "c", Epoch: 1}, want: Incomplete},
-		{name: "yesterday's copy, by lives", found: completeStore, heard: &PreviousStore{ID: "a", Epoch: 4}, want: Incomplete},
-		{name: "yesterday's copy, by marks", found: completeStore, heard: &PreviousStore{ID: "a", Epoch: 3, Checkpoint: 10}, want: Incomplete},
-		{name: "another node's", found: func() FoundState { f := completeStore(); f.Node = "n2"; return f }, want: Incomplete},
-		{name: "half of it", found: func() FoundState { f := completeStore(); f.Keys = 50; return f }, want: Incomplete},
-		{name: "holes", found: func() FoundState { f := completeStore(); f.UnreadablePlaces = 1; return f }, want: Incomplete},
+		{name: "no report yet", found: func() FoundState { return empty }, want: Unverified},
+		{name: "emptied", found: func() FoundState { return empty }, previous: &PreviousStore{ID: "a", Epoch: 3}, want: Incomplete},
+		{name: "emptied, older worker pool", found: func() FoundState { return empty }, pool: -time.Minute, want: Incomplete},
+		{name: "another store", found: completeStore, previous: &PreviousStore{ID: "c", Epoch: 1}, want: Incomplete},
+		{name: "older copy, by epoch", found: completeStore, previous: &PreviousStore{ID: "a", Epoch: 4}, want: Incomplete},
+		{name: "older copy, by checkpoint", found: completeStore, previous: &PreviousStore{ID: "a", Epoch: 3, Checkpoint: 10}, want: Incomplete},
+		{name: "store of another node", found: func() FoundState { f := completeStore(); f.Node = "n2"; return f }, want: Incomplete},
+		{name: "half of the keys", found: func() FoundState { f := completeStore(); f.Keys = 50; return f }, want: Incomplete},
+		{name: "unreadable places", found: func() FoundState { f := completeStore(); f.UnreadablePlaces = 1; return f }, want: Incomplete},
 		{name: "a few keys fewer", found: func() FoundState { f := completeStore(); f.Keys = 90; return f }, want: Intact},
 	} {
-		d := NewStoreCheck(processStart, c.found(), 1)
+		check := NewStoreCheck(processStart, c.found(), 1)
 		if c.pool != 0 {
-			d.WorkerPoolUp(c.pool)
+			check.WorkerPoolUp(c.pool)
 		}
-		if c.heard != nil || c.none {
-			d.ObservePrevious(processStart+time.Second/2, c.heard)
+		if c.previous != nil || c.none {
+			check.ObservePrevious(processStart+time.Second/2, c.previous)
 		}
-		if s, why := d.Integrity(processStart + time.Second); s != c.want {
-			t.Errorf("%s: %v (%s), want %v", c.name, s, why, c.want)
+		if integrity, why := check.Integrity(processStart + time.Second); integrity != c.want {
+			t.Errorf("%s: %v (%s), want %v", c.name, integrity, why, c.want)
 		}
 	}
 }
 
-// Which requests are in doubt, and until when.
+// After a loss, requests that an earlier incarnation may have run are in doubt, until no first try from
+// before the start can be repeated any more.
 func TestInDoubt(t *testing.T) {
-	f := completeStore()
-	f.UnreadablePlaces = 1
+	found := completeStore()
+	found.UnreadablePlaces = 1
 	const window = 10 * time.Second
 	for _, c := range []struct {
 		name   string
 		effect rules.Effect
 		again  bool
-		at     time.Duration // after the start, as it reached the machine
+		at     time.Duration // arrival at the machine, after the start
 		want   bool
 	}{
 		{"a repeat", rules.Keyed, true, time.Second, true},
@@ -76,37 +79,37 @@
 		{"a read", rules.Safe, true, time.Second, false},
 		{"unsafe", rules.Unsafe, true, time.Second, true},
 	} {
-		d := NewStoreCheck(processStart, f, 1)
-		if got := d.MayHaveRun(processStart+c.at+50*time.Millisecond, c.effect, window, 1, c.again, 50*time.Millisecond); got != c.want {
+		check := NewStoreCheck(processStart, found, 1)
+		if got := check.MayHaveRun(processStart+c.at+50*time.Millisecond, c.effect, window, 1, c.again, 50*time.Millisecond); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
-	d := NewStoreCheck(processStart, f, 1)
-	d.MayHaveRun(processStart+1, rules.Keyed, window, 7, false, 0)
-	if d.MayHaveRun(processStart+2, rules.Keyed, window, 7, true, 0) {
-		t.Error("a repeat whose first try came to this life is in doubt")
+	check := NewStoreCheck(processStart, found, 1)
+	check.MayHaveRun(processStart+1, rules.Keyed, window, 7, false, 0)
+	if check.MayHaveRun(processStart+2, rules.Keyed, window, 7, true, 0) {
+		t.Error("a repeat whose first try reached this incarnation is in doubt")
 	}
-	if !d.MayHaveRun(processStart+2, rules.Keyed, window, 8, true, 0) || d.InDoubt != 1 {
-		t.Error("another is not, or is not counted")
+	if !check.MayHaveRun(processStart+2, rules.Keyed, window, 8, true, 0) || check.InDoubt != 1 {
+		t.Error("a repeat of another key is not in doubt, or not counted")
 	}
-	// A life that comes soon after doubts the same, though its own store is whole.
-	f = completeStore()
-	f.CompleteSince = processStart - 2*time.Second
-	d = NewStoreCheck(processStart, f, 1)
-	d.ObservePrevious(processStart+1, &PreviousStore{ID: "a", Epoch: 3, Checkpoint: 9})
-	if !d.MayHaveRun(processStart+time.Second, rules.Keyed, window, 0, true, 0) || d.MayHaveRun(processStart+window-time.Second, rules.Keyed, window, 0, true, 0) {
-		t.Error("the doubt of the life before did not last as long as its window")
+	// The next incarnation holds the same requests in doubt, though its own store is complete.
+	found = completeStore()
+	found.CompleteSince = processStart - 2*time.Second
+	check = NewStoreCheck(processStart, found, 1)
+	check.ObservePrevious(processStart+1, &PreviousStore{ID: "a", Epoch: 3, Checkpoint: 9})
+	if !check.MayHaveRun(processStart+time.Second, rules.Keyed, window, 0, true, 0) || check.MayHaveRun(processStart+window-time.Second, rules.Keyed, window, 0, true, 0) {
+		t.Error("requests are in doubt for less or more than the window of the previous incarnation")
 	}
-	// Unproven ends, whatever is missing.
-	d = NewStoreCheck(processStart, FoundState{Identity: Identity{ID: "b", Epoch: 1}, Created: true, CompleteSince: math.MinInt64}, 1)
-	if !d.MayHaveRun(processStart+1, rules.Keyed, window, 0, true, 0) || d.MayHaveRun(processStart+previousStoreWait, rules.Keyed, window, 0, true, 0) {
-		t.Error("doubt without a word does not end, or never was")
+	// Unverified ends even without a report.
+	check = NewStoreCheck(processStart, FoundState{Identity: Identity{ID: "b", Epoch: 1}, Created: true, CompleteSince: math.MinInt64}, 1)
+	if !check.MayHaveRun(processStart+1, rules.Keyed, window, 0, true, 0) || check.MayHaveRun(processStart+previousStoreWait, rules.Keyed, window, 0, true, 0) {
+		t.Error("without a report requests are not in doubt, or still are after the wait")
 	}
 }
 
-// A model of a node whose folder is lost, rolled back or kept across its lives, that
-// runs each key once a life unless it is in doubt: where the witness lives, no key runs
-// twice within its window, whatever is done to the folder.
+// No key runs twice within its window, even if the node's folder is lost or replaced by an older copy
+// between incarnations. The model runs each key unless it has a record or is in doubt; the registry of
+// the control service lives throughout.
 func TestNoKeyRunsTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const window = 10 * time.Second
@@ -122,29 +125,29 @@
 			}
 			return c
 		}
-		w, stores := NewIncarnationRegistry(), 0
+		registry, stores := NewIncarnationRegistry(), 0
 		var now disk
 		var copies []disk
-		ran := map[uint64]time.Duration{} // the truth
+		ran := map[uint64]time.Duration{} // when each key last ran
 		at := time.Duration(0)
-		for life := uint64(1); life <= 6; life++ {
-			f := FoundState{CompleteSince: math.MinInt64}
+		for incarnation := uint64(1); incarnation <= 6; incarnation++ {
+			found := FoundState{CompleteSince: math.MinInt64}
 			if now.id.ID == "" {
 				stores++
 				now = disk{id: Identity{ID: fmt.Sprint(stores), Node: "n"}, keys: map[uint64]time.Duration{}}
-				f.Created = true
+				found.Created = true
 			} else {
-				f.Node, f.Checkpoint, f.Keys = "n", now.mark, len(now.keys)
+				found.Node, found.Checkpoint, found.Keys = "n", now.mark, len(now.keys)
 			}
 			now.id.Epoch++
-			f.Identity = now.id
+			found.Identity = now.id
 			if now.id.CompleteSince != 0 {
-				f.CompleteSince = time.Duration(now.id.CompleteSince)
+				found.CompleteSince = time.Duration(now.id.CompleteSince)
 			}
-			d := NewStoreCheck(at, f, 1)
-			heard := w.Observe("n", life, PreviousStore{ID: now.id.ID, Epoch: now.id.Epoch, Checkpoint: now.mark.N})
-			d.ObservePrevious(at, heard)
-			if s := d.CompleteSince(); s != f.CompleteSince {
+			d := NewStoreCheck(at, found, 1)
+			previous := registry.Observe("n", incarnation, PreviousStore{ID: now.id.ID, Epoch: now.id.Epoch, Checkpoint: now.mark.N})
+			d.ObservePrevious(at, previous)
+			if s := d.CompleteSince(); s != found.CompleteSince {
 				now.id.CompleteSince = int64(s)
 				stores++
 				now.id.ID = fmt.Sprint(stores)
@@ -152,20 +155,20 @@
 			for range rapid.IntRange(0, 30).Draw(t, "requests") {
 				at += time.Duration(rapid.IntRange(1, 1000).Draw(t, "dt")) * time.Millisecond
 				key := rapid.Uint64Range(1, 12).Draw(t, "key")
-				first, before := ran[key]
-				again := before && at-first < window
-				if seen, known := now.keys[key]; known && at-seen < window {
-					continue // answered from what is remembered
+				first, ranBefore := ran[key]
+				repeat := ranBefore && at-first < window
+				if recordedAt, known := now.keys[key]; known && at-recordedAt < window {
+					continue // answered from the record
 				}
-				if d.MayHaveRun(at, rules.Keyed, window, key, again, 0) {
+				if d.MayHaveRun(at, rules.Keyed, window, key, repeat, 0) {
 					continue // failed
 				}
-				if again {
-					t.Fatalf("key %d ran at %v and again at %v in life %d: memory %v", key, first, at, life, d.integrity)
+				if repeat {
+					t.Fatalf("key %d ran at %v and again at %v in incarnation %d: store is %v", key, first, at, incarnation, d.integrity)
 				}
 				ran[key], now.keys[key] = at, at
 				now.mark = Checkpoint{now.mark.N + 1, len(now.keys)}
-				w.Observe("n", life, PreviousStore{ID: now.id.ID, Epoch: now.id.Epoch, Checkpoint: now.mark.N})
+				registry.Observe("n", incarnation, PreviousStore{ID: now.id.ID, Epoch: now.id.Epoch, Checkpoint: now.mark.N})
 				if rapid.IntRange(0, 3).Draw(t, "copy") == 0 {
 					copies = append(copies, clone(now))
 				}
