--- a/decide/pools/load_test.go
+++ b/decide/pools/load_test.go
@@ -13,8 +13,8 @@
 
 const ms = time.Millisecond
 
-// site is a machine of eight cores that slow with crowding: cheap calls of little
-// worth, texts that an agent waits for, and script steps.
+// testSettings returns a node of eight cores, which slow down under contention, with three classes: cheap
+// calls of little utility, texts that a user waits for, and steps of scripts.
 func testSettings() rules.Settings {
 	cheap := rules.Class{LatencyTarget: 600 * ms, Deadline: 1500 * ms, Utility: 0.05}
 	text, script := cheap, cheap
@@ -32,8 +32,8 @@
 	testLength                         = 20 * time.Second
 )
 
-// mix is the site's usual mix: a share of what its cores can do. The cheap calls
-// earn less for their work than either of the others.
+// usualMix returns the usual mix of requests; load is the work as a share of what the cores can do. The
+// cheap calls have less utility for their work than either of the others.
 func usualMix(load float64) []machine.Stream {
 	work := load * 8 // seconds of work a second
 	return []machine.Stream{
@@ -43,7 +43,7 @@
 	}
 }
 
-// with sets pools with a reserve, or none below zero.
+// withPools adds pools with a reserve to the settings, or no pools if reserve is negative.
 func withPools(set rules.Settings, reserve float64) rules.Settings {
 	if reserve < 0 {
 		return set
@@ -58,6 +58,7 @@
 	return set
 }
 
+// replay runs the arrivals through the decision module and fails the test if one of its rules is broken.
 func replay(t testing.TB, opt machine.Options, arrivals []machine.Arrival) *machine.Result {
 	t.Helper()
 	if opt.Crowd == 0 {
@@ -73,7 +74,7 @@
 	return res
 }
 
-// worst is the least share of a class's requests that was served in any second.
+// worstSecond returns the least share of a class's requests that was served in any second.
 func worstSecond(r *machine.Result, class, from, to int) float64 {
 	least := math.Inf(1)
 	for s := from; s < to; s++ {
@@ -84,9 +85,10 @@
 	return least
 }
 
+// servedInTime returns the share of requests that was served in time.
 func servedInTime(c machine.Count) float64 { return float64(c.InTime) / float64(max(c.Arrived, 1)) }
 
-// between is a rate that holds from one time to another, else another one.
+// between returns a rate that is in from one time to another, else out.
 func between(from, to time.Duration, in, out float64) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
 		if at >= from && at < to {
@@ -96,41 +98,40 @@
 	}
 }
 
-const disturbanceStart, disturbanceEnd = 8 * time.Second, 13 * time.Second // when troubles last
+const disturbanceStart, disturbanceEnd = 8 * time.Second, 13 * time.Second // when the disturbances of scenarios last
 
-// troubles are the hard cases. Each says what must hold with a reserve; "classes"
-// whose requests must go on being served in time through it, and how many.
+// scenarios are overloads and disturbances, with what must hold in them with a reserve.
 var scenarios = []struct {
 	name    string
 	streams []machine.Stream
 	change  func(*machine.Options)
-	least   map[int]float64 // share of a class served in time while it lasts
-	alive   []int           // classes of which some are served in every second
+	least   map[int]float64 // share of a class that must be served in time during the disturbance
+	alive   []int           // classes of which some requests must be served in every second
 }{
 	{"overload", usualMix(1.3), nil, map[int]float64{textClass: 0.9, scriptClass: 0.65}, []int{cheapClass, textClass, scriptClass}},
 	{"flood of cheap calls", append(usualMix(0.9), machine.Stream{
 		Class: cheapClass, Rate: between(disturbanceStart, disturbanceEnd, 10*8/0.006, 0), Work: machine.Always(6 * ms),
 	}), nil, map[int]float64{textClass: 0.9, scriptClass: 0.8}, []int{cheapClass, textClass, scriptClass}},
-	{"flood of calls that earn", append(usualMix(0.9), machine.Stream{
+	{"flood of calls of high utility", append(usualMix(0.9), machine.Stream{
 		Class: cheapClass, Rate: between(disturbanceStart, disturbanceEnd, 10*8/0.006, 0), Work: machine.Always(6 * ms),
 	}), func(o *machine.Options) { o.Settings.Classes[cheapClass].Utility = 2 }, map[int]float64{textClass: 0.8, scriptClass: 0.5}, []int{cheapClass, textClass, scriptClass}},
-	{"flood of the dearest", append(usualMix(0.9), machine.Stream{
+	{"flood of the costliest class", append(usualMix(0.9), machine.Stream{
 		Class: scriptClass, Rate: between(disturbanceStart, disturbanceEnd, 10*8/0.08, 0), Work: machine.Always(80 * ms),
 	}), nil, map[int]float64{textClass: 0.7}, []int{cheapClass, textClass, scriptClass}},
-	{"flood that lies", append(usualMix(0.9), machine.Stream{
+	{"flood with wrong hints", append(usualMix(0.9), machine.Stream{
 		Class: scriptClass, Rate: between(disturbanceStart, disturbanceEnd, 3*8/0.08, 0), Work: machine.Always(80 * ms),
 		Hint: func(time.Duration) time.Duration { return ms },
 	}), nil, map[int]float64{textClass: 0.7}, []int{cheapClass, textClass}},
-	{"mix turns over", []machine.Stream{
+	{"mix is reversed", []machine.Stream{
 		{Class: cheapClass, Rate: machine.Steady(40), Work: machine.Always(6 * ms)},
 		{Class: textClass, Rate: between(disturbanceStart, time.Hour, 20, 300), Work: machine.Always(30 * ms)},
 		{Class: scriptClass, Rate: between(disturbanceStart, time.Hour, 125, 5), Work: machine.Always(80 * ms)},
 	}, nil, map[int]float64{cheapClass: 0.3, scriptClass: 0.55}, []int{cheapClass, textClass, scriptClass}},
-	{"falls silent, returns", []machine.Stream{
+	{"class pauses and returns", []machine.Stream{
 		usualMix(1.2)[cheapClass], usualMix(1.2)[scriptClass],
 		{Class: textClass, Rate: between(4*time.Second, disturbanceStart, 0, 1.2*8*0.4/0.03), Work: machine.Always(30 * ms)},
 	}, nil, map[int]float64{textClass: 0.9}, []int{cheapClass, scriptClass}},
-	{"work turns costly", []machine.Stream{
+	{"work becomes costly", []machine.Stream{
 		usualMix(0.9)[cheapClass], usualMix(0.9)[textClass],
 		{Class: scriptClass, Rate: machine.Steady(0.9 * 8 * 0.5 / 0.08), Work: func(at time.Duration) time.Duration {
 			if at >= disturbanceStart && at < disturbanceEnd {
@@ -146,9 +147,9 @@
 	}, map[int]float64{cheapClass: 0.5, textClass: 0.5}, []int{cheapClass, textClass}},
 }
 
-// TestTroubles plays the hard cases with a reserve, and holds the four rules in
-// all of them, with pools and without. Without pools the classes that a case
-// names do worse, or the case would show nothing.
+// Runs all scenarios with and without pools. With pools the classes that a scenario names are served as it
+// requires, and in both cases the rules of the decision module hold. In most scenarios pools must improve
+// some class, or the scenarios would show nothing.
 func TestOverloadScenarios(t *testing.T) {
 	helped := 0
 	for _, c := range scenarios {
@@ -166,7 +167,7 @@
 			for class := range opt.Settings.Classes {
 				least[i][class] = servedInTime(r.Total(class, w[0], w[1]))
 			}
-			t.Logf("%-26s reserve %5.2f: worth %6.0f; in time: cheap %.2f text %.2f script %.2f; worst second: cheap %.2f text %.2f script %.2f", c.name, reserve,
+			t.Logf("%-26s reserve %5.2f: utility %6.0f; in time: cheap %.2f text %.2f script %.2f; worst second: cheap %.2f text %.2f script %.2f", c.name, reserve,
 				r.Total(-1, 0, 99).Worth, least[i][cheapClass], least[i][textClass], least[i][scriptClass],
 				worstSecond(r, cheapClass, w[0], w[1]), worstSecond(r, textClass, w[0], w[1]), worstSecond(r, scriptClass, w[0], w[1]))
 			if i == 0 {
@@ -179,7 +180,7 @@
 			}
 			for _, class := range c.alive {
 				if worstSecond(r, class, w[0], w[1]) <= 0 {
-					t.Errorf("%s: class %d has a second without an answer", c.name, class)
+					t.Errorf("%s: class %d has a second without a served request", c.name, class)
 				}
 			}
 		}
@@ -191,15 +192,15 @@
 		}
 	}
 	if helped < 5 {
-		t.Errorf("pools help in %d cases only", helped)
+		t.Errorf("pools help in only %d scenarios", helped)
 	}
 }
 
-// reserve is the share that the tests keep for the cheapest.
+// reserve is the share of the slots that the tests keep for cheap classes.
 const reserve = 0.04
 
-// TestOverload: at 130% of what the cores do, pools earn nearly the best that could
-// be had, and the cheap calls live in every second; without a reserve they do not.
+// At a load of 130% pools reach nearly the best possible utility, and some cheap calls are served in every
+// second; without a reserve there are seconds without one.
 func TestOverload(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		arrivals := machine.Arrivals(seed, testLength, usualMix(1.3)...)
@@ -209,22 +210,22 @@
 		}
 		kept := replay(t, machine.Options{Settings: withPools(testSettings(), reserve)}, arrivals)
 		if got := kept.Total(-1, 0, 99).Worth / best; got < 0.94 || got > 1 {
-			t.Errorf("seed %d: %.3f of the best worth", seed, got)
+			t.Errorf("seed %d: %.3f of the best utility", seed, got)
 		}
 		if w := worstSecond(kept, cheapClass, 0, 20); w <= 0 {
-			t.Errorf("seed %d: a second without a cheap call", seed)
+			t.Errorf("seed %d: a second without a served cheap call", seed)
 		}
 		if w := worstSecond(replay(t, machine.Options{Settings: withPools(testSettings(), 0)}, arrivals), cheapClass, 0, 20); w > 0 {
-			t.Errorf("seed %d: without a reserve %.2f of the cheap calls live in the worst second: the case shows nothing", seed, w)
+			t.Errorf("seed %d: without a reserve %.2f of the cheap calls are served in the worst second: the test shows nothing", seed, w)
 		}
 		if len(kept.Log) == 0 {
-			t.Error("nothing is said of the reserve that saves them")
+			t.Error("the use of the reserve is not logged")
 		}
 	}
 }
 
-// Settings at the edges: many classes, one, equal worths, a worth of zero, cold
-// nodes, drains, work that may run once; the rules hold, and enough is served.
+// With unusual settings - many classes, one, equal or zero utilities, a cold node, a drain, unsafe work -
+// the rules of the decision module hold, and enough is served.
 func TestEdges(t *testing.T) {
 	same := func(n int, worth float64) rules.Settings {
 		s := testSettings()
@@ -250,8 +251,8 @@
 	}{
 		"a thousand classes": {same(1000, 1), spread(1000), nil, 0.7},
 		"one class":          {same(1, 1), spread(1), nil, 0.75},
-		"equal worths":       {same(4, 1), spread(4), nil, 0.75},
-		"worth of zero":      {same(2, 0), spread(2), nil, 0.75},
+		"equal utilities":    {same(4, 1), spread(4), nil, 0.75},
+		"utility of zero":    {same(2, 0), spread(2), nil, 0.75},
 		"cold": {testSettings(), usualMix(1.0), func(o *machine.Options) {
 			o.Settings.ColdStart, o.Settings.WarmUpTime, o.Settings.ColdSpeed = true, 4*time.Second, 0.3
 		}, 0.8},
@@ -277,14 +278,14 @@
 	}
 }
 
-// Everything stands still: the stall rule refuses as without pools, and work goes
-// on after it. Of two tenants in one class the one far over its part loses.
+// While all runs are stalled requests are refused as without pools, and service resumes afterwards. Of two
+// tenants in one class, the one far over its share is served less.
 func TestStallAndTenants(t *testing.T) {
 	r := replay(t, machine.Options{Settings: withPools(testSettings(), reserve), Hangs: func(at time.Duration, _ int) bool {
 		return at >= disturbanceStart && at < disturbanceEnd
 	}}, machine.Arrivals(3, testLength, usualMix(0.8)...))
 	if c := r.Total(-1, 10, 12); c.Refused == 0 {
-		t.Errorf("nothing is refused in a stall: %+v", c)
+		t.Errorf("nothing is refused during a stall: %+v", c)
 	}
 	if c := r.Total(-1, 15, 20); servedInTime(c) < 0.9 {
 		t.Errorf("%.2f is served in time after a stall", servedInTime(c))
@@ -306,11 +307,11 @@
 		}
 	}}, arrivals)
 	if big, small := float64(served[0])/float64(sent[0]), float64(served[1])/float64(sent[1]); small < big+0.1 {
-		t.Errorf("of the tenant over its part %.2f run, of the other %.2f", big, small)
+		t.Errorf("%.2f run of the tenant over its share, %.2f of the other", big, small)
 	}
 }
 
-// caller is a host of which all that counts is what it lets run and call.
+// recordingHost records which requests run and which make their downstream call.
 type recordingHost struct{ run, call []rules.RequestID }
 
 func (c *recordingHost) Run(id rules.RequestID)                    { c.run = append(c.run, id) }
@@ -328,7 +329,7 @@
 func (*recordingHost) StartTimer(uint64, time.Duration)            {}
 func (*recordingHost) Log(string)                                  {}
 
-// A request at a call holds no slot of its class; when it comes back it does again.
+// A request holds no slot of its class during its downstream call, and holds one again afterwards.
 func TestDownstreamCallReleasesSlot(t *testing.T) {
 	set := testSettings()
 	set.Cores, set.Dependency, set.CallShare, set.CallWindow = 1, rules.DependencyShared, 20, time.Second
@@ -356,7 +357,7 @@
 	}
 	m.CallEnded(3*ms, 1, rules.OK, ms)
 	if n := used.Views(nil)[textClass].Running; n != 2 {
-		t.Errorf("%d running after the call came back", n)
+		t.Errorf("%d running after the call ended", n)
 	}
 	m.RunEnded(4*ms, 1, rules.OK, 2*ms)
 	m.RunEnded(4*ms, 2, rules.OK, 2*ms)
@@ -373,7 +374,7 @@
 		name string
 		set  func(rules.Settings) rules.Settings
 	}{
-		{"plain-line", func(s rules.Settings) rules.Settings { return s }},
+		{"single-queue", func(s rules.Settings) rules.Settings { return s }},
 		{"static-split", func(s rules.Settings) rules.Settings {
 			s.NewPools = func() rules.Pools { return machine.NewSplit(len(s.Classes)) }
 			return s
--- a/decide/pools/pools_test.go
+++ b/decide/pools/pools_test.go
@@ -10,15 +10,14 @@
 	"robinmast/rules"
 )
 
-// TestInvariants runs any events through the pools and checks what the package
-// comment promises.
+// Checks the invariants of the package comment for arbitrary events.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		n := rapid.IntRange(1, 6).Draw(r, "classes")
 		set := Settings{Reserve: rapid.Float64Range(0, 0.5).Draw(r, "reserve")}
 		own := 0.0
 		for range n {
-			c := Class{Utility: rapid.Float64Range(0, 5).Draw(r, "worth"), Reserve: rapid.Float64Range(0, 0.5/float64(n)).Draw(r, "own")}
+			c := Class{Utility: rapid.Float64Range(0, 5).Draw(r, "utility"), Reserve: rapid.Float64Range(0, 0.5/float64(n)).Draw(r, "own")}
 			own += c.Reserve
 			set.Classes = append(set.Classes, c)
 		}
@@ -26,7 +25,7 @@
 		now := time.Duration(0)
 		running := make([]int, n)
 		limit := 1.0
-		var line []rules.QueuedRequest
+		var queue []rules.QueuedRequest
 		total := 0
 		for range rapid.IntRange(1, 120).Draw(r, "events") {
 			class := rapid.IntRange(0, n-1).Draw(r, "class")
@@ -35,7 +34,7 @@
 			case 0, 1:
 				for range rapid.IntRange(1, 40).Draw(r, "burst") {
 					p.Arrived(now, class, time.Duration(rapid.IntRange(0, 300).Draw(r, "hint"))*time.Millisecond)
-					line = append(line, rules.QueuedRequest{Class: class, Utility: rapid.Float64Range(0, 9).Draw(r, "value")})
+					queue = append(queue, rules.QueuedRequest{Class: class, Utility: rapid.Float64Range(0, 9).Draw(r, "utility")})
 				}
 			case 2:
 				if running[class] > 0 {
@@ -50,65 +49,65 @@
 				sum, floors := 0.0, 0.0
 				for _, c := range p.pools {
 					if c.floor < 0 || c.entitlement < c.floor-1e-9 || math.IsNaN(c.entitlement+c.credit+c.slotCap+c.usualRate) {
-						r.Fatalf("floor %v, entitled to %v, owed %v, cap %v", c.floor, c.entitlement, c.credit, c.slotCap)
+						r.Fatalf("floor %v, entitlement %v, credit %v, cap %v", c.floor, c.entitlement, c.credit, c.slotCap)
 					}
 					sum += c.entitlement
 					floors += c.floor
 				}
 				if top := max(limit, 1); sum > top*(1+1e-9) || floors > (set.Reserve+own)*top+1e-9 {
-					r.Fatalf("%v entitled of %v, floors %v", sum, top, floors)
+					r.Fatalf("entitlements %v of %v, floors %v", sum, top, floors)
 				}
 			case 4:
 				slots := int(max(limit, 1)) + p.StalledRuns()
-				i := p.Next(now, slots, total, line)
-				if i >= len(line) || i < -1 {
-					r.Fatalf("place %d of %d", i, len(line))
+				i := p.Next(now, slots, total, queue)
+				if i >= len(queue) || i < -1 {
+					r.Fatalf("index %d of %d", i, len(queue))
 				}
 				if i < 0 {
 					continue
 				}
-				c := p.pools[line[i].Class]
+				c := p.pools[queue[i].Class]
 				if p.shortage && c.candidateTier >= 3 {
-					for _, w := range line {
-						if o := p.pools[w.Class]; o.candidateTier == 1 && !(o.hanging && o.running > 0) {
-							r.Fatalf("a class within its floor waits behind tier %d", c.candidateTier)
+					for _, request := range queue {
+						if other := p.pools[request.Class]; other.candidateTier == 1 && !(other.hanging && other.running > 0) {
+							r.Fatalf("a class within its floor waits behind one of tier %d", c.candidateTier)
 						}
 					}
 				}
-				p.RunningChanged(now, line[i].Class, 1)
-				running[line[i].Class]++
+				p.RunningChanged(now, queue[i].Class, 1)
+				running[queue[i].Class]++
 				total++
-				line = append(line[:i:i], line[i+1:]...)
+				queue = append(queue[:i:i], queue[i+1:]...)
 			default:
-				if len(line) == 0 {
+				if len(queue) == 0 {
 					continue
 				}
 				bound := rapid.IntRange(0, 30).Draw(r, "bound")
-				i := p.Evict(now, bound, line)
-				if i < 0 || i >= len(line) {
-					r.Fatalf("place %d of %d", i, len(line))
+				i := p.Evict(now, bound, queue)
+				if i < 0 || i >= len(queue) {
+					r.Fatalf("index %d of %d", i, len(queue))
 				}
 				over := func(c *pool) bool { return float64(c.queued) > math.Ceil(c.floor/p.limit*float64(bound)) }
-				if !over(p.pools[line[i].Class]) {
-					for _, w := range line {
-						if over(p.pools[w.Class]) {
-							r.Fatal("a class within its floor's places leaves before one that is over")
+				if !over(p.pools[queue[i].Class]) {
+					for _, request := range queue {
+						if over(p.pools[request.Class]) {
+							r.Fatal("a class within the places of its floor loses a request before one that exceeds them")
 						}
 					}
 				}
-				line = append(line[:i:i], line[i+1:]...)
+				queue = append(queue[:i:i], queue[i+1:]...)
 			}
 			for _, c := range p.pools {
 				if c.running < 0 {
-					r.Fatal("fewer than no runs")
+					r.Fatal("negative number of runs")
 				}
 			}
 		}
 	})
 }
 
-// Who is cheap goes by what runs took once that is known, not by what callers say;
-// one class alone, and equals, are not.
+// Whether a class is cheap depends on measured run times as soon as they are known, not on the callers'
+// hints: wrong hints must not earn a reserve. A single class is not cheap.
 func TestCheapFollowsRunTimes(t *testing.T) {
 	feed := func(p *Pools, class int, hint, took time.Duration) {
 		for i := range 30 {
@@ -130,20 +129,20 @@
 	feed(p, 1, 100*ms, 100*ms)
 	feed(p, 2, ms, 0)
 	if !p.pools[2].cheap || p.pools[1].cheap {
-		t.Error("by hints: the claim is not believed while nothing is known")
+		t.Error("hints are not used while no run time is known")
 	}
 	feed(p, 2, ms, 120*ms)
 	if p.pools[2].cheap || p.pools[2].floor > 0 {
-		t.Error("a class that lies in its hints keeps a reserve")
+		t.Error("a class with wrong hints keeps a reserve")
 	}
-	one := New(Settings{Classes: make([]Class, 1), Reserve: 0.1})
-	feed(one, 0, ms, ms)
-	if one.pools[0].cheap {
-		t.Error("a class alone is cheap")
+	single := New(Settings{Classes: make([]Class, 1), Reserve: 0.1})
+	feed(single, 0, ms, ms)
+	if single.pools[0].cheap {
+		t.Error("a single class is cheap")
 	}
 }
 
-// What silent classes cost: nothing, once they were forgotten.
+// Classes without requests become inactive, so that they cost no time.
 func TestSilentClassesAreForgotten(t *testing.T) {
 	p := New(Settings{Classes: make([]Class, 1000)})
 	for i := range 1000 {
@@ -151,17 +150,17 @@
 	}
 	p.Step(time.Second, 4)
 	if len(p.active) != 1000 {
-		t.Fatalf("%d live", len(p.active))
+		t.Fatalf("%d active", len(p.active))
 	}
 	p.Arrived(forgetAfter+time.Second, 7, 0)
 	p.Step(forgetAfter+2*time.Second, 4)
 	if len(p.active) != 1 {
-		t.Errorf("%d classes live on", len(p.active))
+		t.Errorf("%d classes stay active", len(p.active))
 	}
 }
 
-// What a class lent comes back with the next slot that is free: the others may
-// hold all of them, the first end of a run is enough for its floor.
+// A class that lent its slots gets the next free one back: even if the others use all slots, one end of a
+// run is enough for its floor.
 func TestLentSlotsReturn(t *testing.T) {
 	p := New(Settings{Classes: []Class{{Utility: 1, Reserve: 0.25}, {Utility: 9}}})
 	now := time.Duration(0)
@@ -176,7 +175,7 @@
 		feed(1, 40)
 		p.Step(now, 8)
 	}
-	now += 3 * time.Second // class 0 is silent, and its slots are lent
+	now += 3 * time.Second // class 0 sends nothing, and its slots are lent
 	for range 8 {
 		i := p.Next(now, 8, p.pools[1].running, []rules.QueuedRequest{{Class: 1, Utility: 9}})
 		if i != 0 {
@@ -188,6 +187,6 @@
 	p.Step(now, 8)
 	p.RunningChanged(now, 1, -1)
 	if i := p.Next(now, 8, 7, []rules.QueuedRequest{{Class: 1, Utility: 9}, {Class: 0, Utility: 1}}); i != 1 {
-		t.Errorf("the next free slot goes to place %d, not to the class that lent it", i)
+		t.Errorf("the next free slot goes to index %d, not to the class that lent it", i)
 	}
 }
--- a/decide/resultcache/clock_test.go
+++ b/decide/resultcache/clock_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The clock across a restart: by the machine's own, by the wall, back within the
-// slack, and further back.
+// The module's time goes on across a restart: by the machine's time since boot, by the wall clock, with a
+// wall clock that went back within the slack, and with one that went back further.
 func TestClock(t *testing.T) {
 	was := &ClockCheckpoint{Unix: 50_000, Wall: 60_000, Boot: "a", Up: 7000}
 	for name, c := range map[string]struct {
@@ -33,10 +33,10 @@
 		}
 	}
 	m := New(settings())
-	m.StartClock(0, ClockReading{Wall: 1000, Boot: "b"}, was) // 59 s back: in doubt
-	e := keyedRecord("k", 49_000)
-	e.Kind = Intent
-	if got, drop := m.Restore(0, e); drop != Kept || got.Expires != 51_000+2000 {
-		t.Errorf("in doubt: %v, until %d", drop, got.Expires)
+	m.StartClock(0, ClockReading{Wall: 1000, Boot: "b"}, was) // 59 s back: uncertain
+	record := keyedRecord("k", 49_000)
+	record.Kind = Intent
+	if got, drop := m.Restore(0, record); drop != Kept || got.Expires != 51_000+2000 {
+		t.Errorf("after a clock step: %v, until %d", drop, got.Expires)
 	}
 }
--- a/internal/recovery/settings_digest_test.go
+++ b/internal/recovery/settings_digest_test.go
@@ -10,19 +10,19 @@
 	"robinmast/rules"
 )
 
-// filled sets every exported field of v, a pointer to a struct, to a value other than
+// fill sets every exported field of v, a pointer to a struct, to a value other than
 // zero, slices to two elements; functions stay nil.
-func filled(v reflect.Value, next *int64) {
+func fill(v reflect.Value, next *int64) {
 	*next++
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
-			filled(v.Field(i), next)
+			fill(v.Field(i), next)
 		}
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
 		for i := range 2 {
-			filled(v.Index(i), next)
+			fill(v.Index(i), next)
 		}
 	case reflect.Bool:
 		v.SetBool(true)
@@ -44,8 +44,8 @@
 	var set rules.Settings
 	var names settings.Names
 	var next int64
-	filled(reflect.ValueOf(&set).Elem(), &next)
-	filled(reflect.ValueOf(&names).Elem(), &next)
+	fill(reflect.ValueOf(&set).Elem(), &next)
+	fill(reflect.ValueOf(&names).Elem(), &next)
 	const want = "{Tick:2ns Cores:3 Nodes:4 Callers:5 Cold:false Layer:7 Classes:[{Aim:10ns AimStretch:11.5 Deadline:12ns LateShare:13.5 Worth:14.5 Window:15ns Effect:0 Calls:true SkipWorth:18.5} {Aim:20ns AimStretch:21.5 Deadline:22ns LateShare:23.5 Worth:24.5 Window:25ns Effect:2 Calls:true SkipWorth:28.5}] Tenants:[{QuotaPerSecond:31.5 Share:32.5} {QuotaPerSecond:34.5 Share:35.5}] OverShare:36.5 WorthByWork:true MarksRetries:true PassesPatience:true TellsGone:true HonoursRetry:true MaxRetryAfter:42ns FreeValue:3 FreeValueLife:44ns Preemption:1 MemoryKB:46.5 RunFactor:47.5 EntryKB:48.5 Fresh:49ns Gauges:[name51 name52] KeepaliveMax:53ns Readiness:true Below:3 CallShare:56.5 CallWindow:57ns CallLinger:58ns AnswerSlack:59ns ColdFrom:60.5 Ramp:61ns DrainGrace:62ns FallMultiple:63.5 FallWindow:64ns NewPools:<nil> NewTogether:<nil>} {Classes:[name69 name70] Tenants:[name72 name73]}"
 	if got := digestText(set, names); got != want {
 		t.Errorf("digested text is\n%s, want\n%s", got, want)
