--- a/decide/pools/load_test.go
+++ b/decide/pools/load_test.go
@@ -106,7 +106,7 @@
 	streams []machine.Stream
 	change  func(*machine.Options)
 	least   map[int]float64 // share of a class that must be served in time during the disturbance
-	alive   []int           // classes of which some requests must be served in every second
+	served  []int           // classes of which some requests must be served in every second
 }{
 	{"overload", usualMix(1.3), nil, map[int]float64{textClass: 0.9, scriptClass: 0.65}, []int{cheapClass, textClass, scriptClass}},
 	{"flood of cheap calls", append(usualMix(0.9), machine.Stream{
@@ -178,7 +178,7 @@
 					t.Errorf("%s: %.2f of class %d is served in time, want %.2f", c.name, got, class, want)
 				}
 			}
-			for _, class := range c.alive {
+			for _, class := range c.served {
 				if worstSecond(r, class, w[0], w[1]) <= 0 {
 					t.Errorf("%s: class %d has a second without a served request", c.name, class)
 				}
@@ -208,17 +208,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		kept := replay(t, machine.Options{Settings: withPools(testSettings(), reserve)}, arrivals)
-		if got := kept.Total(-1, 0, 99).Worth / best; got < 0.94 || got > 1 {
+		withReserve := replay(t, machine.Options{Settings: withPools(testSettings(), reserve)}, arrivals)
+		if got := withReserve.Total(-1, 0, 99).Worth / best; got < 0.94 || got > 1 {
 			t.Errorf("seed %d: %.3f of the best utility", seed, got)
 		}
-		if w := worstSecond(kept, cheapClass, 0, 20); w <= 0 {
+		if w := worstSecond(withReserve, cheapClass, 0, 20); w <= 0 {
 			t.Errorf("seed %d: a second without a served cheap call", seed)
 		}
 		if w := worstSecond(replay(t, machine.Options{Settings: withPools(testSettings(), 0)}, arrivals), cheapClass, 0, 20); w > 0 {
 			t.Errorf("seed %d: without a reserve %.2f of the cheap calls are served in the worst second: the test shows nothing", seed, w)
 		}
-		if len(kept.Log) == 0 {
+		if len(withReserve.Log) == 0 {
 			t.Error("the use of the reserve is not logged")
 		}
 	}
@@ -227,10 +227,10 @@
 // With unusual settings - many classes, one, equal or zero utilities, a cold node, a drain, unsafe work -
 // the rules of the decision module hold, and enough is served.
 func TestEdges(t *testing.T) {
-	same := func(n int, worth float64) rules.Settings {
+	same := func(n int, utility float64) rules.Settings {
 		s := testSettings()
 		c := s.Classes[textClass]
-		c.Utility = worth
+		c.Utility = utility
 		s.Classes = nil
 		for range n {
 			s.Classes = append(s.Classes, c)
--- a/decide/pools/pools.go
+++ b/decide/pools/pools.go
@@ -30,7 +30,7 @@
 	floodFactor        = 2.0                    // multiple of the usual rate beyond which arrivals are a flood
 	runSmoothing       = 0.08                   // weight of a run in the mean run time of its class
 	minRuns            = 5                      // runs before the mean run time is used; until then hints are
-	baseDrift          = 1.002                  // growth of the base run time per run, so that one very short run has no lasting effect
+	baseDrift          = 1.002                  // growth of the base run time per run, so that one short run is forgotten
 	cheapBelow         = 0.5                    // share of the mean run time below which a class becomes cheap
 	cheapUntil         = 0.7                    // share from which it no longer is
 	minFloodShare      = 0.1                    // share of the limit that a flood needs at least to count as one
@@ -38,7 +38,7 @@
 	shortageAbove      = 1.0                    // ratio of demand to limit above which slots become short
 	shortageUntil      = 0.85                   // ratio below which they no longer are
 	overflowHold       = time.Second            // slots stay short for this long after the queue exceeded its bound
-	creditSpan         = 500 * time.Millisecond // of its entitlement, the credit that a class may accrue or overdraw
+	creditSpan         = 500 * time.Millisecond // credit, in terms of its entitlement, that a class may accrue or overdraw
 	ownSlowdown        = 1.3                    // ratio to the others' slowdown above which a class is slow by itself
 	capShrink          = 0.95                   // factor on its cap per step while it is
 	capGrow            = 1.03                   // factor on its cap per step otherwise
@@ -55,7 +55,7 @@
 // Class holds the settings of a request class.
 type Class struct {
 	Utility float64
-	Reserve float64 // share of the slots that it keeps under any load; 0 = only its part of Settings.Reserve while cheap
+	Reserve float64 // share of the slots that it always keeps; 0 = its part of Settings.Reserve while cheap
 	Name    string  // for log lines and views
 }
 
@@ -255,7 +255,8 @@
 		c.usualRate += max(usualRateSmoothing*weight, 1/c.rateSteps) * (rate - c.usualRate)
 	}
 	if c.running == 0 && p.now-c.lastArrival > forgetAfter {
-		*c = pool{Class: c.Class, slotCap: c.slotCap, reserveUsedAt: c.reserveUsedAt, refused: c.refused, meanRun: c.meanRun, baseRun: c.baseRun, runs: c.runs}
+		*c = pool{Class: c.Class, slotCap: c.slotCap, reserveUsedAt: c.reserveUsedAt, refused: c.refused,
+			meanRun: c.meanRun, baseRun: c.baseRun, runs: c.runs}
 	}
 }
 
@@ -354,17 +355,21 @@
 		}
 	}
 	reserve := min(p.settings.Reserve*p.limit, unassigned)
-	unassigned -= distribute(cheap, reserve, func(c *pool) float64 { return p.demand(c) - c.floor }, func(c *pool, slots float64) { c.floor += slots })
+	unassigned -= distribute(cheap, reserve, func(c *pool) float64 { return p.demand(c) - c.floor },
+		func(c *pool, slots float64) { c.floor += slots })
 	for _, c := range active {
 		c.entitlement = c.floor
 	}
-	slices.SortStableFunc(active, func(a, b *pool) int { return cmp.Compare(p.utilityDensity(b), p.utilityDensity(a)) })
+	slices.SortStableFunc(active, func(a, b *pool) int {
+		return cmp.Compare(p.utilityDensity(b), p.utilityDensity(a))
+	})
 	for i := 0; i < len(active); {
 		j := i + 1
 		for j < len(active) && p.utilityDensity(active[j]) > 0.9*p.utilityDensity(active[i]) {
 			j++
 		}
-		unassigned -= distribute(active[i:j], unassigned, func(c *pool) float64 { return p.demand(c) - c.entitlement }, func(c *pool, slots float64) { c.entitlement += slots })
+		unassigned -= distribute(active[i:j], unassigned, func(c *pool) float64 { return p.demand(c) - c.entitlement },
+			func(c *pool, slots float64) { c.entitlement += slots })
 		i = j
 	}
 	threshold := shortageAbove
@@ -380,7 +385,9 @@
 }
 
 // distribute gives out room evenly, to no class more than it wants, and returns how much it gave.
-func distribute(list []*pool, room float64, wants func(*pool) float64, give func(*pool, float64)) (given float64) {
+func distribute(
+	list []*pool, room float64, wants func(*pool) float64, give func(*pool, float64),
+) (given float64) {
 	order := slices.Clone(list)
 	slices.SortStableFunc(order, func(a, b *pool) int { return cmp.Compare(wants(a), wants(b)) })
 	for i, c := range order {
@@ -456,7 +463,8 @@
 		if c.hanging && c.running > 0 {
 			continue
 		}
-		if c.candidateTier < bestTier || c.candidateTier == bestTier && p.shortage && request.Utility > queue[best].Utility {
+		if c.candidateTier < bestTier || c.candidateTier == bestTier && p.shortage &&
+			request.Utility > queue[best].Utility {
 			best, bestTier = i, c.candidateTier
 		}
 	}
@@ -497,7 +505,8 @@
 		if tier < 0 {
 			continue
 		}
-		if chosen < 0 || tier > p.pools[queue[chosen].Class].candidateTier || tier == p.pools[queue[chosen].Class].candidateTier && request.Utility < queue[chosen].Utility {
+		if chosen < 0 || tier > p.pools[queue[chosen].Class].candidateTier ||
+			tier == p.pools[queue[chosen].Class].candidateTier && request.Utility < queue[chosen].Utility {
 			chosen = i
 		}
 	}
@@ -540,8 +549,9 @@
 	for i, c := range p.pools {
 		running := float64(c.running)
 		views[i] = View{
-			Name: c.Name, Running: c.running, Queued: c.queued, Limit: c.entitlement, Reserve: c.floor, Lent: max(c.entitlement-running, 0),
-			Borrowed: max(running-c.entitlement, 0), Refused: c.refused, Cheap: c.cheap, Hanging: c.hanging,
+			Name: c.Name, Running: c.running, Queued: c.queued, Limit: c.entitlement, Reserve: c.floor,
+			Lent: max(c.entitlement-running, 0), Borrowed: max(running-c.entitlement, 0), Refused: c.refused,
+			Cheap: c.cheap, Hanging: c.hanging,
 		}
 	}
 	return views
--- a/decide/recovery/eventdetector.go
+++ b/decide/recovery/eventdetector.go
@@ -16,7 +16,7 @@
 	halfCapacity           = 0.5
 	mostCapacity           = 0.95
 	fullCapacity           = 0.99
-	fullDuration           = time.Second      // for which capacity must stay full, so that one report does not end an event
+	fullDuration           = time.Second      // for which capacity must stay full, so that no single report ends an event
 	maxEventDuration       = 10 * time.Minute // then the event ends anyway: the fleet is smaller now
 	usualCapacitySmoothing = 0.02             // weight of a tenth of a second in the usual capacity
 	maxEvents              = 64
@@ -74,7 +74,7 @@
 type EventDetector struct {
 	nodes         map[string]*trackedNode
 	losses        []loss  // of the last lossWindow, or counted by the current event
-	usualCapacity float64 // room
+	usualCapacity float64 // smoothed capacity without an event; 0 = unknown
 	capacityShare float64 // share of usualCapacity at the last step; 0 = unknown
 	current       *Event
 	finished      []Event
@@ -134,7 +134,8 @@
 		}
 		return min(x, limit)
 	}
-	report.Warm, report.Limit, report.ArrivalRate, report.FurtherTryShare = clamp(report.Warm, 1), clamp(report.Limit, 1e4), clamp(report.ArrivalRate, 1e6), clamp(report.FurtherTryShare, 1)
+	report.Warm, report.Limit, report.ArrivalRate, report.FurtherTryShare =
+		clamp(report.Warm, 1), clamp(report.Limit, 1e4), clamp(report.ArrivalRate, 1e6), clamp(report.FurtherTryShare, 1)
 	return report
 }
 
@@ -175,7 +176,8 @@
 		begin = min(begin, l.noticed)
 	}
 	if d.current == nil {
-		if n := len(d.nodes); n >= minNodes && float64(len(lost)) > minLostShare*float64(n) && d.usualCapacity > 0 {
+		if n := len(d.nodes); n >= minNodes && float64(len(lost)) > minLostShare*float64(n) &&
+			d.usualCapacity > 0 {
 			lines = append(lines, d.beginEvent(begin, lost))
 		} else if capacity > 0 {
 			if d.usualCapacity == 0 {
@@ -248,7 +250,9 @@
 		size := min(l.size, maxSize)
 		points = append(points, point{l.lastReport, size}, point{l.returned, -size})
 	}
-	slices.SortFunc(points, func(a, b point) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.more, b.more)) })
+	slices.SortFunc(points, func(a, b point) int {
+		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.more, b.more))
+	})
 	missing := 0.0
 	for _, p := range points {
 		if p.more < 0 && p.at != notReturned {
@@ -288,8 +292,11 @@
 // beginEvent opens an event and returns its log line.
 func (d *EventDetector) beginEvent(at time.Duration, lost map[string]bool) string {
 	d.lastNumber++
-	d.current = &Event{Number: d.lastNumber, Began: at, Lost: len(lost), Of: len(d.nodes), Least: 1, Tries: 1, fullSince: -1}
-	return fmt.Sprintf("event %d started: %d of %d nodes were lost within %v", d.lastNumber, len(lost), len(d.nodes), lossWindow)
+	d.current = &Event{
+		Number: d.lastNumber, Began: at, Lost: len(lost), Of: len(d.nodes), Least: 1, Tries: 1, fullSince: -1,
+	}
+	return fmt.Sprintf("event %d started: %d of %d nodes were lost within %v",
+		d.lastNumber, len(lost), len(d.nodes), lossWindow)
 }
 
 // archive moves the current event to the finished ones.
--- a/decide/recovery/eventdetector_test.go
+++ b/decide/recovery/eventdetector_test.go
@@ -174,7 +174,7 @@
 		later.Restore([]Event{{Number: i}}, 0)
 	}
 	if len(later.List()) > maxEvents {
-		t.Errorf("%d events are kept", len(later.List()))
+		t.Errorf("%d events are listed", len(later.List()))
 	}
 }
 
--- a/decide/recovery/fairscheduler.go
+++ b/decide/recovery/fairscheduler.go
@@ -10,9 +10,9 @@
 // the control service and reconnect together: a bounded number at a time, the one that was served
 // longest ago first. A client that does not finish in time does not hold up the others.
 type FairScheduler struct {
-	limit      int           // clients served at once
-	maxHold    time.Duration // after which a ticket that was not released expires
-	active     map[uint64]time.Duration
+	limit      int                      // clients served at once
+	maxHold    time.Duration            // after which a ticket that was not released expires
+	active     map[uint64]time.Duration // granted tickets, and when they were granted
 	queue      []waiter
 	lastServed map[string]time.Duration // by name, when it was granted a ticket
 	lastTicket uint64
@@ -31,7 +31,10 @@
 
 // NewFairScheduler returns a scheduler of limit tickets at once, each for maxHold at most.
 func NewFairScheduler(limit int, maxHold time.Duration) *FairScheduler {
-	return &FairScheduler{limit: max(limit, 1), maxHold: maxHold, active: map[uint64]time.Duration{}, lastServed: map[string]time.Duration{}}
+	return &FairScheduler{
+		limit: max(limit, 1), maxHold: maxHold,
+		active: map[uint64]time.Duration{}, lastServed: map[string]time.Duration{},
+	}
 }
 
 // Request queues a request of a client and returns its ticket, which Grant grants.
--- a/decide/recovery/registry.go
+++ b/decide/recovery/registry.go
@@ -20,7 +20,8 @@
 // from an older copy: it changes nothing, and does not count as the latest.
 func (s *storeHistory) observe(store PreviousStore) {
 	if i := slices.IndexFunc(s.Stores, func(known PreviousStore) bool { return known.ID == store.ID }); i >= 0 {
-		if known := s.Stores[i]; store.Epoch < known.Epoch || store.Checkpoint < known.Checkpoint || store == known {
+		if known := s.Stores[i]; store.Epoch < known.Epoch || store.Checkpoint < known.Checkpoint ||
+			store == known {
 			return
 		}
 		s.Stores = slices.Delete(s.Stores, i, i+1)
@@ -86,7 +87,8 @@
 // Restore adds what was stored.
 func (r *IncarnationRegistry) Restore(saved SavedRegistry) {
 	for name, history := range saved.Names {
-		if len(r.nodes) < maxRegisteredNodes && len(history.Stores) > 0 && len(history.Stores) <= maxStoresPerNode {
+		if len(r.nodes) < maxRegisteredNodes && len(history.Stores) > 0 &&
+			len(history.Stores) <= maxStoresPerNode {
 			r.nodes[name] = &history
 		}
 	}
--- a/decide/recovery/snapshot.go
+++ b/decide/recovery/snapshot.go
@@ -35,7 +35,9 @@
 
 // SnapshotWeight returns how far a snapshot is trusted, 0 to 1, and the reason if the weight is
 // 0. unixMillis is the current Unix time.
-func SnapshotWeight(snapshot *Snapshot, settingsDigest uint64, machine string, classes int, unixMillis int64) (weight float64, why string) {
+func SnapshotWeight(
+	snapshot *Snapshot, settingsDigest uint64, machine string, classes int, unixMillis int64,
+) (weight float64, reason string) {
 	age := time.Duration(unixMillis-snapshot.Taken) * time.Millisecond
 	switch {
 	case snapshot.Version != SnapshotVersion:
@@ -61,7 +63,8 @@
 		return false
 	}
 	for _, c := range learned.Classes {
-		if !within(c.Mean, 3600) || !within(c.Base, 3600) || !within(c.Runs, math.MaxFloat64) || !within(c.Hint, 3600) || !within(c.Var, 1e8) ||
+		if !within(c.Mean, 3600) || !within(c.Base, 3600) || !within(c.Runs, math.MaxFloat64) ||
+			!within(c.Hint, 3600) || !within(c.Var, 1e8) ||
 			math.IsNaN(c.Cov) || math.Abs(c.Cov) > 1e8 {
 			return false
 		}
--- a/decide/recovery/startup.go
+++ b/decide/recovery/startup.go
@@ -47,8 +47,8 @@
 
 // Parameters of Startup.
 const (
-	maxListening      = 20 * time.Second        // without a worker pool; Probing, which also ends by time, then waits for it
-	probeRunsPerCore  = 3                       // completed runs per core after which the speed counts as measured
+	maxListening      = 20 * time.Second        // without a worker pool; then Probing, which also ends by time
+	probeRunsPerCore  = 3                       // runs per core after which the speed counts as measured
 	maxProbing        = 2 * time.Second         // with fewer runs: without requests there is nothing to measure
 	minRequestedShare = 0.25                    // of the usual share, requested while the speed is unknown or low
 	warmSpeed         = 0.92                    // share of the usual speed that counts as warm
@@ -58,9 +58,9 @@
 	speedSmoothing    = 0.15                    // weight of a run in the smoothed speed
 	minSpeed          = 0.05                    // share of the usual speed; lower values are raised to it
 	minUsualRuns      = 3                       // runs of a class before its usual run time is trusted
-	scarceCapacity    = 0.6                     // share of the fleet's usual capacity below which every node requests its full share
-	capacityTTL       = 2500 * time.Millisecond // after which a reported fleet capacity is ignored
-	maxShareStep      = 0.2                     // largest increase of the requested share per step: callers shift load abruptly
+	scarceCapacity    = 0.6                     // of the fleet's usual capacity; below it nodes request their full share
+	capacityTTL       = 2500 * time.Millisecond // lifetime of a reported fleet capacity
+	maxShareStep      = 0.2                     // largest increase of the requested share per step: callers react abruptly
 	idleSeconds       = 1                       // without an arrival after which the speed is that of the warm-up ramp
 )
 
@@ -98,7 +98,9 @@
 // NewStartup returns the Startup of a process that started at processStart and has read
 // its store by now.
 func NewStartup(processStart, now time.Duration, settings StartupSettings) *Startup {
-	s := &Startup{settings: settings, processStart: processStart, stateSince: processStart, warmSince: -1, lastArrival: now}
+	s := &Startup{
+		settings: settings, processStart: processStart, stateSince: processStart, warmSince: -1, lastArrival: now,
+	}
 	s.settings.ColdSpeed = min(max(s.settings.ColdSpeed, minSpeed), 1)
 	s.enterState(now, Listening)
 	return s
@@ -147,7 +149,8 @@
 
 // capacityScarce reports whether the fleet has too little capacity for its load.
 func (s *Startup) capacityScarce(now time.Duration) bool {
-	return s.fleetShort || s.fleetCapacity > 0 && s.fleetCapacity < scarceCapacity && now-s.fleetCapacityAt < capacityTTL
+	return s.fleetShort || s.fleetCapacity > 0 && s.fleetCapacity < scarceCapacity &&
+		now-s.fleetCapacityAt < capacityTTL
 }
 
 // RunSucceeded reports a successful run: how long it took, and the caller's hint of how long
@@ -178,7 +181,8 @@
 func (s *Startup) Speed(now time.Duration) float64 {
 	ramp := 1.0
 	if s.cold && s.settings.WarmUpTime > 0 {
-		ramp = min(1, s.settings.ColdSpeed+(1-s.settings.ColdSpeed)*max(now-s.poolStart, 0).Seconds()/s.settings.WarmUpTime.Seconds())
+		ramp = min(1, s.settings.ColdSpeed+
+			(1-s.settings.ColdSpeed)*max(now-s.poolStart, 0).Seconds()/s.settings.WarmUpTime.Seconds())
 	}
 	if s.state == FullService {
 		return 1
@@ -195,7 +199,8 @@
 	switch {
 	case s.state == Listening && now-s.stateSince >= maxListening:
 		s.enterState(now, Probing)
-	case s.state == Probing && (s.finishedRuns >= probeRunsPerCore*max(s.settings.Cores, 1) || now-s.stateSince >= maxProbing):
+	case s.state == Probing && (s.finishedRuns >= probeRunsPerCore*max(s.settings.Cores, 1) ||
+		now-s.stateSince >= maxProbing):
 		s.enterState(now, Warming)
 	case s.state == Warming:
 		if s.Speed(now) < warmSpeed {
--- a/decide/recovery/storecheck.go
+++ b/decide/recovery/storecheck.go
@@ -15,7 +15,7 @@
 	ID            string `cbor:"1,keyasint" json:"id"`    // random, created with the store
 	Node          string `cbor:"2,keyasint" json:"-"`     // the node that owns the store
 	Epoch         uint64 `cbor:"3,keyasint" json:"epoch"` // incarnations that used the store, this one included
-	CompleteSince int64  `cbor:"4,keyasint" json:"-"`     // Unix milliseconds; nothing later is missing; 0 = nothing is missing
+	CompleteSince int64  `cbor:"4,keyasint" json:"-"`     // nothing later is missing, Unix milliseconds; 0 = nothing is
 }
 
 // PreviousStore is what a control service last received about the store of an earlier
@@ -38,7 +38,7 @@
 // The values of Integrity.
 const (
 	Intact     Integrity = iota // no evidence of loss
-	Unverified                  // the store is new, and no control service has answered yet whether there was an earlier one
+	Unverified                  // the store is new, and it is not known yet whether there was an earlier one
 	Incomplete                  // something that an earlier incarnation stored is missing
 )
 
@@ -49,8 +49,8 @@
 
 // Parameters of StoreCheck.
 const (
-	previousStoreWait = 3 * time.Second // wait for a report of an earlier incarnation, four reports long; then a new store counts as the first
-	poolAgeMargin     = time.Second     // a worker pool older than the process by this much served an earlier incarnation
+	previousStoreWait = 3 * time.Second // four reports; without an answer a new store then counts as the first
+	poolAgeMargin     = time.Second     // a worker pool older than the process by more served an earlier incarnation
 	minKeyShare       = 0.9             // share of the keys counted by the last checkpoint that must be there
 	maxMissingKeys    = 16              // may be missing beyond that: deleted since the last checkpoint
 
@@ -65,7 +65,7 @@
 	Keys             int           // in the store
 	Checkpoint       Checkpoint    // the last in the store
 	UnreadablePlaces int           // damaged places in the files
-	CompleteSince    time.Duration // nothing later is missing, by an earlier incarnation; math.MinInt64 = nothing is missing
+	CompleteSince    time.Duration // as stored by an earlier incarnation; math.MinInt64 = nothing is missing
 }
 
 // StoreCheck decides whether one node's store is complete, and which requests are in doubt.
@@ -79,7 +79,7 @@
 	unverifiedUntil time.Duration // end of Unverified
 	pendingAnswers  int           // control services that have not answered yet
 
-	firstTries map[uint64]struct{} // keys whose first try reached this incarnation, while the store is in doubt
+	firstTries map[uint64]struct{} // keys whose first try reached this incarnation
 
 	InDoubt int // number of requests that were in doubt
 }
@@ -87,14 +87,17 @@
 // NewStoreCheck evaluates what a start found. pendingAnswers is the number of control services
 // that can be asked for earlier incarnations.
 func NewStoreCheck(processStart time.Duration, found FoundState, pendingAnswers int) *StoreCheck {
-	c := &StoreCheck{found: found, processStart: processStart, completeSince: found.CompleteSince, pendingAnswers: pendingAnswers}
+	c := &StoreCheck{
+		found: found, processStart: processStart, completeSince: found.CompleteSince, pendingAnswers: pendingAnswers,
+	}
 	switch {
 	case found.Node != "" && found.Node != found.Identity.Node:
 		c.markIncomplete("the folder is that of " + found.Node)
 	case found.UnreadablePlaces > 0:
 		c.markIncomplete(fmt.Sprintf("%d places in its files are unreadable", found.UnreadablePlaces))
 	case float64(found.Keys) < minKeyShare*float64(found.Checkpoint.Keys)-maxMissingKeys:
-		c.markIncomplete(fmt.Sprintf("it has %d keys, the previous incarnation counted %d", found.Keys, found.Checkpoint.Keys))
+		c.markIncomplete(fmt.Sprintf("it has %d keys, the previous incarnation counted %d",
+			found.Keys, found.Checkpoint.Keys))
 	case found.Created && pendingAnswers > 0:
 		c.integrity, c.unverifiedUntil, c.reason = Unverified, processStart+previousStoreWait, "the folder was empty"
 	}
@@ -116,7 +119,8 @@
 func (c *StoreCheck) ObservePrevious(now time.Duration, previous *PreviousStore) string {
 	c.pendingAnswers--
 	if previous == nil {
-		if c.integrity == Unverified && c.pendingAnswers <= 0 { // as far as is known this is the first incarnation
+		// As far as the control services know, this is the first incarnation.
+		if c.integrity == Unverified && c.pendingAnswers <= 0 {
 			c.integrity, c.reason = Intact, ""
 			return "no earlier incarnation of this node is known: its empty store is complete"
 		}
@@ -131,9 +135,11 @@
 	case previous.ID != c.found.Identity.ID:
 		c.markIncomplete("an earlier life was heard with another store")
 	case previous.Epoch >= c.found.Identity.Epoch:
-		c.markIncomplete(fmt.Sprintf("incarnation %d was reported, and this is incarnation %d of the store: it is an older copy", previous.Epoch, c.found.Identity.Epoch))
+		c.markIncomplete(fmt.Sprintf("incarnation %d was reported, and this is incarnation %d of the store: it is an older copy",
+			previous.Epoch, c.found.Identity.Epoch))
 	case previous.Checkpoint > c.found.Checkpoint.N:
-		c.markIncomplete(fmt.Sprintf("checkpoint %d was reported, and the store has %d: it is an older copy", previous.Checkpoint, c.found.Checkpoint.N))
+		c.markIncomplete(fmt.Sprintf("checkpoint %d was reported, and the store has %d: it is an older copy",
+			previous.Checkpoint, c.found.Checkpoint.N))
 	default:
 		c.integrity, c.reason = Intact, ""
 		return ""
@@ -154,12 +160,14 @@
 
 // Describe returns the integrity and its reason as a log line.
 func (c *StoreCheck) Describe() string {
-	return fmt.Sprintf("memory %s: %s; repeats of keyed and unsafe work from before the start are in doubt", c.integrity, cmp.Or(c.reason, "-"))
+	return fmt.Sprintf("memory %s: %s; repeats of keyed and unsafe work from before the start are in doubt",
+		c.integrity, cmp.Or(c.reason, "-"))
 }
 
 // Integrity returns the integrity of the store now, and the reason if it is not Intact.
 func (c *StoreCheck) Integrity(now time.Duration) (Integrity, string) {
-	if c.integrity == Unverified && now >= c.unverifiedUntil { // no answer: the operators' page says what cannot be known
+	// Without an answer the store counts as the first; the operators' page says what cannot be known.
+	if c.integrity == Unverified && now >= c.unverifiedUntil {
 		c.integrity, c.reason = Intact, ""
 	}
 	return c.integrity, c.reason
@@ -170,7 +178,9 @@
 // the start, and a first try from before the start could still be repeated. window is how long
 // after the first try a repeat may come; key links the tries of a request, 0 = nothing does;
 // age is the time since the request reached the machine.
-func (c *StoreCheck) MayHaveRun(now time.Duration, effect rules.Effect, window time.Duration, key uint64, furtherTry bool, age time.Duration) bool {
+func (c *StoreCheck) MayHaveRun(
+	now time.Duration, effect rules.Effect, window time.Duration, key uint64, furtherTry bool, age time.Duration,
+) bool {
 	if effect == rules.Safe {
 		return false
 	}
--- a/decide/recovery/storecheck_test.go
+++ b/decide/recovery/storecheck_test.go
@@ -114,12 +114,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const window = 10 * time.Second
 		type disk struct {
-			id   Identity
-			mark Checkpoint
-			keys map[uint64]time.Duration
+			id         Identity
+			checkpoint Checkpoint
+			keys       map[uint64]time.Duration
 		}
 		clone := func(d disk) disk {
-			c := disk{d.id, d.mark, map[uint64]time.Duration{}}
+			c := disk{d.id, d.checkpoint, map[uint64]time.Duration{}}
 			for k, v := range d.keys {
 				c.keys[k] = v
 			}
@@ -137,7 +137,7 @@
 				now = disk{id: Identity{ID: fmt.Sprint(stores), Node: "n"}, keys: map[uint64]time.Duration{}}
 				found.Created = true
 			} else {
-				found.Node, found.Checkpoint, found.Keys = "n", now.mark, len(now.keys)
+				found.Node, found.Checkpoint, found.Keys = "n", now.checkpoint, len(now.keys)
 			}
 			now.id.Epoch++
 			found.Identity = now.id
@@ -145,7 +145,7 @@
 				found.CompleteSince = time.Duration(now.id.CompleteSince)
 			}
 			d := NewStoreCheck(at, found, 1)
-			previous := registry.Observe("n", incarnation, PreviousStore{ID: now.id.ID, Epoch: now.id.Epoch, Checkpoint: now.mark.N})
+			previous := registry.Observe("n", incarnation, PreviousStore{ID: now.id.ID, Epoch: now.id.Epoch, Checkpoint: now.checkpoint.N})
 			d.ObservePrevious(at, previous)
 			if s := d.CompleteSince(); s != found.CompleteSince {
 				now.id.CompleteSince = int64(s)
@@ -167,8 +167,8 @@
 					t.Fatalf("key %d ran at %v and again at %v in incarnation %d: store is %v", key, first, at, incarnation, d.integrity)
 				}
 				ran[key], now.keys[key] = at, at
-				now.mark = Checkpoint{now.mark.N + 1, len(now.keys)}
-				registry.Observe("n", incarnation, PreviousStore{ID: now.id.ID, Epoch: now.id.Epoch, Checkpoint: now.mark.N})
+				now.checkpoint = Checkpoint{now.checkpoint.N + 1, len(now.keys)}
+				registry.Observe("n", incarnation, PreviousStore{ID: now.id.ID, Epoch: now.id.Epoch, Checkpoint: now.checkpoint.N})
 				if rapid.IntRange(0, 3).Draw(t, "copy") == 0 {
 					copies = append(copies, clone(now))
 				}
--- a/decide/resultcache/clock.go
+++ b/decide/resultcache/clock.go
@@ -30,7 +30,7 @@
 	NoCheckpoint        ClockStep = iota // no checkpoint was stored
 	SameBoot                             // by the machine's time since boot: exact
 	WallClock                            // by the wall clock
-	WallBackWithinSlack                  // the wall clock went back by no more than Settings.ClockSlack: taken as no time
+	WallBackWithinSlack                  // the wall clock went back by at most Settings.ClockSlack: taken as no time
 	WallBackTooFar                       // the wall clock went back further: the time is unknown
 )
 
@@ -50,7 +50,9 @@
 // StartClock sets the module's time from the checkpoint that the previous incarnation stored, nil
 // if there is none. It returns how it did so, and the time since that checkpoint. It must be called
 // before any other method.
-func (m *Module) StartClock(now time.Duration, reading ClockReading, previous *ClockCheckpoint) (ClockStep, time.Duration) {
+func (m *Module) StartClock(
+	now time.Duration, reading ClockReading, previous *ClockCheckpoint,
+) (ClockStep, time.Duration) {
 	step, unix := NoCheckpoint, reading.Wall
 	if previous != nil {
 		passed := reading.Wall - previous.Wall
--- a/decide/resultcache/expiryheap.go
+++ b/decide/resultcache/expiryheap.go
@@ -63,13 +63,13 @@
 	if len(h.items) < 2*live+64 {
 		return
 	}
-	kept := h.items[:0]
+	left := h.items[:0]
 	for _, record := range h.items {
 		if record.position >= 0 {
-			kept = append(kept, record)
+			left = append(left, record)
 		}
 	}
-	clear(h.items[len(kept):])
-	h.items = kept
+	clear(h.items[len(left):])
+	h.items = left
 	heap.Init(h)
 }
--- a/decide/resultcache/module.go
+++ b/decide/resultcache/module.go
@@ -110,7 +110,8 @@
 	numDropReasons
 )
 
-var dropReasonNames = [numDropReasons]string{"kept", "aged", "class_gone", "tenant_gone", "effect_changed", "no_room", "unsafe_unknown", "outdated"}
+var dropReasonNames = [numDropReasons]string{"kept", "aged", "class_gone", "tenant_gone", "effect_changed",
+	"no_room", "unsafe_unknown", "outdated"}
 
 // String returns the name of the reason in log lines.
 func (d DropReason) String() string { return dropReasonNames[d] }
@@ -177,7 +178,9 @@
 
 // RunEnded records how a run ended: with a result of size bytes, or failed. It returns the record,
 // and whether it must be stored.
-func (m *Module) RunEnded(now time.Duration, record Record, succeeded bool, size int64) (Record, bool, StoreChanges) {
+func (m *Module) RunEnded(
+	now time.Duration, record Record, succeeded bool, size int64,
+) (Record, bool, StoreChanges) {
 	var changes StoreChanges
 	key := record.Text()
 	previous := m.records[key]
@@ -322,7 +325,8 @@
 	if record.Expires > unix+m.maxLifetime(class)+windowSlackMillis { // written with a clock that was ahead
 		record.Expires = unix + m.maxLifetime(class) + windowSlackMillis
 	}
-	if m.records[record.Text()] != nil || len(m.records) >= m.settings.MaxRecords || m.bytes+record.bytes() > m.settings.MaxBytes {
+	if m.records[record.Text()] != nil || len(m.records) >= m.settings.MaxRecords ||
+		m.bytes+record.bytes() > m.settings.MaxBytes {
 		if record.Effect == rules.Safe || len(m.records) >= m.settings.MaxRecords {
 			return record, NoRoom
 		}
@@ -348,7 +352,7 @@
 
 // Parameters of InFlightTimeout.
 const (
-	maxWaitRuns       = 8.0                    // usual run times after which the end of a run is not awaited any more
+	maxWaitRuns       = 8.0                    // usual run times after which repeats stop waiting
 	minWait           = 500 * time.Millisecond // lower bound of that time
 	waitDeadlineShare = 0.5                    // of the deadline, if the usual run time is unknown
 )
--- a/decide/resultcache/module_test.go
+++ b/decide/resultcache/module_test.go
@@ -42,14 +42,14 @@
 
 // Different keys have different texts, even if their parts contain separators or escapes.
 func TestKeyTextIsUnique(t *testing.T) {
-	seen := map[string]RequestKey{}
+	keys := map[string]RequestKey{}
 	for _, key := range []RequestKey{
 		{"a", "b", "c"}, {"a/b", "", "c"}, {"a", "b/c", ""}, {"a%2Fb", "", "c"}, {"a", "", "b/c"}, {"", "a", "b/c"}, {"a%", "2Fb", "c"},
 	} {
-		if other, duplicate := seen[key.Text()]; duplicate {
+		if other, duplicate := keys[key.Text()]; duplicate {
 			t.Errorf("%v and %v share %q", other, key, key.Text())
 		}
-		seen[key.Text()] = key
+		keys[key.Text()] = key
 	}
 }
 
@@ -255,7 +255,7 @@
 				checkpoint = m.Checkpoint(now, ClockReading{wall, fmt.Sprint(boot), up})
 			default: // a crash, after which the wall clock may have stepped
 				before := m.Unix(now)
-				pass(int64(rapid.IntRange(0, 999).Draw(r, "since the mark")))
+				pass(int64(rapid.IntRange(0, 999).Draw(r, "since the checkpoint")))
 				for k, record := range stored {
 					if record.Expires <= m.Unix(now) {
 						expired[k] = true
--- a/internal/recovery/keeper.go
+++ b/internal/recovery/keeper.go
@@ -39,7 +39,7 @@
 
 // Counters are the counters of a Keeper; any goroutine may read them.
 type Counters struct {
-	InDoubt   atomic.Int64 // requests failed because they may have run in an earlier incarnation whose records are lost
+	InDoubt   atomic.Int64 // requests failed because an earlier incarnation may have run them
 	Snapshots atomic.Int64 // snapshots written
 	Failed    atomic.Int64 // writes that failed
 	Dropped   atomic.Int64 // snapshots discarded because runs contradicted them
@@ -50,7 +50,7 @@
 	Own      config.Recovery // the [comeback] section
 	Store    *store.Store    // nil = nothing is stored
 	Recovery store.Recovery  // what opening the store found
-	Results  bool            // the store holds the result cache, so requests whose records may be missing are in doubt
+	Results  bool            // the store holds the result cache, so lost records put requests in doubt
 	Node     string          // name of the node
 	Listens  int             // control services that can be asked for earlier incarnations
 	Settings rules.Settings
@@ -98,14 +98,19 @@
 // Open reads what earlier incarnations stored and begins a new one; processStart is when the process
 // started.
 func Open(cfg Config, processStart time.Time) (*Keeper, error) {
-	k := &Keeper{cfg: cfg, log: cfg.Log, processStart: processStart, machineKind: machineDescription(cfg.Settings.Cores), digest: settingsDigest(cfg.Settings, cfg.Names)}
+	k := &Keeper{
+		cfg: cfg, log: cfg.Log, processStart: processStart,
+		machineKind: machineDescription(cfg.Settings.Cores), digest: settingsDigest(cfg.Settings, cfg.Names),
+	}
 	if k.cfg.Wall == nil {
 		k.cfg.Wall = func() int64 { return time.Now().UnixMilli() }
 	}
 	if cfg.Store == nil {
 		return k, nil
 	}
-	k.found = decide.FoundState{Keys: cfg.Store.Len(), UnreadablePlaces: len(cfg.Recovery.Damaged), CompleteSince: math.MinInt64}
+	k.found = decide.FoundState{
+		Keys: cfg.Store.Len(), UnreadablePlaces: len(cfg.Recovery.Damaged), CompleteSince: math.MinInt64,
+	}
 	switch err := k.get(identityKey, &k.identity); {
 	case errors.Is(err, store.ErrNotFound):
 		k.found.Created = cfg.Store.Len() == 0
@@ -131,7 +136,8 @@
 	k.storeID.Store(&k.found.Identity.ID)
 	if err := k.put(identityKey, k.identity, store.Durable); err != nil {
 		// The next incarnation will use the same number and hold its store incomplete.
-		k.log.Error("this life can't be noted in the store: after the next start requests will be in doubt", "err", err)
+		k.log.Error("this life can't be noted in the store: after the next start requests will be in doubt",
+			"err", err)
 	}
 	if cfg.Own.Snapshot {
 		k.loadSnapshot()
@@ -150,13 +156,15 @@
 		k.log.Warn("snapshot not taken up", "why", err)
 		return
 	}
-	weight, why := decide.SnapshotWeight(&snapshot, k.digest, k.machineKind, len(k.cfg.Settings.Classes), k.cfg.Wall())
+	weight, why := decide.SnapshotWeight(
+		&snapshot, k.digest, k.machineKind, len(k.cfg.Settings.Classes), k.cfg.Wall())
 	if weight <= 0 {
 		k.log.Info("snapshot not taken up", "why", why)
 		return
 	}
 	k.learned, k.weight = &snapshot.Learned, weight
-	k.log.Info("snapshot taken up, to be checked against runs", "age", time.Duration(k.cfg.Wall()-snapshot.Taken)*time.Millisecond, "weight", math.Round(100*weight)/100,
+	k.log.Info("snapshot taken up, to be checked against runs",
+		"age", time.Duration(k.cfg.Wall()-snapshot.Taken)*time.Millisecond, "weight", math.Round(100*weight)/100,
 		"limit", math.Round(snapshot.Learned.Limit), "rate", math.Round(snapshot.Learned.Rate))
 }
 
@@ -200,7 +208,9 @@
 // Begin starts the recovery at the loop's time now, when the process has read its store. It must be
 // called before the other methods of the loop.
 func (k *Keeper) Begin(now time.Duration) {
-	settings := decide.StartupSettings{Cores: k.cfg.Settings.Cores, ColdSpeed: k.cfg.Settings.ColdSpeed, WarmUpTime: k.cfg.Settings.WarmUpTime}
+	settings := decide.StartupSettings{
+		Cores: k.cfg.Settings.Cores, ColdSpeed: k.cfg.Settings.ColdSpeed, WarmUpTime: k.cfg.Settings.WarmUpTime,
+	}
 	if k.learned != nil {
 		for _, c := range k.learned.Classes {
 			settings.UsualRuns = append(settings.UsualRuns, c.Base)
@@ -231,7 +241,8 @@
 	if completeSince := k.check.CompleteSince(); completeSince != k.storedSince {
 		k.storedSince = completeSince
 		k.identity.CompleteSince = k.zeroUnix + completeSince.Milliseconds()
-		id := newStoreID() // its checkpoints continue those of a copy: under the old ID they would pass for those already reported
+		// Its checkpoints continue those of a copy: under the old ID they would pass for those already reported.
+		id := newStoreID()
 		k.identity.ID = id
 		k.storeID.Store(&id)
 		k.putAsync(identityKey, k.identity)
@@ -251,7 +262,9 @@
 	if k.cfg.Store == nil || !k.cfg.Results {
 		return nil
 	}
-	return &decide.PreviousStore{ID: *k.storeID.Load(), Epoch: k.found.Identity.Epoch, Checkpoint: k.storedCheckpoint.Load()}
+	return &decide.PreviousStore{
+		ID: *k.storeID.Load(), Epoch: k.found.Identity.Epoch, Checkpoint: k.storedCheckpoint.Load(),
+	}
 }
 
 // ObservePrevious takes what a control service knows of an earlier incarnation, nil = of none.
@@ -291,7 +304,7 @@
 	}
 	c := &k.cfg.Settings.Classes[class]
 	window := c.IdempotencyWindow
-	if c.Effect == rules.Unsafe { // nothing links its tries, and a further one may come as long as its caller waits
+	if c.Effect == rules.Unsafe { // nothing links its tries: one may come as long as its caller waits
 		window = c.Deadline
 	}
 	if c.Effect == rules.Keyed && k.cfg.Own.RunKeyed || c.Effect == rules.Unsafe && k.cfg.Own.RunUnsafe {
@@ -366,7 +379,10 @@
 // storeSnapshot stores what the decision module learned.
 func (k *Keeper) storeSnapshot(learned rules.Learned) {
 	k.Counters.Snapshots.Add(1)
-	k.putAsync(snapshotKey, decide.Snapshot{Version: decide.SnapshotVersion, SettingsDigest: k.digest, Machine: k.machineKind, Taken: k.cfg.Wall(), Learned: learned})
+	k.putAsync(snapshotKey, decide.Snapshot{
+		Version: decide.SnapshotVersion, SettingsDigest: k.digest, Machine: k.machineKind, Taken: k.cfg.Wall(),
+		Learned: learned,
+	})
 }
 
 // View returns the state of the recovery, nil before the first step.
--- a/internal/resultcache/cache.go
+++ b/internal/resultcache/cache.go
@@ -63,7 +63,7 @@
 	Settings rules.Settings
 	Names    settings.Names
 	Log      *slog.Logger
-	Spread   time.Duration              // time over which stores that open together spread the start of their maintenance
+	Spread   time.Duration              // over which stores that open together spread the start of their maintenance
 	FS       vfs.FS                     // nil = the real file system
 	Clocks   func() decide.ClockReading // nil = the system's clocks
 	Elapsed  func() time.Duration       // since Open, on the loop's clock; nil = the system's
@@ -116,7 +116,9 @@
 
 // Open opens the store of the cache. The records are not restored yet.
 func Open(cfg Config) (*Cache, error) {
-	c := &Cache{cfg: cfg, log: cfg.Log, fetches: make(chan fetchRequest, maxPendingFetches), fetcherDone: make(chan struct{})}
+	c := &Cache{
+		cfg: cfg, log: cfg.Log, fetches: make(chan fetchRequest, maxPendingFetches), fetcherDone: make(chan struct{}),
+	}
 	if c.cfg.Clocks == nil {
 		c.cfg.Clocks = systemClocks
 	}
@@ -142,8 +144,8 @@
 	}
 	c.module = decide.New(settings)
 	c.store, c.recovery, err = store.Open(cfg.Results.Dir, store.Options{
-		FS: cfg.FS, Segment: cfg.Store.Segment, Interval: cfg.Store.Interval, CompactionRate: cfg.Store.CompactionRate, Spread: cfg.Spread,
-		Now: c.storeTime,
+		FS: cfg.FS, Segment: cfg.Store.Segment, Interval: cfg.Store.Interval,
+		CompactionRate: cfg.Store.CompactionRate, Spread: cfg.Spread, Now: c.storeTime,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("results: %w", err)
@@ -202,7 +204,8 @@
 	step, away := c.module.StartClock(now, c.cfg.Clocks(), previous)
 	c.clockBase.Store(c.module.Unix(now) - c.cfg.Elapsed().Milliseconds())
 	if step == decide.WallBackTooFar {
-		c.log.Warn("wall clock went back across the restart: restored results expire after the slack", "slack", c.cfg.Results.Slack)
+		c.log.Warn("wall clock went back across the restart: restored results expire after the slack",
+			"slack", c.cfg.Results.Slack)
 	}
 	var restored []RestoredRecord
 	dropped := map[decide.DropReason]int{}
@@ -214,7 +217,8 @@
 	}, func(entry store.Entry) error {
 		key := entry.Key[len(recordPrefix):]
 		var stored storedRecord
-		if err := cbor.Unmarshal(entry.Value, &stored); err != nil || (decide.RequestKey{Class: stored.Class, Tenant: stored.Tenant, Name: stored.Name}).Text() != key {
+		if err := cbor.Unmarshal(entry.Value, &stored); err != nil ||
+			(decide.RequestKey{Class: stored.Class, Tenant: stored.Tenant, Name: stored.Name}).Text() != key {
 			unreadable++
 			return nil
 		}
@@ -235,7 +239,10 @@
 			batch.Delete(resultPrefix + key)
 			return nil
 		}
-		restored = append(restored, RestoredRecord{Record: record, Class: slices.Index(c.cfg.Names.Classes, record.Class), Key: key, Expires: now + time.Duration(record.Expires-c.module.Unix(now))*time.Millisecond})
+		restored = append(restored, RestoredRecord{
+			Record: record, Class: slices.Index(c.cfg.Names.Classes, record.Class), Key: key,
+			Expires: now + time.Duration(record.Expires-c.module.Unix(now))*time.Millisecond,
+		})
 		return nil
 	})
 	if err != nil {
@@ -267,13 +274,15 @@
 			"file", fault.File, "offset", fault.Offset, "bytes", fault.Size, "reason", fault.Reason)
 	}
 	if possiblyOutdated > 0 {
-		c.log.Warn("newer records of some results may be lost: reads are discarded, keyed ones restored", "entries", possiblyOutdated)
+		c.log.Warn("newer records of some results may be lost: reads are discarded, keyed ones restored",
+			"entries", possiblyOutdated)
 	}
 	if unreadable > 0 {
 		c.log.Error("stored results are unreadable", "entries", unreadable)
 	}
 	if len(runs) > 0 {
-		c.log.Warn("unsafe work that may have run before the restart", "count", dropped[decide.UnsafeReported], "runs", runs)
+		c.log.Warn("unsafe work that may have run before the restart", "count", dropped[decide.UnsafeReported],
+			"runs", runs)
 	}
 	c.putClockCheckpoint(now)
 	return restored, nil
@@ -282,7 +291,8 @@
 // record returns the decide.Record.
 func (s storedRecord) record() decide.Record {
 	return decide.Record{
-		RequestKey: decide.RequestKey{Class: s.Class, Tenant: s.Tenant, Name: s.Name}, Kind: s.Kind, Effect: s.Effect, Run: s.Run,
+		RequestKey: decide.RequestKey{Class: s.Class, Tenant: s.Tenant, Name: s.Name},
+		Kind:       s.Kind, Effect: s.Effect, Run: s.Run,
 		Arrived: s.Arrived, Window: s.Window, Expires: s.Expires, Size: s.Size,
 	}
 }
@@ -339,7 +349,8 @@
 
 // RunEnded records how the run of x ended. done, if not nil, is called once the record is as durable as
 // configured, or could not be stored; its argument says whether the result is stored.
-func (c *Cache) RunEnded(now time.Duration, x *exchange.Exchange, expires time.Duration, succeeded bool, body []byte, done func(stored bool)) {
+func (c *Cache) RunEnded(now time.Duration, x *exchange.Exchange, expires time.Duration, succeeded bool,
+	body []byte, done func(stored bool)) {
 	c.recordEnd(now, c.record(now, x, expires), succeeded, body, done)
 }
 
@@ -350,7 +361,8 @@
 }
 
 // recordEnd records the end of a run, see RunEnded.
-func (c *Cache) recordEnd(now time.Duration, record decide.Record, succeeded bool, body []byte, done func(stored bool)) {
+func (c *Cache) recordEnd(now time.Duration, record decide.Record, succeeded bool, body []byte,
+	done func(stored bool)) {
 	record, mustStore, changes := c.module.RunEnded(now, record, succeeded, int64(len(body)))
 	c.applyChanges(changes)
 	if mustStore {
