--- a/decide/pools/load_test.go
+++ b/decide/pools/load_test.go
@@ -14,16 +14,18 @@
 const ms = time.Millisecond
 
 // testSettings returns a node of eight cores, which slow down under contention, with three classes: cheap
-// calls of little utility, texts that a user waits for, and steps of scripts.
+// calls of little utility, texts that an agent waits for, and steps of scripts.
 func testSettings() rules.Settings {
 	cheap := rules.Class{LatencyTarget: 600 * ms, Deadline: 1500 * ms, Utility: 0.05}
 	text, script := cheap, cheap
 	text.Utility, script.Utility = 2, 3
 	return rules.Settings{
-		BatchInterval: ms, Cores: 8, Nodes: 1, Callers: 3, Classes: []rules.Class{cheap, text, script}, Tenants: []rules.Tenant{{Share: 1}},
-		MemoryKB: 1e6, RunningMemoryFactor: 4, RecordKB: 1, Preemption: rules.PreemptDrop, OverloadRunsPerCore: 8, OverloadWindow: time.Second,
-		DrainGrace: 300 * ms, TimeoutsPassed: true, DisconnectsReported: true, Gauges: []string{"cpu_busy", "runnable"}, HonoursRetryAfter: true,
-		MaxRetryAfter: time.Second, MaxIdleTimeout: 30 * time.Second, AnswerSlack: 60 * ms,
+		BatchInterval: ms, Cores: 8, Nodes: 1, Callers: 3,
+		Classes: []rules.Class{cheap, text, script}, Tenants: []rules.Tenant{{Share: 1}},
+		MemoryKB: 1e6, RunningMemoryFactor: 4, RecordKB: 1,
+		Preemption: rules.PreemptDrop, OverloadRunsPerCore: 8, OverloadWindow: time.Second, DrainGrace: 300 * ms,
+		TimeoutsPassed: true, DisconnectsReported: true, Gauges: []string{"cpu_busy", "runnable"},
+		HonoursRetryAfter: true, MaxRetryAfter: time.Second, MaxIdleTimeout: 30 * time.Second, AnswerSlack: 60 * ms,
 	}
 }
 
@@ -98,7 +100,8 @@
 	}
 }
 
-const disturbanceStart, disturbanceEnd = 8 * time.Second, 13 * time.Second // when the disturbances of scenarios last
+// The time during which the disturbances of scenarios last.
+const disturbanceStart, disturbanceEnd = 8 * time.Second, 13 * time.Second
 
 // scenarios are overloads and disturbances, with what must hold in them with a reserve.
 var scenarios = []struct {
@@ -314,8 +317,8 @@
 // recordingHost records which requests run and which make their downstream call.
 type recordingHost struct{ run, call []rules.RequestID }
 
-func (c *recordingHost) Run(id rules.RequestID)                    { c.run = append(c.run, id) }
-func (c *recordingHost) Call(id rules.RequestID, _ time.Duration)  { c.call = append(c.call, id) }
+func (h *recordingHost) Run(id rules.RequestID)                    { h.run = append(h.run, id) }
+func (h *recordingHost) Call(id rules.RequestID, _ time.Duration)  { h.call = append(h.call, id) }
 func (*recordingHost) Preempt(rules.RequestID)                     {}
 func (*recordingHost) Refuse(rules.RequestID, time.Duration, bool) {}
 func (*recordingHost) Fail(rules.RequestID)                        {}
--- a/decide/recovery/eventdetector.go
+++ b/decide/recovery/eventdetector.go
@@ -73,7 +73,7 @@
 // the same time, and measures how much capacity was left and how long it took to come back.
 type EventDetector struct {
 	nodes         map[string]*trackedNode
-	losses        []loss  // of the last lossWindow, or counted by the current event
+	losses        []loss  // of the last lossWindow
 	usualCapacity float64 // smoothed capacity without an event; 0 = unknown
 	capacityShare float64 // share of usualCapacity at the last step; 0 = unknown
 	current       *Event
--- a/decide/recovery/eventdetector_test.go
+++ b/decide/recovery/eventdetector_test.go
@@ -8,24 +8,30 @@
 	"time"
 )
 
-// reportFleet sends the reports of n nodes, one per node and 0.7 s. warm is the speed of node i, below 0
-// = no report; inc is its incarnation.
-func reportFleet(t *testing.T, e *EventDetector, n int, from, to time.Duration, warm func(i int, at time.Duration) float64, inc func(i int, at time.Duration) uint64) (lines []string) {
+// reportFleet sends the reports of n nodes, one per node and 0.7 s. speed returns the speed of node i, below
+// 0 = no report; incarnation returns its incarnation.
+func reportFleet(
+	t *testing.T, d *EventDetector, n int, from, to time.Duration,
+	speed func(i int, at time.Duration) float64, incarnation func(i int, at time.Duration) uint64,
+) (lines []string) {
 	t.Helper()
 	for at := from; at < to; at += 100 * time.Millisecond {
 		for i := range n {
 			if (at/(100*time.Millisecond)+time.Duration(i))%7 != 0 {
 				continue
 			}
-			if w := warm(i, at); w >= 0 {
+			if s := speed(i, at); s >= 0 {
 				limit := 4.0
-				if inc(i, at) > 1 { // it has not found its limit yet
+				if incarnation(i, at) > 1 { // it has not found its limit yet
 					limit = 2.5
 				}
-				e.Observe(at, NodeReport{Name: fmt.Sprint(i), Zone: fmt.Sprint("z", i%3), Incarnation: inc(i, at), Warm: w, Limit: limit, ArrivalRate: 100, FurtherTryShare: 0.1})
+				d.Observe(at, NodeReport{
+					Name: fmt.Sprint(i), Zone: fmt.Sprint("z", i%3), Incarnation: incarnation(i, at),
+					Warm: s, Limit: limit, ArrivalRate: 100, FurtherTryShare: 0.1,
+				})
 			}
 		}
-		lines = append(lines, e.Step(at)...)
+		lines = append(lines, d.Step(at)...)
 	}
 	return lines
 }
@@ -36,7 +42,7 @@
 // with these times is detected. A rolling restart of one node per three seconds is no event.
 func TestEventTimes(t *testing.T) {
 	detector := NewEventDetector(0, 0)
-	warm := func(i int, at time.Duration) float64 {
+	speed := func(i int, at time.Duration) float64 {
 		if i >= 8 || at < 10*time.Second {
 			return 1
 		}
@@ -45,13 +51,13 @@
 		}
 		return min(1, 0.33+0.67*(at-11*time.Second).Seconds()/3)
 	}
-	inc := func(i int, at time.Duration) uint64 {
+	incarnation := func(i int, at time.Duration) uint64 {
 		if i < 8 && at >= 11*time.Second {
 			return 2
 		}
 		return 1
 	}
-	lines := reportFleet(t, detector, 12, 0, 30*time.Second, warm, inc)
+	lines := reportFleet(t, detector, 12, 0, 30*time.Second, speed, incarnation)
 	list := detector.List()
 	if len(list) != 1 || !list[0].Over || len(lines) != 2 {
 		t.Fatalf("%d events, lines %q", len(list), lines)
@@ -75,13 +81,13 @@
 // and return nearly warm within a second, no report shows a low capacity; only the gap between the
 // incarnations does. If they are killed one after the other, only those away at the same moment count.
 func TestLeastCapacityBetweenReports(t *testing.T) {
-	for name, tc := range map[string]struct {
+	for name, c := range map[string]struct {
 		apart    time.Duration
 		from, to float64
 	}{"together": {0, 0, 0.02}, "0.6 s apart": {600 * time.Millisecond, 0.3, 0.7}} {
 		detector := NewEventDetector(0, 0)
-		dead := func(i int, at time.Duration) time.Duration { return at - 10*time.Second - time.Duration(i)*tc.apart }
-		warm := func(i int, at time.Duration) float64 {
+		dead := func(i int, at time.Duration) time.Duration { return at - 10*time.Second - time.Duration(i)*c.apart }
+		speed := func(i int, at time.Duration) float64 {
 			switch d := dead(i, at); {
 			case d < 0:
 				return 1
@@ -90,19 +96,19 @@
 			}
 			return 0.9
 		}
-		inc := func(i int, at time.Duration) uint64 {
+		incarnation := func(i int, at time.Duration) uint64 {
 			if dead(i, at) >= 0 {
 				return 2
 			}
 			return 1
 		}
-		reportFleet(t, detector, 6, 0, 19*time.Second, warm, inc)
+		reportFleet(t, detector, 6, 0, 19*time.Second, speed, incarnation)
 		list := detector.List()
 		if len(list) != 1 {
 			t.Fatalf("%s: %d events", name, len(list))
 		}
-		if least := list[0].Least; least < tc.from || least > tc.to {
-			t.Errorf("%s: least capacity %.2f, want %.2f to %.2f", name, least, tc.from, tc.to)
+		if least := list[0].Least; least < c.from || least > c.to {
+			t.Errorf("%s: least capacity %.2f, want %.2f to %.2f", name, least, c.from, c.to)
 		}
 	}
 }
--- a/decide/recovery/startup.go
+++ b/decide/recovery/startup.go
@@ -106,7 +106,7 @@
 	return s
 }
 
-// enterState ends the current state and begins s.
+// enterState ends the current state and begins the given one.
 func (s *Startup) enterState(now time.Duration, state State) {
 	s.durations[s.state] += max(now-s.stateSince, 0)
 	s.state, s.stateSince = state, now
--- a/decide/recovery/storecheck_test.go
+++ b/decide/recovery/storecheck_test.go
@@ -67,7 +67,7 @@
 	for _, c := range []struct {
 		name   string
 		effect rules.Effect
-		again  bool
+		repeat bool
 		at     time.Duration // arrival at the machine, after the start
 		want   bool
 	}{
@@ -80,7 +80,7 @@
 		{"unsafe", rules.Unsafe, true, time.Second, true},
 	} {
 		check := NewStoreCheck(processStart, found, 1)
-		if got := check.MayHaveRun(processStart+c.at+50*time.Millisecond, c.effect, window, 1, c.again, 50*time.Millisecond); got != c.want {
+		if got := check.MayHaveRun(processStart+c.at+50*time.Millisecond, c.effect, window, 1, c.repeat, 50*time.Millisecond); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
@@ -144,10 +144,10 @@
 			if now.id.CompleteSince != 0 {
 				found.CompleteSince = time.Duration(now.id.CompleteSince)
 			}
-			d := NewStoreCheck(at, found, 1)
+			check := NewStoreCheck(at, found, 1)
 			previous := registry.Observe("n", incarnation, PreviousStore{ID: now.id.ID, Epoch: now.id.Epoch, Checkpoint: now.checkpoint.N})
-			d.ObservePrevious(at, previous)
-			if s := d.CompleteSince(); s != found.CompleteSince {
+			check.ObservePrevious(at, previous)
+			if s := check.CompleteSince(); s != found.CompleteSince {
 				now.id.CompleteSince = int64(s)
 				stores++
 				now.id.ID = fmt.Sprint(stores)
@@ -160,11 +160,11 @@
 				if recordedAt, known := now.keys[key]; known && at-recordedAt < window {
 					continue // answered from the record
 				}
-				if d.MayHaveRun(at, rules.Keyed, window, key, repeat, 0) {
+				if check.MayHaveRun(at, rules.Keyed, window, key, repeat, 0) {
 					continue // failed
 				}
 				if repeat {
-					t.Fatalf("key %d ran at %v and again at %v in incarnation %d: store is %v", key, first, at, incarnation, d.integrity)
+					t.Fatalf("key %d ran at %v and again at %v in incarnation %d: store is %v", key, first, at, incarnation, check.integrity)
 				}
 				ran[key], now.keys[key] = at, at
 				now.checkpoint = Checkpoint{now.checkpoint.N + 1, len(now.keys)}
--- a/internal/recovery/settings_digest.go
+++ b/internal/recovery/settings_digest.go
@@ -77,12 +77,13 @@
 	}
 )
 
-// settingsDigest is the digest of the settings that learned figures depend on. A cold
-// start and the features switched on beside the platform's settings do not count.
+// settingsDigest returns the digest of the settings that learned figures depend on. It does not cover
+// a cold start, nor the features that are enabled apart from the platform's settings.
 func settingsDigest(set rules.Settings, names settings.Names) uint64 {
 	return xxhash.Sum64String(digestText(set, names))
 }
 
+// digestText returns the text that settingsDigest covers.
 func digestText(set rules.Settings, names settings.Names) string {
 	classes := make([]digestedClass, len(set.Classes))
 	for i, c := range set.Classes {
