--- a/decide/pools/load_test.go
+++ b/decide/pools/load_test.go
@@ -242,7 +242,9 @@
 	}
 	spread := func(n int) (streams []machine.Stream) {
 		for i := range n {
-			streams = append(streams, machine.Stream{Class: i, Rate: machine.Steady(1.2 * 8 / 0.03 / float64(n)), Work: machine.Always(30 * ms)})
+			streams = append(streams, machine.Stream{
+				Class: i, Rate: machine.Steady(1.2 * 8 / 0.03 / float64(n)), Work: machine.Always(30 * ms),
+			})
 		}
 		return streams
 	}
@@ -304,11 +306,12 @@
 	for _, a := range arrivals {
 		sent[a.Tenant]++
 	}
-	replay(t, machine.Options{Settings: withPools(set, reserve), Action: func(_ time.Duration, what string, id rules.RequestID, _ float64) {
+	count := func(_ time.Duration, what string, id rules.RequestID, _ float64) {
 		if what == "run" {
 			served[arrivals[id-1].Tenant]++
 		}
-	}}, arrivals)
+	}
+	replay(t, machine.Options{Settings: withPools(set, reserve), Action: count}, arrivals)
 	if big, small := float64(served[0])/float64(sent[0]), float64(served[1])/float64(sent[1]); small < big+0.1 {
 		t.Errorf("%.2f run of the tenant over its share, %.2f of the other", big, small)
 	}
@@ -424,7 +427,9 @@
 				var streams []machine.Stream
 				for i := range n {
 					set.Classes = append(set.Classes, c)
-					streams = append(streams, machine.Stream{Class: i, Rate: machine.Steady(1.2 * 8 / 0.005 / float64(n)), Work: machine.Always(5 * ms)})
+					streams = append(streams, machine.Stream{
+						Class: i, Rate: machine.Steady(1.2 * 8 / 0.005 / float64(n)), Work: machine.Always(5 * ms),
+					})
 				}
 				arrivals := machine.Arrivals(1, 5*time.Second, streams...)
 				b.ResetTimer()
--- a/decide/recovery/eventdetector.go
+++ b/decide/recovery/eventdetector.go
@@ -316,8 +316,10 @@
 		}
 		return d.Round(100 * time.Millisecond).String()
 	}
-	return fmt.Sprintf("event %d ended, %s: %d of %d nodes lost, least capacity %.2f after %v, half after %s, 0.95 after %s, full after %s, %.2f tries per first try",
-		o.Number, o.Why, o.Lost, o.Of, o.Least, o.LeastAt.Round(100*time.Millisecond), at(o.Half), at(o.Most), at(o.Full), o.Tries)
+	return fmt.Sprintf("event %d ended, %s: %d of %d nodes lost, least capacity %.2f after %v, "+
+		"half after %s, 0.95 after %s, full after %s, %.2f tries per first try",
+		o.Number, o.Why, o.Lost, o.Of, o.Least, o.LeastAt.Round(100*time.Millisecond),
+		at(o.Half), at(o.Most), at(o.Full), o.Tries)
 }
 
 // Capacity returns the share of the usual capacity that is there now, 0 = unknown.
--- a/decide/recovery/fairscheduler_test.go
+++ b/decide/recovery/fairscheduler_test.go
@@ -27,7 +27,8 @@
 			}
 			for _, g := range list {
 				for ticket, name := range names { // no waiting client was served longer ago
-					if name != names[g] && !slices.Contains(list, ticket) && !isActive(active, ticket) && lastServedAt(since, name) < lastServedAt(since, names[g]) {
+					if name != names[g] && !slices.Contains(list, ticket) && !isActive(active, ticket) &&
+						lastServedAt(since, name) < lastServedAt(since, names[g]) {
 						t.Fatalf("%s (%v) before %s (%v)", names[g], lastServedAt(since, names[g]), name, lastServedAt(since, name))
 					}
 				}
--- a/decide/recovery/registry_test.go
+++ b/decide/recovery/registry_test.go
@@ -16,13 +16,15 @@
 	registry.Observe("n", 5, PreviousStore{ID: "a", Epoch: 1, Checkpoint: 3}) // out of order
 	registry.Observe("n", 4, PreviousStore{ID: "z", Epoch: 9})                // of an older incarnation
 	for range 2 {
-		if previous := registry.Observe("n", 6, PreviousStore{ID: "a", Epoch: 2, Checkpoint: 8}); previous == nil || *previous != (PreviousStore{ID: "a", Epoch: 1, Checkpoint: 8}) {
+		previous := registry.Observe("n", 6, PreviousStore{ID: "a", Epoch: 2, Checkpoint: 8})
+		if previous == nil || *previous != (PreviousStore{ID: "a", Epoch: 1, Checkpoint: 8}) {
 			t.Errorf("previous store is %v", previous)
 		}
 	}
 	restored := NewIncarnationRegistry()
 	restored.Restore(registry.Save())
-	if previous := restored.Observe("n", 7, PreviousStore{ID: "b", Epoch: 1}); previous == nil || previous.ID != "a" || previous.Epoch != 2 {
+	previous := restored.Observe("n", 7, PreviousStore{ID: "b", Epoch: 1})
+	if previous == nil || previous.ID != "a" || previous.Epoch != 2 {
 		t.Errorf("after a restart of the service: %v", previous)
 	}
 	for i := range maxRegisteredNodes + 10 {
--- a/decide/recovery/snapshot_test.go
+++ b/decide/recovery/snapshot_test.go
@@ -11,7 +11,9 @@
 
 // learned returns figures of one class with the given mean run time in seconds.
 func learned(mean float64) rules.Learned {
-	return rules.Learned{Limit: 4, Rate: 90, Classes: []rules.LearnedClass{{Mean: mean, Base: mean, Runs: 100, Hint: mean, Var: 1e-4, Cov: 1e-4}}}
+	return rules.Learned{Limit: 4, Rate: 90, Classes: []rules.LearnedClass{
+		{Mean: mean, Base: mean, Runs: 100, Hint: mean, Var: 1e-4, Cov: 1e-4},
+	}}
 }
 
 // A snapshot is not used if its version, settings or machine differ, if it is too old or from the
@@ -54,7 +56,8 @@
 		warmStart := NewWarmStart(learned(0.02), speed)
 		for !warmStart.Settled() {
 			runs++
-			if reason = warmStart.ObserveRun(0, time.Duration(runTime/speed*(0.5+rnd.ExpFloat64()/2)*float64(time.Second)), speed); reason != "" {
+			took := time.Duration(runTime / speed * (0.5 + rnd.ExpFloat64()/2) * float64(time.Second))
+			if reason = warmStart.ObserveRun(0, took, speed); reason != "" {
 				break
 			}
 		}
@@ -73,7 +76,9 @@
 // The decision module weights a snapshot like a few runs, so that measured runs soon outweigh it, does
 // not let it replace figures that it already has, and is as new after it discarded the snapshot.
 func TestModuleWarmStart(t *testing.T) {
-	set := rules.Settings{Cores: 2, MemoryKB: 1000, Classes: []rules.Class{{Deadline: 2 * time.Second, LatencyTarget: time.Second, Utility: 1}}}
+	set := rules.Settings{Cores: 2, MemoryKB: 1000, Classes: []rules.Class{
+		{Deadline: 2 * time.Second, LatencyTarget: time.Second, Utility: 1},
+	}}
 	m, err := rules.New(0, set, 1, idleHost{})
 	if err != nil {
 		t.Fatal(err)
--- a/decide/recovery/startup_test.go
+++ b/decide/recovery/startup_test.go
@@ -14,7 +14,10 @@
 func TestStartupProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ramp := time.Duration(rapid.IntRange(0, 60_000).Draw(t, "ramp")) * time.Millisecond
-		startup := NewStartup(0, 0, StartupSettings{Cores: rapid.IntRange(0, 16).Draw(t, "cores"), ColdSpeed: rapid.Float64Range(-1, 2).Draw(t, "from"), WarmUpTime: ramp})
+		startup := NewStartup(0, 0, StartupSettings{
+			Cores: rapid.IntRange(0, 16).Draw(t, "cores"), ColdSpeed: rapid.Float64Range(-1, 2).Draw(t, "from"),
+			WarmUpTime: ramp,
+		})
 		silent := rapid.Bool().Draw(t, "silent") // no event ever comes
 		now, last := time.Duration(0), Listening
 		for range 3000 {
@@ -22,11 +25,14 @@
 			switch event := rapid.IntRange(0, 5).Draw(t, "event"); {
 			case silent:
 			case event == 0:
-				startup.WorkerPoolUp(now, now-time.Duration(rapid.IntRange(-10, 10_000).Draw(t, "up"))*time.Millisecond, rapid.Bool().Draw(t, "cold"))
+				startup.WorkerPoolUp(now, now-time.Duration(rapid.IntRange(-10, 10_000).Draw(t, "up"))*time.Millisecond,
+					rapid.Bool().Draw(t, "cold"))
 			case event == 1:
 				startup.Arrived(now, rapid.Bool().Draw(t, "again"))
 			case event == 2:
-				startup.RunSucceeded(now, rapid.IntRange(-1, 3).Draw(t, "class"), time.Duration(rapid.Int64Range(-1, 1e10).Draw(t, "took")), time.Duration(rapid.Int64Range(0, 1e10).Draw(t, "hint")))
+				startup.RunSucceeded(now, rapid.IntRange(-1, 3).Draw(t, "class"),
+					time.Duration(rapid.Int64Range(-1, 1e10).Draw(t, "took")),
+					time.Duration(rapid.Int64Range(0, 1e10).Draw(t, "hint")))
 			case event == 3:
 				startup.FleetShortage(rapid.Bool().Draw(t, "short"))
 			}
--- a/decide/recovery/storecheck_test.go
+++ b/decide/recovery/storecheck_test.go
@@ -15,7 +15,10 @@
 
 // completeStore returns what a start finds in a store without losses.
 func completeStore() FoundState {
-	return FoundState{Identity: Identity{ID: "a", Node: "n1", Epoch: 4}, Node: "n1", Keys: 100, Checkpoint: Checkpoint{N: 9, Keys: 100}, CompleteSince: math.MinInt64}
+	return FoundState{
+		Identity: Identity{ID: "a", Node: "n1", Epoch: 4}, Node: "n1", Keys: 100,
+		Checkpoint: Checkpoint{N: 9, Keys: 100}, CompleteSince: math.MinInt64,
+	}
 }
 
 // The integrity of the store follows from what a start finds in it and from what control services and
@@ -80,7 +83,8 @@
 		{"unsafe", rules.Unsafe, true, time.Second, true},
 	} {
 		check := NewStoreCheck(processStart, found, 1)
-		if got := check.MayHaveRun(processStart+c.at+50*time.Millisecond, c.effect, window, 1, c.repeat, 50*time.Millisecond); got != c.want {
+		const age = 50 * time.Millisecond
+		if got := check.MayHaveRun(processStart+c.at+age, c.effect, window, 1, c.repeat, age); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
@@ -97,12 +101,16 @@
 	found.CompleteSince = processStart - 2*time.Second
 	check = NewStoreCheck(processStart, found, 1)
 	check.ObservePrevious(processStart+1, &PreviousStore{ID: "a", Epoch: 3, Checkpoint: 9})
-	if !check.MayHaveRun(processStart+time.Second, rules.Keyed, window, 0, true, 0) || check.MayHaveRun(processStart+window-time.Second, rules.Keyed, window, 0, true, 0) {
+	if !check.MayHaveRun(processStart+time.Second, rules.Keyed, window, 0, true, 0) ||
+		check.MayHaveRun(processStart+window-time.Second, rules.Keyed, window, 0, true, 0) {
 		t.Error("requests are in doubt for less or more than the window of the previous incarnation")
 	}
 	// Unverified ends even without a report.
-	check = NewStoreCheck(processStart, FoundState{Identity: Identity{ID: "b", Epoch: 1}, Created: true, CompleteSince: math.MinInt64}, 1)
-	if !check.MayHaveRun(processStart+1, rules.Keyed, window, 0, true, 0) || check.MayHaveRun(processStart+previousStoreWait, rules.Keyed, window, 0, true, 0) {
+	check = NewStoreCheck(processStart, FoundState{
+		Identity: Identity{ID: "b", Epoch: 1}, Created: true, CompleteSince: math.MinInt64,
+	}, 1)
+	if !check.MayHaveRun(processStart+1, rules.Keyed, window, 0, true, 0) ||
+		check.MayHaveRun(processStart+previousStoreWait, rules.Keyed, window, 0, true, 0) {
 		t.Error("without a report requests are not in doubt, or still are after the wait")
 	}
 }
@@ -145,7 +153,9 @@
 				found.CompleteSince = time.Duration(now.id.CompleteSince)
 			}
 			check := NewStoreCheck(at, found, 1)
-			previous := registry.Observe("n", incarnation, PreviousStore{ID: now.id.ID, Epoch: now.id.Epoch, Checkpoint: now.checkpoint.N})
+			previous := registry.Observe("n", incarnation, PreviousStore{
+				ID: now.id.ID, Epoch: now.id.Epoch, Checkpoint: now.checkpoint.N,
+			})
 			check.ObservePrevious(at, previous)
 			if s := check.CompleteSince(); s != found.CompleteSince {
 				now.id.CompleteSince = int64(s)
@@ -164,11 +174,14 @@
 					continue // failed
 				}
 				if repeat {
-					t.Fatalf("key %d ran at %v and again at %v in incarnation %d: store is %v", key, first, at, incarnation, check.integrity)
+					t.Fatalf("key %d ran at %v and again at %v in incarnation %d: store is %v",
+						key, first, at, incarnation, check.integrity)
 				}
 				ran[key], now.keys[key] = at, at
 				now.checkpoint = Checkpoint{now.checkpoint.N + 1, len(now.keys)}
-				registry.Observe("n", incarnation, PreviousStore{ID: now.id.ID, Epoch: now.id.Epoch, Checkpoint: now.checkpoint.N})
+				registry.Observe("n", incarnation, PreviousStore{
+					ID: now.id.ID, Epoch: now.id.Epoch, Checkpoint: now.checkpoint.N,
+				})
 				if rapid.IntRange(0, 3).Draw(t, "copy") == 0 {
 					copies = append(copies, clone(now))
 				}
--- a/decide/resultcache/module_test.go
+++ b/decide/resultcache/module_test.go
@@ -32,7 +32,10 @@
 
 // keyedRecord returns a record of a keyed request that arrived at the given time.
 func keyedRecord(name string, arrived int64) Record {
-	return Record{RequestKey: RequestKey{"pay", "acme", name}, Effect: rules.Keyed, Arrived: arrived, Window: 5000, Expires: arrived + 5000, Run: "r" + name}
+	return Record{
+		RequestKey: RequestKey{"pay", "acme", name}, Effect: rules.Keyed, Run: "r" + name,
+		Arrived: arrived, Window: 5000, Expires: arrived + 5000,
+	}
 }
 
 // readRecord returns a record of a read that arrived at the given time.
--- a/internal/recovery/keeper_test.go
+++ b/internal/recovery/keeper_test.go
@@ -34,7 +34,10 @@
 func newTestNode(t *testing.T) *testNode {
 	return &testNode{t: t, disk: vfs.NewMem(false), wall: 1_800_000_000_000, name: "n1", settings: rules.Settings{
 		Cores: 2, ColdSpeed: 0.33, WarmUpTime: 3 * second, Classes: []rules.Class{
-			{Deadline: 2 * second}, {Effect: rules.Keyed, IdempotencyWindow: 10 * second, Deadline: 2 * second}, {Effect: rules.Unsafe, Deadline: 2 * second}},
+			{Deadline: 2 * second},
+			{Effect: rules.Keyed, IdempotencyWindow: 10 * second, Deadline: 2 * second},
+			{Effect: rules.Unsafe, Deadline: 2 * second},
+		},
 	}}
 }
 
@@ -49,9 +52,11 @@
 		n.disk.Fail(func(vfs.Op) error { return syscall.ENOSPC })
 	}
 	n.log.Reset()
-	k, err = Open(Config{Own: config.Recovery{Enabled: true, Snapshot: snapshot}, Store: s, Recovery: rec, Results: true, Node: n.name, Listens: 1,
-		Settings: n.settings, Names: settings.Names{Classes: []string{"a", "b", "c"}}, Log: slog.New(slog.NewTextHandler(&n.log, nil)),
-		Wall: func() int64 { return n.wall }}, time.Now())
+	k, err = Open(Config{
+		Own: config.Recovery{Enabled: true, Snapshot: snapshot}, Store: s, Recovery: rec, Results: true,
+		Node: n.name, Listens: 1, Settings: n.settings, Names: settings.Names{Classes: []string{"a", "b", "c"}},
+		Log: slog.New(slog.NewTextHandler(&n.log, nil)), Wall: func() int64 { return n.wall },
+	}, time.Now())
 	if err != nil {
 		n.t.Fatal(err)
 	}
@@ -94,14 +99,16 @@
 	node.stop(k, s, rules.Learned{})
 	k, s = node.start(false)
 	k.ObservePrevious(second, &previous)
-	if integrity, why := k.check.Integrity(second); integrity != decide.Intact || k.Identity().Epoch != 2 || k.Identity().ID != first.ID {
+	if integrity, why := k.check.Integrity(second); integrity != decide.Intact ||
+		k.Identity().Epoch != 2 || k.Identity().ID != first.ID {
 		t.Errorf("integrity %v (%s), identity %+v", integrity, why, k.Identity())
 	}
 	node.stop(k, s, rules.Learned{})
 	node.disk = copied
 	k, s = node.start(false)
 	k.ObservePrevious(second, &previous)
-	if !strings.Contains(node.log.String(), "older copy") || !k.InDoubt(2*second, 1, 1, true, 0) || k.InDoubt(2*second, 0, 1, true, 0) || k.Counters.InDoubt.Load() != 1 {
+	if !strings.Contains(node.log.String(), "older copy") || !k.InDoubt(2*second, 1, 1, true, 0) ||
+		k.InDoubt(2*second, 0, 1, true, 0) || k.Counters.InDoubt.Load() != 1 {
 		t.Errorf("an older copy is not recognised: %s", node.log.String())
 	}
 	standin.Eventually(t, "the time of the loss is stored", func() bool {
--- a/internal/resultcache/cache.go
+++ b/internal/resultcache/cache.go
@@ -257,7 +257,8 @@
 	c.Counters.Aged.Add(int64(dropped[decide.Expired]))
 	args := []any{
 		"kept", len(restored), "bytes", c.module.Bytes(), "clock", step.String(), "away", away,
-		"recovery", c.recovery.Took, "restore", time.Since(began), "checkpoint", c.recovery.Checkpoint, "read_bytes", c.recovery.Read,
+		"recovery", c.recovery.Took, "restore", time.Since(began),
+		"checkpoint", c.recovery.Checkpoint, "read_bytes", c.recovery.Read,
 	}
 	for reason := decide.Expired; reason <= decide.PossiblyOutdated; reason++ {
 		if dropped[reason] > 0 {
