--- /dev/null
+++ b/internal/resultcache/cache.go
@@ -0,0 +1,533 @@
+// Package resultcache stores the results of a node's runs, so that repeats of requests get the same
+// answer after a restart. decide/resultcache decides what is recorded and how repeats are handled; this
+// package writes its records to a store and reads them back. It never blocks the node's loop: the
+// outcome of whatever needs the disk is reported by callback.
+//
+// The store holds the record of a run under "m/KEY", its result under "b/KEY", and the checkpoint of
+// the clocks under "clock".
+package resultcache
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"os"
+	"slices"
+	"strings"
+	"sync/atomic"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+	"golang.org/x/sys/unix"
+
+	decide "robinmast/decide/resultcache"
+	"robinmast/internal/config"
+	"robinmast/internal/exchange"
+	"robinmast/internal/settings"
+	"robinmast/internal/store"
+	"robinmast/internal/store/vfs"
+	"robinmast/rules"
+)
+
+const (
+	recordPrefix       = "m/"
+	resultPrefix       = "b/"
+	clockKey           = "clock"
+	expiryGrace        = 10 * time.Second // records stay in the store this much longer, for repeats that are read late
+	maxPendingFetches  = 256              // reads of results that may be pending
+	maxNamedRuns       = 8                // runs named in one log line
+	failureLogInterval = 5 * time.Second  // least time between log lines about failed writes
+)
+
+// ErrNoRoom reports that the bounds of [results] leave no room for a record.
+var ErrNoRoom = errors.New("no room for another record within the bounds of [results]")
+
+// Counters are the counters of a Cache; any goroutine may read them.
+type Counters struct {
+	Intents  atomic.Int64 // runs that waited for an intent
+	Stored   atomic.Int64 // results stored
+	Restored atomic.Int64 // records restored at the start
+	Answered atomic.Int64 // repeats answered with the result of an earlier incarnation
+	Unknown  atomic.Int64 // repeats failed because the request ran, or may have run, and there is no result
+	Late     atomic.Int64 // ends of runs of an earlier incarnation, reported by a worker pool that outlived it
+	Aged     atomic.Int64 // records removed because they expired
+	Evicted  atomic.Int64 // records or results evicted for others
+	NoRoom   atomic.Int64 // requests for whose record there was no room
+	Failed   atomic.Int64 // writes that failed
+}
+
+// Config is the configuration of a Cache.
+type Config struct {
+	Results  config.Results
+	Store    config.Store
+	Settings rules.Settings
+	Names    settings.Names
+	Log      *slog.Logger
+	Spread   time.Duration              // over which stores that open together spread the start of their maintenance
+	FS       vfs.FS                     // nil = the real file system
+	Clocks   func() decide.ClockReading // nil = the system's clocks
+	Elapsed  func() time.Duration       // since Open, on the loop's clock; nil = the system's
+}
+
+// Cache stores the records and results of a node's runs. Its methods belong to the node's loop, except
+// Store and the counters, which any goroutine may use; the callback of Fetch runs in another goroutine.
+type Cache struct {
+	Counters Counters
+
+	cfg      Config
+	log      *slog.Logger
+	module   *decide.Module
+	store    *store.Store
+	recovery store.Recovery
+	encoder  cbor.EncMode
+
+	clockBase atomic.Int64 // the module's Unix time at Open, milliseconds; 0 = not known yet
+
+	batch          store.Batch
+	pending        []func(error)
+	needsSync      bool          // a callback in pending waits for a durable write
+	lastCheckpoint time.Duration // when the clocks' checkpoint was stored
+	lastExpiry     time.Duration
+	lastFailureLog time.Time // about a failed write
+	fetches        chan fetchRequest
+	fetcherDone    chan struct{}
+}
+
+// fetchRequest is a call of Fetch.
+type fetchRequest struct {
+	key  string
+	done func([]byte, error)
+}
+
+// storedRecord is the stored form of a decide.Record: CBOR (RFC 8949) with numbered fields, so that
+// later versions can add fields.
+type storedRecord struct {
+	Kind    decide.Kind  `cbor:"1,keyasint"`
+	Effect  rules.Effect `cbor:"2,keyasint"`
+	Class   string       `cbor:"3,keyasint"`
+	Tenant  string       `cbor:"4,keyasint"`
+	Name    string       `cbor:"5,keyasint"`
+	Run     string       `cbor:"6,keyasint"`
+	Arrived int64        `cbor:"7,keyasint"`
+	Window  int64        `cbor:"8,keyasint"`
+	Expires int64        `cbor:"9,keyasint"`
+	Size    int64        `cbor:"10,keyasint"`
+}
+
+// Open opens the store of the cache. The records are not restored yet.
+func Open(cfg Config) (*Cache, error) {
+	c := &Cache{
+		cfg: cfg, log: cfg.Log, fetches: make(chan fetchRequest, maxPendingFetches), fetcherDone: make(chan struct{}),
+	}
+	if c.cfg.Clocks == nil {
+		c.cfg.Clocks = systemClocks
+	}
+	if c.cfg.Elapsed == nil {
+		began := time.Now()
+		c.cfg.Elapsed = func() time.Duration { return time.Since(began) }
+	}
+	var err error
+	if c.encoder, err = cbor.CoreDetEncOptions().EncMode(); err != nil {
+		return nil, fmt.Errorf("results: %w", err)
+	}
+	settings := decide.Settings{
+		Classes: map[string]decide.Class{}, Tenants: map[string]bool{}, ReadFreshness: cfg.Settings.ReadFreshness,
+		MaxBytes: cfg.Results.Bytes, MaxRecords: cfg.Results.Entries, ClockSlack: cfg.Results.Slack,
+		FailUnknownReads: cfg.Results.FailUnknown, RecordUnsafe: cfg.Results.Unsafe,
+	}
+	for i, name := range cfg.Names.Classes {
+		class := cfg.Settings.Classes[i]
+		settings.Classes[name] = decide.Class{Effect: class.Effect, Window: class.IdempotencyWindow}
+	}
+	for _, name := range cfg.Names.Tenants {
+		settings.Tenants[name] = true
+	}
+	c.module = decide.New(settings)
+	c.store, c.recovery, err = store.Open(cfg.Results.Dir, store.Options{
+		FS: cfg.FS, Segment: cfg.Store.Segment, Interval: cfg.Store.Interval,
+		CompactionRate: cfg.Store.CompactionRate, Spread: cfg.Spread, Now: c.storeTime,
+	})
+	if err != nil {
+		return nil, fmt.Errorf("results: %w", err)
+	}
+	go c.fetcher()
+	return c, nil
+}
+
+// storeTime is the store's clock, in Unix milliseconds: the module's time, or 0 before it is known, so
+// that nothing expires until then.
+func (c *Cache) storeTime() int64 {
+	base := c.clockBase.Load()
+	if base == 0 {
+		return 0
+	}
+	return base + c.cfg.Elapsed().Milliseconds()
+}
+
+// systemClocks reads the wall clock, and the time since the boot of the machine if it is available.
+func systemClocks() decide.ClockReading {
+	reading := decide.ClockReading{Wall: time.Now().UnixMilli()}
+	var ts unix.Timespec
+	id, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
+	if err != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts) != nil {
+		return reading // the wall clock alone has to do
+	}
+	reading.Boot, reading.Up = strings.TrimSpace(string(id)), ts.Nano()/int64(time.Millisecond)
+	return reading
+}
+
+// RestoredRecord is a record of an earlier incarnation.
+type RestoredRecord struct {
+	Record  decide.Record
+	Class   int           // index in the settings
+	Key     string        // RequestKey.Text of the record
+	Expires time.Duration // on the loop's clock
+}
+
+// Restore restores the records of earlier incarnations; now is the loop's time. It must be called once,
+// before any other method. The error is that of reading the store.
+func (c *Cache) Restore(now time.Duration) ([]RestoredRecord, error) {
+	began := time.Now()
+	var previous *decide.ClockCheckpoint
+	text, err := c.store.Get(clockKey)
+	switch {
+	case errors.Is(err, store.ErrNotFound):
+	case err != nil:
+		c.log.Warn("clock checkpoint is unreadable: using the wall clock", "err", err)
+	default:
+		previous = &decide.ClockCheckpoint{}
+		if err := cbor.Unmarshal(text, previous); err != nil {
+			c.log.Warn("clock checkpoint is unreadable: using the wall clock", "err", err)
+			previous = nil
+		}
+	}
+	step, away := c.module.StartClock(now, c.cfg.Clocks(), previous)
+	c.clockBase.Store(c.module.Unix(now) - c.cfg.Elapsed().Milliseconds())
+	if step == decide.WallBackTooFar {
+		c.log.Warn("wall clock went back across the restart: restored results expire after the slack",
+			"slack", c.cfg.Results.Slack)
+	}
+	var restored []RestoredRecord
+	dropped := map[decide.DropReason]int{}
+	unreadable, possiblyOutdated := 0, 0
+	var runs []string
+	var batch store.Batch
+	err = c.store.Scan(recordPrefix, func(key string, err error) {
+		unreadable++
+	}, func(entry store.Entry) error {
+		key := entry.Key[len(recordPrefix):]
+		var stored storedRecord
+		if err := cbor.Unmarshal(entry.Value, &stored); err != nil ||
+			(decide.RequestKey{Class: stored.Class, Tenant: stored.Tenant, Name: stored.Name}).Text() != key {
+			unreadable++
+			return nil
+		}
+		var record decide.Record
+		reason := decide.PossiblyOutdated
+		if entry.Doubt {
+			possiblyOutdated++
+		}
+		if !entry.Doubt || stored.Effect != rules.Safe { // an older intent or result of keyed work still holds
+			record, reason = c.module.Restore(now, stored.record())
+		}
+		dropped[reason]++
+		if reason != decide.Kept {
+			if reason == decide.UnsafeReported && len(runs) < maxNamedRuns {
+				runs = append(runs, stored.Run)
+			}
+			batch.Delete(entry.Key)
+			batch.Delete(resultPrefix + key)
+			return nil
+		}
+		restored = append(restored, RestoredRecord{
+			Record: record, Class: slices.Index(c.cfg.Names.Classes, record.Class), Key: key,
+			Expires: now + time.Duration(record.Expires-c.module.Unix(now))*time.Millisecond,
+		})
+		return nil
+	})
+	if err != nil {
+		return nil, fmt.Errorf("results: restore: %w", err)
+	}
+	if batch.Len() > 0 {
+		if err := c.store.Apply(&batch, store.Soon); err != nil {
+			c.logFailure(err) // the next start will discard them again
+		}
+	}
+	c.Counters.Restored.Store(int64(len(restored)))
+	c.Counters.Aged.Add(int64(dropped[decide.Expired]))
+	args := []any{
+		"kept", len(restored), "bytes", c.module.Bytes(), "clock", step.String(), "away", away,
+		"recovery", c.recovery.Took, "restore", time.Since(began),
+		"checkpoint", c.recovery.Checkpoint, "read_bytes", c.recovery.Read,
+	}
+	for reason := decide.Expired; reason <= decide.PossiblyOutdated; reason++ {
+		if dropped[reason] > 0 {
+			args = append(args, "dropped_"+reason.String(), dropped[reason])
+		}
+	}
+	c.log.Info("remembered results", args...)
+	for _, fault := range c.recovery.Torn {
+		c.log.Info("store: truncated an incomplete write that was never acknowledged",
+			"file", fault.File, "offset", fault.Offset, "bytes", fault.Size)
+	}
+	for _, fault := range c.recovery.Damaged {
+		c.log.Error("store: damage; all other records are served, the file is set aside",
+			"file", fault.File, "offset", fault.Offset, "bytes", fault.Size, "reason", fault.Reason)
+	}
+	if possiblyOutdated > 0 {
+		c.log.Warn("newer records of some results may be lost: reads are discarded, keyed ones restored",
+			"entries", possiblyOutdated)
+	}
+	if unreadable > 0 {
+		c.log.Error("stored results are unreadable", "entries", unreadable)
+	}
+	if len(runs) > 0 {
+		c.log.Warn("unsafe work that may have run before the restart", "count", dropped[decide.UnsafeReported],
+			"runs", runs)
+	}
+	c.putClockCheckpoint(now)
+	return restored, nil
+}
+
+// record returns the decide.Record.
+func (s storedRecord) record() decide.Record {
+	return decide.Record{
+		RequestKey: decide.RequestKey{Class: s.Class, Tenant: s.Tenant, Name: s.Name},
+		Kind:       s.Kind, Effect: s.Effect, Run: s.Run,
+		Arrived: s.Arrived, Window: s.Window, Expires: s.Expires, Size: s.Size,
+	}
+}
+
+// RequestKey returns the key of all tries of x. Its Name is empty if nothing links them.
+func (c *Cache) RequestKey(x *exchange.Exchange) decide.RequestKey {
+	key := decide.RequestKey{Class: x.ClassName, Tenant: x.TenantName}
+	switch c.cfg.Settings.Classes[x.Class].Effect {
+	case rules.Keyed:
+		key.Name = x.Unique
+	case rules.Safe:
+		key.Name = x.Item
+	default:
+		key.Name = x.Txn
+	}
+	return key
+}
+
+// Wants reports whether x is recorded, and whether its run must wait for a stored intent.
+func (c *Cache) Wants(x *exchange.Exchange) (record, intent bool) {
+	return c.module.ShouldRecord(c.cfg.Settings.Classes[x.Class].Effect, c.RequestKey(x).Name != "")
+}
+
+// record returns a record of x; expires is on the loop's clock.
+func (c *Cache) record(now time.Duration, x *exchange.Exchange, expires time.Duration) decide.Record {
+	class := c.cfg.Settings.Classes[x.Class]
+	record := decide.Record{
+		RequestKey: c.RequestKey(x), Effect: class.Effect, Run: x.Txn,
+		Arrived: c.module.Unix(now), Expires: c.module.Unix(expires),
+	}
+	if class.Effect == rules.Keyed {
+		record.Window = class.IdempotencyWindow.Milliseconds()
+	}
+	return record
+}
+
+// StoreIntent records that x is about to run. done is called once the record is as durable as
+// configured, or with the error; the run must wait for it. expires is on the loop's clock.
+func (c *Cache) StoreIntent(now time.Duration, x *exchange.Exchange, expires time.Duration, done func(error)) {
+	record := c.record(now, x, expires)
+	ok, changes := c.module.RecordIntent(now, record)
+	c.applyChanges(changes)
+	if !ok {
+		c.Counters.NoRoom.Add(1)
+		done(ErrNoRoom)
+		return
+	}
+	record.Kind = decide.Intent
+	c.Counters.Intents.Add(1)
+	c.put(record)
+	c.batch.Delete(resultPrefix + record.Text())
+	c.notifyWhenWritten(done)
+}
+
+// RunEnded records how the run of x ended. done, if not nil, is called once the record is as durable as
+// configured, or could not be stored; its argument says whether the result is stored.
+func (c *Cache) RunEnded(now time.Duration, x *exchange.Exchange, expires time.Duration, succeeded bool,
+	body []byte, done func(stored bool)) {
+	c.recordEnd(now, c.record(now, x, expires), succeeded, body, done)
+}
+
+// LateRunEnded records the end of a run of an earlier incarnation.
+func (c *Cache) LateRunEnded(now time.Duration, restored RestoredRecord, succeeded bool, body []byte) {
+	c.Counters.Late.Add(1)
+	c.recordEnd(now, restored.Record, succeeded, body, nil)
+}
+
+// recordEnd records the end of a run, see RunEnded.
+func (c *Cache) recordEnd(now time.Duration, record decide.Record, succeeded bool, body []byte,
+	done func(stored bool)) {
+	record, mustStore, changes := c.module.RunEnded(now, record, succeeded, int64(len(body)))
+	c.applyChanges(changes)
+	if mustStore {
+		c.put(record)
+		if record.Kind == decide.Result {
+			c.Counters.Stored.Add(1)
+			c.batch.Put(resultPrefix+record.Text(), body, record.Expires+expiryGrace.Milliseconds())
+		}
+	}
+	switch {
+	case done == nil:
+	case !mustStore:
+		done(false)
+	default:
+		c.notifyWhenWritten(func(err error) { done(err == nil && record.Kind == decide.Result) })
+	}
+}
+
+// Withdraw removes the intent of a request that never started.
+func (c *Cache) Withdraw(x *exchange.Exchange) {
+	c.deleteRecords(c.module.Withdraw(c.RequestKey(x)).Delete)
+}
+
+// DecideRepeat decides how a repeat of a request of an earlier incarnation is handled. poolStart is when
+// the worker pool started, on the loop's clock.
+func (c *Cache) DecideRepeat(restored RestoredRecord, poolStart time.Duration) decide.RepeatAction {
+	return c.module.DecideRepeat(restored.Record, c.module.Unix(poolStart))
+}
+
+// CountRepeat counts a repeat of a request of an earlier incarnation: answered, or failed.
+func (c *Cache) CountRepeat(answered bool) {
+	if answered {
+		c.Counters.Answered.Add(1)
+		return
+	}
+	c.Counters.Unknown.Add(1)
+}
+
+// put adds a record to the batch.
+func (c *Cache) put(record decide.Record) {
+	text, err := c.encoder.Marshal(storedRecord{
+		Kind: record.Kind, Effect: record.Effect, Class: record.Class, Tenant: record.Tenant, Name: record.Name, Run: record.Run,
+		Arrived: record.Arrived, Window: record.Window, Expires: record.Expires, Size: record.Size,
+	})
+	if err != nil { // the type has nothing that can't be encoded
+		panic(err)
+	}
+	c.batch.Put(recordPrefix+record.Text(), text, record.Expires+expiryGrace.Milliseconds())
+}
+
+// applyChanges adds the changes that follow from a decision to the batch.
+func (c *Cache) applyChanges(changes decide.StoreChanges) {
+	c.Counters.Evicted.Add(int64(len(changes.Delete) + len(changes.EvictResult)))
+	c.deleteRecords(changes.Delete)
+	for _, record := range changes.EvictResult {
+		c.put(record)
+		c.batch.Delete(resultPrefix + record.Text())
+	}
+}
+
+// deleteRecords adds the deletion of records and their results to the batch.
+func (c *Cache) deleteRecords(keys []string) {
+	for _, key := range keys {
+		c.batch.Delete(recordPrefix + key)
+		c.batch.Delete(resultPrefix + key)
+	}
+}
+
+// notifyWhenWritten calls done when the current batch is written, or could not be.
+func (c *Cache) notifyWhenWritten(done func(error)) {
+	c.pending = append(c.pending, done)
+	c.needsSync = c.needsSync || c.cfg.Results.Durable
+}
+
+// putClockCheckpoint adds a checkpoint of the clocks to the batch.
+func (c *Cache) putClockCheckpoint(now time.Duration) {
+	text, err := c.encoder.Marshal(c.module.Checkpoint(now, c.cfg.Clocks()))
+	if err != nil { // the type has nothing that can't be encoded
+		panic(err)
+	}
+	c.batch.Put(clockKey, text, 0)
+	c.lastCheckpoint = now
+}
+
+// Flush writes everything recorded since the last call to the store, as one batch: a control interval
+// costs one sync, however much was recorded.
+func (c *Cache) Flush(now time.Duration) {
+	if now-c.lastExpiry > time.Second {
+		c.lastExpiry = now
+		expired := c.module.Expire(now - expiryGrace)
+		c.Counters.Aged.Add(int64(len(expired)))
+		c.deleteRecords(expired)
+	}
+	if now-c.lastCheckpoint >= decide.CheckpointInterval && (c.module.Len() > 0 || c.batch.Len() > 0) {
+		c.putClockCheckpoint(now)
+	}
+	if c.batch.Len() == 0 {
+		return
+	}
+	batch, pending, durability := c.batch, c.pending, store.Soon
+	if c.needsSync {
+		durability = store.Durable
+	}
+	c.batch, c.pending, c.needsSync = store.Batch{}, nil, false
+	c.store.ApplyAsync(&batch, durability, func(err error) {
+		if err != nil {
+			c.Counters.Failed.Add(1)
+		}
+		for _, done := range pending {
+			done(err)
+		}
+	})
+}
+
+// logFailure logs a failed write, at most once per failureLogInterval.
+func (c *Cache) logFailure(err error) {
+	if time.Since(c.lastFailureLog) > failureLogInterval {
+		c.lastFailureLog = time.Now()
+		c.log.Error("results can't be written to the store", "err", err)
+	}
+}
+
+// RunsUnrecorded takes the error of an intent that could not be written, and reports whether the request
+// runs without a record.
+func (c *Cache) RunsUnrecorded(err error) bool {
+	c.logFailure(err)
+	return c.cfg.Results.RunUnwritten
+}
+
+// Fetch reads a stored result. done is called by another goroutine, or at once with store.ErrBusy if
+// too many reads are pending.
+func (c *Cache) Fetch(key string, done func(body []byte, err error)) {
+	select {
+	case c.fetches <- fetchRequest{key, done}:
+	default:
+		done(nil, store.ErrBusy)
+	}
+}
+
+// fetcher reads the requested results until Close.
+func (c *Cache) fetcher() {
+	defer close(c.fetcherDone)
+	for f := range c.fetches {
+		f.done(c.store.Get(resultPrefix + f.key))
+	}
+}
+
+// Count returns the number of records.
+func (c *Cache) Count() int { return c.module.Len() }
+
+// Recovery returns what opening the store found.
+func (c *Cache) Recovery() store.Recovery { return c.recovery }
+
+// Store returns the underlying store, for its counters.
+func (c *Cache) Store() *store.Store { return c.store }
+
+// Close writes what is not written yet and closes the store. The loop must have ended.
+func (c *Cache) Close(now time.Duration) error {
+	c.putClockCheckpoint(now)
+	c.Flush(now)
+	close(c.fetches)
+	<-c.fetcherDone
+	if err := c.store.Close(); err != nil {
+		return fmt.Errorf("results: %w", err)
+	}
+	return nil
+}
