--- /dev/null
+++ b/rules/drain.go
@@ -0,0 +1,20 @@
+package rules
+
+import "time"
+
+// Drain is the notice to leave: the process will be stopped after left.
+func (m *Module) Drain(now time.Duration, left time.Duration) {
+	m.now = now
+	if !m.draining {
+		m.draining, m.notice = true, now
+	}
+	m.stopAt = now + max(left-2*m.set.BatchInterval, 0)
+	for _, r := range m.all {
+		r.due = min(r.due, m.stopAt)
+	}
+}
+
+// leaving reports whether callers had better go elsewhere: for most of the grace they still may come.
+func (m *Module) leaving() bool {
+	return m.draining && float64(m.now-m.notice) >= leaveShare*float64(m.set.DrainGrace)
+}
