--- a/rules/concurrency.go
+++ b/rules/concurrency.go
@@ -5,6 +5,18 @@
 	"time"
 )
 
+const (
+	stepEvery    = 100 * time.Millisecond // the limit's steps: several completions apart
+	limitGrow    = 1.03                   // growth a step while cores idle with work held
+	limitGrowFar = 1.25                   // the same while half the cores want no run: a start is far below
+	limitAdd     = 0.08                   // least growth a step: a small limit gets on too
+	limitShrink  = 0.95                   // shrink a step while runs take too long
+	slowRatio    = 1.3                    // run latency over base that counts as crowded
+	idleWanted   = 2.0                    // what wants a core, for each, from which that share is not believed
+	idleBelow    = 0.95                   // share of busy cores under which they count as idle
+	crowdMargin  = 0.85                   // of the crowd known to be survived: room for returns from calls
+)
+
 // crowd is how many requests may be in hand, so that even if all come back from calls at once the
 // cores stay under the crowd known to be survived. A cold node's speed counts at its slowest ramp.
 func (m *Module) crowd() float64 {
--- a/rules/connections.go
+++ b/rules/connections.go
@@ -1,6 +1,21 @@
 package rules
 
-import "slices"
+import (
+	"slices"
+	"time"
+)
+
+const (
+	idleWorth    = 6 * time.Second        // open and idle this long, a connection costs as much as a new one
+	idleShortest = 250 * time.Millisecond // shortest idle limit considered: longer than a round trip
+	idleSteps    = 8                      // idle limits considered, each twice the one before: up to 32 s
+	idleSlack    = 0.1                    // cost over the least that a longer idle limit may have
+	swampAlpha   = 0.005                  // weight of a beat in the swamp: 5 s, short ones pass by themselves
+	swampOver    = 3.0                    // reads and new connections a core that count as a swamp
+	doorHold     = 60 * time.Second       // from a swamp on tables may fill for so long: then tried again
+	mostCallers  = 4096                   // callers remembered: a fleet has a tenth of it
+	idleAlpha    = 0.02                   // weight of a request in what an idle limit costs: fifty requests
+)
 
 // hear learns from the time since a caller was last heard what each idle limit would cost: a
 // connection held idle takes a part of the cores, and one closed too early is opened anew.
--- a/rules/dependency.go
+++ b/rules/dependency.go
@@ -6,6 +6,21 @@
 	"time"
 )
 
+const (
+	callMargin   = 0.85  // of this node's share of calls below
+	callPart     = 0.6   // of the time left before the aim that one call may take
+	callBooked   = 0.5   // of its share over a window that one call may book by its time-out
+	callFirst    = 0.3   // of the share is the first call limit: it is slow well below it
+	callFloor    = 0.05  // of the share is the least call limit: it probes
+	callSlow     = 2.0   // call latency over base that counts as crowded
+	callShrink   = 0.9   // shrink of the call limit a step while crowded
+	callDrift    = 1.001 // the call base creeps up a step: faster, it would hide crowding
+	callAlpha    = 0.1   // weight of a call in the call latency: fewer calls than runs
+	waitRunShare = 0.8   // usual runs that must be left to go on waiting for a call
+	callTries    = 2     // calls made for one need before going on without
+	callBuckets  = 25    // steps of the sliding mean of calls
+)
+
 // NeedsCall tells that a running request stands at a call.
 func (m *Module) CallNeeded(now time.Duration, id RequestID) {
 	m.now = now
--- a/rules/drain.go
+++ b/rules/drain.go
@@ -2,6 +2,8 @@
 
 import "time"
 
+const leaveShare = 0.9 // of the drain's grace passes before callers are sent elsewhere
+
 // Drain is the notice to leave: the process will be stopped after left.
 func (m *Module) Drain(now time.Duration, left time.Duration) {
 	m.now = now
--- a/rules/feedback.go
+++ b/rules/feedback.go
@@ -6,6 +6,27 @@
 	"time"
 )
 
+const (
+	sayEvery     = 200 * time.Millisecond // free value and pressure: a fifth of its usual life
+	pressureUp   = 0.25                   // pressure gained per say for a full share of refusals
+	pressureDown = 0.02                   // pressure lost per say without refusals
+	pressureIdle = 0.6                    // of the pressure stays a say while slots are free
+	refusedOK    = 0.03                   // share of refusals that is no pressure
+	adviceShare  = 0.3                    // of the time in which the line drains that advice names
+	adviceGrow   = 8.0                    // times that share more at full pressure: overload outlasts a line
+	minAdvice    = 50 * time.Millisecond  // shortest retry-after: about a beat and a round trip
+	lastRetry    = 0.3                    // pressure from which an overflowing retry is to try no other node
+	lastAll      = 0.6                    // and any overflowing request: a walk in a large fleet is ten reads
+	againFew     = 0.1                    // share of marked retries under which the others have room
+	againAlpha   = 0.02                   // weight of a request in that share: fifty requests
+	staleAge     = 0.5                    // of the aim gone before reading makes a request stale
+	staleAlpha   = 0.3                    // weight of a request in the stale share: a slow small node reads few
+	staleOver    = 0.7                    // stale share from which callers are sent elsewhere
+	staleFade    = 0.97                   // of the stale share stays a say without reads: then tried again
+	creditPart   = 0.6                    // of an even split is a caller's credit at full pressure
+	weightPart   = 0.8                    // of the pressure that the weight passes on
+)
+
 // endsWalk reports whether a refused request is to try no other node; old: it was held too long here.
 // Where walks are marked and few come here, the others have room and this node alone is short of it.
 func (m *Module) endsWalk(r *request, old bool) bool {
--- a/rules/idempotency.go
+++ b/rules/idempotency.go
@@ -2,6 +2,8 @@
 
 import "time"
 
+const keyMemory = 0.45 // of the memory that kept keys may take
+
 // entry is a kept key; it outlives its request.
 type entry struct {
 	expires    time.Duration
--- a/rules/latency.go
+++ b/rules/latency.go
@@ -2,6 +2,13 @@
 
 import "time"
 
+const (
+	runAlpha      = 0.08                   // weight of a run in its class latency: about a dozen runs
+	learnRuns     = 5                      // runs of a class before its mean is believed: a small node sees few
+	baseDrift     = 1.002                  // the base creeps up so that one lucky run is forgotten
+	firstRunGuess = 300 * time.Millisecond // a run's length until the first one ended
+)
+
 // pace is a smoothed latency, in seconds, and its base: the lowest it has been
 // since enough samples came, creeping up; 0 = not yet.
 type pace struct{ mean, base, n float64 }
--- a/rules/module.go
+++ b/rules/module.go
@@ -7,80 +7,11 @@
 	"time"
 )
 
-// Tuned values. Shares are of 1; every time is a real duration.
 const (
-	beat          = 25 * time.Millisecond  // the one timer: finer than any aim, 40 wake-ups a second
-	stepEvery     = 100 * time.Millisecond // the limit's steps: several completions apart
-	sayEvery      = 200 * time.Millisecond // free value and pressure: a fifth of its usual life
-	usualAim      = 2 * time.Second        // shorter aims shrink these, stallMin and minAdvice
-	pauseOver     = 60 * time.Millisecond  // a beat this late means that the process stood still
-	waitShare     = 0.30                   // max wait over the shortest aim: leaves most of it to run
-	ageShare      = 0.12                   // age limit as a share of the class deadline
-	unsureAge     = 0.05                   // the same where nothing tells how long its client has waited
-	minRunShare   = 1.4                    // usual runs that must fit before the aim, or a start is waste
-	idleRunShare  = 0.7                    // the same while cores idle, at base speed: trying costs little
-	worthFrom     = 0.2                    // pressure from which slots go by worth instead of age
-	limitGrow     = 1.03                   // growth a step while cores idle with work held
-	limitGrowFar  = 1.25                   // the same while half the cores want no run: a start is far below
-	limitAdd      = 0.08                   // least growth a step: a small limit gets on too
-	limitShrink   = 0.95                   // shrink a step while runs take too long
-	slowRatio     = 1.3                    // run latency over base that counts as crowded
-	idleWanted    = 2.0                    // what wants a core, for each, from which that share is not believed
-	idleBelow     = 0.95                   // share of busy cores under which they count as idle
-	crowdMargin   = 0.85                   // of the crowd known to be survived: room for returns from calls
-	memoryMargin  = 0.88                   // of the memory: room for what is read meanwhile
-	keyMemory     = 0.45                   // of the memory that kept keys may take
-	callMargin    = 0.85                   // of this node's share of calls below
-	callPart      = 0.6                    // of the time left before the aim that one call may take
-	callBooked    = 0.5                    // of its share over a window that one call may book by its time-out
-	callFirst     = 0.3                    // of the share is the first call limit: it is slow well below it
-	callFloor     = 0.05                   // of the share is the least call limit: it probes
-	callSlow      = 2.0                    // call latency over base that counts as crowded
-	callShrink    = 0.9                    // shrink of the call limit a step while crowded
-	callDrift     = 1.001                  // the call base creeps up a step: faster, it would hide crowding
-	callAlpha     = 0.1                    // weight of a call in the call latency: fewer calls than runs
-	waitRunShare  = 0.8                    // usual runs that must be left to go on waiting for a call
-	callTries     = 2                      // calls made for one need before going on without
-	rateAlpha     = 0.06                   // weight of a step in the drain rate: about 1.5 s of memory
-	runAlpha      = 0.08                   // weight of a run in its class latency: about a dozen runs
-	learnRuns     = 5                      // runs of a class before its mean is believed: a small node sees few
-	baseDrift     = 1.002                  // the base creeps up so that one lucky run is forgotten
-	stallGaps     = 10.0                   // usual gaps without progress that count as a stall
-	stallMin      = 800 * time.Millisecond // and at least this long
-	tenantAlpha   = 0.01                   // weight of a request in its tenant's part of arrivals
-	tenantOver    = 1.2                    // times its share that may come here: chance moves a hundred so far
-	quotaSpan     = 5 * time.Second        // of a quota is saved at most: one node sees uneven traffic
-	quotaSaved    = 12.0                   // requests are, where that is less: chance alone moves so few
-	pressureUp    = 0.25                   // pressure gained per say for a full share of refusals
-	pressureDown  = 0.02                   // pressure lost per say without refusals
-	pressureIdle  = 0.6                    // of the pressure stays a say while slots are free
-	refusedOK     = 0.03                   // share of refusals that is no pressure
-	adviceShare   = 0.3                    // of the time in which the line drains that advice names
-	adviceGrow    = 8.0                    // times that share more at full pressure: overload outlasts a line
-	minAdvice     = 50 * time.Millisecond  // shortest retry-after: about a beat and a round trip
-	lastRetry     = 0.3                    // pressure from which an overflowing retry is to try no other node
-	lastAll       = 0.6                    // and any overflowing request: a walk in a large fleet is ten reads
-	againFew      = 0.1                    // share of marked retries under which the others have room
-	againAlpha    = 0.02                   // weight of a request in that share: fifty requests
-	callBuckets   = 25                     // steps of the sliding mean of calls
-	staleAge      = 0.5                    // of the aim gone before reading makes a request stale
-	staleAlpha    = 0.3                    // weight of a request in the stale share: a slow small node reads few
-	staleOver     = 0.7                    // stale share from which callers are sent elsewhere
-	staleFade     = 0.97                   // of the stale share stays a say without reads: then tried again
-	creditPart    = 0.6                    // of an even split is a caller's credit at full pressure
-	leaveShare    = 0.9                    // of the drain's grace passes before callers are sent elsewhere
-	weightPart    = 0.8                    // of the pressure that the weight passes on
-	idleWorth     = 6 * time.Second        // open and idle this long, a connection costs as much as a new one
-	idleShortest  = 250 * time.Millisecond // shortest idle limit considered: longer than a round trip
-	idleSteps     = 8                      // idle limits considered, each twice the one before: up to 32 s
-	idleSlack     = 0.1                    // cost over the least that a longer idle limit may have
-	swampAlpha    = 0.005                  // weight of a beat in the swamp: 5 s, short ones pass by themselves
-	swampOver     = 3.0                    // reads and new connections a core that count as a swamp
-	doorHold      = 60 * time.Second       // from a swamp on tables may fill for so long: then tried again
-	retryWorth    = 0.4                    // worth of a marked retry over a first try: it may be late
-	mostCallers   = 4096                   // callers remembered: a fleet has a tenth of it
-	idleAlpha     = 0.02                   // weight of a request in what an idle limit costs: fifty requests
-	firstRunGuess = 300 * time.Millisecond // a run's length until the first one ended
+	beat         = 25 * time.Millisecond // the one timer: finer than any aim, 40 wake-ups a second
+	usualAim     = 2 * time.Second       // shorter aims shrink these, stallMin and minAdvice
+	pauseOver    = 60 * time.Millisecond // a beat this late means that the process stood still
+	memoryMargin = 0.88                  // of the memory: room for what is read meanwhile
 )
 
 // Module decides for one node.
--- a/rules/queue.go
+++ b/rules/queue.go
@@ -1,5 +1,13 @@
 package rules
 
+const (
+	waitShare    = 0.30 // max wait over the shortest aim: leaves most of it to run
+	minRunShare  = 1.4  // usual runs that must fit before the aim, or a start is waste
+	idleRunShare = 0.7  // the same while cores idle, at base speed: trying costs little
+	worthFrom    = 0.2  // pressure from which slots go by worth instead of age
+	rateAlpha    = 0.06 // weight of a step in the drain rate: about 1.5 s of memory
+)
+
 // bound is the count the line may hold: the longest wait times the learned
 // drain rate, and never under the running limit.
 func (m *Module) bound() int {
--- a/rules/quota.go
+++ b/rules/quota.go
@@ -2,6 +2,13 @@
 
 import "time"
 
+const (
+	tenantAlpha = 0.01            // weight of a request in its tenant's part of arrivals
+	tenantOver  = 1.2             // times its share that may come here: chance moves a hundred so far
+	quotaSpan   = 5 * time.Second // of a quota is saved at most: one node sees uneven traffic
+	quotaSaved  = 12.0            // requests are, where that is less: chance alone moves so few
+)
+
 // allowance is what is left of this node's part of a tenant's quota, in requests, and its part of arrivals.
 type allowance struct {
 	left, sent float64
--- a/rules/request.go
+++ b/rules/request.go
@@ -5,6 +5,11 @@
 	"time"
 )
 
+const (
+	ageShare  = 0.12 // age limit as a share of the class deadline
+	unsureAge = 0.05 // the same where nothing tells how long its client has waited
+)
+
 type state uint8
 
 const (
--- a/rules/stall.go
+++ b/rules/stall.go
@@ -1,5 +1,12 @@
 package rules
 
+import "time"
+
+const (
+	stallGaps = 10.0                   // usual gaps without progress that count as a stall
+	stallMin  = 800 * time.Millisecond // and at least this long
+)
+
 // moved notes a sign of progress; after a stall, what was answered is stopped.
 func (m *Module) moved() {
 	m.progress = m.now
--- a/rules/utility.go
+++ b/rules/utility.go
@@ -2,6 +2,8 @@
 
 import "cmp"
 
+const retryWorth = 0.4 // worth of a marked retry over a first try: it may be late
+
 // worth is what serving a request earns. A marked retry may be late: its client has waited before.
 func (m *Module) worth(r *request) float64 {
 	v := m.class(r).Utility
