--- a/rules/idempotency.go
+++ b/rules/idempotency.go
@@ -2,41 +2,41 @@
 
 import "time"
 
-const keyMemory = 0.45 // of the memory that kept keys may take
+const recordMemoryShare = 0.45 // of the memory that kept keys may take
 
 // entry is a kept key; it outlives its request.
-type entry struct {
-	expires    time.Duration
-	ran, freed bool
+type idempotencyRecord struct {
+	expiresAt            time.Duration
+	mayHaveRun, released bool
 }
 
 // remember links a request to what it repeats. It reports whether the request
 // joins the line; otherwise it was answered or waits for the other's result.
-func (m *Module) remember(r *request) bool {
+func (m *Module) linkRecord(r *request) bool {
 	c := m.class(r)
-	shared := c.Effect == Safe && m.set.ReadFreshness > 0 && r.Key != 0 && !r.Write
+	shared := c.Effect == Safe && m.settings.ReadFreshness > 0 && r.Key != 0 && !r.Write
 	if c.Effect != Keyed && !shared {
 		return true
 	}
 	if r.RepeatOf != 0 {
-		e := m.entries[r.RepeatOf]
-		if e == nil || e.ran || !e.freed { // unknown counts as run: never risk a second effect
-			r.state = reusing
+		e := m.records[r.RepeatOf]
+		if e == nil || e.mayHaveRun || !e.released { // unknown counts as run: never risk a second effect
+			r.state = joined
 			m.host.JoinEarlier(r.ID)
 			return false
 		}
 	}
-	span := m.set.ReadFreshness
+	span := m.settings.ReadFreshness
 	if c.Effect == Keyed {
-		span = c.IdempotencyWindow + 2*m.set.BatchInterval
-		if m.keyMemory()+m.set.RecordKB > keyMemory*m.set.MemoryKB { // it must not run unremembered
-			m.turnAway(r, false)
+		span = c.IdempotencyWindow + 2*m.settings.BatchInterval
+		if m.recordMemoryKB()+m.settings.RecordKB > recordMemoryShare*m.settings.MemoryKB { // it must not run unremembered
+			m.refuse(r, false)
 			return false
 		}
-	} else if m.keyMemory() > keyMemory*m.set.MemoryKB/2 {
+	} else if m.recordMemoryKB() > recordMemoryShare*m.settings.MemoryKB/2 {
 		return true
 	}
-	m.entries[r.ID] = &entry{expires: m.now + span}
+	m.records[r.ID] = &idempotencyRecord{expiresAt: m.now + span}
 	m.host.KeepRecord(r.ID, span)
 	return true
 }
@@ -44,18 +44,20 @@
 // Restored tells of an entry kept by an earlier life of the node. Its run may have happened.
 func (m *Module) RestoreRecord(now time.Duration, id RequestID, span time.Duration) {
 	m.now = now
-	m.entries[id] = &entry{expires: now + span, ran: true}
+	m.records[id] = &idempotencyRecord{expiresAt: now + span, mayHaveRun: true}
 }
 
-func (m *Module) keyMemory() float64 { return float64(len(m.entries)-m.freed) * m.set.RecordKB }
+func (m *Module) recordMemoryKB() float64 {
+	return float64(len(m.records)-m.releasedRecords) * m.settings.RecordKB
+}
 
 // release frees the key of a request that will never run.
-func (m *Module) release(r *request) {
-	if e := m.entries[r.ID]; e != nil && !e.ran && !e.freed {
-		if e.freed = true; float64(m.freed)*m.set.RecordKB < keyMemory*m.set.MemoryKB {
-			m.freed++
+func (m *Module) releaseRecord(r *request) {
+	if e := m.records[r.ID]; e != nil && !e.mayHaveRun && !e.released {
+		if e.released = true; float64(m.releasedRecords)*m.settings.RecordKB < recordMemoryShare*m.settings.MemoryKB {
+			m.releasedRecords++
 		} else { // as many as could be kept: one that is unknown counts as run
-			delete(m.entries, r.ID)
+			delete(m.records, r.ID)
 		}
 		m.host.ForgetRecord(r.ID)
 	}
--- a/rules/learned.go
+++ b/rules/learned.go
@@ -21,12 +21,12 @@
 
 // Learned tells what the module has learned so far.
 func (m *Module) Learned() Learned {
-	l := Learned{Limit: m.limit, Classes: make([]LearnedClass, len(m.runs))}
-	if m.rateTime >= m.span(stepEvery).Seconds() {
-		l.Rate = m.rateCount / m.rateTime
+	l := Learned{Limit: m.runLimit, Classes: make([]LearnedClass, len(m.runLatency))}
+	if m.drainSeconds >= m.scaled(limitInterval).Seconds() {
+		l.Rate = m.drainSuccesses / m.drainSeconds
 	}
-	for i, p := range m.runs {
-		l.Classes[i] = LearnedClass{Mean: p.mean, Base: p.base, Runs: p.n, Hint: m.hints[i], Var: m.hintVar, Cov: m.hintCov}
+	for i, p := range m.runLatency {
+		l.Classes[i] = LearnedClass{Mean: p.mean, Base: p.baseline, Runs: p.samples, Hint: m.meanHint[i], Var: m.hintVariance, Cov: m.hintCovariance}
 	}
 	return l
 }
@@ -35,27 +35,27 @@
 // weight, from 0 to 1, says on how many. speed is the share of its usual speed that
 // the node starts at. Classes of which something is known already stay as they are.
 func (m *Module) WarmStart(l Learned, weight, speed float64) {
-	if weight <= 0 || speed <= 0 || len(l.Classes) != len(m.runs) {
+	if weight <= 0 || speed <= 0 || len(l.Classes) != len(m.runLatency) {
 		return
 	}
 	for i, c := range l.Classes {
-		if c.Runs < learnRuns || c.Mean <= 0 || m.runs[i].n > 0 {
+		if c.Runs < minSamples || c.Mean <= 0 || m.runLatency[i].samples > 0 {
 			continue
 		}
 		// Fewer than learnRuns, so that no base is taken from what was not seen.
-		m.runs[i] = pace{mean: c.Mean / speed, n: max(1, float64(int(weight*(learnRuns-1))))}
-		m.hints[i], m.hintVar, m.hintCov = c.Hint, max(m.hintVar, c.Var), c.Cov/speed
+		m.runLatency[i] = latencyEstimate{mean: c.Mean / speed, samples: max(1, float64(int(weight*(minSamples-1))))}
+		m.meanHint[i], m.hintVariance, m.hintCovariance = c.Hint, max(m.hintVariance, c.Var), c.Cov/speed
 	}
-	if l.Rate > 0 && m.rateTime == 0 {
-		m.rateTime = weight * time.Second.Seconds()
-		m.rateCount = l.Rate * speed * m.rateTime
+	if l.Rate > 0 && m.drainSeconds == 0 {
+		m.drainSeconds = weight * time.Second.Seconds()
+		m.drainSuccesses = l.Rate * speed * m.drainSeconds
 	}
 }
 
 // Forget drops what Prior brought: the evidence speaks against it.
 func (m *Module) DiscardWarmStart() {
-	for i := range m.runs {
-		m.runs[i], m.hints[i] = pace{}, 0
+	for i := range m.runLatency {
+		m.runLatency[i], m.meanHint[i] = latencyEstimate{}, 0
 	}
-	m.hintVar, m.hintCov, m.rateTime, m.rateCount = 0, 0, 0, 0
+	m.hintVariance, m.hintCovariance, m.drainSeconds, m.drainSuccesses = 0, 0, 0, 0
 }
--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -184,20 +184,20 @@
 	}
 	b.settle()
 	b.pass(300*ms, 0.5, 1)
-	if b.m.limit <= 2 {
-		t.Fatalf("limit %v did not grow with idle cores and held work", b.m.limit)
+	if b.m.runLimit <= 2 {
+		t.Fatalf("limit %v did not grow with idle cores and held work", b.m.runLimit)
 	}
-	b.m.runs[0] = pace{mean: 1, base: 0.2, n: 20}
+	b.m.runLatency[0] = latencyEstimate{mean: 1, baseline: 0.2, samples: 20}
 	b.pass(5*time.Second, 1, 9)
-	if b.m.limit != 2 {
-		t.Errorf("limit %v, want the floor after long slow runs", b.m.limit)
+	if b.m.runLimit != 2 {
+		t.Errorf("limit %v, want the floor after long slow runs", b.m.runLimit)
 	}
 }
 
 func TestCrowdCeiling(t *testing.T) {
 	for _, cold := range []bool{false, true} {
 		b := newBed(t, func(s *Settings) { s.ColdStart = cold })
-		b.m.limit = 1000
+		b.m.runLimit = 1000
 		for range 60 {
 			b.arrive(0, nil)
 		}
@@ -339,8 +339,8 @@
 	b.wantNot(fmt.Sprint("run ", late))
 	b.pass(1890*ms, 1, 1)
 	b.want(fmt.Sprint("fail ", a)) // all answered before the stop
-	if len(b.m.line) != 0 {
-		t.Errorf("%d still held at the stop", len(b.m.line))
+	if len(b.m.queue) != 0 {
+		t.Errorf("%d still held at the stop", len(b.m.queue))
 	}
 }
 
@@ -364,7 +364,7 @@
 	for id := RequestID(1); id <= 6; id++ {
 		b.m.CallNeeded(b.now, id)
 	}
-	b.m.called.mean = 2
+	b.m.callLatency.mean = 2
 	b.settle()
 	if got := b.count("call "); got != 1 {
 		t.Errorf("%d calls out at a share of 0.3, want one: its time-out fits the share", got)
@@ -435,7 +435,7 @@
 	for _, o := range []Outcome{OK, Failed} {
 		b := newBed(t, nil)
 		for range 200 {
-			for _, r := range append([]*request(nil), b.m.all...) {
+			for _, r := range append([]*request(nil), b.m.requests...) {
 				if r.state == running {
 					b.m.RunEnded(b.now, r.ID, o, 25*ms)
 				}
@@ -445,7 +445,7 @@
 			}
 			b.pass(25*ms, 1, 2)
 		}
-		if got := b.m.rateCount; (got > 1) != (o == OK) {
+		if got := b.m.drainSuccesses; (got > 1) != (o == OK) {
 			t.Errorf("outcome %v taught a drain rate of %.1f", o, got)
 		}
 	}
@@ -480,9 +480,9 @@
 		b.m.TimerFired(b.now, 99, nil)
 		b.settle()
 	}
-	if b.m.onCores != 0 || b.m.inCalls != 0 || len(b.m.all) != 0 || b.m.memory != 0 {
+	if b.m.runningCount != 0 || b.m.inCallCount != 0 || len(b.m.requests) != 0 || b.m.requestMemoryKB != 0 {
 		t.Errorf("left over: %d on cores, %d in calls, %d requests, %v KB",
-			b.m.onCores, b.m.inCalls, len(b.m.all), b.m.memory)
+			b.m.runningCount, b.m.inCallCount, len(b.m.requests), b.m.requestMemoryKB)
 	}
 }
 
@@ -507,8 +507,8 @@
 			o.pass(10*ms, 0.2, 1)
 		}
 		b.settle()
-		if i%3 == 0 && len(b.m.all) > 0 && b.m.all[0].state == running {
-			b.m.RunEnded(b.now, b.m.all[0].ID, OK, 80*ms)
+		if i%3 == 0 && len(b.m.requests) > 0 && b.m.requests[0].state == running {
+			b.m.RunEnded(b.now, b.m.requests[0].ID, OK, 80*ms)
 		}
 		b.pass(20*ms, 0.9, 2)
 	}
@@ -548,11 +548,11 @@
 func TestCallLimitFollowsCallLatency(t *testing.T) {
 	b := newBed(t, func(s *Settings) { s.Dependency = DependencyShared })
 	for range 20 {
-		b.m.called.learn(100*ms, callAlpha)
+		b.m.callLatency.observe(100*ms, callLatencyWeight)
 	}
 	start := b.m.callLimit
 	for range 20 {
-		b.m.called.learn(600*ms, callAlpha)
+		b.m.callLatency.observe(600*ms, callLatencyWeight)
 	}
 	b.pass(500*ms, 1, 1)
 	if b.m.callLimit >= start {
@@ -560,10 +560,10 @@
 	}
 	low := b.m.callLimit
 	for range 60 {
-		b.m.called.learn(100*ms, callAlpha)
+		b.m.callLatency.observe(100*ms, callLatencyWeight)
 	}
 	for range 10 {
-		b.m.callsShort = true
+		b.m.callsLimited = true
 		b.pass(100*ms, 1, 1)
 	}
 	if b.m.callLimit <= low {
@@ -573,8 +573,8 @@
 
 func TestShortLineAtTheCallSkipsTheLeastLoss(t *testing.T) {
 	b := callBed(t, 8, func(s *Settings) { s.Classes[1].SkipUtilityShare = 0.5 })
-	b.m.callLimit, b.m.called.mean = 2, 0.75 // the line at the call holds two
-	b.m.all[5].overdue = true
+	b.m.callLimit, b.m.callLatency.mean = 2, 0.75 // the line at the call holds two
+	b.m.requests[5].overQuota = true
 	b.settle()
 	b.want("call 1", "call 2", "skip 6") // the two oldest call, what is beyond its share skips
 	b.wantNot("skip 3")                  // within the short line
@@ -595,12 +595,12 @@
 		b.arrive(0, nil)
 	}
 	b.settle()
-	b.m.limit, b.m.rateTime, b.m.rateCount = 12, 1, 20
-	b.m.say()
-	calm, credit := b.m.advice(), b.say
-	b.m.read, b.m.overflow, b.m.pressure = 100, 60, 0.9
-	b.m.say()
-	if got := b.m.advice(); got <= calm || got > time.Second {
+	b.m.runLimit, b.m.drainSeconds, b.m.drainSuccesses = 12, 1, 20
+	b.m.publishFeedback()
+	calm, credit := b.m.retryAfter(), b.say
+	b.m.arrivalCount, b.m.overloadCount, b.m.pressure = 100, 60, 0.9
+	b.m.publishFeedback()
+	if got := b.m.retryAfter(); got <= calm || got > time.Second {
 		t.Errorf("advice %v under pressure, %v without, 1 s at most", got, calm)
 	}
 	if b.say >= credit {
@@ -617,8 +617,8 @@
 		b.settle()
 	}
 	b.arrive(3, nil)
-	b.m.rateTime, b.m.rateCount = 1, 1 // a slow drain, known: the line holds no more than the slots
-	b.arrive(3, nil)                   // both cores busy
+	b.m.drainSeconds, b.m.drainSuccesses = 1, 1 // a slow drain, known: the line holds no more than the slots
+	b.arrive(3, nil)                            // both cores busy
 	b.settle()
 	greedy := b.arrive(0, func(q *Request) { q.Tenant = 0 })
 	b.arrive(0, func(q *Request) { q.Tenant = 1 })
@@ -641,17 +641,17 @@
 		marked, from := 0, b.now
 		for range 600 { // three times the quota
 			id := b.arrive(0, func(q *Request) { q.Retry = tc.retry })
-			if b.m.byID[id].overdue {
+			if b.m.byID[id].overQuota {
 				marked++
 			}
 			if b.settle(); tc.refused {
 				r := b.m.byID[id]
-				r.ran = false
-				b.m.drop(r)
+				r.mayHaveRun = false
+				b.m.remove(r)
 			} else {
 				b.m.RunEnded(b.now, id, OK, 5*ms)
 			}
-			if other := b.arrive(0, func(q *Request) { q.Tenant = 1 }); b.m.byID[other].overdue {
+			if other := b.arrive(0, func(q *Request) { q.Tenant = 1 }); b.m.byID[other].overQuota {
 				t.Fatal("a tenant without a quota is over it")
 			}
 			b.settle()
@@ -665,8 +665,8 @@
 		if math.Abs(float64(marked-want)) > 2 || !tc.retry && want < 300 {
 			t.Errorf("%s: %d of 600 marked, want %d", name, marked, want)
 		}
-		b.m.quota[0].left = 0
-		if last := b.arrive(0, func(q *Request) { q.Retry = true }); b.m.byID[last].overdue == tc.retry {
+		b.m.tenantUsage[0].remaining = 0
+		if last := b.arrive(0, func(q *Request) { q.Retry = true }); b.m.byID[last].overQuota == tc.retry {
 			t.Errorf("%s: with nothing left a retry is beyond: %v", name, tc.retry)
 		}
 	}
@@ -680,7 +680,7 @@
 	})
 	for i := range 800 { // ten times the quotas
 		id := b.arrive(0, func(q *Request) { q.Tenant = i % 4 / 3 })
-		if i > 100 && b.m.byID[id].overdue {
+		if i > 100 && b.m.byID[id].overQuota {
 			t.Fatalf("request %d of tenant %d is marked", i, i%4/3)
 		}
 		b.settle()
@@ -690,7 +690,7 @@
 	marked := 0
 	for range 200 { // now one alone
 		id := b.arrive(0, func(q *Request) { q.Tenant = 1 })
-		if b.m.byID[id].overdue {
+		if b.m.byID[id].overQuota {
 			marked++
 		}
 		b.settle()
@@ -719,7 +719,7 @@
 		}
 		b.settle()
 		b.m.pressure = tc.pressure
-		b.m.quota[0].left, b.m.quota[0].at, b.m.quota[0].sent = 0, b.now, 0.9
+		b.m.tenantUsage[0].remaining, b.m.tenantUsage[0].updatedAt, b.m.tenantUsage[0].arrivalShare = 0, b.now, 0.9
 		beyond, within := b.arrive(0, nil), b.arrive(0, func(q *Request) { q.Tenant = 1 })
 		again := b.arrive(2, func(q *Request) { q.RepeatOf = ran })
 		b.wantNot(fmt.Sprint("refuse ", within))
@@ -755,7 +755,7 @@
 	}{{[]float64{0.4, 3}, "run 4"}, {[]float64{1, 9}, "refuse 4"}} {
 		b := newBed(t, func(s *Settings) { s.Cores = 6; s.Classes[0].LatencyTarget = 2 * time.Second })
 		for range 20 {
-			b.m.runs[0].learn(time.Second, runAlpha)
+			b.m.runLatency[0].observe(time.Second, runLatencyWeight)
 		}
 		for range 3 {
 			b.arrive(0, nil)
@@ -770,18 +770,18 @@
 
 func TestLimitDoesNotShrinkWhileCoresIdle(t *testing.T) {
 	b := newBed(t, nil)
-	b.m.limit = 8
-	b.m.runs[0] = pace{mean: 1, base: 0.2, n: 20}
+	b.m.runLimit = 8
+	b.m.runLatency[0] = latencyEstimate{mean: 1, baseline: 0.2, samples: 20}
 	b.pass(2*time.Second, 0.5, 1)
-	if b.m.limit != 8 {
-		t.Errorf("limit %v shrank on idle cores", b.m.limit)
+	if b.m.runLimit != 8 {
+		t.Errorf("limit %v shrank on idle cores", b.m.runLimit)
 	}
 }
 
 func TestCreditIsWholeWithoutPressure(t *testing.T) {
 	b := newBed(t, func(s *Settings) { s.LoadFeedback = FeedbackCredit })
-	b.m.say()
-	if want := b.m.limit + float64(b.m.bound()); b.say != want {
+	b.m.publishFeedback()
+	if want := b.m.runLimit + float64(b.m.queueBound()); b.say != want {
 		t.Errorf("credit %v, want the whole room %v: one caller may carry most of the traffic", b.say, want)
 	}
 }
@@ -789,14 +789,14 @@
 func TestCallBaseDoesNotChaseCrowding(t *testing.T) {
 	b := newBed(t, func(s *Settings) { s.Dependency = DependencyShared })
 	for range 20 {
-		b.m.called.learn(50*ms, callAlpha)
+		b.m.callLatency.observe(50*ms, callLatencyWeight)
 	}
 	for range 300 { // half a minute of calls four times as long
-		b.m.called.learn(200*ms, callAlpha)
-		b.m.callsShort = true
+		b.m.callLatency.observe(200*ms, callLatencyWeight)
+		b.m.callsLimited = true
 		b.pass(100*ms, 1, 1)
 	}
-	if b.m.callLimit >= callFirst*b.m.set.CallShare {
+	if b.m.callLimit >= initialCallLimitShare*b.m.settings.CallShare {
 		t.Errorf("limit %.2f grew back while calls stayed slow", b.m.callLimit)
 	}
 }
@@ -841,8 +841,8 @@
 		b.m.RunEnded(b.now, id, OK, 200*ms+2*hint) // a wait that does not grow, and half speed
 		b.settle()
 	}
-	small := b.m.usualRun(&request{Request: Request{WorkHint: 100 * ms}})
-	big := b.m.usualRun(&request{Request: Request{WorkHint: 1200 * ms}})
+	small := b.m.expectedRun(&request{Request: Request{WorkHint: 100 * ms}})
+	big := b.m.expectedRun(&request{Request: Request{WorkHint: 1200 * ms}})
 	if small > 600*ms || big < 1800*ms {
 		t.Errorf("usual runs %v and %v, want about 400 ms and 2.6 s", small, big)
 	}
@@ -852,14 +852,14 @@
 }
 
 func TestWeightAndLevelFollowPressure(t *testing.T) {
-	for kind, want := range map[LoadFeedback]float64{FeedbackWeight: 1 - weightPart*0.5, FeedbackLevel: 0.5} {
+	for kind, want := range map[LoadFeedback]float64{FeedbackWeight: 1 - pressureWeightShare*0.5, FeedbackLevel: 0.5} {
 		b := newBed(t, func(s *Settings) { s.LoadFeedback = kind })
-		b.m.pressure = 0.5 + pressureDown
+		b.m.pressure = 0.5 + pressureDecrease
 		b.arrive(0, nil)
 		b.arrive(0, nil)
 		b.arrive(0, nil)
 		b.settle() // the cores are taken and one waits: nothing is free
-		b.m.say()
+		b.m.publishFeedback()
 		if diff := b.say - want; diff > 0.01 || diff < -0.01 {
 			t.Errorf("free value %v says %v at half pressure, want %v", kind, b.say, want)
 		}
@@ -869,7 +869,7 @@
 func TestRunsStoppedAtTheirAimTeach(t *testing.T) {
 	b := newBed(t, nil)
 	for range 20 {
-		b.m.runs[0].learn(200*ms, runAlpha)
+		b.m.runLatency[0].observe(200*ms, runLatencyWeight)
 	}
 	for range 2 {
 		b.arrive(0, nil)
@@ -877,7 +877,7 @@
 	b.settle()
 	b.pass(2600*ms, 1, 2)
 	b.want("fail 1", "halt 1", "fail 2")
-	if got := b.m.runs[0].mean; got < 0.4 {
+	if got := b.m.runLatency[0].mean; got < 0.4 {
 		t.Errorf("usual run %.2f s after two that took over 2.5 s", got)
 	}
 }
@@ -889,7 +889,7 @@
 	}{
 		"few callers come back soon":      {3, 500 * ms, 30 * time.Second},
 		"dozens come back within seconds": {30, 4 * time.Second, 30 * time.Second},
-		"hundreds of callers seldom do":   {900, idleShortest, time.Second},
+		"hundreds of callers seldom do":   {900, minIdleTimeout, time.Second},
 	} {
 		b := newBed(t, func(s *Settings) { s.MaxIdleTimeout, s.Callers = 30*time.Second, tc.callers })
 		for i := range 400 {
@@ -898,7 +898,7 @@
 			b.settle()
 			b.m.RunEnded(b.now, id, OK, 50*ms)
 		}
-		if got := b.m.idleSaid; got < tc.from || got > tc.to {
+		if got := b.m.idleTimeout; got < tc.from || got > tc.to {
 			t.Errorf("%s: idle limit %v, want %v to %v", name, got, tc.from, tc.to)
 		}
 	}
@@ -921,7 +921,7 @@
 		"unmarked, a passing overflow":     {0.1, false, true, 0, false},
 	} {
 		b := newBed(t, func(s *Settings) { s.RetriesMarked = !tc.unmarked })
-		b.m.pressure, b.m.again = tc.pressure, tc.again
+		b.m.pressure, b.m.retryShare = tc.pressure, tc.again
 		for range 12 {
 			b.arrive(0, func(q *Request) { q.Retry = tc.retry })
 		}
@@ -956,15 +956,15 @@
 func TestStaleFadesOnlyWithoutReads(t *testing.T) {
 	for name, reads := range map[string]bool{"with reads": true, "without": false} {
 		b := newBed(t, nil)
-		b.m.stale = 1
+		b.m.staleShare = 1
 		for range 10 {
 			if reads {
 				b.arrive(0, func(q *Request) { q.Age = 2 * time.Second })
 			}
-			b.pass(sayEvery)
+			b.pass(feedbackInterval)
 		}
-		if faded := b.m.stale < 0.9; faded == reads {
-			t.Errorf("%s: stale share %v", name, b.m.stale)
+		if faded := b.m.staleShare < 0.9; faded == reads {
+			t.Errorf("%s: stale share %v", name, b.m.staleShare)
 		}
 	}
 }
@@ -984,8 +984,8 @@
 			b.settle()
 			b.m.RunEnded(b.now, id, OK, 50*ms)
 		}
-		if b.m.idleSaid > tc.want || b.m.idleSaid < tc.want/4 {
-			t.Errorf("%s: idle limit %v, want about %v", name, b.m.idleSaid, tc.want)
+		if b.m.idleTimeout > tc.want || b.m.idleTimeout < tc.want/4 {
+			t.Errorf("%s: idle limit %v, want about %v", name, b.m.idleTimeout, tc.want)
 		}
 	}
 }
@@ -1088,9 +1088,9 @@
 		for range 10 {
 			b.arrive(0, nil)
 		}
-		for b.now += ms; len(b.m.line) > 0 || b.m.onCores > 0; b.now += 5 * ms {
+		for b.now += ms; len(b.m.queue) > 0 || b.m.runningCount > 0; b.now += 5 * ms {
 			b.settle()
-			for _, r := range append([]*request(nil), b.m.all...) {
+			for _, r := range append([]*request(nil), b.m.requests...) {
 				if r.state == running {
 					b.m.RunEnded(b.now+5*ms, r.ID, OK, 5*ms)
 				}
@@ -1101,7 +1101,7 @@
 	if got := b.m.drainRate(); got < 200 || got > 800 {
 		t.Errorf("two slots and runs of 5 ms drain %.0f a second", got)
 	}
-	if got := b.m.bound(); got < 100 {
+	if got := b.m.queueBound(); got < 100 {
 		t.Errorf("a bound of %d", got)
 	}
 	b.acts = nil
@@ -1122,9 +1122,9 @@
 	steps := func(aim time.Duration) (n int) {
 		b := newBed(t, func(s *Settings) { s.Classes[0].LatencyTarget = aim })
 		for range 40 {
-			at := b.m.stepped
+			at := b.m.limitSteppedAt
 			b.pass(25 * ms)
-			if b.m.stepped != at {
+			if b.m.limitSteppedAt != at {
 				n++
 			}
 		}
@@ -1139,16 +1139,16 @@
 // and by count.
 func TestCallersAreForgotten(t *testing.T) {
 	b := newBed(t, nil)
-	for i := range 2 * mostCallers {
+	for i := range 2 * maxTrackedCallers {
 		id := b.arrive(0, func(q *Request) { q.Caller = uint32(i) })
 		b.m.CallerGone(b.now, id)
 		b.settle()
 	}
-	if n := len(b.m.lastFrom); n != mostCallers {
+	if n := len(b.m.lastArrival); n != maxTrackedCallers {
 		t.Errorf("%d callers remembered", n)
 	}
 	b.pass(70 * time.Second)
-	if n := len(b.m.lastFrom); n != 0 {
+	if n := len(b.m.lastArrival); n != 0 {
 		t.Errorf("%d callers remembered for a minute", n)
 	}
 }
@@ -1159,7 +1159,7 @@
 // where all nodes are slow for the same reason: their callers walk once more.
 func TestSlowNodeSendsFreshRequestsElsewhere(t *testing.T) {
 	b := newBed(t, nil)
-	b.m.runs[0] = pace{mean: 2, base: 0.1, n: 100} // a run takes two of the 2.5 s
+	b.m.runLatency[0] = latencyEstimate{mean: 2, baseline: 0.1, samples: 100} // a run takes two of the 2.5 s
 	b.m.cpuBusy, b.m.runnable = 1, 9
 	b.arrive(3, nil)
 	b.arrive(3, nil) // both cores busy
@@ -1187,8 +1187,8 @@
 		}
 		b.settle()
 		b.pass(time.Second, 0.6, tc.runnable)
-		if grew := b.m.limit > 2; grew != tc.grows {
-			t.Errorf("%.0f runnable on two cores: a limit of %.1f", tc.runnable, b.m.limit)
+		if grew := b.m.runLimit > 2; grew != tc.grows {
+			t.Errorf("%.0f runnable on two cores: a limit of %.1f", tc.runnable, b.m.runLimit)
 		}
 	}
 }
@@ -1208,7 +1208,7 @@
 		b.arrive(3, nil) // both cores busy
 		b.settle()
 		a := b.arrive(0, nil)
-		b.m.again = tc.again
+		b.m.retryShare = tc.again
 		b.pass(1100*ms, 1, 9) // 0.12 of 8 s, with time left for a run
 		b.want(fmt.Sprint("refuse ", a))
 		if last := b.last[fmt.Sprint("last ", a)]; last != tc.last {
@@ -1226,8 +1226,8 @@
 		b.m.RunEnded(b.now, id, OK, 5*ms)
 		b.settle()
 	}
-	if b.m.again < 0.2 || b.m.again > 0.3 {
-		t.Errorf("one in four: %v", b.m.again)
+	if b.m.retryShare < 0.2 || b.m.retryShare > 0.3 {
+		t.Errorf("one in four: %v", b.m.retryShare)
 	}
 }
 
@@ -1243,23 +1243,23 @@
 		}
 		b.pass(200*ms, 1, 5)
 	}
-	if kept := b.m.keyMemory(); kept == 0 || kept > 4*300 { // two run, two are held
-		t.Fatalf("%d entries take %v kB", len(b.m.entries), kept)
+	if kept := b.m.recordMemoryKB(); kept == 0 || kept > 4*300 { // two run, two are held
+		t.Fatalf("%d entries take %v kB", len(b.m.records), kept)
 	}
-	for _, r := range slices.Clone(b.m.all) {
+	for _, r := range slices.Clone(b.m.requests) {
 		b.m.RunEnded(b.now, r.ID, OK, 5*ms)
 	}
 	b.settle()
 	b.pass(5*time.Second+100*ms, 0, 0) // the windows of those that ran are over
-	if len(b.m.entries) != 0 || b.m.keyMemory() != 0 {
-		t.Errorf("%d entries are left and take %v kB", len(b.m.entries), b.m.keyMemory())
+	if len(b.m.records) != 0 || b.m.recordMemoryKB() != 0 {
+		t.Errorf("%d entries are left and take %v kB", len(b.m.records), b.m.recordMemoryKB())
 	}
 	a := b.arrive(2, keyed)
 	b.settle()
 	b.want(fmt.Sprint("run ", a))
 	b.m.RunEnded(b.now, a, NeverStarted, 0)
 	b.want(fmt.Sprint("forget ", a))
-	if again := b.m.keyMemory(); again != 0 {
+	if again := b.m.recordMemoryKB(); again != 0 {
 		t.Errorf("a start without effect keeps %v kB", again)
 	}
 	c := b.arrive(2, keyed)
@@ -1322,15 +1322,15 @@
 		b.settle()
 	}
 	b.want(fmt.Sprint("refuse ", last), fmt.Sprint("forget ", last))
-	if n := len(b.m.entries); n > 30 || n-b.m.freed > 15 {
-		t.Errorf("%d entries, %d of them freed", n, b.m.freed)
+	if n := len(b.m.records); n > 30 || n-b.m.releasedRecords > 15 {
+		t.Errorf("%d entries, %d of them freed", n, b.m.releasedRecords)
 	}
 	again := b.arrive(2, func(q *Request) { q.MemoryKB, q.RepeatOf = 1, last })
 	b.settle()
 	b.want(fmt.Sprint("reuse ", again))
 	b.wantNot(fmt.Sprint("run ", again))
 	b.pass(6*time.Second, 1, 5)
-	if n := len(b.m.entries); b.m.freed != 0 || n > 4 {
-		t.Errorf("after the window %d entries, %d freed", n, b.m.freed)
+	if n := len(b.m.records); b.m.releasedRecords != 0 || n > 4 {
+		t.Errorf("after the window %d entries, %d freed", n, b.m.releasedRecords)
 	}
 }
--- a/rules/together_test.go
+++ b/rules/together_test.go
@@ -46,17 +46,17 @@
 	b := newBed(t, func(s *Settings) {
 		s.NewShedder = func(time.Duration) Shedder { return n }
 	})
-	for range 4 * len(b.m.set.Classes) {
+	for range 4 * len(b.m.settings.Classes) {
 		b.arrive(0, nil)
 	}
 	b.settle()
-	b.m.pressure = 2 * worthFrom
-	for len(b.m.line) <= int(b.m.limit) { // its bound may be the limit itself
-		b.m.rateTime, b.m.rateCount = 1, 100
+	b.m.pressure = 2 * utilityOrderPressure
+	for len(b.m.queue) <= int(b.m.runLimit) { // its bound may be the limit itself
+		b.m.drainSeconds, b.m.drainSuccesses = 1, 100
 		b.arrive(0, nil)
 		b.settle()
 	}
-	if !b.m.waits {
+	if !b.m.saturated {
 		t.Fatal("slots are not short")
 	}
 	return b
@@ -71,8 +71,8 @@
 	}{
 		"in vain":          {func(*bed) {}, true},
 		"without pressure": {func(b *bed) { b.m.pressure = 0 }, false},
-		"few are held":     {func(b *bed) { b.m.line = b.m.line[:1] }, false},
-		"slots are free":   {func(b *bed) { b.m.waits = false }, false},
+		"few are held":     {func(b *bed) { b.m.queue = b.m.queue[:1] }, false},
+		"slots are free":   {func(b *bed) { b.m.saturated = false }, false},
 	} {
 		n := &neighbours{vain: true, ends: true, retry: 1}
 		b := beside(t, n)
