--- a/rules/concurrency.go
+++ b/rules/concurrency.go
@@ -66,7 +66,7 @@
 			continue
 		}
 		grown := r.MemoryKB * (m.settings.RunningMemoryFactor - 1)
-		if m.requestMemoryKB+grown+m.recordMemoryKB() > memoryShare*m.settings.MemoryKB {
+		if m.exceedsMemory(grown) {
 			return
 		}
 		m.queue = slices.Delete(m.queue, i, i+1)
@@ -83,18 +83,8 @@
 // step moves the running limit and the drain rate.
 func (m *Module) adjustLimits(dt time.Duration) {
 	share := min(m.saturatedSeconds/max(dt.Seconds(), m.settings.BatchInterval.Seconds()), 1)
-	m.drainSeconds += m.saturatedSeconds - drainRateWeight*share*m.drainSeconds
-	m.drainSuccesses += m.saturatedSuccesses - drainRateWeight*share*m.drainSuccesses
-	ratio, _ := m.meanLatency()
-	switch {
-	case share > 0 && m.runnable >= 0 && m.runnable < float64(m.settings.Cores)/2:
-		m.runLimit += share * m.runLimit * (limitGrowthFast - 1)
-	case share > 0 && m.coresIdle(ratio):
-		m.runLimit += share * max(minLimitIncrease, m.runLimit*(limitGrowth-1))
-	case ratio > contentionRatio && !m.coresIdle(ratio): // waits, not crowding, make runs long on idle cores
-		m.runLimit *= limitDecrease
-	}
-	m.runLimit = max(min(m.runLimit, m.concurrencyCeiling()), float64(m.settings.Cores))
+	m.updateDrainRate(share)
+	m.adjustRunLimit(share)
 	m.adjustCallLimit()
 	var lines []string
 	if m.shedder != nil {
@@ -109,6 +99,19 @@
 	}
 }
 
+func (m *Module) adjustRunLimit(share float64) {
+	ratio, _ := m.meanLatency()
+	switch {
+	case share > 0 && m.runnable >= 0 && m.runnable < float64(m.settings.Cores)/2:
+		m.runLimit += share * m.runLimit * (limitGrowthFast - 1)
+	case share > 0 && m.coresIdle(ratio):
+		m.runLimit += share * max(minLimitIncrease, m.runLimit*(limitGrowth-1))
+	case ratio > contentionRatio && !m.coresIdle(ratio): // waits, not crowding, make runs long on idle cores
+		m.runLimit *= limitDecrease
+	}
+	m.runLimit = max(min(m.runLimit, m.concurrencyCeiling()), float64(m.settings.Cores))
+}
+
 func (m *Module) coresIdle(ratio float64) bool {
 	if m.cpuBusy < 0 && m.runnable < 0 {
 		return ratio < (1+contentionRatio)/2
--- a/rules/connections.go
+++ b/rules/connections.go
@@ -1,6 +1,7 @@
 package rules
 
 import (
+	"maps"
 	"slices"
 	"time"
 )
@@ -54,3 +55,12 @@
 		m.host.SetIdleTimeout(limit)
 	}
 }
+
+func (m *Module) forgetCallers() {
+	old := m.now - minIdleTimeout<<idleTimeoutCount
+	maps.DeleteFunc(m.lastArrival, func(_ uint32, at time.Duration) bool { return at < old })
+}
+
+func (m *Module) observeHandshakes() {
+	m.handshakeLoad += handshakeLoadWeight * (max(m.runnable-float64(m.runningCount), 0)/float64(m.settings.Cores) - m.handshakeLoad)
+}
--- a/rules/feedback.go
+++ b/rules/feedback.go
@@ -1,7 +1,6 @@
 package rules
 
 import (
-	"maps"
 	"math"
 	"time"
 )
@@ -52,17 +51,18 @@
 	return advice
 }
 
-// say sets the free value and the health that callers are told.
+// publishFeedback does what is due once in a feedback interval: it discards what has expired
+// and publishes the idle timeout, the health and the load.
 func (m *Module) publishFeedback() {
-	maps.DeleteFunc(m.records, func(_ RequestID, e *idempotencyRecord) bool {
-		if e.expiresAt < m.now && e.released {
-			m.releasedRecords--
-		}
-		return e.expiresAt < m.now
-	})
-	old := m.now - minIdleTimeout<<idleTimeoutCount
-	maps.DeleteFunc(m.lastArrival, func(_ uint32, at time.Duration) bool { return at < old })
+	m.expireRecords()
+	m.forgetCallers()
 	m.updateIdleTimeout()
+	m.updatePressure()
+	unhealthy := m.updateHealth()
+	m.publishLoad(unhealthy)
+}
+
+func (m *Module) updatePressure() {
 	share := 0.0
 	if m.arrivalCount > 0 {
 		share = float64(m.overloadCount) / float64(m.arrivalCount)
@@ -76,6 +76,10 @@
 		m.staleShare *= staleShareFactor
 	}
 	m.arrivalCount, m.overloadCount = 0, 0
+}
+
+// updateHealth publishes a change of the node's health and reports whether it is unhealthy.
+func (m *Module) updateHealth() bool {
 	// Callers had better go elsewhere while work does not move, while most of it is old when read (a
 	// slow machine, a long accept queue), and at the end of a drain's grace.
 	out := m.stalled || m.staleShare > unhealthyStaleShare || m.drainEnding()
@@ -83,6 +87,10 @@
 		m.healthy = !out
 		m.host.SetHealth(true, !out)
 	}
+	return out
+}
+
+func (m *Module) publishLoad(unhealthy bool) {
 	value, none := 0.0, 0.0
 	switch m.settings.LoadFeedback {
 	case FeedbackNone:
@@ -95,7 +103,7 @@
 	case FeedbackWeight:
 		value = 1 - pressureWeightShare*m.pressure
 	}
-	if out {
+	if unhealthy {
 		value = none
 	}
 	if math.Abs(value-m.publishedLoad) > 0.005 {
--- a/rules/idempotency.go
+++ b/rules/idempotency.go
@@ -1,6 +1,9 @@
 package rules
 
-import "time"
+import (
+	"maps"
+	"time"
+)
 
 const recordMemoryShare = 0.45 // of the memory that kept keys may take
 
@@ -62,3 +65,12 @@
 		m.host.ForgetRecord(r.ID)
 	}
 }
+
+func (m *Module) expireRecords() {
+	maps.DeleteFunc(m.records, func(_ RequestID, e *idempotencyRecord) bool {
+		if e.expiresAt < m.now && e.released {
+			m.releasedRecords--
+		}
+		return e.expiresAt < m.now
+	})
+}
--- a/rules/module.go
+++ b/rules/module.go
@@ -11,7 +11,6 @@
 	controlInterval = 25 * time.Millisecond // the one timer: finer than any aim, 40 wake-ups a second
 	referenceTarget = 2 * time.Second       // shorter aims shrink these, stallMin and minAdvice
 	pauseThreshold  = 60 * time.Millisecond // a beat this late means that the process stood still
-	memoryShare     = 0.88                  // of the memory: room for what is read meanwhile
 )
 
 // Module decides for one node.
@@ -160,7 +159,7 @@
 		m.refuse(r, m.shedder == nil || m.stopsRetries(r, true))
 		return
 	}
-	if late || m.requestMemoryKB+m.recordMemoryKB() > memoryShare*m.settings.MemoryKB {
+	if late || m.exceedsMemory(0) {
 		m.refuse(r, false)
 		return
 	}
@@ -175,6 +174,23 @@
 // Woke is the one timer. It brings the gauges.
 func (m *Module) TimerFired(now time.Duration, _ uint64, gauges []float64) {
 	m.now = now
+	m.readGauges(gauges)
+	m.discountPause()
+	m.observeHandshakes()
+	m.countSaturation()
+	m.detectStall()
+	if dt := now - m.limitSteppedAt; dt > m.scaled(limitInterval)-controlInterval/2 { // at the nearest beat
+		m.adjustLimits(dt)
+		m.limitSteppedAt = now
+	}
+	if now-m.feedbackAt > m.scaled(feedbackInterval)-controlInterval/2 {
+		m.publishFeedback()
+		m.feedbackAt = now
+	}
+	m.startTimer()
+}
+
+func (m *Module) readGauges(gauges []float64) {
 	for i, v := range gauges[:min(len(gauges), len(m.settings.Gauges))] {
 		switch m.settings.Gauges[i] {
 		case "cpu_busy":
@@ -183,24 +199,15 @@
 			m.runnable = v
 		}
 	}
-	if late := now - m.timerDueAt; late > pauseThreshold { // the process stood still: nobody's fault here
+}
+
+func (m *Module) discountPause() {
+	if late := m.now - m.timerDueAt; late > pauseThreshold { // the process stood still: nobody's fault here
 		m.lastProgress += late
 		for _, r := range m.queue {
 			r.queueTimeoutAt += late
 		}
 	}
-	m.handshakeLoad += handshakeLoadWeight * (max(m.runnable-float64(m.runningCount), 0)/float64(m.settings.Cores) - m.handshakeLoad)
-	m.countSaturation()
-	m.detectStall()
-	if dt := now - m.limitSteppedAt; dt > m.scaled(limitInterval)-controlInterval/2 { // at the nearest beat
-		m.adjustLimits(dt)
-		m.limitSteppedAt = now
-	}
-	if now-m.feedbackAt > m.scaled(feedbackInterval)-controlInterval/2 {
-		m.publishFeedback()
-		m.feedbackAt = now
-	}
-	m.startTimer()
 }
 
 // span is a time of learning, shorter where all work and aims are.
--- a/rules/queue.go
+++ b/rules/queue.go
@@ -26,6 +26,11 @@
 	return m.drainSuccesses / max(m.drainSeconds, limitInterval.Seconds())
 }
 
+func (m *Module) updateDrainRate(share float64) {
+	m.drainSeconds += m.saturatedSeconds - drainRateWeight*share*m.drainSeconds
+	m.drainSuccesses += m.saturatedSuccesses - drainRateWeight*share*m.drainSuccesses
+}
+
 // pass counts the time in which slots were short: a burst may be over within a step.
 func (m *Module) countSaturation() {
 	if m.saturated {
