--- a/rules/api.go
+++ b/rules/api.go
@@ -1,11 +1,16 @@
-// Package rules is robinmast's decision module: what a node takes, runs, calls
-// and turns away. This file is its whole interface and holds no decision; the
-// decisions, and every tuned value, are in rules.go.
+// Package rules is robinmast's decision module: which requests a node queues, runs and refuses, which
+// downstream calls it makes, and what it tells its callers about its load.
 //
-// A host feeds one Module per node: each event through its method, then one
-// Settle for the batch. What an earlier life of the node kept comes first, by
-// Restored. The module answers through Host. All times are
-// durations on the host's own monotonic clock, whose zero means nothing.
+// A host feeds one Module per node: each event through its method, then FinishBatch once for the batch.
+// Idempotency records of a previous incarnation come first, by RestoreRecord. The module acts through
+// Host, always within such a call. All times are durations on the host's own monotonic clock, whose zero
+// has no meaning. A Module belongs to one goroutine; it does no I/O, reads no clock and takes no lock.
+//
+// This file is the interface. Each decision has a file of its own, with its constants: queue.go,
+// concurrency.go (the running limit), dependency.go (downstream calls), quota.go (tenants),
+// idempotency.go (records of repeatable requests), memory.go, utility.go, latency.go, stall.go,
+// feedback.go (pressure, load feedback, retry advice), connections.go (idle timeouts, connection storms)
+// and drain.go. module.go dispatches the events, request.go has the states of a request.
 package rules
 
 import "time"
@@ -19,7 +24,7 @@
 // The effects of a class.
 const (
 	Safe   Effect = iota // may run any number of times
-	Keyed                // runs once within the class window, repeats are linked by Keep
+	Keyed                // runs once within the idempotency window; repeats join it by KeepRecord
 	Unsafe               // runs at most once
 )
 
@@ -28,20 +33,20 @@
 
 // The outcomes of runs and calls.
 const (
-	OK              Outcome = iota // it went well
+	OK              Outcome = iota // it succeeded
 	Failed                         // it failed and may have had its effect
-	CallRejected                   // the call was bounced unseen
-	TimedOut                       // the call was given up and may have had its effect
-	ConnectFailed                  // nothing below was reached
-	ConnectionReset                // the call broke off and may have had its effect
-	Cancelled                      // the run was stopped, or ended at a call after its answer
-	NeverStarted                   // nothing started, the request was over
+	CallRejected                   // the call was rejected unread
+	TimedOut                       // the call was abandoned and may have had its effect
+	ConnectFailed                  // the downstream dependency was not reached
+	ConnectionReset                // the call was interrupted and may have had its effect
+	Cancelled                      // the run was preempted, or ended at a call after its answer
+	NeverStarted                   // nothing was started: the request was over already
 )
 
 // NeverRan reports whether the outcome proves that nothing ran.
 func (o Outcome) NeverRan() bool { return o == CallRejected || o == ConnectFailed || o == NeverStarted }
 
-// Below says what a node's requests call.
+// Dependency says what a node's requests call.
 type Dependency uint8
 
 // The kinds of dependency.
@@ -51,49 +56,49 @@
 	DependencyTier              // another tier of nodes, reached through a balancer
 )
 
-// Preemption says what Host.Halt does to running work.
+// Preemption says what Host.Preempt does to running work.
 type Preemption uint8
 
 // The kinds of preemption.
 const (
-	PreemptNone  Preemption = iota // Halt must not be used
-	PreemptDrop                    // the work is lost and the request held again
+	PreemptNone  Preemption = iota // Preempt must not be used
+	PreemptDrop                    // the work is lost and the request queued again
 	PreemptPause                   // the work waits, with its memory, for Run
 )
 
-// FreeValue says what callers make of the value set by Host.Say.
+// LoadFeedback says what callers make of the value set by Host.PublishLoad.
 type LoadFeedback uint8
 
-// The meanings of the free value.
+// The meanings of the published load.
 const (
-	FeedbackNone   LoadFeedback = iota // Say must not be used
-	FeedbackLevel                      // callers send nothing ranked under it
-	FeedbackCredit                     // requests each caller may have out here
-	FeedbackWeight                     // chance that a caller does not pass this node over
+	FeedbackNone   LoadFeedback = iota // PublishLoad must not be used
+	FeedbackLevel                      // callers send no request whose rank is below it
+	FeedbackCredit                     // requests that each caller may have in flight here
+	FeedbackWeight                     // probability that a caller does not pass this node over
 )
 
 // Class is what the settings say of a request class.
 type Class struct {
-	LatencyTarget        time.Duration // answers within it earn the full worth
-	LatencyTargetStretch float64       // the aim grows by this many times the request's own work
+	LatencyTarget        time.Duration // answers within it earn the full utility
+	LatencyTargetStretch float64       // the target grows by this many times the request's own work
 	Deadline             time.Duration // how long a client waits in all
-	LateUtilityShare     float64       // share of the worth between aim and deadline
+	LateUtilityShare     float64       // share of the utility between latency target and deadline
 	Utility              float64
-	IdempotencyWindow    time.Duration // Keyed: how long after reaching us a repeat may come
+	IdempotencyWindow    time.Duration // Keyed: how long after the arrival a repeat may come
 	Effect               Effect
-	CallsDependency      bool    // its requests may call below
-	SkipUtilityShare     float64 // share of the worth left when a call is skipped, 0 = must call
+	CallsDependency      bool    // its requests may make downstream calls
+	SkipUtilityShare     float64 // share of the utility left when a call is skipped, 0 = it must be made
 }
 
 // Tenant is what the settings say of one tenant.
 type Tenant struct {
-	QuotaPerSecond float64 // over the whole fleet
-	Share          float64
+	QuotaPerSecond float64 // requests over the whole fleet, 0 = no quota
+	Share          float64 // expected share of the arrivals
 }
 
 // Settings is what a node is told when it starts.
 type Settings struct {
-	BatchInterval       time.Duration // batches come at most this often
+	BatchInterval       time.Duration // shortest time between batches
 	Cores               int
 	Nodes               int // nodes of this tier at the start
 	Callers             int // callers of this tier at the start
@@ -101,99 +106,129 @@
 	Layer               int
 	Classes             []Class
 	Tenants             []Tenant
-	OverQuotaUtility    float64 // worth of a request beyond its tenant's share
-	UtilityPerWork      bool    // worth counts for each unit of work
+	OverQuotaUtility    float64 // factor on the utility of a request beyond its tenant's quota
+	UtilityPerWork      bool    // Class.Utility is for each unit of work, not for each request
 	RetriesMarked       bool
 	TimeoutsPassed      bool
 	DisconnectsReported bool
 	HonoursRetryAfter   bool          // retry-after is passed on
-	MaxRetryAfter       time.Duration // the longest that is heeded
+	MaxRetryAfter       time.Duration // the longest that callers follow
 	LoadFeedback        LoadFeedback
-	LoadFeedbackTTL     time.Duration // how long callers remember the free value
+	LoadFeedbackTTL     time.Duration // how long callers use a published load
 	Preemption          Preemption
 	MemoryKB            float64
-	RunningMemoryFactor float64       // memory of a running request over a held one
-	RecordKB            float64       // memory of a kept entry
+	RunningMemoryFactor float64       // memory of a running request over that of a queued one
+	RecordKB            float64       // memory of an idempotency record with its result
 	ReadFreshness       time.Duration // how long a read's answer may be shared, 0 = never
-	Gauges              []string
+	Gauges              []string      // names of the gauges of TimerFired: cpu_busy and runnable are used
 	MaxIdleTimeout      time.Duration
-	Readiness           bool // the callers' list follows health
+	Readiness           bool // the callers' list of nodes follows their health
 	Dependency          Dependency
-	CallShare           float64       // BelowShared: mean calls this node may hold
-	CallWindow          time.Duration // BelowShared: span of that mean
-	AbandonedCallTime   time.Duration // BelowShared: how long an abandoned call stays
-	AnswerSlack         time.Duration // how long past due an answer still counts
-	ColdSpeed           float64       // least share of its speed a cold node starts at
-	WarmUpTime          time.Duration // a cold node is warm after this
-	DrainGrace          time.Duration // what arrives later than this after Drain is not run
-	OverloadRunsPerCore float64       // mean runs a core that a warm node survives
-	OverloadWindow      time.Duration // span of that mean
-	NewPools            func() Pools  // pools by class, nil = one line for all
-
-	NewShedder func(now time.Duration) Shedder // refusals with the fleet in mind, nil = none
+	CallShare           float64       // DependencyShared: mean calls that this node may have in flight
+	CallWindow          time.Duration // DependencyShared: time over which that mean is taken
+	AbandonedCallTime   time.Duration // DependencyShared: how long an abandoned call goes on
+	AnswerSlack         time.Duration // how long after it is due an answer still counts
+	ColdSpeed           float64       // share of its usual speed that a cold node starts at, at least
+	WarmUpTime          time.Duration // a cold node is warm after this, at the latest
+	DrainGrace          time.Duration // requests that arrive later than this after Drain must not run
+	OverloadRunsPerCore float64       // mean runs per core that a warm node survives
+	OverloadWindow      time.Duration // time over which that mean is taken
+	NewPools            func() Pools  // scheduling by class, nil = one queue for all
+
+	NewShedder func(now time.Duration) Shedder // fleet-aware load shedding, nil = none
 }
 
-// Request is one try that was read and is now held.
+// Request is one try that was read.
 type Request struct {
 	ID            RequestID
-	RepeatOf      RequestID     // the kept request it repeats, 0 = none
-	CallerTimeout time.Duration // how long the caller still waits, 0 = not told
-	Rank          float64       // its place by worth, 0 to 1
-	WorkHint      time.Duration // expected work, 0 = not told
+	RepeatOf      RequestID     // the recorded request that it repeats, 0 = none
+	CallerTimeout time.Duration // how long the caller still waits, 0 = not known
+	Rank          float64       // its place among requests by utility, from 0 to 1
+	WorkHint      time.Duration // expected work, 0 = not known
 	Tenant        int
 	Caller        uint32
-	Age           time.Duration // since it reached the machine
+	Age           time.Duration // time since it reached the machine
 	Key           uint64
-	MemoryKB      float64 // memory while held
+	MemoryKB      float64 // memory while queued
 	Class         int
 	Retry         bool // a further try or a second copy, where these are marked
 	Write         bool
 }
 
-// Waiting is a held request as Pools see it.
+// QueuedRequest is a queued request as Pools and Shedder see it.
 type QueuedRequest struct {
 	Class   int
-	Utility float64 // what serving it earns for its work
+	Utility float64 // cost-weighted utility
 }
 
-// Pools say, where they are set, which of the line gets a free slot and which
-// leaves a full one. The line, its bounds by count and age and the running limit
-// stay as they are. decide/pools has them.
+// Pools, where the settings have them, choose which queued request gets a free slot and which one is
+// evicted from a full queue. The bounds of the queue and the running limit are not theirs. Package
+// decide/pools implements them.
 type Pools interface {
+	// Arrived counts an arrival of a class; hint is its expected work, 0 = not known.
 	Arrived(now time.Duration, class int, hint time.Duration)
-	RunningChanged(now time.Duration, class, n int) // n more runs of a class are on the cores
+	// RunningChanged adds n to the running requests of a class.
+	RunningChanged(now time.Duration, class, n int)
+	// RunSucceeded observes the latency of a successful run.
 	RunSucceeded(now time.Duration, class int, took time.Duration)
+	// Step is the control step; limit is the running limit. It returns lines for the log.
 	Step(now time.Duration, limit float64) (lines []string)
-	StalledRuns() int // runs that stand still and need no core
-	Next(now time.Duration, slots, taken int, line []QueuedRequest) int
-	Evict(now time.Duration, bound int, line []QueuedRequest) int
+	// StalledRuns is the number of running requests that make no progress and need no core.
+	StalledRuns() int
+	// Next returns the index in queue of the request that gets a free slot, -1 to keep it free.
+	Next(now time.Duration, slots, running int, queue []QueuedRequest) int
+	// Evict returns the index in queue of the request that leaves a queue longer than bound.
+	Evict(now time.Duration, bound int, queue []QueuedRequest) int
 }
 
-// Together says, where it is set, what becomes of refusals with the fleet in mind.
-// Which requests run, and how many, stays as it is. decide/together has it.
+// Shedder, where the settings have one, decides about refusals with the whole fleet in mind. Which
+// requests run, and how many, is not its decision. Package decide/shedding implements it.
 type Shedder interface {
-	Arrived(now time.Duration, value, price float64, again bool)
-	Step(now time.Duration, drain, short float64) (lines []string)
-	ExceedsQueueTimeout(line []QueuedRequest, value float64, most time.Duration) bool // it would be held for longer than most
-	StopsRetries(now time.Duration, price float64) bool
-	RetryUtility() float64 // of a further try over a first one
-	RetryAfter(now, base, most time.Duration) time.Duration
+	// Arrived counts an arrival: its cost-weighted utility, and that which it has as a first try.
+	Arrived(now time.Duration, utility, firstTryUtility float64, retry bool)
+	// Step is the control step: the drain rate in requests a second and the share of the time since the
+	// last step in which no slot was free. It returns lines for the log.
+	Step(now time.Duration, drainRate, saturatedShare float64) (lines []string)
+	// ExceedsQueueTimeout reports whether a request of this cost-weighted utility would be queued for
+	// longer than timeout.
+	ExceedsQueueTimeout(queue []QueuedRequest, utility float64, timeout time.Duration) bool
+	// StopsRetries reports whether the caller of a refused request is told to try no other node.
+	StopsRetries(now time.Duration, firstTryUtility float64) bool
+	// RetryUtility is the utility of a further try relative to a first one.
+	RetryUtility() float64
+	// RetryAfter returns the retry-after for a refusal; base is what the node alone would advise.
+	RetryAfter(now, base, longest time.Duration) time.Duration
 }
 
 // Host carries out what the module decides.
 type Host interface {
+	// Run starts a queued request, or resumes a paused one.
 	Run(id RequestID)
+	// Preempt stops the run of a request as Settings.Preemption says.
 	Preempt(id RequestID)
-	Refuse(id RequestID, retryAfter time.Duration, last bool)
+	// Refuse answers that a request never ran. stopRetrying tells the caller to try no other node.
+	Refuse(id RequestID, retryAfter time.Duration, stopRetrying bool)
+	// Fail answers with an error, without a promise that nothing ran.
 	Fail(id RequestID)
+	// Call makes the downstream call that a run needs.
 	Call(id RequestID, timeout time.Duration)
+	// SkipCall lets a run go on without its downstream call.
 	SkipCall(id RequestID)
+	// KeepRecord keeps the key of a request, and then its result, for span, so that repeats find it.
 	KeepRecord(id RequestID, span time.Duration)
+	// ForgetRecord discards such a record: the request never ran.
 	ForgetRecord(id RequestID)
+	// JoinEarlier answers a request with the result of the one that it repeats, once there is one.
 	JoinEarlier(id RequestID)
+	// SetHealth publishes the node's health; good means that callers may send requests here. The module
+	// always passes stored as true.
 	SetHealth(stored, good bool)
+	// PublishLoad publishes the load in the sense of Settings.LoadFeedback.
 	PublishLoad(value float64)
+	// SetIdleTimeout sets how long a connection may be idle before it is closed.
 	SetIdleTimeout(after time.Duration)
+	// StartTimer asks for TimerFired with this token after in.
 	StartTimer(token uint64, in time.Duration)
+	// Log writes a line to the node's log.
 	Log(line string)
 }
--- a/rules/connections.go
+++ b/rules/connections.go
@@ -7,60 +7,65 @@
 )
 
 const (
-	idleCostUnit        = 6 * time.Second        // open and idle this long, a connection costs as much as a new one
-	minIdleTimeout      = 250 * time.Millisecond // shortest idle limit considered: longer than a round trip
-	idleTimeoutCount    = 8                      // idle limits considered, each twice the one before: up to 32 s
-	idleCostTolerance   = 0.1                    // cost over the least that a longer idle limit may have
-	handshakeLoadWeight = 0.005                  // weight of a beat in the swamp: 5 s, short ones pass by themselves
-	stormHandshakeLoad  = 3.0                    // reads and new connections a core that count as a swamp
-	stormHoldTime       = 60 * time.Second       // from a swamp on tables may fill for so long: then tried again
-	maxTrackedCallers   = 4096                   // callers remembered: a fleet has a tenth of it
-	idleCostWeight      = 0.02                   // weight of a request in what an idle limit costs: fifty requests
+	idleCostUnit      = 6 * time.Second        // idle for this long, a connection costs as much as a new one
+	idleCostWeight    = 0.02                   // weight of a request in idleCost: about fifty requests
+	idleCostTolerance = 0.1                    // excess over the least cost that a longer idle timeout may have
+	minIdleTimeout    = 250 * time.Millisecond // longer than a round trip
+	idleTimeoutCount  = 8                      // timeouts considered, each twice the one before: up to 32 s
+	maxTrackedCallers = 4096                   // ten times the callers of a usual fleet
+
+	handshakeLoadWeight = 0.005            // weight of a control interval: 5 s, as shorter storms pass
+	stormHandshakeLoad  = 3.0              // reads and handshakes per core that count as a connection storm
+	stormHoldTime       = 60 * time.Second // after a storm no idle connection is closed for so long
 )
 
-// hear learns from the time since a caller was last heard what each idle limit would cost: a
-// connection held idle takes a part of the cores, and one closed too early is opened anew.
+// observeCaller learns what each idle timeout would cost from the time since a caller's last request: a
+// connection kept idle takes a part of the cores, and one closed too early must be opened anew.
 func (m *Module) observeCaller(caller uint32) {
 	last, known := m.lastArrival[caller]
 	if !known {
 		last = m.startedAt
 	}
-	if known || len(m.lastArrival) < maxTrackedCallers { // a stranger may name any number
+	// Caller numbers are not verified: an unknown caller may send any number of them.
+	if known || len(m.lastArrival) < maxTrackedCallers {
 		m.lastArrival[caller] = m.now
 	}
 	for i := range m.idleCost {
-		gap, limit := m.now-last, minIdleTimeout<<i
-		cost := min(gap, limit).Seconds() / idleCostUnit.Seconds()
-		if gap > limit || !known {
+		idle, timeout := m.now-last, minIdleTimeout<<i
+		cost := min(idle, timeout).Seconds() / idleCostUnit.Seconds()
+		if idle > timeout || !known {
 			cost++
 		}
 		m.idleCost[i] += idleCostWeight * (cost - m.idleCost[i])
 	}
 }
 
-// closeIdle sets the longest idle limit that costs little more than the cheapest.
-// In a swamp of handshakes it closes none: a full table refuses for nothing.
+// updateIdleTimeout publishes the longest idle timeout that costs little more than the cheapest. After a
+// connection storm it closes no idle connection: a full connection table refuses new ones at no cost.
 func (m *Module) updateIdleTimeout() {
 	if m.handshakeLoad > stormHandshakeLoad {
 		m.stormUntil = m.now + stormHoldTime
 	}
-	limit, least := m.settings.MaxIdleTimeout, slices.Min(m.idleCost[:])
+	timeout, least := m.settings.MaxIdleTimeout, slices.Min(m.idleCost[:])
 	for i, cost := range m.idleCost {
 		if cost < least+idleCostTolerance || m.now < m.stormUntil {
-			limit = min(minIdleTimeout<<i, m.settings.MaxIdleTimeout)
+			timeout = min(minIdleTimeout<<i, m.settings.MaxIdleTimeout)
 		}
 	}
-	if limit != m.idleTimeout {
-		m.idleTimeout = limit
-		m.host.SetIdleTimeout(limit)
+	if timeout != m.idleTimeout {
+		m.idleTimeout = timeout
+		m.host.SetIdleTimeout(timeout)
 	}
 }
 
+// forgetCallers discards callers whose last request is longer ago than every timeout considered.
 func (m *Module) forgetCallers() {
-	old := m.now - minIdleTimeout<<idleTimeoutCount
-	maps.DeleteFunc(m.lastArrival, func(_ uint32, at time.Duration) bool { return at < old })
+	oldest := m.now - minIdleTimeout<<idleTimeoutCount
+	maps.DeleteFunc(m.lastArrival, func(_ uint32, at time.Duration) bool { return at < oldest })
 }
 
+// observeHandshakes follows what wants a core beside the runs: mostly reads and handshakes.
 func (m *Module) observeHandshakes() {
-	m.handshakeLoad += handshakeLoadWeight * (max(m.runnable-float64(m.runningCount), 0)/float64(m.settings.Cores) - m.handshakeLoad)
+	m.handshakeLoad += handshakeLoadWeight *
+		(max(m.runnable-float64(m.runningCount), 0)/float64(m.settings.Cores) - m.handshakeLoad)
 }
--- a/rules/dependency.go
+++ b/rules/dependency.go
@@ -7,21 +7,25 @@
 )
 
 const (
-	callBudgetShare       = 0.85  // of this node's share of calls below
-	callTimeoutShare      = 0.6   // of the time left before the aim that one call may take
-	maxBudgetSharePerCall = 0.5   // of its share over a window that one call may book by its time-out
-	initialCallLimitShare = 0.3   // of the share is the first call limit: it is slow well below it
-	minCallLimitShare     = 0.05  // of the share is the least call limit: it probes
-	callContentionRatio   = 2.0   // call latency over base that counts as crowded
-	callLimitDecrease     = 0.9   // shrink of the call limit a step while crowded
-	callBaselineDrift     = 1.001 // the call base creeps up a step: faster, it would hide crowding
-	callLatencyWeight     = 0.1   // weight of a call in the call latency: fewer calls than runs
-	minRunsToWaitForCall  = 0.8   // usual runs that must be left to go on waiting for a call
-	maxCallAttempts       = 2     // calls made for one need before going on without
-	callWindowBuckets     = 25    // steps of the sliding mean of calls
+	callBudgetShare       = 0.85 // of this node's share of the downstream dependency's capacity
+	maxBudgetSharePerCall = 0.5  // of the call budget that the timeout of one call may take
+	callTimeoutShare      = 0.6  // of the time left before the latency target that one call may take
+	minRunsToWaitForCall  = 0.8  // expected runs that must fit before the target to go on waiting for a call
+	maxCallAttempts       = 2    // calls made for one need before going on without
+
+	// Call limit, as shares of CallShare, and its change in a control step.
+	initialCallLimitShare = 0.3  // the dependency may slow down well below the full share
+	minCallLimitShare     = 0.05 // enough to probe for recovery
+	callLimitDecrease     = 0.9  // factor under contention
+	minCallLimitIncrease  = 0.02 // calls added at least
+
+	callContentionRatio = 2.0   // call latency over its baseline that means contention
+	callBaselineDrift   = 1.001 // factor per control step: a faster drift would hide contention
+	callLatencyWeight   = 0.1   // weight of a call in the mean latency: there are fewer calls than runs
+	callWindowBuckets   = 25    // buckets of the sliding call window
 )
 
-// NeedsCall tells that a running request stands at a call.
+// CallNeeded tells that a running request needs a downstream call before it can go on.
 func (m *Module) CallNeeded(now time.Duration, id RequestID) {
 	m.now = now
 	if r := m.byID[id]; r != nil && r.state == running {
@@ -32,7 +36,7 @@
 	}
 }
 
-// Called tells how a call ended.
+// CallEnded tells how a downstream call ended.
 func (m *Module) CallEnded(now time.Duration, id RequestID, o Outcome, took time.Duration) {
 	m.now = now
 	m.countCallTime()
@@ -55,26 +59,26 @@
 	}
 }
 
-// decideCalls gives each request at a call its word, the dearest to leave out
-// first. What finds no room waits in a line bounded like the other, or skips.
+// decideCalls decides on every pending call, in the order of what skipping it would lose. A call is made,
+// waits in a bounded queue, is skipped, or its request fails.
 func (m *Module) decideCalls() {
-	var wait []*request
+	var pending []*request
 	for _, r := range m.requests {
 		if !r.finished && !r.answered && r.state == callPending {
-			wait = append(wait, r)
+			pending = append(pending, r)
 		}
 	}
-	slices.SortStableFunc(wait, func(a, b *request) int { return cmp.Compare(m.skipLoss(b), m.skipLoss(a)) })
-	spare := int(max(1, m.callLimit*max(1, m.maxQueueWait.Seconds()/max(m.callLatency.mean, 0.001))))
-	for _, r := range wait {
+	slices.SortStableFunc(pending, func(a, b *request) int { return cmp.Compare(m.skipLoss(b), m.skipLoss(a)) })
+	mayWait := int(max(1, m.callLimit*max(1, m.maxQueueWait.Seconds()/max(m.callLatency.mean, 0.001))))
+	for _, r := range pending {
 		c := m.class(r)
 		left := min(r.targetAt, r.dueAt-m.answerMargin()) - m.now
 		timeout := callTimeoutShare * left.Seconds()
 		if b := m.callBudget; m.settings.Dependency == DependencyShared && b > 0 {
-			timeout = min(timeout, maxBudgetSharePerCall*b) // a share of calls below one affords no longer ones
+			timeout = min(timeout, maxBudgetSharePerCall*b) // a CallShare below 1 affords no longer calls
 		}
-		// A failed call is repeated only where nothing is earned without it: repeats
-		// swamp what lies below just when it is short.
+		// A failed call is repeated only where its request has no utility without it: repeats overload
+		// the dependency just when it is short of capacity.
 		mayCall := r.callAttempts == 0 || c.SkipUtilityShare <= 0 && r.callAttempts < maxCallAttempts &&
 			(r.lastCallOutcome.NeverRan() || c.Effect == Safe)
 		switch {
@@ -85,8 +89,8 @@
 			r.callAttempts++
 			r.state = calling
 			m.host.Call(r.ID, max(time.Duration(timeout*float64(time.Second)), m.settings.BatchInterval))
-		case mayCall && spare > 0 && left > time.Duration(minRunsToWaitForCall*float64(m.expectedRun(r))):
-			spare--
+		case mayCall && mayWait > 0 && left > time.Duration(minRunsToWaitForCall*float64(m.expectedRun(r))):
+			mayWait--
 			m.callsLimited = true
 		case c.SkipUtilityShare > 0:
 			m.callsLimited = true
@@ -97,13 +101,13 @@
 	}
 }
 
-// loss is what leaving a request's call out costs.
+// skipLoss is the utility that is lost by skipping a request's call.
 func (m *Module) skipLoss(r *request) float64 {
 	return m.utility(r) * (1 - m.class(r).SkipUtilityShare)
 }
 
-// roomToCall keeps calls under what the crowd allows, the learned limit, and
-// this node's share below even if every call out lasts to its timeout.
+// mayStartCall reports whether one more call fits: within the concurrency ceiling, and for a shared
+// dependency within the call limit and, even if every call in flight lasts until its timeout, the budget.
 func (m *Module) mayStartCall(timeout float64) bool {
 	if float64(m.callsInFlight) >= m.concurrencyCeiling()-float64(m.settings.Cores) {
 		return false
@@ -114,28 +118,29 @@
 	if float64(m.callsInFlight) >= max(1, m.callLimit) {
 		return false
 	}
-	sum := float64(m.callsInFlight+1) * min(timeout, m.settings.CallWindow.Seconds())
+	seconds := float64(m.callsInFlight+1) * min(timeout, m.settings.CallWindow.Seconds())
 	for _, s := range m.callSeconds {
-		sum += s
+		seconds += s
 	}
-	return sum <= m.callBudget
+	return seconds <= m.callBudget
 }
 
-// stepCalls moves the call limit as the running one; the base follows what has become slow for good.
+// adjustCallLimit is the control step of the call limit: lowered under contention, raised while calls had
+// to wait or were skipped. The baseline drifts towards a latency that has risen for good.
 func (m *Module) adjustCallLimit() {
 	switch {
 	case m.callLatency.ratio() > callContentionRatio:
 		m.callLimit *= callLimitDecrease
 	case m.callsLimited:
-		m.callLimit = max(m.callLimit*limitGrowth, m.callLimit+0.02)
+		m.callLimit = max(m.callLimit*limitGrowth, m.callLimit+minCallLimitIncrease)
 	}
 	m.callLatency.baseline *= callBaselineDrift
 	m.callLimit = max(min(m.callLimit, m.settings.CallShare), m.settings.CallShare*minCallLimitShare)
 	m.callsLimited = false
 }
 
-// countCalls adds the calls held since last time to the sliding window, where an
-// abandoned call is booked for as long as it stays below.
+// countCallTime adds the time of the calls in flight to the sliding call window. An abandoned call
+// counts for as long as it goes on in the dependency, which CallEnded and leaveExecution add.
 func (m *Module) countCallTime() {
 	width := m.settings.CallWindow / (callWindowBuckets - 1)
 	if width <= 0 {
@@ -147,7 +152,8 @@
 			m.callSeconds[b%callWindowBuckets] = 0
 		}
 		end := min(time.Duration(m.callBucket+1)*width, m.now)
-		m.callSeconds[m.callBucket%callWindowBuckets] += float64(m.callsInFlight) * (end - m.callsCountedAt).Seconds()
+		seconds := (end - m.callsCountedAt).Seconds()
+		m.callSeconds[m.callBucket%callWindowBuckets] += float64(m.callsInFlight) * seconds
 		m.callsCountedAt = end
 	}
 }
--- a/rules/drain.go
+++ b/rules/drain.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-const drainServeShare = 0.9 // of the drain's grace passes before callers are sent elsewhere
+// drainServeShare is the share of the drain's grace after which callers are sent elsewhere.
+const drainServeShare = 0.9
 
-// Drain is the notice to leave: the process will be stopped after left.
+// Drain tells the module that the process will be stopped after left. Every answer goes out before that.
 func (m *Module) Drain(now time.Duration, left time.Duration) {
 	m.now = now
 	if !m.draining {
@@ -16,7 +17,12 @@
 	}
 }
 
-// leaving reports whether callers had better go elsewhere: for most of the grace they still may come.
+// drainEnding reports whether callers are to be sent elsewhere: for most of the grace they may still come.
 func (m *Module) drainEnding() bool {
 	return m.draining && float64(m.now-m.drainStartedAt) >= drainServeShare*float64(m.settings.DrainGrace)
 }
+
+// arrivedAfterGrace reports whether a request came after the drain's grace and must not run any more.
+func (m *Module) arrivedAfterGrace(r *request) bool {
+	return m.draining && r.arrivedAt > m.drainStartedAt+m.settings.DrainGrace-m.answerMargin()
+}
--- a/rules/feedback.go
+++ b/rules/feedback.go
@@ -6,35 +6,48 @@
 )
 
 const (
-	feedbackInterval       = 200 * time.Millisecond // free value and pressure: a fifth of its usual life
-	pressureIncrease       = 0.25                   // pressure gained per say for a full share of refusals
-	pressureDecrease       = 0.02                   // pressure lost per say without refusals
-	idlePressureFactor     = 0.6                    // of the pressure stays a say while slots are free
-	toleratedRefusals      = 0.03                   // share of refusals that is no pressure
-	retryAfterShare        = 0.3                    // of the time in which the line drains that advice names
-	retryAfterGain         = 8.0                    // times that share more at full pressure: overload outlasts a line
-	minRetryAfter          = 50 * time.Millisecond  // shortest retry-after: about a beat and a round trip
-	stopRetriesPressure    = 0.3                    // pressure from which an overflowing retry is to try no other node
-	stopFirstTriesPressure = 0.6                    // and any overflowing request: a walk in a large fleet is ten reads
-	fewRetriesShare        = 0.1                    // share of marked retries under which the others have room
-	retryShareWeight       = 0.02                   // weight of a request in that share: fifty requests
-	staleTargetShare       = 0.5                    // of the aim gone before reading makes a request stale
-	staleShareWeight       = 0.3                    // weight of a request in the stale share: a slow small node reads few
-	unhealthyStaleShare    = 0.7                    // stale share from which callers are sent elsewhere
-	staleShareFactor       = 0.97                   // of the stale share stays a say without reads: then tried again
-	pressureCreditShare    = 0.6                    // of an even split is a caller's credit at full pressure
-	pressureWeightShare    = 0.8                    // of the pressure that the weight passes on
+	feedbackInterval = 200 * time.Millisecond // a fifth of the usual lifetime of published load feedback
+
+	// Pressure, per feedback interval.
+	pressureIncrease   = 0.25 // added if every request is refused
+	pressureDecrease   = 0.02 // subtracted without refusals
+	idlePressureFactor = 0.6  // while slots are free
+	toleratedRefusals  = 0.03 // share of refusals that does not count as overload
+	maxPressure        = 0.95
+
+	// Retry advice.
+	retryAfterShare        = 0.3                   // of the time in which the queue drains
+	retryAfterGain         = 8.0                   // increase at full pressure: overload outlasts a queue
+	minRetryAfter          = 50 * time.Millisecond // about a control interval and a round trip
+	stopRetriesPressure    = 0.3                   // pressure from which refused retries are to stop
+	stopFirstTriesPressure = 0.6                   // first tries too: retries in a large fleet cost ten reads
+	fewRetriesShare        = 0.1                   // share of marked retries below which other nodes have room
+	retryShareWeight       = 0.02                  // weight of a request in that share: about fifty requests
+
+	// Staleness of arrivals, and the health that follows from it.
+	staleTargetShare    = 0.5  // a request is stale if this share of its latency target had passed on arrival
+	staleShareWeight    = 0.3  // weight of a request in the stale share: a slow small node reads few
+	unhealthyStaleShare = 0.7  // stale share from which callers are sent elsewhere
+	staleShareFactor    = 0.97 // per feedback interval without arrivals: after a while the node is tried again
+
+	// Published load.
+	pressureCreditShare = 0.6   // of an even split, a caller's credit at full pressure
+	pressureWeightShare = 0.8   // share of the pressure that the weight passes on
+	minLoadChange       = 0.005 // smaller changes are not published
 )
 
-// endsWalk reports whether a refused request is to try no other node; old: it was held too long here.
-// Where walks are marked and few come here, the others have room and this node alone is short of it.
-func (m *Module) stopsRetries(r *request, old bool) bool {
-	room := m.settings.RetriesMarked && m.retryShare < fewRetriesShare
-	alone := !room && (old || m.pressure > stopFirstTriesPressure || m.pressure > stopRetriesPressure && (r.Retry || !m.settings.RetriesMarked))
+// stopsRetries reports whether the caller of a refused request is told to try no other node; timedOut:
+// its queue timeout was exceeded here. Where retries are marked and few arrive, the other nodes have room
+// and only this node is short of it.
+func (m *Module) stopsRetries(r *request, timedOut bool) bool {
+	othersHaveRoom := m.settings.RetriesMarked && m.retryShare < fewRetriesShare
+	alone := !othersHaveRoom && (timedOut || m.pressure > stopFirstTriesPressure ||
+		m.pressure > stopRetriesPressure && (r.Retry || !m.settings.RetriesMarked))
 	return m.shedder == nil && alone || m.shedder != nil && m.shedder.StopsRetries(m.now, m.firstTryUtility(r))
 }
 
-// advice is the retry-after: a share of the line's drain time, more under pressure.
+// retryAfter is the advice to a refused caller: a share of the time in which the queue drains, longer
+// under pressure; 0 where it is not passed on.
 func (m *Module) retryAfter() time.Duration {
 	if !m.settings.HonoursRetryAfter {
 		return 0
@@ -43,16 +56,17 @@
 	if m.drainEnding() || m.stalled {
 		return longest
 	}
-	wait := retryAfterShare * (1 + retryAfterGain*m.pressure) * float64(len(m.queue)) / max(m.drainRate(), m.runLimit)
-	advice := min(max(time.Duration(wait*float64(time.Second)), m.scaled(minRetryAfter)), longest)
+	seconds := retryAfterShare * (1 + retryAfterGain*m.pressure) * float64(len(m.queue)) /
+		max(m.drainRate(), m.runLimit)
+	after := min(max(time.Duration(seconds*float64(time.Second)), m.scaled(minRetryAfter)), longest)
 	if m.shedder != nil {
-		return m.shedder.RetryAfter(m.now, advice, longest)
+		return m.shedder.RetryAfter(m.now, after, longest)
 	}
-	return advice
+	return after
 }
 
-// publishFeedback does what is due once in a feedback interval: it discards what has expired
-// and publishes the idle timeout, the health and the load.
+// publishFeedback does the work of a feedback interval: it discards expired records and callers and
+// publishes the idle timeout, the health and the load.
 func (m *Module) publishFeedback() {
 	m.expireRecords()
 	m.forgetCallers()
@@ -62,15 +76,19 @@
 	m.publishLoad(unhealthy)
 }
 
+// updatePressure follows the share of arrivals that were refused because of overload.
 func (m *Module) updatePressure() {
 	share := 0.0
 	if m.arrivalCount > 0 {
 		share = float64(m.overloadCount) / float64(m.arrivalCount)
 	}
 	if share > toleratedRefusals {
-		m.pressure = min(m.pressure+pressureIncrease*share*(1-m.pressure), 0.95)
-	} else if m.pressure = max(m.pressure-pressureDecrease, 0); len(m.queue) == 0 && m.runningCount < int(m.runLimit) {
-		m.pressure *= idlePressureFactor
+		m.pressure = min(m.pressure+pressureIncrease*share*(1-m.pressure), maxPressure)
+	} else {
+		m.pressure = max(m.pressure-pressureDecrease, 0)
+		if len(m.queue) == 0 && m.runningCount < int(m.runLimit) {
+			m.pressure *= idlePressureFactor
+		}
 	}
 	if m.arrivalCount == 0 {
 		m.staleShare *= staleShareFactor
@@ -78,35 +96,36 @@
 	m.arrivalCount, m.overloadCount = 0, 0
 }
 
-// updateHealth publishes a change of the node's health and reports whether it is unhealthy.
+// updateHealth publishes a change of health and reports whether the node is unhealthy: it is stalled,
+// most requests are stale on arrival (a slow machine, a long accept queue), or its drain is ending.
 func (m *Module) updateHealth() bool {
-	// Callers had better go elsewhere while work does not move, while most of it is old when read (a
-	// slow machine, a long accept queue), and at the end of a drain's grace.
-	out := m.stalled || m.staleShare > unhealthyStaleShare || m.drainEnding()
-	if out == m.healthy {
-		m.healthy = !out
-		m.host.SetHealth(true, !out)
+	unhealthy := m.stalled || m.staleShare > unhealthyStaleShare || m.drainEnding()
+	if unhealthy == m.healthy {
+		m.healthy = !unhealthy
+		m.host.SetHealth(true, !unhealthy)
 	}
-	return out
+	return unhealthy
 }
 
+// publishLoad publishes the load feedback of the kind that the settings ask for; an unhealthy node
+// publishes the value that keeps callers away.
 func (m *Module) publishLoad(unhealthy bool) {
-	value, none := 0.0, 0.0
+	value, unavailable := 0.0, 0.0
 	switch m.settings.LoadFeedback {
 	case FeedbackNone:
 		return
 	case FeedbackLevel:
-		value, none = m.pressure, 1
+		value, unavailable = m.pressure, 1
 	case FeedbackCredit:
-		even := pressureCreditShare / float64(max(m.settings.Callers, 1))
-		value = max(1, (m.runLimit+float64(m.queueBound()))*(1-m.pressure*(1-even)))
+		evenShare := pressureCreditShare / float64(max(m.settings.Callers, 1))
+		value = max(1, (m.runLimit+float64(m.queueBound()))*(1-m.pressure*(1-evenShare)))
 	case FeedbackWeight:
 		value = 1 - pressureWeightShare*m.pressure
 	}
 	if unhealthy {
-		value = none
+		value = unavailable
 	}
-	if math.Abs(value-m.publishedLoad) > 0.005 {
+	if math.Abs(value-m.publishedLoad) > minLoadChange {
 		m.publishedLoad = value
 		m.host.PublishLoad(value)
 	}
--- a/rules/idempotency.go
+++ b/rules/idempotency.go
@@ -5,16 +5,18 @@
 	"time"
 )
 
-const recordMemoryShare = 0.45 // of the memory that kept keys may take
+// recordMemoryShare is the share of the memory that idempotency records and shared results may take.
+const recordMemoryShare = 0.45
 
-// entry is a kept key; it outlives its request.
+// idempotencyRecord stands for a result that the host keeps for repeats; it outlives its request.
 type idempotencyRecord struct {
-	expiresAt            time.Duration
-	mayHaveRun, released bool
+	expiresAt  time.Duration
+	mayHaveRun bool
+	released   bool // the request never ran and the host has discarded its result
 }
 
-// remember links a request to what it repeats. It reports whether the request
-// joins the line; otherwise it was answered or waits for the other's result.
+// linkRecord links a request to the earlier one that it repeats, or keeps a record of it. It reports
+// whether the request is to be queued; otherwise it was answered or waits for the earlier one's result.
 func (m *Module) linkRecord(r *request) bool {
 	c := m.class(r)
 	shared := c.Effect == Safe && m.settings.ReadFreshness > 0 && r.Key != 0 && !r.Write
@@ -22,8 +24,9 @@
 		return true
 	}
 	if r.RepeatOf != 0 {
-		e := m.records[r.RepeatOf]
-		if e == nil || e.mayHaveRun || !e.released { // unknown counts as run: never risk a second effect
+		rec := m.records[r.RepeatOf]
+		// An unknown request may have run: never risk a second effect.
+		if rec == nil || rec.mayHaveRun || !rec.released {
 			r.state = joined
 			m.host.JoinEarlier(r.ID)
 			return false
@@ -32,7 +35,8 @@
 	span := m.settings.ReadFreshness
 	if c.Effect == Keyed {
 		span = c.IdempotencyWindow + 2*m.settings.BatchInterval
-		if m.recordMemoryKB()+m.settings.RecordKB > recordMemoryShare*m.settings.MemoryKB { // it must not run unremembered
+		// Without a record it must not run: a repeat would run again.
+		if m.recordMemoryKB()+m.settings.RecordKB > recordMemoryShare*m.settings.MemoryKB {
 			m.refuse(r, false)
 			return false
 		}
@@ -44,7 +48,8 @@
 	return true
 }
 
-// Restored tells of an entry kept by an earlier life of the node. Its run may have happened.
+// RestoreRecord adds a record kept by a previous incarnation of the node for another span. Its request
+// may have run.
 func (m *Module) RestoreRecord(now time.Duration, id RequestID, span time.Duration) {
 	m.now = now
 	m.records[id] = &idempotencyRecord{expiresAt: now + span, mayHaveRun: true}
@@ -54,12 +59,14 @@
 	return float64(len(m.records)-m.releasedRecords) * m.settings.RecordKB
 }
 
-// release frees the key of a request that will never run.
+// releaseRecord releases the key of a request that will never run, so that a repeat may.
 func (m *Module) releaseRecord(r *request) {
-	if e := m.records[r.ID]; e != nil && !e.mayHaveRun && !e.released {
-		if e.released = true; float64(m.releasedRecords)*m.settings.RecordKB < recordMemoryShare*m.settings.MemoryKB {
+	if rec := m.records[r.ID]; rec != nil && !rec.mayHaveRun && !rec.released {
+		rec.released = true
+		// No more released records than could be kept with results: one that is then unknown counts as run.
+		if float64(m.releasedRecords)*m.settings.RecordKB < recordMemoryShare*m.settings.MemoryKB {
 			m.releasedRecords++
-		} else { // as many as could be kept: one that is unknown counts as run
+		} else {
 			delete(m.records, r.ID)
 		}
 		m.host.ForgetRecord(r.ID)
@@ -67,10 +74,10 @@
 }
 
 func (m *Module) expireRecords() {
-	maps.DeleteFunc(m.records, func(_ RequestID, e *idempotencyRecord) bool {
-		if e.expiresAt < m.now && e.released {
+	maps.DeleteFunc(m.records, func(_ RequestID, rec *idempotencyRecord) bool {
+		if rec.expiresAt < m.now && rec.released {
 			m.releasedRecords--
 		}
-		return e.expiresAt < m.now
+		return rec.expiresAt < m.now
 	})
 }
--- a/rules/memory.go
+++ b/rules/memory.go
@@ -1,8 +1,9 @@
 package rules
 
-const memoryShare = 0.88 // of the memory: room for what is read meanwhile
+// memoryShare is the share of the memory that may be in use: the rest is for requests read meanwhile.
+const memoryShare = 0.88
 
-// exceedsMemory reports whether requests, records and extraKB more would take too much of the memory.
+// exceedsMemory reports whether requests, idempotency records and extraKB would exceed memoryShare.
 func (m *Module) exceedsMemory(extraKB float64) bool {
 	return m.requestMemoryKB+extraKB+m.recordMemoryKB() > memoryShare*m.settings.MemoryKB
 }
--- a/rules/quota.go
+++ b/rules/quota.go
@@ -3,44 +3,46 @@
 import "time"
 
 const (
-	tenantShareWeight    = 0.01            // weight of a request in its tenant's part of arrivals
-	tenantShareTolerance = 1.2             // times its share that may come here: chance moves a hundred so far
-	quotaBurstTime       = 5 * time.Second // of a quota is saved at most: one node sees uneven traffic
-	minQuotaBurst        = 12.0            // requests are, where that is less: chance alone moves so few
+	tenantShareWeight    = 0.01            // weight of a request in its tenant's share of arrivals
+	tenantShareTolerance = 1.2             // times its share: chance moves it so far in a hundred requests
+	quotaBurstTime       = 5 * time.Second // unused quota that is saved at most: traffic at one node is uneven
+	minQuotaBurst        = 12.0            // requests that may be saved at least: chance alone brings so many
 )
 
-// allowance is what is left of this node's part of a tenant's quota, in requests, and its part of arrivals.
+// tenantUsage is what a tenant has left of its quota at this node and what it sends.
 type tenantUsage struct {
-	remaining, arrivalShare float64
-	updatedAt               time.Duration
+	remaining    float64       // requests left of this node's part of the quota
+	arrivalShare float64       // smoothed share of arrivals; the shares need not add up to 1
+	updatedAt    time.Duration // remaining is as of then
 }
 
-// overShare reports whether a request's tenant sends more than this node's part of its quota, and more of
-// what comes here than its share: a node that hot keys or few callers fill sees all of them beyond. What
-// the quota yields with time goes to first tries as they come, whatever becomes of them: who sends far more
-// would else have the next one in its place.
+// exceedsQuota reports whether a request's tenant sends more than this node's part of its quota and also
+// more than its share of the arrivals here: a node that gets many requests because of hot keys or few
+// callers sees every tenant beyond its quota. First tries use up the quota on arrival, whatever becomes
+// of them: if a refusal gave it back, the next request of the same excessive tenant would take it.
 func (m *Module) exceedsQuota(r *request) bool {
 	if r.Tenant < 0 || r.Tenant >= len(m.tenantUsage) {
 		return false
 	}
 	total := 0.0
 	for i := range m.tenantUsage {
-		if q := &m.tenantUsage[i]; !r.Retry {
-			q.arrivalShare -= tenantShareWeight * q.arrivalShare
+		if u := &m.tenantUsage[i]; !r.Retry {
+			u.arrivalShare -= tenantShareWeight * u.arrivalShare
 		}
 		total += m.tenantUsage[i].arrivalShare
 	}
-	q, t := &m.tenantUsage[r.Tenant], m.settings.Tenants[r.Tenant]
+	u, t := &m.tenantUsage[r.Tenant], m.settings.Tenants[r.Tenant]
 	rate := t.QuotaPerSecond / float64(max(m.settings.Nodes, 1))
-	q.remaining = min(q.remaining+rate*(m.now-q.updatedAt).Seconds(), max(rate*quotaBurstTime.Seconds(), minQuotaBurst))
-	q.updatedAt = m.now
+	u.remaining = min(u.remaining+rate*(m.now-u.updatedAt).Seconds(),
+		max(rate*quotaBurstTime.Seconds(), minQuotaBurst))
+	u.updatedAt = m.now
 	if !r.Retry {
-		q.arrivalShare += tenantShareWeight
+		u.arrivalShare += tenantShareWeight
 		total += tenantShareWeight
 	}
-	if r.Retry || rate > 0 && q.remaining < 1 {
-		return rate > 0 && q.remaining < 1 && q.arrivalShare > tenantShareTolerance*t.Share*total
+	if r.Retry || rate > 0 && u.remaining < 1 {
+		return rate > 0 && u.remaining < 1 && u.arrivalShare > tenantShareTolerance*t.Share*total
 	}
-	q.remaining--
+	u.remaining--
 	return false
 }
--- a/rules/request.go
+++ b/rules/request.go
@@ -5,40 +5,42 @@
 	"time"
 )
 
+// Queue timeouts, as shares of the class deadline.
 const (
-	queueTimeoutShare      = 0.12 // age limit as a share of the class deadline
-	unknownAgeTimeoutShare = 0.05 // the same where nothing tells how long its client has waited
+	queueTimeoutShare      = 0.12
+	unknownAgeTimeoutShare = 0.05 // where nothing says how long the client has waited already
 )
 
 type requestState uint8
 
 const (
-	queued      requestState = iota // in the line, or paused and back in it
+	queued      requestState = iota // in the queue, for the first time or again after a preemption
 	running                         // on a core or waiting for its disk
-	callPending                     // stands at a call and waits for our word
-	calling                         // its call is out
-	joined                          // waits for the result of the request it repeats
+	callPending                     // needs a downstream call that is not decided yet
+	calling                         // its downstream call is in flight
+	joined                          // waits for the result of the earlier request that it repeats
 )
 
+// request is a try that was read and what the module knows of it.
 type request struct {
 	Request
 	state           requestState
-	mayHaveRun      bool          // a run took effect
-	answered        bool          // its final answer is out; its run may go on
-	preempted       bool          // told to stop after its answer
-	finished        bool          // nothing is left of it
-	overQuota       bool          // beyond its tenant's quota
-	arrivedAt       time.Duration // at the machine
-	targetAt        time.Duration // an answer later than this is worth little
-	startedAt       time.Duration // its last run
+	mayHaveRun      bool // it was started, and the start may have had its effect
+	answered        bool // its final answer is out; its run may go on
+	preempted       bool // preempted after its answer
+	finished        bool // nothing of it is left in the host
+	overQuota       bool // beyond its tenant's quota
+	arrivedAt       time.Duration
+	targetAt        time.Duration // arrivedAt plus the latency target: later answers are worth little
+	startedAt       time.Duration // last start
 	dueAt           time.Duration // its answer must be out before this
-	queueTimeoutAt  time.Duration // held beyond this it has waited too long
-	callAttempts    int           // calls made for the present need
+	queueTimeoutAt  time.Duration
+	callAttempts    int // for the call that it needs at present
 	lastCallOutcome Outcome
 }
 
-// setTimes works out when the answer is due and until when it is wanted. Where
-// callers pass no patience, the class deadline counts from the machine.
+// setDeadlines sets when the answer is due, its latency target and its queue timeout. Where callers
+// pass no timeout, the class deadline counts from the arrival.
 func (m *Module) setDeadlines(r *request) {
 	c := m.class(r)
 	r.dueAt = r.arrivedAt + c.Deadline
@@ -61,7 +63,7 @@
 	}
 }
 
-// Ended tells that a run, or a reuse, is over.
+// RunEnded tells that a run, or the wait of a joined request, has ended.
 func (m *Module) RunEnded(now time.Duration, id RequestID, o Outcome, took time.Duration) {
 	m.now = now
 	m.countCallTime()
@@ -75,7 +77,7 @@
 	if r.state == running && !r.answered && o == OK {
 		m.observeSuccess(r, took)
 	}
-	if o == Cancelled && !r.answered { // stopped without an answer: it is still owed
+	if o == Cancelled && !r.answered { // preempted by the host: an answer is still owed
 		m.leaveExecution(r)
 		r.state = queued
 		if m.class(r).Effect == Safe {
@@ -85,33 +87,33 @@
 		}
 		return
 	}
-	if e := m.records[id]; e != nil && o == NeverStarted && m.class(r).Effect == Keyed { // its only start took no effect
-		e.mayHaveRun = false
+	// A keyed request whose only start had no effect.
+	if rec := m.records[id]; rec != nil && o == NeverStarted && m.class(r).Effect == Keyed {
+		rec.mayHaveRun = false
 		m.releaseRecord(r)
 	}
 	m.remove(r)
 }
 
-// turnAway refuses a request that never ran. Keyed work whose key may have run
-// is never refused: it fails.
-func (m *Module) refuse(r *request, last bool) {
+// refuse refuses a request that never ran; stopRetrying tells its caller to try no other node. A request
+// that may have run, or repeats a keyed one that may have, is never refused: it fails.
+func (m *Module) refuse(r *request, stopRetrying bool) {
 	if r.mayHaveRun || (m.class(r).Effect == Keyed && r.RepeatOf != 0) {
 		m.fail(r)
 		return
 	}
 	m.releaseRecord(r)
 	m.remove(r)
-	m.host.Refuse(r.ID, m.retryAfter(), last)
+	m.host.Refuse(r.ID, m.retryAfter(), stopRetrying)
 }
 
-// giveUp answers a request that has run, or may have, with an error, and stops
-// safe work that nobody waits for.
+// fail answers a request that has run, or may have, with an error and preempts it where that is safe.
 func (m *Module) fail(r *request) {
 	m.host.Fail(r.ID)
 	m.markAnswered(r)
 }
 
-// letGo takes leave of a request to which no answer is owed any more.
+// markAnswered notes that no answer is owed to a request any more; what never ran is removed.
 func (m *Module) markAnswered(r *request) {
 	r.answered = true
 	if r.state == queued || r.state == joined {
@@ -121,16 +123,17 @@
 	m.preemptAnswered(r)
 }
 
-// stop halts safe work whose answer is out. Keyed and unsafe work goes on: its effect is wanted.
+// preemptAnswered preempts a safe run whose answer is out. Keyed and unsafe runs go on: their effect is
+// wanted.
 func (m *Module) preemptAnswered(r *request) {
-	able := r.state == running && !r.finished && m.settings.Preemption != PreemptNone
-	if able && !r.preempted && m.class(r).Effect == Safe {
+	preemptible := r.state == running && !r.finished && m.settings.Preemption != PreemptNone
+	if preemptible && !r.preempted && m.class(r).Effect == Safe {
 		r.preempted = true
 		m.host.Preempt(r.ID)
 	}
 }
 
-// Gone tells that nobody waits for a request any more.
+// CallerGone tells that nobody waits for a request any more.
 func (m *Module) CallerGone(now time.Duration, id RequestID) {
 	m.now = now
 	if r := m.byID[id]; r != nil {
@@ -138,35 +141,37 @@
 	}
 }
 
-// margin is how long before it is due an answer must be decided.
+// answerMargin is how long before it is due an answer must be decided: a timer event and two batches.
 func (m *Module) answerMargin() time.Duration { return controlInterval + 2*m.settings.BatchInterval }
 
-// expire answers what can't wait: all before it is due, held work past its age
-// limit, and running safe work whose answer would be worth nothing.
+// answerExpired answers every request that is almost due, queued requests that must leave the queue,
+// and safe requests whose answer would have no utility after the latency target.
 func (m *Module) answerExpired() {
 	for _, r := range m.requests {
 		if r.finished || r.answered {
 			m.preemptAnswered(r)
 			continue
 		}
-		late := m.now >= r.dueAt-m.answerMargin()
-		if c := m.class(r); !late && r.state != queued && c.LateUtilityShare <= 0 && c.Effect == Safe && m.now > r.targetAt {
-			late = true
-			if r.state == running { // it takes at least this long: the runs that end in time hide it
+		expired := m.now >= r.dueAt-m.answerMargin()
+		if c := m.class(r); !expired && r.state != queued && c.LateUtilityShare <= 0 && c.Effect == Safe &&
+			m.now > r.targetAt {
+			expired = true
+			if r.state == running { // it takes this long at least: the runs that end in time would hide that
 				m.runLatency[r.Class].observe(m.now-r.startedAt, runLatencyWeight)
 			}
 		}
 		switch {
-		case r.state == queued && (late || m.mustLeaveQueue(r)):
+		case r.state == queued && (expired || m.mustLeaveQueue(r)):
 			m.overloadCount++
-			m.refuse(r, late || m.cannotMeetTargetAnywhere(r) || m.now > r.queueTimeoutAt && m.stopsRetries(r, true))
-		case late:
+			m.refuse(r, expired || m.cannotMeetTargetAnywhere(r) ||
+				m.now > r.queueTimeoutAt && m.stopsRetries(r, true))
+		case expired:
 			m.fail(r)
 		}
 	}
 }
 
-// leaveCores takes a request out of the counts of its state.
+// leaveExecution takes a request out of the counts and the memory of runs and calls.
 func (m *Module) leaveExecution(r *request) {
 	switch r.state {
 	case running:
@@ -183,7 +188,7 @@
 	m.requestMemoryKB -= max(r.MemoryKB*(m.settings.RunningMemoryFactor-1), 0)
 }
 
-// drop forgets a request of which nothing is left.
+// remove takes a finished request out of every count.
 func (m *Module) remove(r *request) {
 	if r.finished {
 		return
--- a/rules/stall.go
+++ b/rules/stall.go
@@ -3,11 +3,12 @@
 import "time"
 
 const (
-	stallIntervals = 10.0                   // usual gaps without progress that count as a stall
-	minStallTime   = 800 * time.Millisecond // and at least this long
+	stallIntervals = 10.0                   // usual intervals between signs of progress that count as a stall
+	minStallTime   = 800 * time.Millisecond // shortest time without progress that counts as a stall
 )
 
-// moved notes a sign of progress; after a stall, what was answered is stopped.
+// noteProgress records that a run went on or ended. At the end of a stall, answered requests may be
+// preempted once more.
 func (m *Module) noteProgress() {
 	m.lastProgress = m.now
 	if !m.stalled {
@@ -20,7 +21,7 @@
 	}
 }
 
-// watch looks for a stall: many usual gaps went by without a sign of progress.
+// detectStall looks for a stall: many times the usual interval passed without a sign of progress.
 func (m *Module) detectStall() {
 	if m.runningCount == 0 {
 		m.lastProgress, m.stalled = m.now, false
@@ -28,8 +29,8 @@
 	}
 	_, usual := m.meanLatency()
 	quiet := m.now - m.lastProgress
-	gaps := quiet.Seconds() * float64(m.runningCount) / usual
-	if !m.stalled && usual > 0 && gaps > stallIntervals && quiet > m.scaled(minStallTime) {
+	intervals := quiet.Seconds() * float64(m.runningCount) / usual
+	if !m.stalled && usual > 0 && intervals > stallIntervals && quiet > m.scaled(minStallTime) {
 		m.stalled = true
 		m.host.Log("no work moves: refusing")
 	}
--- a/rules/utility.go
+++ b/rules/utility.go
@@ -2,23 +2,26 @@
 
 import "cmp"
 
-const retryUtilityFactor = 0.4 // worth of a marked retry over a first try: it may be late
+// retryUtilityFactor is the utility of a marked retry relative to a first try: its client has waited
+// before, so the answer may come too late.
+const retryUtilityFactor = 0.4
 
-// worth is what serving a request earns. A marked retry may be late: its client has waited before.
+// utility is what answering a request in time earns.
 func (m *Module) utility(r *request) float64 {
-	v := m.class(r).Utility
+	u := m.class(r).Utility
 	if r.overQuota {
-		v *= m.settings.OverQuotaUtility
+		u *= m.settings.OverQuotaUtility
 	}
 	if r.Retry && m.shedder != nil {
-		v *= m.shedder.RetryUtility()
+		u *= m.shedder.RetryUtility()
 	} else if r.Retry {
-		v *= retryUtilityFactor
+		u *= retryUtilityFactor
 	}
-	return v
+	return u
 }
 
-// price is what serving a request as a first try earns for each unit of its expected work.
+// firstTryUtility is the cost-weighted utility that a request would have as a first try, by its own
+// work hint where it has one.
 func (m *Module) firstTryUtility(r *request) float64 {
 	first := request{Request: r.Request, overQuota: r.overQuota}
 	if first.Retry = false; m.settings.UtilityPerWork {
@@ -27,7 +30,7 @@
 	return m.utility(&first) / cmp.Or(r.WorkHint, m.expectedRun(r)).Seconds()
 }
 
-// value is what serving a held request earns for each unit of work.
+// weightedUtility is the cost-weighted utility of a request: its utility per second of expected run time.
 func (m *Module) weightedUtility(r *request) float64 {
 	if m.settings.UtilityPerWork {
 		return m.utility(r)
