--- a/rules/concurrency_test.go
+++ b/rules/concurrency_test.go
@@ -5,48 +5,48 @@
 	"time"
 )
 
-func TestLimitGrowsWhileCoresIdleAndShrinksWhenSlow(t *testing.T) {
-	b := newBed(t, nil)
+func TestLimitGrowsOnIdleCoresAndShrinksUnderContention(t *testing.T) {
+	h := newHarness(t, nil)
 	for range 4 {
-		b.arrive(0, nil)
+		h.arrive(0, nil)
 	}
-	b.settle()
-	b.pass(300*ms, 0.5, 1)
-	if b.m.runLimit <= 2 {
-		t.Fatalf("limit %v did not grow with idle cores and held work", b.m.runLimit)
+	h.finishBatch()
+	h.advance(300*ms, 0.5, 1)
+	if h.m.runLimit <= 2 {
+		t.Fatalf("limit %v did not grow with idle cores and held work", h.m.runLimit)
 	}
-	b.m.runLatency[0] = latencyEstimate{mean: 1, baseline: 0.2, samples: 20}
-	b.pass(5*time.Second, 1, 9)
-	if b.m.runLimit != 2 {
-		t.Errorf("limit %v, want the floor after long slow runs", b.m.runLimit)
+	h.m.runLatency[0] = latencyEstimate{mean: 1, baseline: 0.2, samples: 20}
+	h.advance(5*time.Second, 1, 9)
+	if h.m.runLimit != 2 {
+		t.Errorf("limit %v, want the floor after long slow runs", h.m.runLimit)
 	}
 }
 
-func TestCrowdCeiling(t *testing.T) {
+func TestConcurrencyCeiling(t *testing.T) {
 	for _, cold := range []bool{false, true} {
-		b := newBed(t, func(s *Settings) { s.ColdStart = cold })
-		b.m.runLimit = 1000
+		h := newHarness(t, func(s *Settings) { s.ColdStart = cold })
+		h.m.runLimit = 1000
 		for range 60 {
-			b.arrive(0, nil)
+			h.arrive(0, nil)
 		}
-		b.settle()
+		h.finishBatch()
 		most := 16
 		if cold {
 			most = 4 // 2 cores x (1 + 7 x 0.2) = 4.8
 		}
-		if got := b.count("run "); got > most || got < 2 {
+		if got := h.count("run "); got > most || got < 2 {
 			t.Errorf("cold %v: %d runs, at most %d are survived", cold, got, most)
 		}
 	}
 }
 
-func TestLimitDoesNotShrinkWhileCoresIdle(t *testing.T) {
-	b := newBed(t, nil)
-	b.m.runLimit = 8
-	b.m.runLatency[0] = latencyEstimate{mean: 1, baseline: 0.2, samples: 20}
-	b.pass(2*time.Second, 0.5, 1)
-	if b.m.runLimit != 8 {
-		t.Errorf("limit %v shrank on idle cores", b.m.runLimit)
+func TestLimitDoesNotShrinkOnIdleCores(t *testing.T) {
+	h := newHarness(t, nil)
+	h.m.runLimit = 8
+	h.m.runLatency[0] = latencyEstimate{mean: 1, baseline: 0.2, samples: 20}
+	h.advance(2*time.Second, 0.5, 1)
+	if h.m.runLimit != 8 {
+		t.Errorf("limit %v shrank on idle cores", h.m.runLimit)
 	}
 }
 
@@ -55,19 +55,19 @@
 // crowded: growth on its word would run the limit up to the crowd that the node
 // barely survives. It could harm where the gauge of runnable work counts what
 // wants no core.
-func TestLaggingBusyShareGrowsNoLimit(t *testing.T) {
+func TestLaggingBusyShareDoesNotGrowLimit(t *testing.T) {
 	for _, tc := range []struct {
 		runnable float64
 		grows    bool
 	}{{1, true}, {3, true}, {8, false}} { // two cores
-		b := newBed(t, nil)
+		h := newHarness(t, nil)
 		for range 30 {
-			b.arrive(0, nil)
+			h.arrive(0, nil)
 		}
-		b.settle()
-		b.pass(time.Second, 0.6, tc.runnable)
-		if grew := b.m.runLimit > 2; grew != tc.grows {
-			t.Errorf("%.0f runnable on two cores: a limit of %.1f", tc.runnable, b.m.runLimit)
+		h.finishBatch()
+		h.advance(time.Second, 0.6, tc.runnable)
+		if grew := h.m.runLimit > 2; grew != tc.grows {
+			t.Errorf("%.0f runnable on two cores: a limit of %.1f", tc.runnable, h.m.runLimit)
 		}
 	}
 }
--- a/rules/harness_test.go
+++ b/rules/harness_test.go
@@ -9,46 +9,46 @@
 const ms = time.Millisecond
 
 // bed drives a module and records what it does.
-type bed struct {
-	t    *testing.T
-	m    *Module
-	now  time.Duration
-	acts []string
-	next RequestID
-	last map[string]bool // "action id" seen
-	wake time.Duration
-	say  float64
+type harness struct {
+	t             *testing.T
+	m             *Module
+	now           time.Duration
+	actions       []string
+	lastID        RequestID
+	done          map[string]bool // "action id" seen
+	timerAt       time.Duration
+	publishedLoad float64
 }
 
-func (b *bed) add(format string, args ...any) {
+func (h *harness) record(format string, args ...any) {
 	line := fmt.Sprintf(format, args...)
-	b.acts = append(b.acts, line)
-	b.last[line] = true
+	h.actions = append(h.actions, line)
+	h.done[line] = true
 }
-func (b *bed) Run(id RequestID)     { b.add("run %d", id) }
-func (b *bed) Preempt(id RequestID) { b.add("halt %d", id) }
-func (b *bed) Refuse(id RequestID, after time.Duration, last bool) {
-	b.add("refuse %d", id)
+func (h *harness) Run(id RequestID)     { h.record("run %d", id) }
+func (h *harness) Preempt(id RequestID) { h.record("halt %d", id) }
+func (h *harness) Refuse(id RequestID, after time.Duration, last bool) {
+	h.record("refuse %d", id)
 	if after > 0 {
-		b.add("advice %d", id)
+		h.record("advice %d", id)
 	}
 	if last {
-		b.add("last %d", id)
+		h.record("last %d", id)
 	}
 }
-func (b *bed) Fail(id RequestID)                           { b.add("fail %d", id) }
-func (b *bed) Call(id RequestID, t time.Duration)          { b.add("call %d", id) }
-func (b *bed) SkipCall(id RequestID)                       { b.add("skip %d", id) }
-func (b *bed) KeepRecord(id RequestID, span time.Duration) { b.add("keep %d", id) }
-func (b *bed) ForgetRecord(id RequestID)                   { b.add("forget %d", id) }
-func (b *bed) JoinEarlier(id RequestID)                    { b.add("reuse %d", id) }
-func (b *bed) SetHealth(stored, good bool)                 { b.add("health %v %v", stored, good) }
-func (b *bed) PublishLoad(v float64)                       { b.say = v; b.add("say") }
-func (b *bed) SetIdleTimeout(after time.Duration)          { b.add("idle %v", after) }
-func (b *bed) StartTimer(token uint64, in time.Duration)   { b.wake = b.now + in }
-func (b *bed) Log(line string)                             {}
+func (h *harness) Fail(id RequestID)                           { h.record("fail %d", id) }
+func (h *harness) Call(id RequestID, t time.Duration)          { h.record("call %d", id) }
+func (h *harness) SkipCall(id RequestID)                       { h.record("skip %d", id) }
+func (h *harness) KeepRecord(id RequestID, span time.Duration) { h.record("keep %d", id) }
+func (h *harness) ForgetRecord(id RequestID)                   { h.record("forget %d", id) }
+func (h *harness) JoinEarlier(id RequestID)                    { h.record("reuse %d", id) }
+func (h *harness) SetHealth(stored, good bool)                 { h.record("health %v %v", stored, good) }
+func (h *harness) PublishLoad(v float64)                       { h.publishedLoad = v; h.record("say") }
+func (h *harness) SetIdleTimeout(after time.Duration)          { h.record("idle %v", after) }
+func (h *harness) StartTimer(token uint64, in time.Duration)   { h.timerAt = h.now + in }
+func (h *harness) Log(line string)                             {}
 
-func settings() Settings {
+func testSettings() Settings {
 	return Settings{
 		BatchInterval: 2 * ms, Cores: 2, Nodes: 4, Callers: 3, OverQuotaUtility: 0.05, HonoursRetryAfter: true,
 		MaxRetryAfter: time.Second, TimeoutsPassed: true, Preemption: PreemptDrop, MemoryKB: 1e6,
@@ -65,64 +65,64 @@
 	}
 }
 
-func newBed(t *testing.T, change func(*Settings)) *bed {
+func newHarness(t *testing.T, change func(*Settings)) *harness {
 	t.Helper()
-	s := settings()
+	s := testSettings()
 	if change != nil {
 		change(&s)
 	}
-	b := &bed{t: t, last: map[string]bool{}, now: 50 * time.Second}
-	m, err := New(b.now, s, 7, b)
+	h := &harness{t: t, done: map[string]bool{}, now: 50 * time.Second}
+	m, err := New(h.now, s, 7, h)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.m = m
-	return b
+	h.m = m
+	return h
 }
 
 // arrive reads a request of a class, with changes, and returns its id.
-func (b *bed) arrive(class int, change func(*Request)) RequestID {
-	b.next++
-	q := Request{ID: b.next, Class: class, MemoryKB: 10, CallerTimeout: 8 * time.Second}
+func (h *harness) arrive(class int, change func(*Request)) RequestID {
+	h.lastID++
+	q := Request{ID: h.lastID, Class: class, MemoryKB: 10, CallerTimeout: 8 * time.Second}
 	if change != nil {
 		change(&q)
 	}
-	b.m.Arrive(b.now, q)
+	h.m.Arrive(h.now, q)
 	return q.ID
 }
 
-func (b *bed) settle() { b.m.FinishBatch(b.now) }
+func (h *harness) finishBatch() { h.m.FinishBatch(h.now) }
 
 // pass lets time go by, beat for beat, as the host would.
-func (b *bed) pass(d time.Duration, gauges ...float64) {
-	for end := b.now + d; b.wake <= end; {
-		b.now = b.wake
-		b.m.TimerFired(b.now, 1, gauges)
-		b.settle()
+func (h *harness) advance(delay time.Duration, gauges ...float64) {
+	for end := h.now + delay; h.timerAt <= end; {
+		h.now = h.timerAt
+		h.m.TimerFired(h.now, 1, gauges)
+		h.finishBatch()
 	}
 }
 
-func (b *bed) want(lines ...string) {
-	b.t.Helper()
+func (h *harness) want(lines ...string) {
+	h.t.Helper()
 	for _, l := range lines {
-		if !b.last[l] {
-			b.t.Errorf("missing %q in %v", l, b.acts)
+		if !h.done[l] {
+			h.t.Errorf("missing %q in %v", l, h.actions)
 		}
 	}
 }
 
-func (b *bed) wantNot(lines ...string) {
-	b.t.Helper()
+func (h *harness) wantNot(lines ...string) {
+	h.t.Helper()
 	for _, l := range lines {
-		if b.last[l] {
-			b.t.Errorf("unwanted %q", l)
+		if h.done[l] {
+			h.t.Errorf("unwanted %q", l)
 		}
 	}
 }
 
-func (b *bed) count(prefix string) int {
+func (h *harness) count(prefix string) int {
 	n := 0
-	for _, a := range b.acts {
+	for _, a := range h.actions {
 		if len(a) > len(prefix) && a[:len(prefix)] == prefix {
 			n++
 		}
