--- a/rules/concurrency_test.go
+++ b/rules/concurrency_test.go
@@ -13,12 +13,12 @@
 	h.finishBatch()
 	h.advance(300*ms, 0.5, 1)
 	if h.m.runLimit <= 2 {
-		t.Fatalf("limit %v did not grow with idle cores and held work", h.m.runLimit)
+		t.Fatalf("limit %v did not grow with idle cores and queued requests", h.m.runLimit)
 	}
 	h.m.runLatency[0] = latencyEstimate{mean: 1, baseline: 0.2, samples: 20}
 	h.advance(5*time.Second, 1, 9)
 	if h.m.runLimit != 2 {
-		t.Errorf("limit %v, want the floor after long slow runs", h.m.runLimit)
+		t.Errorf("limit %v, want the core count after a time of slow runs", h.m.runLimit)
 	}
 }
 
@@ -32,10 +32,10 @@
 		h.finishBatch()
 		most := 16
 		if cold {
-			most = 4 // 2 cores x (1 + 7 x 0.2) = 4.8
+			most = 4 // 2 cores x (1 + 7 x 0.2) = 4.8, less the margin
 		}
 		if got := h.count("run "); got > most || got < 2 {
-			t.Errorf("cold %v: %d runs, at most %d are survived", cold, got, most)
+			t.Errorf("cold %v: %d runs, want 2 to %d", cold, got, most)
 		}
 	}
 }
@@ -50,11 +50,10 @@
 	}
 }
 
-// The busy share is a mean over a second or so, what wants a core is as of now. In
-// a burst after a quiet spell the first still says idle while the second says
-// crowded: growth on its word would run the limit up to the crowd that the node
-// barely survives. It could harm where the gauge of runnable work counts what
-// wants no core.
+// The gauge of busy cores is a mean over a second or so, that of runnable threads is current. In a burst
+// after a quiet time the first still says idle while the second shows contention; growth by the first alone
+// would raise the limit to the concurrency that the node barely survives. The risk is a gauge of runnable
+// threads that counts threads which want no core.
 func TestLaggingBusyShareDoesNotGrowLimit(t *testing.T) {
 	for _, tc := range []struct {
 		runnable float64
@@ -67,7 +66,7 @@
 		h.finishBatch()
 		h.advance(time.Second, 0.6, tc.runnable)
 		if grew := h.m.runLimit > 2; grew != tc.grows {
-			t.Errorf("%.0f runnable on two cores: a limit of %.1f", tc.runnable, h.m.runLimit)
+			t.Errorf("%.0f runnable threads on two cores: limit %.1f", tc.runnable, h.m.runLimit)
 		}
 	}
 }
--- a/rules/connections_test.go
+++ b/rules/connections_test.go
@@ -8,11 +8,11 @@
 func TestIdleTimeoutFollowsReuse(t *testing.T) {
 	for name, tc := range map[string]struct {
 		callers  int
-		from, to time.Duration // the limit lies between
+		from, to time.Duration // range of the idle timeout
 	}{
-		"few callers come back soon":      {3, 500 * ms, 30 * time.Second},
-		"dozens come back within seconds": {30, 4 * time.Second, 30 * time.Second},
-		"hundreds of callers seldom do":   {900, minIdleTimeout, time.Second},
+		"few callers return soon":      {3, 500 * ms, 30 * time.Second},
+		"dozens return within seconds": {30, 4 * time.Second, 30 * time.Second},
+		"hundreds seldom return":       {900, minIdleTimeout, time.Second},
 	} {
 		h := newHarness(t, func(s *Settings) { s.MaxIdleTimeout, s.Callers = 30*time.Second, tc.callers })
 		for i := range 400 {
@@ -22,7 +22,7 @@
 			h.m.RunEnded(h.now, id, OK, 50*ms)
 		}
 		if got := h.m.idleTimeout; got < tc.from || got > tc.to {
-			t.Errorf("%s: idle limit %v, want %v to %v", name, got, tc.from, tc.to)
+			t.Errorf("%s: idle timeout %v, want %v to %v", name, got, tc.from, tc.to)
 		}
 	}
 }
@@ -32,8 +32,8 @@
 		runnable float64
 		want     time.Duration
 	}{
-		"a few reads":         {2, time.Second},
-		"handshakes in heaps": {12, 30 * time.Second},
+		"a few reads":        {2, time.Second},
+		"a connection storm": {12, 30 * time.Second},
 	} {
 		h := newHarness(t, func(s *Settings) { s.MaxIdleTimeout = 30 * time.Second })
 		for i := range 400 {
@@ -43,13 +43,12 @@
 			h.m.RunEnded(h.now, id, OK, 50*ms)
 		}
 		if h.m.idleTimeout > tc.want || h.m.idleTimeout < tc.want/4 {
-			t.Errorf("%s: idle limit %v, want about %v", name, h.m.idleTimeout, tc.want)
+			t.Errorf("%s: idle timeout %v, want about %v", name, h.m.idleTimeout, tc.want)
 		}
 	}
 }
 
-// Callers' numbers are always new: what is remembered of them must end, by time
-// and by count.
+// Caller numbers may always be new: the callers that are tracked must be bounded by time and by number.
 func TestCallersAreForgotten(t *testing.T) {
 	h := newHarness(t, nil)
 	for i := range 2 * maxTrackedCallers {
@@ -58,10 +57,10 @@
 		h.finishBatch()
 	}
 	if n := len(h.m.lastArrival); n != maxTrackedCallers {
-		t.Errorf("%d callers remembered", n)
+		t.Errorf("%d callers tracked", n)
 	}
 	h.advance(70 * time.Second)
 	if n := len(h.m.lastArrival); n != 0 {
-		t.Errorf("%d callers remembered for a minute", n)
+		t.Errorf("%d callers tracked after a minute without requests", n)
 	}
 }
--- a/rules/dependency_test.go
+++ b/rules/dependency_test.go
@@ -14,10 +14,10 @@
 	h.m.callLatency.mean = 2
 	h.finishBatch()
 	if got := h.count("call "); got != 1 {
-		t.Errorf("%d calls out at a share of 0.3, want one: its time-out fits the share", got)
+		t.Errorf("%d calls in flight at a call share of 0.3, want one, whose timeout fits the budget", got)
 	}
 	if got := h.count("skip "); got < 4 {
-		t.Errorf("%d skips, want all but one that waits to go on without", got)
+		t.Errorf("%d calls skipped, want all but the one in flight and one that waits", got)
 	}
 }
 
@@ -28,10 +28,10 @@
 		outcome Outcome
 		want    string
 	}{
-		{"a skip that earns something comes before a repeat", 1, TimedOut, "skip 1"},
-		{"safe repeats where it must call", 0, TimedOut, "call 1"},
-		{"unsafe is not repeated", 3, TimedOut, "fail 1"},
-		{"unsafe repeats what never ran", 3, CallRejected, "call 1"},
+		{"a skip that leaves some utility comes before a repeat", 1, TimedOut, "skip 1"},
+		{"safe, repeated where the call must be made", 0, TimedOut, "call 1"},
+		{"unsafe, not repeated", 3, TimedOut, "fail 1"},
+		{"unsafe, repeated after a call that never ran", 3, CallRejected, "call 1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t, func(s *Settings) { s.Dependency = DependencyTier })
@@ -48,7 +48,7 @@
 	}
 }
 
-// callBed has n requests of class 1 standing at a call of a shared dependency.
+// harnessAtCall has n requests of class 1 with a pending call of a shared dependency.
 func harnessAtCall(t *testing.T, n int, change func(*Settings)) *harness {
 	h := newHarness(t, func(s *Settings) {
 		s.Dependency, s.Cores = DependencyShared, 8
@@ -77,7 +77,7 @@
 	}
 	h.advance(500*ms, 1, 1)
 	if h.m.callLimit >= start {
-		t.Errorf("limit %.2f did not shrink from %.2f as calls slowed sixfold", h.m.callLimit, start)
+		t.Errorf("call limit %.2f did not shrink from %.2f as calls took six times as long", h.m.callLimit, start)
 	}
 	low := h.m.callLimit
 	for range 60 {
@@ -88,17 +88,17 @@
 		h.advance(100*ms, 1, 1)
 	}
 	if h.m.callLimit <= low {
-		t.Errorf("limit %.2f did not recover with the latency", h.m.callLimit)
+		t.Errorf("call limit %.2f did not recover with the latency", h.m.callLimit)
 	}
 }
 
 func TestFullCallQueueSkipsTheLeastLoss(t *testing.T) {
 	h := harnessAtCall(t, 8, func(s *Settings) { s.Classes[1].SkipUtilityShare = 0.5 })
-	h.m.callLimit, h.m.callLatency.mean = 2, 0.75 // the line at the call holds two
+	h.m.callLimit, h.m.callLatency.mean = 2, 0.75 // the queue for calls holds two
 	h.m.requests[5].overQuota = true
 	h.finishBatch()
-	h.want("call 1", "call 2", "skip 6") // the two oldest call, what is beyond its share skips
-	h.wantNot("skip 3")                  // within the short line
+	h.want("call 1", "call 2", "skip 6") // the two oldest call, the one over its quota skips
+	h.wantNot("skip 3")                  // within the bound of the queue
 }
 
 func TestWaitForCallEndsInTime(t *testing.T) {
@@ -121,6 +121,6 @@
 		h.advance(100*ms, 1, 1)
 	}
 	if h.m.callLimit >= initialCallLimitShare*h.m.settings.CallShare {
-		t.Errorf("limit %.2f grew back while calls stayed slow", h.m.callLimit)
+		t.Errorf("call limit %.2f grew back while calls stayed slow", h.m.callLimit)
 	}
 }
--- a/rules/drain_test.go
+++ b/rules/drain_test.go
@@ -11,12 +11,12 @@
 	a := h.arrive(3, nil)
 	h.m.Drain(h.now, 4*time.Second)
 	h.finishBatch()
-	// What comes within the grace still runs: to send callers elsewhere at the notice
+	// Requests that arrive within the grace still run: sending callers elsewhere from the start of the drain
 	// would leave these cores idle just when the fleet is short of them.
 	h.advance(1500*ms, 1, 1)
 	h.wantNot("health true false")
 	h.advance(400*ms, 1, 1)
-	h.want("health true false") // in time for answers to tell it
+	h.want("health true false") // early enough for answers to carry it
 	within := h.arrive(0, func(q *Request) { q.Age = 500 * ms })
 	h.now += 200 * ms
 	late := h.arrive(0, nil)
@@ -26,6 +26,6 @@
 	h.advance(1890*ms, 1, 1)
 	h.want(fmt.Sprint("fail ", a)) // all answered before the stop
 	if len(h.m.queue) != 0 {
-		t.Errorf("%d still held at the stop", len(h.m.queue))
+		t.Errorf("%d still queued at the stop", len(h.m.queue))
 	}
 }
--- a/rules/harness_test.go
+++ b/rules/harness_test.go
@@ -8,14 +8,14 @@
 
 const ms = time.Millisecond
 
-// bed drives a module and records what it does.
+// harness is a host that drives a module and records its actions.
 type harness struct {
 	t             *testing.T
 	m             *Module
 	now           time.Duration
 	actions       []string
 	lastID        RequestID
-	done          map[string]bool // "action id" seen
+	done          map[string]bool // actions as "name id"
 	timerAt       time.Duration
 	publishedLoad float64
 }
@@ -26,14 +26,14 @@
 	h.done[line] = true
 }
 func (h *harness) Run(id RequestID)     { h.record("run %d", id) }
-func (h *harness) Preempt(id RequestID) { h.record("halt %d", id) }
-func (h *harness) Refuse(id RequestID, after time.Duration, last bool) {
+func (h *harness) Preempt(id RequestID) { h.record("preempt %d", id) }
+func (h *harness) Refuse(id RequestID, after time.Duration, stopRetrying bool) {
 	h.record("refuse %d", id)
 	if after > 0 {
-		h.record("advice %d", id)
+		h.record("retry-after %d", id)
 	}
-	if last {
-		h.record("last %d", id)
+	if stopRetrying {
+		h.record("stop-retrying %d", id)
 	}
 }
 func (h *harness) Fail(id RequestID)                           { h.record("fail %d", id) }
@@ -41,9 +41,9 @@
 func (h *harness) SkipCall(id RequestID)                       { h.record("skip %d", id) }
 func (h *harness) KeepRecord(id RequestID, span time.Duration) { h.record("keep %d", id) }
 func (h *harness) ForgetRecord(id RequestID)                   { h.record("forget %d", id) }
-func (h *harness) JoinEarlier(id RequestID)                    { h.record("reuse %d", id) }
+func (h *harness) JoinEarlier(id RequestID)                    { h.record("join %d", id) }
 func (h *harness) SetHealth(stored, good bool)                 { h.record("health %v %v", stored, good) }
-func (h *harness) PublishLoad(v float64)                       { h.publishedLoad = v; h.record("say") }
+func (h *harness) PublishLoad(v float64)                       { h.publishedLoad = v; h.record("load") }
 func (h *harness) SetIdleTimeout(after time.Duration)          { h.record("idle %v", after) }
 func (h *harness) StartTimer(token uint64, in time.Duration)   { h.timerAt = h.now + in }
 func (h *harness) Log(line string)                             {}
@@ -80,7 +80,7 @@
 	return h
 }
 
-// arrive reads a request of a class, with changes, and returns its id.
+// arrive feeds a request of a class, with changes, and returns its id.
 func (h *harness) arrive(class int, change func(*Request)) RequestID {
 	h.lastID++
 	q := Request{ID: h.lastID, Class: class, MemoryKB: 10, CallerTimeout: 8 * time.Second}
@@ -93,7 +93,7 @@
 
 func (h *harness) finishBatch() { h.m.FinishBatch(h.now) }
 
-// pass lets time go by, beat for beat, as the host would.
+// advance lets time pass and fires the timer as a host would.
 func (h *harness) advance(delay time.Duration, gauges ...float64) {
 	for end := h.now + delay; h.timerAt <= end; {
 		h.now = h.timerAt
--- a/rules/invariants_test.go
+++ b/rules/invariants_test.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// customer is a made-up deployment: a node's module under settings drawn at random, and
-// around it the platform as the wire page tells of it, which breaks in every allowed way.
-// It checks the four rules and each action's own terms from outside the module.
+// deployment is a module under random settings and a stand-in for the platform around it, which fails in
+// every way that the protocol allows. It checks from outside that no answer is lost, no request without a
+// safe effect runs twice, memory and concurrency stay survivable and nothing runs that arrives after a
+// drain's grace, and that each action is allowed.
 type deployment struct {
 	t              *testing.T
 	rng            *rand.Rand
@@ -20,27 +21,27 @@
 	lastID         RequestID
 	byID           map[RequestID]*try
 	tries          []*try
-	records        map[int]heldRecord // by what is asked
+	records        map[int]heldRecord // by operation
 	events         []event
 	timerAt        time.Duration
-	drainStartedAt time.Duration // the notice, or 0
+	drainStartedAt time.Duration // 0 = not draining
 	stopAt         time.Duration
-	runningCounts  []float64 // runs on cores, by tick, of the last fall window
-	longestRunMS   int       // run, in milliseconds
+	runningCounts  []float64 // running requests after each batch of the last overload window
+	longestRunMS   int       // milliseconds
 	failed         bool
 	counts         map[string]int
 }
 
-// try is one try of something asked; tries of the same thing share what.
+// try is one try of an operation; tries of the same request share the operation.
 type try struct {
 	request                                Request
 	operation                              int
 	arrivedAt, dueAt                       time.Duration
 	running, callPending, calling          bool
 	joined, finished, answered, callerGone bool
-	ran, callMayHaveRun                    bool // a start took effect; a call that may have had its effect is behind it
-	lastCallNeverRan                       bool // the last call is known not to have run
-	version                                int  // of its running state: late events of an older one are void
+	ran, callMayHaveRun                    bool // it was started; a call of it may have had its effect
+	lastCallNeverRan                       bool // its last call is known not to have run
+	version                                int  // of its state: events scheduled for an older one are void
 }
 
 type heldRecord struct {
@@ -63,7 +64,7 @@
 	d.events = append(d.events, event{d.now + delay, do})
 }
 
-// after lets something happen to a try unless its state has changed since.
+// scheduleFor schedules something for a try unless its state changes before.
 func (d *deployment) scheduleFor(tr *try, delay time.Duration, do func()) {
 	tr.version++
 	v := tr.version
@@ -87,7 +88,7 @@
 	d.m.RunEnded(d.now, tr.request.ID, o, took)
 }
 
-// goOn lets a run go on: to a call, or to its end.
+// continueRun lets a run go on to a call or to its end.
 func (d *deployment) continueRun(tr *try, calls bool) {
 	took := time.Duration(1+d.rng.IntN(d.longestRunMS)) * time.Millisecond
 	d.scheduleFor(tr, took, func() {
@@ -127,15 +128,15 @@
 	}
 	e := d.class(tr).Effect
 	if e != Safe && tr.ran {
-		d.fail("duplicate: %d of effect %d starts again", id, e)
+		d.fail("duplicate: %d of effect %d is started again", id, e)
 	}
 	for _, o := range d.tries {
 		if e == Keyed && o != tr && o.operation == tr.operation && o.ran && tr.arrivedAt-o.arrivedAt < d.class(tr).IdempotencyWindow && tr.arrivedAt >= o.arrivedAt {
-			d.fail("duplicate: %d runs what %d has run", id, o.request.ID)
+			d.fail("duplicate: %d runs the operation that %d has run", id, o.request.ID)
 		}
 	}
 	if d.drainStartedAt > 0 && tr.arrivedAt > d.drainStartedAt+d.settings.DrainGrace {
-		d.fail("drain: %d runs, it came %v after the notice", id, tr.arrivedAt-d.drainStartedAt)
+		d.fail("drain: %d runs, it arrived %v after the start of the drain", id, tr.arrivedAt-d.drainStartedAt)
 	}
 	tr.running, tr.ran = true, true
 	d.continueRun(tr, true)
@@ -144,12 +145,12 @@
 func (d *deployment) Preempt(id RequestID) {
 	tr := d.byID[id]
 	if d.settings.Preemption == PreemptNone {
-		d.fail("halt of %d where nothing can be halted", id)
+		d.fail("preemption of %d where the platform has none", id)
 	}
 	if d.class(tr).Effect != Safe && !tr.answered {
-		d.fail("halt of %d, whose work is not safe to repeat", id)
+		d.fail("preemption of %d, whose effect is not safe", id)
 	}
-	if d.counts["halt"]++; tr.running {
+	if d.counts["preempt"]++; tr.running {
 		d.scheduleFor(tr, d.settings.BatchInterval, func() { d.endRun(tr, Cancelled, d.settings.BatchInterval) })
 	}
 }
@@ -161,7 +162,7 @@
 		return
 	}
 	if refused && tr.ran && d.class(tr).Effect != Safe {
-		d.fail("duplicate: %d was turned away after it ran", id)
+		d.fail("duplicate: %d was refused after it ran", id)
 	}
 	tr.answered = true
 	switch {
@@ -176,7 +177,7 @@
 func (d *deployment) Refuse(id RequestID, after time.Duration, _ bool) {
 	d.counts["refuse"]++
 	if after > d.settings.MaxRetryAfter {
-		d.fail("advice of %v", after)
+		d.fail("retry-after of %v", after)
 	}
 	d.answer(id, true)
 }
@@ -195,7 +196,7 @@
 	}
 	d.counts["call"]++
 	if tr.callMayHaveRun && d.class(tr).Effect != Safe && !tr.lastCallNeverRan {
-		d.fail("duplicate: the call of %d is made again, it may have had its effect", id)
+		d.fail("duplicate: the call of %d is made again though it may have had its effect", id)
 	}
 	tr.callPending, tr.calling, tr.callMayHaveRun = false, true, true
 	o := []Outcome{OK, OK, OK, Failed, CallRejected, TimedOut, ConnectFailed, ConnectionReset}[d.rng.IntN(8)]
@@ -216,7 +217,7 @@
 func (d *deployment) SkipCall(id RequestID) {
 	tr := d.byID[id]
 	if d.class(tr).SkipUtilityShare <= 0 {
-		d.fail("the call of %d is left out, it may not be", id)
+		d.fail("the call of %d is skipped though it must be made", id)
 	}
 	if d.counts["skip"]++; tr.callPending {
 		tr.callPending, tr.running = false, true
@@ -227,7 +228,7 @@
 func (d *deployment) KeepRecord(id RequestID, span time.Duration) {
 	tr := d.byID[id]
 	if tr.request.Write && d.class(tr).Effect == Safe {
-		d.fail("a write, %d, is kept for sharing", id)
+		d.fail("a record is kept of %d, a write of a safe class", id)
 	}
 	if d.counts["keep"]++; !tr.finished {
 		d.records[tr.operation] = heldRecord{id, d.now + span}
@@ -243,12 +244,12 @@
 
 func (d *deployment) JoinEarlier(id RequestID) {
 	tr := d.byID[id]
-	if d.counts["reuse"]++; tr.request.RepeatOf == 0 {
-		d.fail("%d is to share a result and repeats nothing", id)
+	if d.counts["join"]++; tr.request.RepeatOf == 0 {
+		d.fail("%d joins an earlier request and repeats none", id)
 		return
 	}
 	if tr.request.Write && d.class(tr).Effect == Safe {
-		d.fail("%d is a write and shares an earlier result", id)
+		d.fail("%d is a write and joins an earlier request", id)
 	}
 	tr.joined = true
 	var wait func()
@@ -267,7 +268,7 @@
 
 func (d *deployment) PublishLoad(float64) {
 	if d.settings.LoadFeedback == FeedbackNone {
-		d.fail("a free value where none is used")
+		d.fail("load published where no load feedback is used")
 	}
 }
 
@@ -277,7 +278,7 @@
 func (d *deployment) StartTimer(_ uint64, in time.Duration)  { d.timerAt = d.now + in }
 func (d *deployment) pick(of ...time.Duration) time.Duration { return of[d.rng.IntN(len(of))] }
 
-// draw makes the settings of a customer.
+// drawSettings draws random settings.
 func (d *deployment) drawSettings() {
 	r := d.rng
 	d.settings = Settings{
@@ -308,7 +309,7 @@
 	}
 }
 
-// arrive reads one try: of something new, or once more of something asked before.
+// arrive feeds one try: of a new operation, or a further one of an earlier operation.
 func (d *deployment) arrive(age time.Duration) {
 	d.lastID++
 	tr := &try{operation: int(d.lastID), arrivedAt: d.now - age}
@@ -358,7 +359,7 @@
 	}
 }
 
-// check looks at the rules after a batch.
+// check checks the invariants after a batch.
 func (d *deployment) check() {
 	memory, running := 0.0, 0
 	for _, tr := range d.tries {
@@ -377,15 +378,15 @@
 			d.fail("lost: %d has no answer at %v, due at %v", tr.request.ID, d.now, tr.dueAt)
 		}
 	}
-	for what, e := range d.records {
+	for operation, e := range d.records {
 		if d.now < e.expires {
 			memory += d.settings.RecordKB
-		} else if d.now > e.expires+2*time.Second { // what came before its end may be read until then
-			delete(d.records, what)
+		} else if d.now > e.expires+2*time.Second { // requests that arrived before it expired may be read until then
+			delete(d.records, operation)
 		}
 	}
 	if memory > d.settings.MemoryKB {
-		d.fail("fall-over: %.0f of %.0f kB", memory, d.settings.MemoryKB)
+		d.fail("overload: %.0f of %.0f KB", memory, d.settings.MemoryKB)
 	}
 	d.runningCounts = append(d.runningCounts, float64(running))
 	if n := int(d.settings.OverloadWindow / d.settings.BatchInterval); len(d.runningCounts) > n {
@@ -399,19 +400,19 @@
 			speed = min(1, d.settings.ColdSpeed+(1-d.settings.ColdSpeed)*float64(d.now-50*time.Second)/float64(d.settings.WarmUpTime))
 		}
 		if most := float64(d.settings.Cores) * (1 + (d.settings.OverloadRunsPerCore-1)*speed); mean > most {
-			d.fail("fall-over: %.1f runs in the mean, %.1f are survived", mean, most)
+			d.fail("overload: %.1f runs in the mean, %.1f are survivable", mean, most)
 		}
 	}
 	live := d.tries[:0]
 	for _, tr := range d.tries {
-		if !tr.finished || tr.arrivedAt > d.now-15*time.Second { // longer than any window
+		if !tr.finished || tr.arrivedAt > d.now-15*time.Second { // longer than any idempotency window
 			live = append(live, tr)
 		}
 	}
 	d.tries = live
 }
 
-// play lets a day of 14 s pass, a drain at its end.
+// run plays 14 s, with a drain in the last three.
 func (d *deployment) run() {
 	d.drawSettings()
 	d.now = 50 * time.Second
@@ -422,11 +423,11 @@
 	}
 	rate := float64(d.settings.Cores) * (1 + 20*d.rng.Float64()) * d.settings.BatchInterval.Seconds()
 	d.longestRunMS = 400
-	blind := d.rng.IntN(3) == 0 // gauges that always say idle let the limit grow as far as it may
+	blind := d.rng.IntN(3) == 0 // gauges that always show idle cores let the limit grow to its ceiling
 	if blind {
 		d.longestRunMS = 1500
 	}
-	notice, end := d.now+11*time.Second, d.now+14*time.Second
+	drainAt, end := d.now+11*time.Second, d.now+14*time.Second
 	for ; d.now < end && !d.failed; d.now += d.settings.BatchInterval {
 		for i := 0; i < len(d.events); i++ {
 			if d.events[i].at <= d.now {
@@ -436,7 +437,7 @@
 				do()
 			}
 		}
-		if d.now >= notice && d.drainStartedAt == 0 {
+		if d.now >= drainAt && d.drainStartedAt == 0 {
 			d.drainStartedAt, d.stopAt = d.now, end-d.settings.BatchInterval
 			d.m.Drain(d.now, d.stopAt-d.now)
 		}
@@ -448,36 +449,36 @@
 			d.arrive(age)
 		}
 		if d.now >= d.timerAt {
-			wants := 0.0
+			runnable := 0.0
 			for _, tr := range d.tries {
 				if tr.running {
-					wants++
+					runnable++
 				}
 			}
 			if blind {
-				wants = 0
+				runnable = 0
 			}
-			d.m.TimerFired(d.now, 1, []float64{min(1, wants/float64(d.settings.Cores)), wants})
+			d.m.TimerFired(d.now, 1, []float64{min(1, runnable/float64(d.settings.Cores)), runnable})
 		}
 		d.m.FinishBatch(d.now)
 		d.check()
 	}
 }
 
-// The four rules hold at any customer: effects, halts, dependencies, feedback, hints, memory,
-// windows and troubles drawn at random, each action on its own terms.
+// The invariants hold in any deployment: effects, preemption, dependencies, load feedback, hints, memory,
+// windows and failures are drawn at random.
 func TestInvariantsInRandomDeployments(t *testing.T) {
-	seen := map[string]int{}
+	counts := map[string]int{}
 	for seed := range uint64(60) {
 		d := &deployment{t: t, rng: rand.New(rand.NewPCG(seed, 13)), seed: seed}
 		d.run()
-		for what, n := range d.counts {
-			seen[what] += n
+		for action, n := range d.counts {
+			counts[action] += n
 		}
 	}
-	for _, what := range []string{"run", "halt", "refuse", "fail", "call", "skip", "keep", "forget", "reuse"} {
-		if seen[what] < 50 {
-			t.Errorf("%s was met %d times: the days say little of it", what, seen[what])
+	for _, action := range []string{"run", "preempt", "refuse", "fail", "call", "skip", "keep", "forget", "join"} {
+		if counts[action] < 50 {
+			t.Errorf("action %s occurred %d times: too few to check it", action, counts[action])
 		}
 	}
 }
--- a/rules/module_test.go
+++ b/rules/module_test.go
@@ -17,7 +17,7 @@
 		s := testSettings()
 		change(&s)
 		if _, err := New(0, s, 1, &harness{done: map[string]bool{}}); err == nil {
-			t.Errorf("%s: accepted", name)
+			t.Errorf("%s: New accepted the settings", name)
 		}
 	}
 }
@@ -52,7 +52,7 @@
 		h.finishBatch()
 		h.advance(9*time.Second, 1, 1)
 		h.want(fmt.Sprintf("fail %d", id))
-		h.wantNot(fmt.Sprintf("refuse %d", id), fmt.Sprintf("halt %d", id))
+		h.wantNot(fmt.Sprintf("refuse %d", id), fmt.Sprintf("preempt %d", id))
 	}
 }
 
@@ -79,7 +79,7 @@
 	h.m.RunEnded(h.now, 1, Cancelled, 5*ms)
 	h.finishBatch()
 	h.advance(9*time.Second, 1, 1)
-	h.want("halt 1")
+	h.want("preempt 1")
 	h.wantNot("fail 1", "refuse 1", "run 3", "refuse 3")
 }
 
@@ -97,7 +97,7 @@
 		h.finishBatch()
 	}
 	if h.m.runningCount != 0 || h.m.inCallCount != 0 || len(h.m.requests) != 0 || h.m.requestMemoryKB != 0 {
-		t.Errorf("left over: %d on cores, %d in calls, %d requests, %v KB",
+		t.Errorf("left over: %d running, %d in calls, %d requests, %v KB",
 			h.m.runningCount, h.m.inCallCount, len(h.m.requests), h.m.requestMemoryKB)
 	}
 }
@@ -109,7 +109,7 @@
 	h.want("fail 1")
 }
 
-// play runs a fixed mix of events and returns what the module did.
+// playFixedEvents runs a fixed mix of events, with or without another module beside, and returns the actions.
 func playFixedEvents(t *testing.T, others bool) []string {
 	h := newHarness(t, nil)
 	var o *harness
@@ -133,19 +133,19 @@
 
 func TestDeterministic(t *testing.T) {
 	if !reflect.DeepEqual(playFixedEvents(t, false), playFixedEvents(t, false)) {
-		t.Error("two runs of the same events differ")
+		t.Error("the same events led to different actions")
 	}
 }
 
 func TestInstancesShareNoState(t *testing.T) {
 	if !reflect.DeepEqual(playFixedEvents(t, false), playFixedEvents(t, true)) {
-		t.Error("another instance changed what this one does")
+		t.Error("another instance changed the actions of this one")
 	}
 }
 
 func TestExtremeSettingsStillServe(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"a call share under one": func(s *Settings) { s.Dependency, s.CallShare = DependencyShared, 0.3 },
+		"a call share below one": func(s *Settings) { s.Dependency, s.CallShare = DependencyShared, 0.3 },
 		"hundreds of callers":    func(s *Settings) { s.Callers, s.LoadFeedback = 1300, FeedbackCredit },
 		"no callers":             func(s *Settings) { s.Callers, s.LoadFeedback = 0, FeedbackCredit },
 		"one core":               func(s *Settings) { s.Cores = 1 },
@@ -172,11 +172,10 @@
 	}
 }
 
-// The clock's zero means nothing: a host may count from any time, so that a node
-// whose worker pool came up before it may begin far below zero. What is decided
-// must be the same.
+// The zero of the host's clock has no meaning: a node whose worker pool came up first may start far below
+// zero. The actions must not depend on it.
 func TestClockBelowZero(t *testing.T) {
-	day := func(from time.Duration) []string {
+	run := func(from time.Duration) []string {
 		h := &harness{t: t, done: map[string]bool{}, now: from}
 		s := testSettings()
 		s.Dependency, s.MaxIdleTimeout = DependencyShared, 30*time.Second
@@ -207,19 +206,19 @@
 		}
 		return h.actions
 	}
-	want := day(50 * time.Second)
+	want := run(50 * time.Second)
 	for _, from := range []time.Duration{-10 * time.Second, -time.Hour, -1} {
-		if got := day(from); !reflect.DeepEqual(got, want) {
+		if got := run(from); !reflect.DeepEqual(got, want) {
 			t.Errorf("from %v: %d actions, want %d", from, len(got), len(want))
 		}
 	}
 }
 
-// Where aims and work are short, learning must be as much quicker: a bound that
-// takes eight seconds to be known refuses through a third of a short release.
+// Where latency targets are short, control intervals must be short too: a queue bound that takes eight
+// seconds to learn refuses requests through a third of a short release.
 func TestShortTargetsShortenControlIntervals(t *testing.T) {
-	steps := func(aim time.Duration) (n int) {
-		h := newHarness(t, func(s *Settings) { s.Classes[0].LatencyTarget = aim })
+	steps := func(target time.Duration) (n int) {
+		h := newHarness(t, func(s *Settings) { s.Classes[0].LatencyTarget = target })
 		for range 40 {
 			at := h.m.limitSteppedAt
 			h.advance(25 * ms)
@@ -230,6 +229,6 @@
 		return n
 	}
 	if long, short := steps(2500*ms), steps(500*ms); long != 10 || short < 3*long {
-		t.Errorf("%d steps at a long aim, %d at a short one", long, short)
+		t.Errorf("%d control steps with a long latency target, %d with a short one", long, short)
 	}
 }
--- a/rules/queue_test.go
+++ b/rules/queue_test.go
@@ -15,8 +15,8 @@
 	if got := h.count("run "); got != 2 {
 		t.Errorf("%d runs at the start, want the core count", got)
 	}
-	// The line's floor is the running limit: 2 wait, 2 are refused at once with advice.
-	h.want("refuse 6", "advice 6", "refuse 5")
+	// The queue holds as many as may run at least: 2 wait, 2 are refused at once with a retry-after.
+	h.want("refuse 6", "retry-after 6", "refuse 5")
 	h.m.RunEnded(h.now, 1, OK, 100*ms)
 	h.finishBatch()
 	h.want("run 3") // the oldest
@@ -29,7 +29,7 @@
 		h.arrive(0, nil)
 	}
 	h.finishBatch()
-	h.arrive(1, nil) // worth 2
+	h.arrive(1, nil) // utility 2
 	h.finishBatch()
 	h.want("refuse 4")
 	h.wantNot("refuse 5")
@@ -52,7 +52,7 @@
 		h.arrive(0, nil)
 	}
 	h.finishBatch()
-	h.now += 2100 * ms // nothing is delivered meanwhile
+	h.now += 2100 * ms // no event is delivered meanwhile
 	h.m.TimerFired(h.now, 1, []float64{1, 2})
 	h.m.RunEnded(h.now, 1, OK, 100*ms)
 	h.finishBatch()
@@ -75,7 +75,7 @@
 			h.advance(25*ms, 1, 2)
 		}
 		if got := h.m.drainSuccesses; (got > 1) != (o == OK) {
-			t.Errorf("outcome %v taught a drain rate of %.1f", o, got)
+			t.Errorf("outcome %v led to %.1f counted successes", o, got)
 		}
 	}
 }
@@ -89,7 +89,7 @@
 		for range 3 {
 			h.arrive(0, nil)
 		}
-		h.arrive(1, nil) // worth twice as much
+		h.arrive(1, nil) // twice the utility
 		h.finishBatch()
 		h.m.pressure = c.pressure
 		h.m.RunEnded(h.now, 1, OK, 50*ms)
@@ -112,7 +112,7 @@
 		}
 		h.finishBatch()
 		h.advance(50*ms, c.gauges...)
-		h.arrive(0, func(q *Request) { q.Age = 900 * ms }) // 1.1 s are left before an aim of 2 s: 1.4 runs don't fit
+		h.arrive(0, func(q *Request) { q.Age = 900 * ms }) // 1.1 s are left before a target of 2 s: 1.4 runs of 1 s do not fit
 		h.finishBatch()
 		h.want(c.want)
 	}
@@ -133,11 +133,10 @@
 	h.wantNot(fmt.Sprintf("refuse %d", first))
 }
 
-// Bursts that are over within a step must teach the bound too: where runs take a
-// few milliseconds no line ever stands for a whole step, a bound learned only
-// from those stays at the slots, and one refusal in a burst keeps a caller away
-// for longer than the burst. It could harm where short runs say nothing of long
-// ones: the rate is then too high until slots were short for a step.
+// Bursts that are over within a control step must raise the queue bound too. Where runs take a few
+// milliseconds, requests are never queued for a whole step; a bound learned from whole steps would stay at
+// the running limit, and a refusal would keep a caller away for longer than the burst. The risk is a drain
+// rate that is too high, until slots were short for a step, where short runs say nothing of long ones.
 func TestShortBurstsRaiseQueueBound(t *testing.T) {
 	h := newHarness(t, func(s *Settings) { s.BatchInterval = ms })
 	for range 60 { // two cores, runs of 5 ms, a burst of ten every 25 ms
@@ -155,31 +154,31 @@
 		h.advance(max(h.timerAt-h.now, 0), 0.5, 1)
 	}
 	if got := h.m.drainRate(); got < 200 || got > 800 {
-		t.Errorf("two slots and runs of 5 ms drain %.0f a second", got)
+		t.Errorf("drain rate %.0f a second with two slots and runs of 5 ms", got)
 	}
 	if got := h.m.queueBound(); got < 100 {
-		t.Errorf("a bound of %d", got)
+		t.Errorf("queue bound %d, want 100 at least", got)
 	}
 	h.actions = nil
-	for range 80 { // half a second of work, well before its aim
+	for range 80 { // half a second of work, well before its latency target
 		h.arrive(0, nil)
 	}
 	h.finishBatch()
 	for _, act := range h.actions {
 		if act != "run 601" && act != "run 602" {
-			t.Errorf("%s, though all fits", act)
+			t.Errorf("%s, though every request fits", act)
 		}
 	}
 }
 
-// Where neither marks nor patience tell how long a client has waited already, what is held
-// may be its third try, and is let go sooner.
+// Where neither marked retries nor caller timeouts say how long a client has waited already, a request may
+// be its third try and has a shorter queue timeout.
 func TestUnknownAgeShortensQueueTimeout(t *testing.T) {
 	for name, tc := range map[string]struct {
-		marks, patience bool
-		held            time.Duration
-	}{"marked": {true, false, 960 * ms}, "patience": {false, true, 960 * ms}, "neither": {false, false, 400 * ms}} {
-		h := newHarness(t, func(s *Settings) { s.RetriesMarked, s.TimeoutsPassed = tc.marks, tc.patience })
+		marks, timeouts bool
+		wait            time.Duration
+	}{"marked": {true, false, 960 * ms}, "timeouts": {false, true, 960 * ms}, "neither": {false, false, 400 * ms}} {
+		h := newHarness(t, func(s *Settings) { s.RetriesMarked, s.TimeoutsPassed = tc.marks, tc.timeouts })
 		h.arrive(3, nil)
 		h.arrive(3, nil) // both cores busy
 		h.finishBatch()
@@ -188,14 +187,14 @@
 		for !h.done[fmt.Sprint("refuse ", a)] && h.now < from+2*time.Second {
 			h.advance(25*ms, 1, 9)
 		}
-		if took := h.now - from; took < tc.held || took > tc.held+60*ms {
-			t.Errorf("%s: refused after %v, want %v", name, took, tc.held)
+		if took := h.now - from; took < tc.wait || took > tc.wait+60*ms {
+			t.Errorf("%s: refused after %v, want %v", name, took, tc.wait)
 		}
 	}
 }
 
-// What was read past its age limit while a core is free starts at once: it did not wait
-// here, it came late, and refusing it costs another read somewhere.
+// A request read after its queue timeout starts at once if a core is free: it arrived late rather than
+// waited here, and a refusal would cost another read at some node.
 func TestLateArrivalStartsOnFreeCore(t *testing.T) {
 	for busy, starts := range []bool{true, true, false} { // of two cores
 		h := newHarness(t, nil)
@@ -203,10 +202,10 @@
 			h.arrive(3, nil)
 		}
 		h.finishBatch()
-		late := h.arrive(0, func(q *Request) { q.Age = 1100 * ms }) // 0.12 of 8 s is 960 ms; its aim is 2.5 s
+		late := h.arrive(0, func(q *Request) { q.Age = 1100 * ms }) // 0.12 of 8 s is 960 ms; its latency target is 2.5 s
 		h.finishBatch()
 		if h.done[fmt.Sprint("run ", late)] != starts || h.done[fmt.Sprint("refuse ", late)] == starts {
-			t.Errorf("%d of 2 cores taken: starts %v", busy, !starts)
+			t.Errorf("%d of 2 cores busy: started %v", busy, !starts)
 		}
 	}
 }
--- a/rules/replay_test.go
+++ b/rules/replay_test.go
@@ -11,9 +11,9 @@
 	"robinmast/rules"
 )
 
-// replays are traces of events on a stand-in machine, each with the digest of
-// every action that the module takes on it without pools, by the same module with and without
-// the code for them when they came; they are taken anew when the module's own decisions change.
+// replays are event traces on a simulated machine, each with the digest of every action that the module
+// takes on it without pools, log lines included. The digests are recorded again when decisions change on
+// purpose.
 var replays = map[string]struct {
 	seed    uint64
 	change  func(*rules.Settings, *machine.Options)
@@ -40,7 +40,7 @@
 	"two cores": {9, func(s *rules.Settings, _ *machine.Options) { s.Cores = 2 }, mix(0.65), "8284edb5c806e4a4d27b0b13"},
 }
 
-// mix is a mix of three classes that takes a share of four cores.
+// mix is a mix of three classes; load is the share of four cores that it takes.
 func mix(load float64) []machine.Stream {
 	rate := load * 4 / 0.020
 	return []machine.Stream{
@@ -52,10 +52,10 @@
 
 func replaySettings() rules.Settings {
 	class := rules.Class{LatencyTarget: 600 * time.Millisecond, Deadline: 1500 * time.Millisecond, Utility: 1}
-	dear, slow := class, class
-	dear.Utility, slow.Utility, slow.LateUtilityShare = 3, 1.5, 0.4
+	valuable, slow := class, class
+	valuable.Utility, slow.Utility, slow.LateUtilityShare = 3, 1.5, 0.4
 	return rules.Settings{
-		BatchInterval: time.Millisecond, Cores: 4, Nodes: 1, Callers: 3, Classes: []rules.Class{class, dear, slow},
+		BatchInterval: time.Millisecond, Cores: 4, Nodes: 1, Callers: 3, Classes: []rules.Class{class, valuable, slow},
 		Tenants: []rules.Tenant{{QuotaPerSecond: 160}, {QuotaPerSecond: 30}}, OverQuotaUtility: 0.2, MemoryKB: 1e6, RunningMemoryFactor: 4, RecordKB: 1,
 		Preemption: rules.PreemptDrop, OverloadRunsPerCore: 8, OverloadWindow: time.Second, DrainGrace: 300 * time.Millisecond,
 		TimeoutsPassed: true, DisconnectsReported: true, Gauges: []string{"cpu_busy", "runnable"}, HonoursRetryAfter: true,
@@ -63,7 +63,7 @@
 	}
 }
 
-// Without pools the module takes exactly the actions it took before there were any.
+// Without pools the module takes exactly the recorded actions.
 func TestReplaysWithoutPools(t *testing.T) {
 	for name, c := range replays {
 		opt := machine.Options{Settings: replaySettings(), Crowd: 0.1}
@@ -84,7 +84,7 @@
 			t.Errorf("%s: %d actions, digest %s, want %s", name, n, got, c.digest)
 		}
 		if len(res.Broken) > 0 && name != "drain" {
-			t.Errorf("%s: rules broken: %v", name, res.Broken)
+			t.Errorf("%s: invariants violated: %v", name, res.Broken)
 		}
 	}
 }
--- a/rules/shedder_test.go
+++ b/rules/shedder_test.go
@@ -2,18 +2,19 @@
 
 import (
 	"strconv"
+	"strings"
 	"testing"
 	"time"
 )
 
-// neighbours stands in for decide/together: it says what it is told to.
+// fakeShedder is a Shedder that answers as its fields say and counts calls.
 type fakeShedder struct {
 	exceedsTimeout, stopsRetries bool
 	retryUtility                 float64
 	minRetryAfter                time.Duration
 	arrived                      int
 	retries                      int
-	firstTryUtilities            []float64 // prices of refusals
+	firstTryUtilities            []float64 // of the refused requests
 	queueLength                  int
 }
 
@@ -37,8 +38,8 @@
 	return max(shedder.minRetryAfter, base)
 }
 
-// beside is a bed whose slots are taken and whose line holds more than runs, under
-// lasting pressure, so that slots go by worth.
+// harnessWithFullQueue has no free slot, more requests queued than running, and so much pressure that
+// slots go by utility.
 func harnessWithFullQueue(t *testing.T, shedder *fakeShedder) *harness {
 	vain := shedder.exceedsTimeout
 	shedder.exceedsTimeout = false
@@ -51,61 +52,61 @@
 	}
 	h.finishBatch()
 	h.m.pressure = 2 * utilityOrderPressure
-	for len(h.m.queue) <= int(h.m.runLimit) { // its bound may be the limit itself
+	for len(h.m.queue) <= int(h.m.runLimit) { // the bound may be the running limit itself
 		h.m.drainSeconds, h.m.drainSuccesses = 1, 100
 		h.arrive(0, nil)
 		h.finishBatch()
 	}
 	if !h.m.saturated {
-		t.Fatal("slots are not short")
+		t.Fatal("the module is not saturated")
 	}
 	return h
 }
 
-// What would be held in vain is refused at once, and not where it may run: not
-// without pressure, not while few are held, not while slots are free.
+// A request that would exceed its queue timeout is refused on arrival, but only under pressure, while many
+// are queued and no slot is free.
 func TestExceedingQueueTimeoutIsRefusedOnArrival(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*harness)
 		want   bool
 	}{
-		"in vain":          {func(*harness) {}, true},
-		"without pressure": {func(h *harness) { h.m.pressure = 0 }, false},
-		"few are held":     {func(h *harness) { h.m.queue = h.m.queue[:1] }, false},
-		"slots are free":   {func(h *harness) { h.m.saturated = false }, false},
+		"exceeds the timeout": {func(*harness) {}, true},
+		"without pressure":    {func(h *harness) { h.m.pressure = 0 }, false},
+		"few are queued":      {func(h *harness) { h.m.queue = h.m.queue[:1] }, false},
+		"slots are free":      {func(h *harness) { h.m.saturated = false }, false},
 	} {
 		shedder := &fakeShedder{exceedsTimeout: true, stopsRetries: true, retryUtility: 1}
 		h := harnessWithFullQueue(t, shedder)
 		c.change(h)
 		id := h.arrive(0, nil)
 		if got := h.done["refuse "+itoa(id)]; got != c.want {
-			t.Errorf("%s: refused at once %v", name, got)
+			t.Errorf("%s: refused on arrival %v", name, got)
 		}
 		if c.want {
-			h.want("refuse "+itoa(id), "last "+itoa(id))
+			h.want("refuse "+itoa(id), "stop-retrying "+itoa(id))
 		}
 	}
 	shedder := &fakeShedder{retryUtility: 1}
 	h := harnessWithFullQueue(t, shedder)
 	if id := h.arrive(0, nil); h.done["refuse "+itoa(id)] || shedder.queueLength == 0 {
-		t.Error("refused though it is not in vain, or nobody asked")
+		t.Error("refused though it would not exceed its queue timeout, or the shedder was not asked")
 	}
 }
 
-// A repeat of keyed work that may have run is never refused by it: it fails.
+// A repeat of keyed work that may have run is not refused for its queue timeout: it fails.
 func TestExceedingQueueTimeoutFailsWhatMayHaveRun(t *testing.T) {
 	shedder := &fakeShedder{exceedsTimeout: true, retryUtility: 1}
 	h := harnessWithFullQueue(t, shedder)
-	first := h.arrive(2, nil) // refused at once: its key is free again
+	first := h.arrive(2, nil) // refused on arrival: its record is released
 	h.want("refuse "+itoa(first), "forget "+itoa(first))
 	again := h.arrive(2, func(q *Request) { q.RepeatOf = first })
 	if h.done["refuse "+itoa(again)] || !h.done["fail "+itoa(again)] {
-		t.Errorf("a keyed repeat in vain: %v", h.actions)
+		t.Errorf("a keyed repeat that exceeds its queue timeout: %v", h.actions)
 	}
 }
 
-// Walks end as the fleet has it, whatever this node's own pressure is, and the
-// price is that of a first try.
+// With a shedder, its StopsRetries decides, whatever the pressure of this node is. It gets the utility that
+// the request would have as a first try.
 func TestShedderStopsRetries(t *testing.T) {
 	for _, ends := range []bool{false, true} {
 		shedder := &fakeShedder{stopsRetries: ends, retryUtility: 0.4}
@@ -117,33 +118,33 @@
 		h.finishBatch()
 		last := 0
 		for line := range h.done {
-			if line[:4] == "last" {
+			if strings.HasPrefix(line, "stop-retrying") {
 				last++
 			}
 		}
 		if len(shedder.firstTryUtilities) == 0 || (last == len(shedder.firstTryUtilities)) != ends || !ends && last > 0 {
-			t.Errorf("ends %v: %d of %d refusals ended a walk", ends, last, len(shedder.firstTryUtilities))
+			t.Errorf("StopsRetries %v: %d of %d refusals told to stop retrying", ends, last, len(shedder.firstTryUtilities))
 		}
 		for _, price := range shedder.firstTryUtilities {
-			if price != 10 { // worth 1 for 0.1 s, no less for being a further try
-				t.Fatalf("price %v", price)
+			if price != 10 { // utility 1 for 0.1 s, no less for being a further try
+				t.Fatalf("first-try utility %v", price)
 			}
 		}
 		if shedder.arrived != 30 || shedder.retries != 30 {
-			t.Errorf("%d arrivals and %d further tries were told of 30", shedder.arrived, shedder.retries)
+			t.Errorf("%d arrivals and %d further tries of 30 were passed on", shedder.arrived, shedder.retries)
 		}
 	}
 }
 
-// A further try counts as the fleet has it: whole, the newest leaves a full line;
-// less, the further try does.
+// With a shedder, its RetryUtility applies: at 1 the newest request is evicted from a full queue, below 1
+// the further try is.
 func TestShedderSetsRetryUtility(t *testing.T) {
 	for _, worth := range []float64{1, 0.4} {
 		shedder := &fakeShedder{retryUtility: worth}
 		h := newHarness(t, func(s *Settings) { s.NewShedder = func(time.Duration) Shedder { return shedder } })
 		h.arrive(0, nil)
 		h.arrive(0, nil)
-		h.finishBatch() // both slots are taken
+		h.finishBatch() // no slot is free
 		again := h.arrive(0, func(q *Request) { q.Retry = true })
 		h.finishBatch()
 		for range 5 {
@@ -151,7 +152,7 @@
 		}
 		h.finishBatch()
 		if got := h.done["refuse "+itoa(again)]; got != (worth < 1) {
-			t.Errorf("worth %v: the further try left the line %v", worth, got)
+			t.Errorf("retry utility %v: the further try was evicted %v", worth, got)
 		}
 	}
 }
--- a/rules/stall_test.go
+++ b/rules/stall_test.go
@@ -21,14 +21,14 @@
 	h.advance(1100*ms, 1, 2)
 	d := h.arrive(0, nil)
 	h.finishBatch()
-	h.want(fmt.Sprint("refuse ", d), fmt.Sprint("advice ", d), "health true false")
-	h.wantNot(fmt.Sprint("last ", d)) // another node can serve it
+	h.want(fmt.Sprint("refuse ", d), fmt.Sprint("retry-after ", d), "health true false")
+	h.wantNot(fmt.Sprint("stop-retrying ", d)) // another node can serve it
 	h.m.RunEnded(h.now, a, Cancelled, 900*ms)
 	h.m.RunEnded(h.now, c, Cancelled, 900*ms)
 	h.actions = nil
 	h.finishBatch()
-	if !slices.Equal(h.actions, []string{fmt.Sprint("run ", c), fmt.Sprint("run ", a)}) { // their aim is 1.4 s away, and both cores are free
-		t.Errorf("after the stall: %v", h.actions)
+	if !slices.Equal(h.actions, []string{fmt.Sprint("run ", c), fmt.Sprint("run ", a)}) { // their latency target is 1.4 s away, and both cores are free
+		t.Errorf("actions after the preemptions: %v", h.actions)
 	}
 	h.m.RunEnded(h.now, a, OK, 50*ms)
 	e := h.arrive(0, nil)
@@ -38,7 +38,7 @@
 
 func TestFirstRunsCauseNoFalseStall(t *testing.T) {
 	h := newHarness(t, nil)
-	for range 3 { // the first to end are the shortest
+	for range 3 { // the first runs to end are the shortest
 		id := h.arrive(0, nil)
 		h.finishBatch()
 		h.m.RunEnded(h.now, id, OK, 10*ms)
@@ -48,6 +48,6 @@
 	h.finishBatch()
 	h.advance(1200*ms, 1, 2)
 	if h.m.stalled {
-		t.Error("three short runs made usual ones look stalled")
+		t.Error("after three short runs, usual ones count as a stall")
 	}
 }
