--- a/rules/api.go
+++ b/rules/api.go
@@ -1,5 +1,5 @@
 // Package rules is robinmast's decision module: which requests a node queues, runs and refuses, which
-// downstream calls it makes, and what it tells its callers about its load.
+// downstream calls it makes, and the load feedback that it publishes.
 //
 // A host feeds one Module per node: each event through its method, then FinishBatch once for the batch.
 // Idempotency records of a previous incarnation come first, by RestoreRecord. The module acts through
@@ -96,7 +96,7 @@
 	Share          float64 // expected share of the arrivals
 }
 
-// Settings is what a node is told when it starts.
+// Settings are the settings of a node, fixed at its start.
 type Settings struct {
 	BatchInterval       time.Duration // shortest time between batches
 	Cores               int
@@ -192,7 +192,7 @@
 	// ExceedsQueueTimeout reports whether a request of this cost-weighted utility would be queued for
 	// longer than timeout.
 	ExceedsQueueTimeout(queue []QueuedRequest, utility float64, timeout time.Duration) bool
-	// StopsRetries reports whether the caller of a refused request is told to try no other node.
+	// StopsRetries reports whether the caller of a refused request must try no other node.
 	StopsRetries(now time.Duration, firstTryUtility float64) bool
 	// RetryUtility is the utility of a further try relative to a first one.
 	RetryUtility() float64
@@ -206,7 +206,7 @@
 	Run(id RequestID)
 	// Preempt stops the run of a request as Settings.Preemption says.
 	Preempt(id RequestID)
-	// Refuse answers that a request never ran. stopRetrying tells the caller to try no other node.
+	// Refuse answers that a request never ran. stopRetrying: the caller must try no other node.
 	Refuse(id RequestID, retryAfter time.Duration, stopRetrying bool)
 	// Fail answers with an error, without a promise that nothing ran.
 	Fail(id RequestID)
--- a/rules/dependency.go
+++ b/rules/dependency.go
@@ -25,7 +25,7 @@
 	callWindowBuckets   = 25    // buckets of the sliding call window
 )
 
-// CallNeeded tells that a running request needs a downstream call before it can go on.
+// CallNeeded reports that a running request needs a downstream call before it can go on.
 func (m *Module) CallNeeded(now time.Duration, id RequestID) {
 	m.now = now
 	if r := m.byID[id]; r != nil && r.state == running {
@@ -36,7 +36,7 @@
 	}
 }
 
-// CallEnded tells how a downstream call ended.
+// CallEnded reports how a downstream call ended.
 func (m *Module) CallEnded(now time.Duration, id RequestID, o Outcome, took time.Duration) {
 	m.now = now
 	m.countCallTime()
--- a/rules/drain.go
+++ b/rules/drain.go
@@ -5,7 +5,7 @@
 // drainServeShare is the share of the drain's grace after which callers are sent elsewhere.
 const drainServeShare = 0.9
 
-// Drain tells the module that the process will be stopped after left. Every answer goes out before that.
+// Drain announces that the process will be stopped after left. Every answer goes out before that.
 func (m *Module) Drain(now time.Duration, left time.Duration) {
 	m.now = now
 	if !m.draining {
--- a/rules/feedback.go
+++ b/rules/feedback.go
@@ -36,7 +36,7 @@
 	minLoadChange       = 0.005 // smaller changes are not published
 )
 
-// stopsRetries reports whether the caller of a refused request is told to try no other node; timedOut:
+// stopsRetries reports whether the caller of a refused request must try no other node; timedOut:
 // its queue timeout was exceeded here. Where retries are marked and few arrive, the other nodes have room
 // and only this node is short of it.
 func (m *Module) stopsRetries(r *request, timedOut bool) bool {
--- a/rules/queue_test.go
+++ b/rules/queue_test.go
@@ -126,10 +126,10 @@
 	h.finishBatch()
 	old := h.arrive(0, retry)
 	first := h.arrive(0, nil)
-	dear := h.arrive(1, retry)
+	valuable := h.arrive(1, retry)
 	h.arrive(0, nil)
 	h.finishBatch()
-	h.want(fmt.Sprintf("refuse %d", old), fmt.Sprintf("refuse %d", dear))
+	h.want(fmt.Sprintf("refuse %d", old), fmt.Sprintf("refuse %d", valuable))
 	h.wantNot(fmt.Sprintf("refuse %d", first))
 }
 
--- a/rules/request.go
+++ b/rules/request.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// RunEnded tells that a run, or the wait of a joined request, has ended.
+// RunEnded reports that a run, or the wait of a joined request, has ended.
 func (m *Module) RunEnded(now time.Duration, id RequestID, o Outcome, took time.Duration) {
 	m.now = now
 	m.countCallTime()
@@ -95,7 +95,7 @@
 	m.remove(r)
 }
 
-// refuse refuses a request that never ran; stopRetrying tells its caller to try no other node. A request
+// refuse refuses a request that never ran; stopRetrying: its caller must try no other node. A request
 // that may have run, or repeats a keyed one that may have, is never refused: it fails.
 func (m *Module) refuse(r *request, stopRetrying bool) {
 	if r.mayHaveRun || (m.class(r).Effect == Keyed && r.RepeatOf != 0) {
@@ -133,7 +133,7 @@
 	}
 }
 
-// CallerGone tells that nobody waits for a request any more.
+// CallerGone reports that nobody waits for a request any more.
 func (m *Module) CallerGone(now time.Duration, id RequestID) {
 	m.now = now
 	if r := m.byID[id]; r != nil {
--- a/rules/shedder_test.go
+++ b/rules/shedder_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// fakeShedder is a Shedder that answers as its fields say and counts calls.
+// fakeShedder is a Shedder that answers with the values of its fields and counts calls.
 type fakeShedder struct {
 	exceedsTimeout, stopsRetries bool
 	retryUtility                 float64
@@ -25,12 +25,12 @@
 	}
 }
 func (shedder *fakeShedder) Step(time.Duration, float64, float64) []string { return []string{"a line"} }
-func (shedder *fakeShedder) ExceedsQueueTimeout(line []QueuedRequest, _ float64, _ time.Duration) bool {
-	shedder.queueLength = len(line)
+func (shedder *fakeShedder) ExceedsQueueTimeout(queue []QueuedRequest, _ float64, _ time.Duration) bool {
+	shedder.queueLength = len(queue)
 	return shedder.exceedsTimeout
 }
-func (shedder *fakeShedder) StopsRetries(_ time.Duration, price float64) bool {
-	shedder.firstTryUtilities = append(shedder.firstTryUtilities, price)
+func (shedder *fakeShedder) StopsRetries(_ time.Duration, utility float64) bool {
+	shedder.firstTryUtilities = append(shedder.firstTryUtilities, utility)
 	return shedder.stopsRetries
 }
 func (shedder *fakeShedder) RetryUtility() float64 { return shedder.retryUtility }
@@ -41,9 +41,9 @@
 // harnessWithFullQueue has no free slot, more requests queued than running, and so much pressure that
 // slots go by utility.
 func harnessWithFullQueue(t *testing.T, shedder *fakeShedder) *harness {
-	vain := shedder.exceedsTimeout
+	exceeds := shedder.exceedsTimeout
 	shedder.exceedsTimeout = false
-	defer func() { shedder.exceedsTimeout = vain }()
+	defer func() { shedder.exceedsTimeout = exceeds }()
 	h := newHarness(t, func(s *Settings) {
 		s.NewShedder = func(time.Duration) Shedder { return shedder }
 	})
@@ -125,9 +125,9 @@
 		if len(shedder.firstTryUtilities) == 0 || (last == len(shedder.firstTryUtilities)) != ends || !ends && last > 0 {
 			t.Errorf("StopsRetries %v: %d of %d refusals told to stop retrying", ends, last, len(shedder.firstTryUtilities))
 		}
-		for _, price := range shedder.firstTryUtilities {
-			if price != 10 { // utility 1 for 0.1 s, no less for being a further try
-				t.Fatalf("first-try utility %v", price)
+		for _, utility := range shedder.firstTryUtilities {
+			if utility != 10 { // utility 1 for 0.1 s, no less for being a further try
+				t.Fatalf("first-try utility %v", utility)
 			}
 		}
 		if shedder.arrived != 30 || shedder.retries != 30 {
@@ -139,8 +139,8 @@
 // With a shedder, its RetryUtility applies: at 1 the newest request is evicted from a full queue, below 1
 // the further try is.
 func TestShedderSetsRetryUtility(t *testing.T) {
-	for _, worth := range []float64{1, 0.4} {
-		shedder := &fakeShedder{retryUtility: worth}
+	for _, retryUtility := range []float64{1, 0.4} {
+		shedder := &fakeShedder{retryUtility: retryUtility}
 		h := newHarness(t, func(s *Settings) { s.NewShedder = func(time.Duration) Shedder { return shedder } })
 		h.arrive(0, nil)
 		h.arrive(0, nil)
@@ -151,8 +151,8 @@
 			h.arrive(0, nil)
 		}
 		h.finishBatch()
-		if got := h.done["refuse "+itoa(again)]; got != (worth < 1) {
-			t.Errorf("retry utility %v: the further try was evicted %v", worth, got)
+		if got := h.done["refuse "+itoa(again)]; got != (retryUtility < 1) {
+			t.Errorf("retry utility %v: the further try was evicted %v", retryUtility, got)
 		}
 	}
 }
