--- a/rules/feedback_test.go
+++ b/rules/feedback_test.go
@@ -85,7 +85,8 @@
 			h.arrive(0, func(q *Request) { q.Retry = tc.retry })
 		}
 		h.finishBatch()
-		if refused, last := h.count("refuse "), h.count("stop-retrying "); refused == 0 || (last == refused) != tc.last {
+		if refused, last := h.count("refuse "), h.count("stop-retrying "); refused == 0 ||
+			(last == refused) != tc.last {
 			t.Errorf("%s: %d refused, %d of them told to stop retrying, want that %v", name, refused, last, tc.last)
 		}
 	}
--- a/rules/idempotency_test.go
+++ b/rules/idempotency_test.go
@@ -59,7 +59,8 @@
 // Released records take no memory: a refused request, and one whose only start had no effect, leave room
 // for others at once.
 func TestReleasedRecordsTakeNoMemory(t *testing.T) {
-	h := newHarness(t, func(s *Settings) { s.MemoryKB, s.RunningMemoryFactor, s.RecordKB = 10000, 1, 300 }) // records may take 4,500 KB
+	// Records may take 4,500 KB.
+	h := newHarness(t, func(s *Settings) { s.MemoryKB, s.RunningMemoryFactor, s.RecordKB = 10000, 1, 300 })
 	keyed := func(q *Request) { q.MemoryKB = 1 }
 	for range 3 { // both cores busy, a full queue, and a further 30 requests
 		for range 10 {
@@ -101,7 +102,8 @@
 // A flood of refused keyed requests leaves at most twice as many records as may be kept with results. A
 // repeat of a request whose record was discarded never runs.
 func TestReleasedRecordsAreBounded(t *testing.T) {
-	h := newHarness(t, func(s *Settings) { s.MemoryKB, s.RunningMemoryFactor, s.RecordKB = 10000, 1, 300 }) // 15 may be kept
+	// 15 may be kept.
+	h := newHarness(t, func(s *Settings) { s.MemoryKB, s.RunningMemoryFactor, s.RecordKB = 10000, 1, 300 })
 	var last RequestID
 	for range 500 {
 		last = h.arrive(2, func(q *Request) { q.MemoryKB = 1 })
--- a/rules/invariants_test.go
+++ b/rules/invariants_test.go
@@ -131,7 +131,8 @@
 		d.fail("duplicate: %d of effect %d is started again", id, e)
 	}
 	for _, o := range d.tries {
-		if e == Keyed && o != tr && o.operation == tr.operation && o.ran && tr.arrivedAt-o.arrivedAt < d.class(tr).IdempotencyWindow && tr.arrivedAt >= o.arrivedAt {
+		if e == Keyed && o != tr && o.operation == tr.operation && o.ran &&
+			tr.arrivedAt-o.arrivedAt < d.class(tr).IdempotencyWindow && tr.arrivedAt >= o.arrivedAt {
 			d.fail("duplicate: %d runs the operation that %d has run", id, o.request.ID)
 		}
 	}
@@ -282,22 +283,31 @@
 func (d *deployment) drawSettings() {
 	r := d.rng
 	d.settings = Settings{
-		BatchInterval: d.pick(time.Millisecond, 5*time.Millisecond), Cores: 1 + r.IntN(4), Nodes: 1 + r.IntN(20), Callers: r.IntN(50),
-		ColdStart: r.IntN(3) == 0, OverQuotaUtility: 0.05, UtilityPerWork: r.IntN(2) == 0, RetriesMarked: r.IntN(2) == 0,
-		TimeoutsPassed: r.IntN(2) == 0, DisconnectsReported: r.IntN(2) == 0, HonoursRetryAfter: true, MaxRetryAfter: time.Second,
-		LoadFeedback: LoadFeedback(r.IntN(4)), LoadFeedbackTTL: time.Second, Preemption: Preemption(r.IntN(3)),
+		BatchInterval: d.pick(time.Millisecond, 5*time.Millisecond), Cores: 1 + r.IntN(4), Nodes: 1 + r.IntN(20),
+		Callers:   r.IntN(50),
+		ColdStart: r.IntN(3) == 0, OverQuotaUtility: 0.05, UtilityPerWork: r.IntN(2) == 0,
+		RetriesMarked:  r.IntN(2) == 0,
+		TimeoutsPassed: r.IntN(2) == 0, DisconnectsReported: r.IntN(2) == 0, HonoursRetryAfter: true,
+		MaxRetryAfter: time.Second,
+		LoadFeedback:  LoadFeedback(r.IntN(4)), LoadFeedbackTTL: time.Second, Preemption: Preemption(r.IntN(3)),
 		MemoryKB: 2000 + 20000*r.Float64(), RunningMemoryFactor: 4 + 12*r.Float64(), RecordKB: 1 + 40*r.Float64(),
-		ReadFreshness: d.pick(0, 200*time.Millisecond, 2*time.Second), Gauges: []string{"cpu_busy", "runnable"}, MaxIdleTimeout: 30 * time.Second,
-		Dependency: Dependency(r.IntN(3)), CallShare: 0.5 + 5*r.Float64(), CallWindow: 5 * time.Second, AbandonedCallTime: 200 * time.Millisecond,
-		AnswerSlack: 60 * time.Millisecond, ColdSpeed: 0.2 + 0.5*r.Float64(), WarmUpTime: 9 * time.Second,
-		DrainGrace: d.pick(300*time.Millisecond, 2*time.Second), OverloadRunsPerCore: 3 + 5*r.Float64(), OverloadWindow: 1500 * time.Millisecond,
+		ReadFreshness: d.pick(0, 200*time.Millisecond, 2*time.Second), Gauges: []string{"cpu_busy", "runnable"},
+		MaxIdleTimeout: 30 * time.Second,
+		Dependency:     Dependency(r.IntN(3)), CallShare: 0.5 + 5*r.Float64(), CallWindow: 5 * time.Second,
+		AbandonedCallTime: 200 * time.Millisecond,
+		AnswerSlack:       60 * time.Millisecond, ColdSpeed: 0.2 + 0.5*r.Float64(), WarmUpTime: 9 * time.Second,
+		DrainGrace: d.pick(300*time.Millisecond, 2*time.Second), OverloadRunsPerCore: 3 + 5*r.Float64(),
+		OverloadWindow: 1500 * time.Millisecond,
 	}
 	for i := range 3 {
 		deadline := 1500 + r.IntN(8000)
 		k := Class{
-			LatencyTarget: time.Duration(deadline*(25+r.IntN(40))/100) * time.Millisecond, Deadline: time.Duration(deadline) * time.Millisecond,
-			LateUtilityShare: 0.2 * float64(r.IntN(2)), Utility: float64(1 + r.IntN(4)), Effect: Effect((i + r.IntN(2)) % 3),
-			IdempotencyWindow: time.Duration(2+r.IntN(8)) * time.Second, CallsDependency: d.settings.Dependency != DependencyNone && r.IntN(3) > 0,
+			LatencyTarget:    time.Duration(deadline*(25+r.IntN(40))/100) * time.Millisecond,
+			Deadline:         time.Duration(deadline) * time.Millisecond,
+			LateUtilityShare: 0.2 * float64(r.IntN(2)), Utility: float64(1 + r.IntN(4)),
+			Effect:            Effect((i + r.IntN(2)) % 3),
+			IdempotencyWindow: time.Duration(2+r.IntN(8)) * time.Second,
+			CallsDependency:   d.settings.Dependency != DependencyNone && r.IntN(3) > 0,
 		}
 		if r.IntN(2) == 0 && k.Effect == Safe {
 			k.SkipUtilityShare = 0.5
@@ -314,8 +324,10 @@
 	d.lastID++
 	tr := &try{operation: int(d.lastID), arrivedAt: d.now - age}
 	tr.request = Request{
-		ID: d.lastID, Class: d.rng.IntN(len(d.settings.Classes)), Age: age, MemoryKB: 5 + 40*d.rng.Float64(), Caller: uint32(d.rng.IntN(60)),
-		WorkHint: time.Duration(d.rng.IntN(2)) * time.Duration(20+d.rng.IntN(500)) * time.Millisecond, Tenant: d.rng.IntN(len(d.settings.Tenants) + 1),
+		ID: d.lastID, Class: d.rng.IntN(len(d.settings.Classes)), Age: age, MemoryKB: 5 + 40*d.rng.Float64(),
+		Caller:   uint32(d.rng.IntN(60)),
+		WorkHint: time.Duration(d.rng.IntN(2)) * time.Duration(20+d.rng.IntN(500)) * time.Millisecond,
+		Tenant:   d.rng.IntN(len(d.settings.Tenants) + 1),
 	}
 	if n := len(d.tries); n > 0 && d.rng.IntN(3) == 0 {
 		o := d.tries[n-1-d.rng.IntN(min(n, 60))]
@@ -328,7 +340,8 @@
 	if k.Effect == Safe {
 		tr.request.Key = uint64(tr.operation)
 	}
-	if e, ok := d.records[tr.operation]; ok && tr.arrivedAt < e.expires && k.Effect != Unsafe && !tr.request.Write {
+	if e, ok := d.records[tr.operation]; ok && tr.arrivedAt < e.expires && k.Effect != Unsafe &&
+		!tr.request.Write {
 		if o := d.byID[e.holder]; k.Effect == Keyed || !o.finished || d.now-o.arrivedAt < d.settings.ReadFreshness {
 			tr.request.RepeatOf = e.holder
 		}
@@ -374,7 +387,8 @@
 		if tr.running {
 			running++
 		}
-		if !tr.answered && !tr.callerGone && (d.now > tr.dueAt+d.settings.AnswerSlack || d.drainStartedAt > 0 && d.now >= d.stopAt) {
+		if !tr.answered && !tr.callerGone && (d.now > tr.dueAt+d.settings.AnswerSlack ||
+			d.drainStartedAt > 0 && d.now >= d.stopAt) {
 			d.fail("lost: %d has no answer at %v, due at %v", tr.request.ID, d.now, tr.dueAt)
 		}
 	}
--- a/rules/latency_test.go
+++ b/rules/latency_test.go
@@ -20,7 +20,8 @@
 	if small > 600*ms || big < 1800*ms {
 		t.Errorf("expected runs %v and %v, want about 400 ms and 2.6 s", small, big)
 	}
-	id := h.arrive(0, func(q *Request) { q.WorkHint = 1200 * ms }) // 2.6 s, times 1.4 is 3.6 s; the latency target is 2.5 s
+	// 2.6 s, times 1.4 is 3.6 s; the latency target is 2.5 s.
+	id := h.arrive(0, func(q *Request) { q.WorkHint = 1200 * ms })
 	h.advance(25*ms, 1, 9)
 	h.want(fmt.Sprint("refuse ", id))
 }
--- a/rules/queue_test.go
+++ b/rules/queue_test.go
@@ -112,7 +112,8 @@
 		}
 		h.finishBatch()
 		h.advance(50*ms, c.gauges...)
-		h.arrive(0, func(q *Request) { q.Age = 900 * ms }) // 1.1 s are left before a target of 2 s: 1.4 runs of 1 s do not fit
+		// 1.1 s are left before a target of 2 s: 1.4 runs of 1 s do not fit.
+		h.arrive(0, func(q *Request) { q.Age = 900 * ms })
 		h.finishBatch()
 		h.want(c.want)
 	}
@@ -202,7 +203,8 @@
 			h.arrive(3, nil)
 		}
 		h.finishBatch()
-		late := h.arrive(0, func(q *Request) { q.Age = 1100 * ms }) // 0.12 of 8 s is 960 ms; its latency target is 2.5 s
+		// 0.12 of 8 s is 960 ms; its latency target is 2.5 s.
+		late := h.arrive(0, func(q *Request) { q.Age = 1100 * ms })
 		h.finishBatch()
 		if h.done[fmt.Sprint("run ", late)] != starts || h.done[fmt.Sprint("refuse ", late)] == starts {
 			t.Errorf("%d of 2 cores busy: started %v", busy, !starts)
--- a/rules/quota_test.go
+++ b/rules/quota_test.go
@@ -122,7 +122,8 @@
 		again := h.arrive(2, func(q *Request) { q.RepeatOf = ran })
 		h.wantNot(fmt.Sprint("refuse ", within))
 		h.want(fmt.Sprint("join ", again))
-		if h.done[fmt.Sprint("refuse ", beyond)] != tc.refused || h.done[fmt.Sprint("stop-retrying ", beyond)] != tc.refused {
+		if h.done[fmt.Sprint("refuse ", beyond)] != tc.refused ||
+			h.done[fmt.Sprint("stop-retrying ", beyond)] != tc.refused {
 			t.Errorf("%s: refused on arrival %v", name, !tc.refused)
 		}
 	}
--- a/rules/replay_test.go
+++ b/rules/replay_test.go
@@ -55,11 +55,16 @@
 	valuable, slow := class, class
 	valuable.Utility, slow.Utility, slow.LateUtilityShare = 3, 1.5, 0.4
 	return rules.Settings{
-		BatchInterval: time.Millisecond, Cores: 4, Nodes: 1, Callers: 3, Classes: []rules.Class{class, valuable, slow},
-		Tenants: []rules.Tenant{{QuotaPerSecond: 160}, {QuotaPerSecond: 30}}, OverQuotaUtility: 0.2, MemoryKB: 1e6, RunningMemoryFactor: 4, RecordKB: 1,
-		Preemption: rules.PreemptDrop, OverloadRunsPerCore: 8, OverloadWindow: time.Second, DrainGrace: 300 * time.Millisecond,
-		TimeoutsPassed: true, DisconnectsReported: true, Gauges: []string{"cpu_busy", "runnable"}, HonoursRetryAfter: true,
-		MaxRetryAfter: time.Second, LoadFeedback: rules.FeedbackWeight, MaxIdleTimeout: 30 * time.Second, AnswerSlack: 60 * time.Millisecond,
+		BatchInterval: time.Millisecond, Cores: 4, Nodes: 1, Callers: 3,
+		Classes: []rules.Class{class, valuable, slow},
+		Tenants: []rules.Tenant{{QuotaPerSecond: 160}, {QuotaPerSecond: 30}}, OverQuotaUtility: 0.2,
+		MemoryKB: 1e6, RunningMemoryFactor: 4, RecordKB: 1,
+		Preemption: rules.PreemptDrop, OverloadRunsPerCore: 8, OverloadWindow: time.Second,
+		DrainGrace:     300 * time.Millisecond,
+		TimeoutsPassed: true, DisconnectsReported: true, Gauges: []string{"cpu_busy", "runnable"},
+		HonoursRetryAfter: true,
+		MaxRetryAfter:     time.Second, LoadFeedback: rules.FeedbackWeight, MaxIdleTimeout: 30 * time.Second,
+		AnswerSlack: 60 * time.Millisecond,
 	}
 }
 
--- a/rules/shedder_test.go
+++ b/rules/shedder_test.go
@@ -122,7 +122,8 @@
 				last++
 			}
 		}
-		if len(shedder.firstTryUtilities) == 0 || (last == len(shedder.firstTryUtilities)) != ends || !ends && last > 0 {
+		if len(shedder.firstTryUtilities) == 0 || (last == len(shedder.firstTryUtilities)) != ends ||
+			!ends && last > 0 {
 			t.Errorf("StopsRetries %v: %d of %d refusals told to stop retrying", ends, last, len(shedder.firstTryUtilities))
 		}
 		for _, utility := range shedder.firstTryUtilities {
--- a/rules/stall_test.go
+++ b/rules/stall_test.go
@@ -27,7 +27,8 @@
 	h.m.RunEnded(h.now, c, Cancelled, 900*ms)
 	h.actions = nil
 	h.finishBatch()
-	if !slices.Equal(h.actions, []string{fmt.Sprint("run ", c), fmt.Sprint("run ", a)}) { // their latency target is 1.4 s away, and both cores are free
+	// Their latency target is 1.4 s away, and both cores are free.
+	if !slices.Equal(h.actions, []string{fmt.Sprint("run ", c), fmt.Sprint("run ", a)}) {
 		t.Errorf("actions after the preemptions: %v", h.actions)
 	}
 	h.m.RunEnded(h.now, a, OK, 50*ms)
