--- a/cmd/robinmast/command.go
+++ b/cmd/robinmast/command.go
@@ -109,7 +109,7 @@
 			if os.Getenv("EDGE_CONFIG") != "" {
 				cfg, also := load(os.Getenv)
 				if also == nil && own != nil {
-					also = own.Names(cfg.names.Classes)
+					also = own.CheckClasses(cfg.names.Classes)
 				}
 				err = errors.Join(err, also)
 			}
--- a/cmd/robinmast/open.go
+++ b/cmd/robinmast/open.go
@@ -24,7 +24,7 @@
 	mem, err := resultcache.Open(resultcache.Config{
 		Results: cfg.own.Results, Store: cfg.own.Store, Settings: cfg.set, Names: cfg.names, Log: log, Spread: spread,
 	})
-	if err != nil && cfg.own.Results.Forget {
+	if err != nil && cfg.own.Results.StartEmpty {
 		log.Error("serving without remembered results: what ran before this start may run again", "err", err)
 		return nil, nil
 	}
--- a/cmd/robinmast/serve.go
+++ b/cmd/robinmast/serve.go
@@ -98,12 +98,12 @@
 	if p.control != nil && back != nil {
 		p.control.remembers(back, p.node.ObservePrevious, p.node.FleetCapacity)
 	}
-	if p.control != nil && cfg.own.Shedding.Enabled && cfg.own.Shedding.Told {
+	if p.control != nil && cfg.own.Shedding.Enabled && cfg.own.Shedding.UseDigests {
 		p.control.told = p.node.ReceiveDigest
 	}
 	setup := 0.0
 	if cfg.own.Shedding.Enabled {
-		setup = cfg.own.Shedding.Setup * cfg.Limits.Cores
+		setup = cfg.own.Shedding.SetupShare * cfg.Limits.Cores
 	}
 	p.front = front.New(front.Config{
 		Settings: cfg.set, Names: cfg.names, MaxConns: max(sockets, 1),
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,8 +1,10 @@
-// Package config owns the node's INI file: its keys, their units, defaults and
-// bounds, and how a fault in it is told. It must never decide what a feature
-// does, and never start anything.
+// Package config reads the node's INI file. A table holds each key's section, kind,
+// default, range and help text; Load and Parse return a typed Config, or one Fault for
+// each error, with file, line, section and key. The platform's file (EDGE_CONFIG) is not
+// read here.
 //
-// The platform's own file (EDGE_CONFIG) is not read here.
+// Load reads the named file; the package does no other I/O and starts nothing. A Config may
+// be used by several goroutines as long as none changes it.
 package config
 
 import (
@@ -22,7 +24,8 @@
 	"gopkg.in/ini.v1"
 )
 
-// Config is the file, typed. The zero value is not usable; take Defaults.
+// Config holds the settings of the INI file. The zero value is not usable: start from
+// Defaults.
 type Config struct {
 	Log     Log
 	Results Results
@@ -33,80 +36,80 @@
 	Shedding Shedding
 	Recovery Recovery
 
-	name   string // of the file, for faults found later
-	places places
+	name  string // of the file, for faults found after parsing
+	lines lineIndex
 }
 
-// Log is how lines are logged.
+// Log holds the settings of [log].
 type Log struct {
 	Level  string // debug, info, warn or error
 	Format string // text or json
 }
 
-// Results is what [results] says.
+// Results holds the settings of [results], the result cache.
 type Results struct {
 	Enabled      bool
 	Dir          string
-	Bytes        int64
-	Entries      int
-	Durable      bool // intents and results wait for the disk
-	Forget       bool // start without memory if the store can't be opened
-	RunUnwritten bool // run what no intent could be written for
-	FailUnknown  bool // fail repeats of safe work cut off by a crash
-	Unsafe       bool // write intents for work that may run at most once
-	Slack        time.Duration
+	Bytes        int64         // maximum size of the stored results
+	Entries      int           // maximum number of records
+	Durable      bool          // intents and results wait until they are synced to disk
+	StartEmpty   bool          // start without the store if it cannot be opened
+	RunUnwritten bool          // run requests whose intent cannot be written
+	FailUnknown  bool          // fail repeats of safe requests whose run was interrupted by a crash
+	Unsafe       bool          // write intents for requests that may run at most once
+	Slack        time.Duration // error of the wall clock that is tolerated across a restart
 }
 
-// Pools is what [pools] and the sections of its classes say.
+// Pools holds the settings of [pools] and of the [pool.NAME] sections.
 type Pools struct {
 	Enabled bool
-	Reserve float64            // share of the slots for the cheapest
-	Classes map[string]float64 // share of the slots by class
+	Reserve float64            // share of the slots for the cheapest requests
+	Classes map[string]float64 // share of the slots for each class, by its name
 }
 
-// Control is what [control] says.
+// Control holds the settings of [control], the reports to control services.
 type Control struct {
-	Address   []string // of the services, none = no reports
-	Advertise string   // "" = where the node listens
+	Address   []string // of the services; none = no reports
+	Advertise string   // address for proxies; "" = the listen address
 	Zone      string
 
-	Cert, Key, CA string // files; "" = plain text
-	ServerName    string // in the service's certificate
+	Cert, Key, CA string // PEM files; "" = plain text
+	ServerName    string // in the service's certificate; "" = its address
 }
 
-// Together is what [together] says.
+// Shedding holds the settings of [together], fleet-aware load shedding.
 type Shedding struct {
-	Enabled bool
-	Told    bool    // take the fleet's digest from the control service
-	Setup   float64 // share of a core for new connections and health checks, 0 = as they come
+	Enabled    bool
+	UseDigests bool    // take the fleet digest from the control service
+	SetupShare float64 // share of the granted CPU for new connections and health checks; 0 = no limit
 }
 
-// Comeback is what [comeback] says.
+// Recovery holds the settings of [comeback].
 type Recovery struct {
 	Enabled   bool
-	Snapshot  bool   // what was learned outlives the process
-	Dir       string // of a store for it where [results] is off
+	Snapshot  bool   // store what the node learns, for a warm start
+	Dir       string // of the store for the snapshot where [results] is off
 	RunKeyed  bool   // run keyed requests that are in doubt
-	RunUnsafe bool   // run unsafe ones
+	RunUnsafe bool   // run unsafe requests that are in doubt
 }
 
-// Store is what [store] says.
+// Store holds the settings of [store], the store under the result cache.
 type Store struct {
-	Segment        int64 // bytes
-	Interval       time.Duration
-	CompactionRate int64 // bytes a second
+	Segment        int64         // bytes of disk beyond twice the live data
+	Interval       time.Duration // longest time between syncs
+	CompactionRate int64         // bytes per second
 }
 
-// Fault is one thing wrong with a file.
+// Fault is one error in a configuration file.
 type Fault struct {
 	File    string
-	Line    int // from 1; 0 = none
+	Line    int // from 1; 0 = unknown
 	Section string
-	Key     string // "" where the section itself is at fault
-	What    string
+	Key     string // "" if the fault concerns the whole section
+	What    string // what is wrong
 }
 
-// Error gives FILE:LINE: [section] key: what is wrong.
+// Error returns one line, FILE:LINE: [section] key: what is wrong.
 func (f Fault) Error() string {
 	s := f.File + ":"
 	if f.Line > 0 {
@@ -121,23 +124,24 @@
 	return s + " " + f.What
 }
 
-// Defaults is the configuration without a file: every feature off.
+// Defaults returns the configuration that holds without a file: every feature is off.
 func Defaults() *Config {
 	c := &Config{}
 	for _, k := range keys {
 		if strings.HasSuffix(k.section, "*") {
-			continue // it stands for none
+			continue // a section of a class: there is none by default
 		}
-		v, err := k.parse(k.def)
+		v, err := k.parse(k.defaultText)
 		if err != nil {
-			panic(fmt.Sprintf("config: default of [%s] %s: %v", k.section, k.name, err)) // a test reads them all
+			panic(fmt.Sprintf("config: default of [%s] %s: %v", k.section, k.name, err)) // a test parses all defaults
 		}
 		k.set(c, v)
 	}
 	return c
 }
 
-// Load reads and checks a file. An error joins one Fault for each thing wrong.
+// Load reads and checks the file at path. The error joins one Fault for each error in the
+// file, or says why the file cannot be read.
 func Load(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -154,12 +158,13 @@
 	return c, nil
 }
 
-// Parse reads text as the file called name. With faults the configuration holds
-// defaults in their places and must not be used.
+// Parse parses and checks text; name is the file name for the faults, which are sorted by
+// line. If there are faults, the affected settings have their defaults and the
+// configuration must not be used.
 func Parse(name string, text []byte) (*Config, []Fault) {
 	c := Defaults()
-	at, faults := locate(name, text)
-	c.name, c.places = name, at
+	lines, faults := indexLines(name, text)
+	c.name, c.lines = name, lines
 	file, err := ini.LoadSources(ini.LoadOptions{
 		IgnoreContinuation: true, SpaceBeforeInlineComment: true, SkipUnrecognizableLines: true,
 	}, text)
@@ -169,26 +174,29 @@
 	for _, s := range file.Sections() {
 		if s.Name() == ini.DefaultSection {
 			for _, k := range s.Keys() {
-				faults = append(faults, Fault{File: name, Line: at.line("", k.Name()), Key: k.Name(), What: "stands before any section"})
+				faults = append(faults, Fault{
+					File: name, Line: lines.line("", k.Name()), Key: k.Name(), What: "key before any section",
+				})
 			}
 			continue
 		}
-		known, of := pattern(s.Name())
+		known, wildcard := matchSection(s.Name())
 		if known == "" {
 			var names []string
-			for _, o := range sections {
-				names = append(names, o.name)
+			for _, other := range sections {
+				names = append(names, other.name)
 			}
 			faults = append(faults, Fault{
-				File: name, Line: at.section[s.Name()], Section: s.Name(), What: "unknown section" + nearest(s.Name(), names),
+				File: name, Line: lines.section[s.Name()], Section: s.Name(),
+				What: "unknown section" + suggestion(s.Name(), names),
 			})
 			continue
 		}
 		for _, k := range s.Keys() {
-			fault := Fault{File: name, Line: at.line(s.Name(), k.Name()), Section: s.Name(), Key: k.Name()}
-			row := find(known, k.Name())
+			fault := Fault{File: name, Line: lines.line(s.Name(), k.Name()), Section: s.Name(), Key: k.Name()}
+			row := findKey(known, k.Name())
 			if row == nil {
-				fault.What = "unknown key" + nearest(k.Name(), namesOf(known))
+				fault.What = "unknown key" + suggestion(k.Name(), keyNames(known))
 				faults = append(faults, fault)
 				continue
 			}
@@ -198,29 +206,29 @@
 				faults = append(faults, fault)
 				continue
 			}
-			v.of = of
+			v.wildcard = wildcard
 			row.set(c, v)
 		}
 	}
 	for _, f := range c.check() {
-		faults = append(faults, c.place(f))
+		faults = append(faults, c.withPosition(f))
 	}
 	slices.SortStableFunc(faults, func(a, b Fault) int { return a.Line - b.Line })
 	return c, faults
 }
 
-// place says where a fault stands.
-func (c *Config) place(f Fault) Fault {
-	f.File, f.Line = c.name, c.places.line(f.Section, f.Key)
+// withPosition adds the file and the line of its key, or else of its section, to a fault.
+func (c *Config) withPosition(f Fault) Fault {
+	f.File, f.Line = c.name, c.lines.line(f.Section, f.Key)
 	if f.Line == 0 {
-		f.Line = c.places.section[f.Section]
+		f.Line = c.lines.section[f.Section]
 	}
 	return f
 }
 
-// pattern finds the section of the table that a section of a file is one of, and
-// what the star of its name stands for.
-func pattern(name string) (known, of string) {
+// matchSection returns the section of the table that the section called name belongs to, ""
+// if there is none, and the part of name that matches the star of a section such as pool.*.
+func matchSection(name string) (known, wildcard string) {
 	for _, s := range sections {
 		base, star := strings.CutSuffix(s.name, "*")
 		if rest, ok := strings.CutPrefix(name, base); star && ok && rest != "" {
@@ -233,56 +241,59 @@
 	return "", ""
 }
 
-// Names checks what needs the platform's settings: names of classes that the
-// file gives. It joins one Fault for each that does not exist.
-func (c *Config) Names(classes []string) error {
+// CheckClasses checks the class names of the file against those of the platform's settings.
+// The error joins one Fault for each class that does not exist.
+func (c *Config) CheckClasses(classes []string) error {
 	var errs []error
 	for name := range c.Pools.Classes {
 		if !slices.Contains(classes, name) {
-			errs = append(errs, c.place(Fault{Section: "pool." + name, What: "no such class" + nearest(name, classes)}))
+			errs = append(errs, c.withPosition(Fault{Section: "pool." + name, What: "no such class" + suggestion(name, classes)}))
 		}
 	}
 	slices.SortFunc(errs, func(a, b error) int { return strings.Compare(a.Error(), b.Error()) })
 	return errors.Join(errs...)
 }
 
-// check tells what no single key can: which keys need one another.
+// check returns the faults that concern more than one key.
 func (c *Config) check() (faults []Fault) {
 	if c.Results.Enabled && c.Results.Dir == "" {
-		faults = append(faults, Fault{Section: "results", Key: "dir", What: "a folder is required when enabled"})
+		faults = append(faults, Fault{Section: "results", Key: "dir", What: "a directory is required when enabled"})
 	}
 	if c.Results.Enabled && c.Results.Bytes < c.Store.Segment/4 {
 		faults = append(faults, Fault{Section: "results", Key: "bytes",
-			What: fmt.Sprintf("%s is less than one file of the store (a quarter of [store] segment)", sizeText(c.Results.Bytes))})
+			What: fmt.Sprintf("%s is less than one store file (a quarter of [store] segment)", sizeText(c.Results.Bytes))})
 	}
 	if k := c.Control; k.Cert != "" || k.Key != "" || k.CA != "" {
 		for name, v := range map[string]string{"cert": k.Cert, "key": k.Key, "ca": k.CA} {
 			if v == "" {
-				faults = append(faults, Fault{Section: "control", Key: name, What: "cert, key and ca go together"})
+				faults = append(faults, Fault{Section: "control", Key: name, What: "cert, key and ca must be set together"})
 			}
 		}
 	}
-	if c.Shedding.Enabled && c.Shedding.Told && len(c.Control.Address) == 0 {
-		faults = append(faults, Fault{Section: "together", Key: "told", What: "digests come with the answers of a control service: [control] address is required"})
+	if c.Shedding.Enabled && c.Shedding.UseDigests && len(c.Control.Address) == 0 {
+		faults = append(faults, Fault{Section: "together", Key: "told",
+			What: "digests come from a control service: [control] address is required"})
 	}
 	if k := c.Recovery; k.Enabled && k.Snapshot && !c.Results.Enabled && k.Dir == "" {
-		faults = append(faults, Fault{Section: "comeback", Key: "dir", What: "a snapshot needs a folder: dir, or [results] enabled"})
+		faults = append(faults, Fault{Section: "comeback", Key: "dir",
+			What: "a snapshot needs a directory: set dir, or enable [results]"})
 	}
 	sum, last := c.Pools.Reserve, Fault{Section: "pools", Key: "reserve"}
 	for name, r := range c.Pools.Classes {
 		sum += r
-		if at := (Fault{Section: "pool." + name, Key: "reserve"}); c.place(at).Line > c.place(last).Line {
-			last = at
+		if fault := (Fault{Section: "pool." + name, Key: "reserve"}); c.withPosition(fault).Line > c.withPosition(last).Line {
+			last = fault
 		}
 	}
 	if sum > 1+1e-9 {
-		last.What = fmt.Sprintf("all reserves add up to %.4g of the node", sum)
+		last.What = fmt.Sprintf("the reserves add up to %.4g of the node, at most 1 is allowed", sum)
 		faults = append(faults, last)
 	}
 	return faults
 }
 
-func find(section, name string) *key {
+// findKey returns the row of a key, nil if there is none.
+func findKey(section, name string) *key {
 	for i := range keys {
 		if keys[i].section == section && keys[i].name == name {
 			return &keys[i]
@@ -291,7 +302,8 @@
 	return nil
 }
 
-func namesOf(section string) (names []string) {
+// keyNames returns the names of a section's keys.
+func keyNames(section string) (names []string) {
 	for _, k := range keys {
 		if k.section == section {
 			names = append(names, k.name)
@@ -300,164 +312,167 @@
 	return names
 }
 
-// nearest names the known word that an unknown one was probably meant to be.
-func nearest(word string, known []string) string {
-	best, least := "", 1+len(word)/2
+// suggestion returns the end of a message about an unknown word: the known word that was
+// probably meant, or all known words if none is close.
+func suggestion(word string, known []string) string {
+	best, distance := "", 1+len(word)/2
 	for _, k := range known {
-		if d := levenshtein.ComputeDistance(word, k); d < least {
-			best, least = k, d
+		if d := levenshtein.ComputeDistance(word, k); d < distance {
+			best, distance = k, d
 		}
 	}
 	if best == "" {
-		return "; known are " + strings.Join(known, ", ")
+		return "; expected one of " + strings.Join(known, ", ")
 	}
 	return "; did you mean " + best + "?"
 }
 
-// parse reads a value of the key's kind and checks its bounds.
+// parse parses a value of the key's kind and checks its range.
 func (k *key) parse(text string) (v value, err error) {
 	switch k.kind {
 	case kindBool:
 		switch text {
 		case "true", "false":
-			v.b = text == "true"
+			v.flag = text == "true"
 		default:
 			return v, fmt.Errorf("%q is neither true nor false", text)
 		}
 		return v, nil
-	case kindWord:
-		if !slices.Contains(k.words, text) {
-			return v, fmt.Errorf("unknown word %q%s", text, nearest(text, k.words))
+	case kindChoice:
+		if !slices.Contains(k.choices, text) {
+			return v, fmt.Errorf("unknown value %q%s", text, suggestion(text, k.choices))
 		}
-		v.s = text
+		v.text = text
 		return v, nil
 	case kindPath:
 		if strings.ContainsRune(text, 0) {
-			return v, errors.New("a path can't hold a zero byte")
+			return v, errors.New("a path must not contain a zero byte")
 		}
-		v.s = text
+		v.text = text
 		return v, nil
 	case kindText:
 		if len(text) > 128 {
 			return v, errors.New("longer than 128 bytes")
 		}
-		v.s = text
+		v.text = text
 		return v, nil
-	case kindAddr:
+	case kindAddress:
 		if text != "" {
 			if _, err := netip.ParseAddrPort(text); err != nil {
-				return v, fmt.Errorf("%q is no IP address and port such as 127.0.0.1:18001", text)
+				return v, fmt.Errorf("%q is not an IP address and port such as 127.0.0.1:18001", text)
 			}
 		}
-		v.s = text
+		v.text = text
 		return v, nil
-	case kindAddrs:
+	case kindAddressList:
 		for part := range strings.SplitSeq(text, ",") {
 			part = strings.TrimSpace(part)
 			if text == "" {
 				break
 			}
 			if _, err := netip.ParseAddrPort(part); err != nil {
-				return v, fmt.Errorf("%q is no IP address and port such as 127.0.0.1:18001", part)
+				return v, fmt.Errorf("%q is not an IP address and port such as 127.0.0.1:18001", part)
 			}
 			if slices.Contains(v.list, part) {
-				return v, fmt.Errorf("%s stands there twice", part)
+				return v, fmt.Errorf("%s is listed twice", part)
 			}
 			v.list = append(v.list, part)
 		}
-		if int64(len(v.list)) > k.most {
-			return v, fmt.Errorf("%d addresses, %d at most", len(v.list), k.most)
+		if int64(len(v.list)) > k.max {
+			return v, fmt.Errorf("%d addresses, at most %d are allowed", len(v.list), k.max)
 		}
 		return v, nil
 	case kindInt:
-		if v.n, err = strconv.ParseInt(text, 10, 64); err != nil {
-			return v, fmt.Errorf("%q is no whole number", text)
+		if v.number, err = strconv.ParseInt(text, 10, 64); err != nil {
+			return v, fmt.Errorf("%q is not a whole number", text)
 		}
 	case kindShare:
 		f, err := strconv.ParseFloat(text, 64)
 		if err != nil || math.IsNaN(f) || math.Abs(f) > 1e6 {
-			return v, fmt.Errorf("%q is no share such as 0.04", text)
+			return v, fmt.Errorf("%q is not a share such as 0.04", text)
 		}
-		v.n = int64(math.Round(f * million))
+		v.number = int64(math.Round(f * million))
 	case kindSize:
-		if v.n, err = parseSize(text); err != nil {
+		if v.number, err = parseSize(text); err != nil {
 			return v, err
 		}
 	case kindDuration:
 		d, err := time.ParseDuration(text)
 		if err != nil {
-			return v, fmt.Errorf("%q is no duration such as 20ms or 1m30s", text)
+			return v, fmt.Errorf("%q is not a duration such as 20ms or 1m30s", text)
 		}
-		v.n = int64(d)
+		v.number = int64(d)
 	}
-	if v.n < k.least || v.n > k.most {
-		return v, fmt.Errorf("%s is out of bounds: %s", text, k.form())
+	if v.number < k.min || v.number > k.max {
+		return v, fmt.Errorf("%s is out of range: want %s", text, k.form())
 	}
 	return v, nil
 }
 
-func dur(v value) time.Duration { return time.Duration(v.n) }
+func durationOf(v value) time.Duration { return time.Duration(v.number) }
 
-var sizes = []struct {
-	unit string
-	n    int64
+// sizeUnits are the units of sizes, the largest first.
+var sizeUnits = []struct {
+	unit  string
+	bytes int64
 }{{"GB", gb}, {"MB", mb}, {"KB", kb}, {"B", 1}}
 
-// parseSize reads bytes with a unit, or plain.
+// parseSize parses a number of bytes, with or without a unit.
 func parseSize(text string) (int64, error) {
 	digits, unit := text, int64(1)
-	for _, s := range sizes {
+	for _, s := range sizeUnits {
 		if d, ok := strings.CutSuffix(text, s.unit); ok {
-			digits, unit = strings.TrimSpace(d), s.n
+			digits, unit = strings.TrimSpace(d), s.bytes
 			break
 		}
 	}
 	n, err := strconv.ParseInt(digits, 10, 64)
 	if err != nil || n < 0 || n > math.MaxInt64/unit {
-		return 0, fmt.Errorf("%q is no size such as 512KB, 64MB or 2GB", text)
+		return 0, fmt.Errorf("%q is not a size such as 512KB, 64MB or 2GB", text)
 	}
 	return n * unit, nil
 }
 
+// sizeText formats a number of bytes with the largest unit that divides it.
 func sizeText(n int64) string {
-	for _, s := range sizes {
-		if n >= s.n && n%s.n == 0 {
-			return strconv.FormatInt(n/s.n, 10) + s.unit
+	for _, s := range sizeUnits {
+		if n >= s.bytes && n%s.bytes == 0 {
+			return strconv.FormatInt(n/s.bytes, 10) + s.unit
 		}
 	}
 	return "0B"
 }
 
-// Places tells on which lines sections and keys stand.
-type Places struct{ p places }
+// Places holds the line numbers of a file's sections and keys.
+type Places struct{ lines lineIndex }
 
-// Line is where a key stands, else its section, else 0.
+// Line returns the line of a key, or else of its section, or else 0.
 func (p Places) Line(section, key string) int {
-	if n := p.p.line(section, key); n > 0 {
+	if n := p.lines.line(section, key); n > 0 {
 		return n
 	}
-	return p.p.section[section]
+	return p.lines.section[section]
 }
 
-// Locate finds the lines of another INI file of ours, and what the library would
-// take in silence.
+// Locate returns the line numbers of the sections and keys of an INI file, which need not be
+// a node's, and the faults that the INI library accepts without an error.
 func Locate(name string, text []byte) (Places, []Fault) {
-	p, faults := locate(name, text)
-	return Places{p}, faults
+	lines, faults := indexLines(name, text)
+	return Places{lines}, faults
 }
 
-// places tells on which lines sections and keys stand.
-type places struct {
+// lineIndex holds line numbers, from 1.
+type lineIndex struct {
 	section map[string]int
-	key     map[[2]string]int
+	key     map[[2]string]int // by section and key
 }
 
-func (p places) line(section, key string) int { return p.key[[2]string{section, key}] }
+func (x lineIndex) line(section, key string) int { return x.key[[2]string{section, key}] }
 
-// locate finds the lines of a file, and what the library would take in silence:
-// lines that are nothing, and keys and sections given twice.
-func locate(name string, text []byte) (places, []Fault) {
-	p := places{section: map[string]int{}, key: map[[2]string]int{}}
+// indexLines returns the line numbers of a file, and the faults that the INI library accepts
+// without an error: lines that are neither a section nor a key, and duplicates.
+func indexLines(name string, text []byte) (lineIndex, []Fault) {
+	index := lineIndex{section: map[string]int{}, key: map[[2]string]int{}}
 	var faults []Fault
 	section, n := "", 0
 	lines := bufio.NewScanner(bytes.NewReader(text))
@@ -471,30 +486,34 @@
 		if line[0] == '[' {
 			if i := strings.IndexByte(line, ']'); i > 0 {
 				section = strings.TrimSpace(line[1:i])
-				if was := p.section[section]; was > 0 {
-					faults = append(faults, Fault{File: name, Line: n, Section: section, What: fmt.Sprintf("given twice, first on line %d", was)})
+				if first := index.section[section]; first > 0 {
+					faults = append(faults, Fault{File: name, Line: n, Section: section,
+						What: fmt.Sprintf("duplicate section, first on line %d", first)})
 					continue
 				}
-				p.section[section] = n
+				index.section[section] = n
 				continue
 			}
-			faults = append(faults, Fault{File: name, Line: n, What: fmt.Sprintf("%q is no section: no closing bracket", line)})
+			faults = append(faults, Fault{File: name, Line: n,
+				What: fmt.Sprintf("%q is not a section: missing closing bracket", line)})
 			continue
 		}
 		i := strings.IndexAny(line, "=:")
 		if i <= 0 {
-			faults = append(faults, Fault{File: name, Line: n, Section: section, What: fmt.Sprintf("%q is neither a section nor key = value", line)})
+			faults = append(faults, Fault{File: name, Line: n, Section: section,
+				What: fmt.Sprintf("%q is neither a section nor key = value", line)})
 			continue
 		}
 		k := strings.TrimSpace(line[:i])
-		if was := p.line(section, k); was > 0 {
-			faults = append(faults, Fault{File: name, Line: n, Section: section, Key: k, What: fmt.Sprintf("given twice, first on line %d", was)})
+		if first := index.line(section, k); first > 0 {
+			faults = append(faults, Fault{File: name, Line: n, Section: section, Key: k,
+				What: fmt.Sprintf("duplicate key, first on line %d", first)})
 			continue
 		}
-		p.key[[2]string{section, k}] = n
+		index.key[[2]string{section, k}] = n
 	}
 	if err := lines.Err(); err != nil {
 		faults = append(faults, Fault{File: name, Line: n + 1, What: err.Error()})
 	}
-	return p, faults
+	return index, faults
 }
--- a/internal/settings/pools.go
+++ b/internal/settings/pools.go
@@ -15,7 +15,7 @@
 	if !own.Pools.Enabled {
 		return nil
 	}
-	if err := own.Names(names.Classes); err != nil {
+	if err := own.CheckClasses(names.Classes); err != nil {
 		return err
 	}
 	ps := pools.Settings{Reserve: own.Pools.Reserve, UtilityPerWork: set.UtilityPerWork}
--- a/internal/settings/shedding.go
+++ b/internal/settings/shedding.go
@@ -16,6 +16,6 @@
 	if !own.Shedding.Enabled {
 		return
 	}
-	told := own.Shedding.Told
+	told := own.Shedding.UseDigests
 	set.NewShedder = func(now time.Duration) rules.Shedder { return shedding.New(now, told) }
 }
