--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -1,8 +1,3 @@
-// This file owns which settings can't be served: what is out of range, what a rule
-// needs and is missing, and what contradicts itself. Where the wire leaves a value
-// open and leaving it out only makes the module stricter, it is not asked for.
-// It must never put a value in the place of a bad one.
-
 package settings
 
 import (
@@ -11,85 +6,103 @@
 	"math"
 )
 
-// span is the range of a setting, both ends allowed.
-type span struct {
+// rangeCheck is the allowed range of a setting, including both ends.
+type rangeCheck struct {
 	key      string
 	value    float64
-	from, to float64
+	min, max float64
 }
 
-// check names the first setting that can't be served.
+// check returns an error that names the first setting that is out of range, missing or in
+// conflict with another one. An optional setting is not required where leaving it out only
+// makes the decision module stricter. A bad value is never replaced by another.
 func (j *settingsJSON) check() error {
-	x, o := &j.Extra, &j.Obligations
-	most := math.MaxFloat64
-	spans := []span{
-		{"tickMs", j.TickMs, 0, 60_000}, {"groupSize", float64(j.GroupSize), 0, most},
-		{"overShareWorth", j.OverShare, 0, most}, {"bounds.maxRetryAfterMs", j.Bounds.MaxRetryAfterMs, 0, most},
-		{"extra.cpus", float64(x.CPUs), 1, most}, {"extra.ramKb", x.RAMKb, 1, most},
-		{"extra.runFactor", x.RunFactor, 1, most}, {"extra.entryKb", x.EntryKb, 0, most},
-		{"extra.freshMs", x.FreshMs, 0, most}, {"extra.heededMs", x.HeededMs, 0, most},
-		{"extra.keepaliveMaxMs", x.KeepaliveMaxMs, 0, most}, {"extra.upstreams", float64(x.Upstreams), 0, most},
-		{"extra.callShare", x.CallShare, 0, most}, {"extra.callsOverMs", x.CallsOverMs, 0, most},
-		{"extra.staysForMs", x.StaysForMs, 0, most},
-		{"obligations.answerSlackMs", o.AnswerSlackMs, 0, most}, {"obligations.coldFrom", o.ColdFrom, 0, 1},
-		{"obligations.fallMs", o.FallMs, 0, most}, {"obligations.fallMultiple", o.FallMultiple, 1, most},
-		{"obligations.rampTimeMs", o.RampTimeMs, 0, most}, {"obligations.stopSendingWithinMs", o.StopSendingWithinMs, 0, most},
+	extra, obligations := &j.Extra, &j.Obligations
+	unbounded := math.MaxFloat64
+	ranges := []rangeCheck{
+		{"tickMs", j.TickMs, 0, 60_000},
+		{"groupSize", float64(j.GroupSize), 0, unbounded},
+		{"overShareWorth", j.OverShare, 0, unbounded},
+		{"bounds.maxRetryAfterMs", j.Bounds.MaxRetryAfterMs, 0, unbounded},
+		{"extra.cpus", float64(extra.CPUs), 1, unbounded},
+		{"extra.ramKb", extra.RAMKb, 1, unbounded},
+		{"extra.runFactor", extra.RunFactor, 1, unbounded},
+		{"extra.entryKb", extra.EntryKb, 0, unbounded},
+		{"extra.freshMs", extra.FreshMs, 0, unbounded},
+		{"extra.heededMs", extra.HeededMs, 0, unbounded},
+		{"extra.keepaliveMaxMs", extra.KeepaliveMaxMs, 0, unbounded},
+		{"extra.upstreams", float64(extra.Upstreams), 0, unbounded},
+		{"extra.callShare", extra.CallShare, 0, unbounded},
+		{"extra.callsOverMs", extra.CallsOverMs, 0, unbounded},
+		{"extra.staysForMs", extra.StaysForMs, 0, unbounded},
+		{"obligations.answerSlackMs", obligations.AnswerSlackMs, 0, unbounded},
+		{"obligations.coldFrom", obligations.ColdFrom, 0, 1},
+		{"obligations.fallMs", obligations.FallMs, 0, unbounded},
+		{"obligations.fallMultiple", obligations.FallMultiple, 1, unbounded},
+		{"obligations.rampTimeMs", obligations.RampTimeMs, 0, unbounded},
+		{"obligations.stopSendingWithinMs", obligations.StopSendingWithinMs, 0, unbounded},
 	}
-	for i, l := range j.Lanes {
-		at := func(key string) string { return fmt.Sprintf("lanes[%d].%s", i, key) }
-		spans = append(spans, span{at("deadlineMs"), l.DeadlineMs, 0.001, most}, span{at("aimMs"), l.AimMs, 0, most},
-			span{at("aimStretch"), l.AimStretch, 0, most}, span{at("lateShare"), l.LateShare, 0, 1},
-			span{at("windowMs"), l.WindowMs, 0, most}, span{at("worth"), l.Worth, 0, most})
+	for i, lane := range j.Lanes {
+		key := func(name string) string { return fmt.Sprintf("lanes[%d].%s", i, name) }
+		ranges = append(ranges,
+			rangeCheck{key("deadlineMs"), lane.DeadlineMs, 0.001, unbounded}, rangeCheck{key("aimMs"), lane.AimMs, 0, unbounded},
+			rangeCheck{key("aimStretch"), lane.AimStretch, 0, unbounded}, rangeCheck{key("lateShare"), lane.LateShare, 0, 1},
+			rangeCheck{key("windowMs"), lane.WindowMs, 0, unbounded}, rangeCheck{key("worth"), lane.Worth, 0, unbounded})
 	}
-	for i, p := range j.Parties {
-		spans = append(spans, span{fmt.Sprintf("parties[%d].quotaRps", i), p.QuotaRps, 0, most},
-			span{fmt.Sprintf("parties[%d].share", i), p.Share, 0, 1})
+	for i, party := range j.Parties {
+		ranges = append(ranges, rangeCheck{fmt.Sprintf("parties[%d].quotaRps", i), party.QuotaRps, 0, unbounded},
+			rangeCheck{fmt.Sprintf("parties[%d].share", i), party.Share, 0, 1})
 	}
-	for i, w := range x.ClassSkipWorth {
-		spans = append(spans, span{fmt.Sprintf("extra.classSkipWorth[%d]", i), w, 0, 1})
+	for i, share := range extra.ClassSkipWorth {
+		ranges = append(ranges, rangeCheck{fmt.Sprintf("extra.classSkipWorth[%d]", i), share, 0, 1})
 	}
-	for _, s := range spans {
-		if s.value < s.from || s.value > s.to {
-			return fmt.Errorf("setting %s: %v is missing or out of range, from %v on%s", s.key, s.value, s.from, upTo(s.to))
+	for _, r := range ranges {
+		if r.value < r.min || r.value > r.max {
+			return fmt.Errorf("setting %s: %v is missing or out of range, want %s", r.key, r.value, rangeText(r.min, r.max))
 		}
 	}
-	return j.contradicts()
+	return j.checkConsistency()
 }
 
-func upTo(most float64) string {
-	if most == math.MaxFloat64 {
-		return ""
+func rangeText(lowest, highest float64) string {
+	if highest == math.MaxFloat64 {
+		return fmt.Sprintf("at least %v", lowest)
 	}
-	return fmt.Sprintf(" up to %v", most)
+	return fmt.Sprintf("%v to %v", lowest, highest)
 }
 
-// contradicts names a setting that another one makes useless or dangerous.
-func (j *settingsJSON) contradicts() error {
-	x := &j.Extra
+// checkConsistency returns an error that names a setting that another one makes useless or
+// dangerous.
+func (j *settingsJSON) checkConsistency() error {
+	extra := &j.Extra
 	if len(j.Lanes) == 0 {
-		return errors.New("setting lanes: missing, a node needs request classes")
+		return errors.New("setting lanes: missing, a node needs at least one request class")
 	}
-	for i, l := range j.Lanes {
-		if l.Effect == "deduplicated" && l.WindowMs == 0 {
-			return fmt.Errorf("setting lanes[%d].windowMs: missing for a deduplicated class: nothing says how long its repeats may come", i)
+	for i, lane := range j.Lanes {
+		if lane.Effect == "deduplicated" && lane.WindowMs == 0 {
+			return fmt.Errorf(
+				"setting lanes[%d].windowMs: missing for a deduplicated class: its idempotency window is unknown", i)
 		}
-		if (l.Effect == "deduplicated" || x.FreshMs > 0) && x.EntryKb == 0 {
-			return errors.New("setting extra.entryKb: missing, and keys are kept: their memory would not count")
+		if (lane.Effect == "deduplicated" || extra.FreshMs > 0) && extra.EntryKb == 0 {
+			return errors.New(
+				"setting extra.entryKb: missing, the memory of idempotency records and shared results would not count")
 		}
 	}
-	if n := max(len(x.ClassCalls), len(x.ClassSkipWorth)); n > len(j.Lanes) {
+	if n := max(len(extra.ClassCalls), len(extra.ClassSkipWorth)); n > len(j.Lanes) {
 		return fmt.Errorf("setting extra.classCalls, extra.classSkipWorth: %d entries for %d classes", n, len(j.Lanes))
 	}
-	for i, calls := range x.ClassCalls {
-		if calls && (x.Below == "" || x.Below == "none") {
-			return fmt.Errorf("setting extra.classCalls[%d]: its requests may call below, and extra.below is none", i)
+	for i, calls := range extra.ClassCalls {
+		if calls && (extra.Below == "" || extra.Below == "none") {
+			return fmt.Errorf(
+				"setting extra.classCalls[%d]: the class calls a downstream dependency, but extra.below is none", i)
 		}
 	}
-	if x.Below == "shared" && (x.CallShare == 0 || x.CallsOverMs == 0) {
-		return errors.New("setting extra.callShare, extra.callsOverMs: missing for a shared dependency: nothing would bound its calls")
+	if extra.Below == "shared" && (extra.CallShare == 0 || extra.CallsOverMs == 0) {
+		return errors.New(
+			"setting extra.callShare, extra.callsOverMs: missing for a shared dependency: the calls to it would be unlimited")
 	}
-	if x.JustStarted && j.Obligations.RampTimeMs == 0 {
-		return errors.New("setting obligations.rampTimeMs: missing for a node that was only just started: its crowd would count as warm")
+	if extra.JustStarted && j.Obligations.RampTimeMs == 0 {
+		return errors.New("setting obligations.rampTimeMs: missing for a node that has just started: it would count as warm")
 	}
 	return nil
 }
--- a/internal/settings/pools.go
+++ b/internal/settings/pools.go
@@ -1,6 +1,3 @@
-// This file owns how the INI file's pools become the module's, for both hosts.
-// It must never decide who gets a slot.
-
 package settings
 
 import (
@@ -9,8 +6,8 @@
 	"robinmast/rules"
 )
 
-// UsePools gives the module pools by class, if own switches them on. Names of
-// classes that do not exist are its error, one config.Fault each.
+// UsePools sets the module's concurrency pools from the [pools] section of own, if that is
+// enabled. The error joins one config.Fault for each class that does not exist.
 func UsePools(set *rules.Settings, names Names, own *config.Config) error {
 	if !own.Pools.Enabled {
 		return nil
@@ -18,11 +15,12 @@
 	if err := own.CheckClasses(names.Classes); err != nil {
 		return err
 	}
-	ps := pools.Settings{Reserve: own.Pools.Reserve, UtilityPerWork: set.UtilityPerWork}
+	poolSettings := pools.Settings{Reserve: own.Pools.Reserve, UtilityPerWork: set.UtilityPerWork}
 	for i, c := range set.Classes {
 		name := names.Classes[i]
-		ps.Classes = append(ps.Classes, pools.Class{Utility: c.Utility, Reserve: own.Pools.Classes[name], Name: name})
+		poolSettings.Classes = append(poolSettings.Classes,
+			pools.Class{Utility: c.Utility, Reserve: own.Pools.Classes[name], Name: name})
 	}
-	set.NewPools = func() rules.Pools { return pools.New(ps) }
+	set.NewPools = func() rules.Pools { return pools.New(poolSettings) }
 	return nil
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,8 @@
-// Package settings owns how a node's settings text becomes the module's
-// settings; the simulator's host and the real node share it. It must never
-// decide anything: it maps names, words and units, and skips what it doesn't know.
+// Package settings converts the platform's settings of a node, a JSON text, and the node's INI
+// file to the settings of the decision module. cmd/robinmast and cmd/simhost both use it.
+//
+// It maps names, words and units, checks ranges, and skips unknown keys. It makes no decision
+// about requests, does no I/O and holds no state.
 package settings
 
 import (
@@ -12,7 +14,8 @@
 	"robinmast/rules"
 )
 
-// settingsJSON mirrors the wire's settings; keys it does not name are skipped.
+// settingsJSON mirrors the platform's settings under their own names; unknown keys are skipped.
+// Fields that end in Ms are milliseconds, those that end in Kb are kilobytes.
 type settingsJSON struct {
 	TickMs       float64 `json:"tickMs"`
 	GroupSize    int     `json:"groupSize"`
@@ -74,11 +77,12 @@
 	} `json:"obligations"`
 }
 
+// Words of the platform's settings.
 var effects = map[string]rules.Effect{
 	"idempotent": rules.Safe, "deduplicated": rules.Keyed, "at_most_once": rules.Unsafe,
 }
 
-var belows = map[string]rules.Dependency{
+var dependencies = map[string]rules.Dependency{
 	"": rules.DependencyNone, "none": rules.DependencyNone, "shared": rules.DependencyShared, "tier": rules.DependencyTier,
 }
 
@@ -86,39 +90,40 @@
 	"": rules.PreemptNone, "none": rules.PreemptNone, "drop": rules.PreemptDrop, "pause": rules.PreemptPause,
 }
 
-var freeValues = map[string]rules.LoadFeedback{
+var loadFeedbacks = map[string]rules.LoadFeedback{
 	"": rules.FeedbackNone, "none": rules.FeedbackNone, "level": rules.FeedbackLevel, "credit": rules.FeedbackCredit,
 	"weight": rules.FeedbackWeight,
 }
 
-// pick looks a word up and says which setting held an unknown one.
-func pick[T any](words map[string]T, setting, word string) (T, error) {
+// lookUp returns the value of a word; the error for an unknown word names the setting.
+func lookUp[T any](words map[string]T, setting, word string) (T, error) {
 	v, ok := words[word]
 	if !ok {
-		return v, fmt.Errorf("setting %s: unknown word %q", setting, word)
+		return v, fmt.Errorf("setting %s: unknown value %q", setting, word)
 	}
 	return v, nil
 }
 
-// Names are the words by which requests name their class and tenant, in the
-// order of the module's settings.
+// Names holds the names that requests use for their class and tenant, in the order of the
+// module's settings.
 type Names struct {
 	Classes []string
 	Tenants []string
 }
 
-// duration turns milliseconds into a duration, to the nearest microsecond.
+// duration converts milliseconds to a duration, rounded to a microsecond.
 func duration(ms float64) time.Duration {
 	return time.Duration(math.Round(ms*1000)) * time.Microsecond
 }
 
-// Parse turns a node's settings text into the module's settings.
+// Parse converts the JSON text of a node's settings to the module's settings. The error names
+// the first setting that is missing, invalid or in conflict with another one.
 func Parse(text []byte) (rules.Settings, error) {
 	s, _, err := ParseNamed(text)
 	return s, err
 }
 
-// ParseNamed is Parse and the names of classes and tenants.
+// ParseNamed is like Parse and also returns the names of classes and tenants.
 func ParseNamed(text []byte) (rules.Settings, Names, error) {
 	var names Names
 	s, err := parse(text, &names)
@@ -133,49 +138,69 @@
 	if err := j.check(); err != nil {
 		return rules.Settings{}, err
 	}
-	x, o := j.Extra, j.Obligations
+	extra, obligations := j.Extra, j.Obligations
 	s := rules.Settings{
-		BatchInterval: duration(j.TickMs), Cores: x.CPUs, Nodes: j.GroupSize, Callers: x.Upstreams,
-		ColdStart: x.JustStarted, Layer: j.Layer, OverQuotaUtility: j.OverShare, UtilityPerWork: j.CountedBy == "work",
-		RetriesMarked: j.ClientHabits.MarksRetry, TimeoutsPassed: x.PassesDeadline, DisconnectsReported: x.TellsGone,
-		HonoursRetryAfter: j.Bounds.RetryAfter, MaxRetryAfter: duration(j.Bounds.MaxRetryAfterMs),
-		LoadFeedbackTTL: duration(x.HeededMs), MemoryKB: x.RAMKb, RunningMemoryFactor: x.RunFactor, RecordKB: x.EntryKb,
-		ReadFreshness: duration(x.FreshMs), Gauges: x.Meters, MaxIdleTimeout: duration(x.KeepaliveMaxMs),
-		Readiness: x.Readiness, CallShare: x.CallShare, CallWindow: duration(x.CallsOverMs),
-		AbandonedCallTime: duration(x.StaysForMs), AnswerSlack: duration(o.AnswerSlackMs), ColdSpeed: o.ColdFrom,
-		WarmUpTime: duration(o.RampTimeMs), DrainGrace: duration(o.StopSendingWithinMs),
-		OverloadRunsPerCore: o.FallMultiple, OverloadWindow: duration(o.FallMs),
+		BatchInterval:       duration(j.TickMs),
+		Cores:               extra.CPUs,
+		Nodes:               j.GroupSize,
+		Callers:             extra.Upstreams,
+		ColdStart:           extra.JustStarted,
+		Layer:               j.Layer,
+		OverQuotaUtility:    j.OverShare,
+		UtilityPerWork:      j.CountedBy == "work",
+		RetriesMarked:       j.ClientHabits.MarksRetry,
+		TimeoutsPassed:      extra.PassesDeadline,
+		DisconnectsReported: extra.TellsGone,
+		HonoursRetryAfter:   j.Bounds.RetryAfter,
+		MaxRetryAfter:       duration(j.Bounds.MaxRetryAfterMs),
+		LoadFeedbackTTL:     duration(extra.HeededMs),
+		MemoryKB:            extra.RAMKb,
+		RunningMemoryFactor: extra.RunFactor,
+		RecordKB:            extra.EntryKb,
+		ReadFreshness:       duration(extra.FreshMs),
+		Gauges:              extra.Meters,
+		MaxIdleTimeout:      duration(extra.KeepaliveMaxMs),
+		Readiness:           extra.Readiness,
+		CallShare:           extra.CallShare,
+		CallWindow:          duration(extra.CallsOverMs),
+		AbandonedCallTime:   duration(extra.StaysForMs),
+		AnswerSlack:         duration(obligations.AnswerSlackMs),
+		ColdSpeed:           obligations.ColdFrom,
+		WarmUpTime:          duration(obligations.RampTimeMs),
+		DrainGrace:          duration(obligations.StopSendingWithinMs),
+		OverloadRunsPerCore: obligations.FallMultiple,
+		OverloadWindow:      duration(obligations.FallMs),
 	}
 	var err error
-	if s.Dependency, err = pick(belows, "extra.below", x.Below); err != nil {
+	if s.Dependency, err = lookUp(dependencies, "extra.below", extra.Below); err != nil {
 		return s, err
 	}
-	if s.Preemption, err = pick(preemptions, "extra.preemption", x.Preemption); err != nil {
+	if s.Preemption, err = lookUp(preemptions, "extra.preemption", extra.Preemption); err != nil {
 		return s, err
 	}
-	if s.LoadFeedback, err = pick(freeValues, "extra.say", x.Say); err != nil {
+	if s.LoadFeedback, err = lookUp(loadFeedbacks, "extra.say", extra.Say); err != nil {
 		return s, err
 	}
-	for i, l := range j.Lanes {
-		c := rules.Class{
-			LatencyTarget: duration(l.AimMs), LatencyTargetStretch: l.AimStretch, Deadline: duration(l.DeadlineMs),
-			LateUtilityShare: l.LateShare, Utility: l.Worth, IdempotencyWindow: duration(l.WindowMs),
+	for i, lane := range j.Lanes {
+		class := rules.Class{
+			LatencyTarget: duration(lane.AimMs), LatencyTargetStretch: lane.AimStretch, Deadline: duration(lane.DeadlineMs),
+			LateUtilityShare: lane.LateShare, Utility: lane.Worth, IdempotencyWindow: duration(lane.WindowMs),
 		}
-		if c.Effect, err = pick(effects, "lanes[].effect", l.Effect); err != nil {
+		if class.Effect, err = lookUp(effects, "lanes[].effect", lane.Effect); err != nil {
 			return s, err
 		}
-		if i < len(x.ClassCalls) {
-			c.CallsDependency = x.ClassCalls[i]
+		if i < len(extra.ClassCalls) {
+			class.CallsDependency = extra.ClassCalls[i]
 		}
-		if i < len(x.ClassSkipWorth) {
-			c.SkipUtilityShare = x.ClassSkipWorth[i]
+		if i < len(extra.ClassSkipWorth) {
+			class.SkipUtilityShare = extra.ClassSkipWorth[i]
 		}
-		s.Classes = append(s.Classes, c)
-		names.Classes = append(names.Classes, l.Name)
+		s.Classes = append(s.Classes, class)
+		names.Classes = append(names.Classes, lane.Name)
 	}
-	for _, p := range j.Parties {
-		names.Tenants = append(names.Tenants, p.Name)
-		s.Tenants = append(s.Tenants, rules.Tenant{QuotaPerSecond: p.QuotaRps, Share: p.Share})
+	for _, party := range j.Parties {
+		names.Tenants = append(names.Tenants, party.Name)
+		s.Tenants = append(s.Tenants, rules.Tenant{QuotaPerSecond: party.QuotaRps, Share: party.Share})
 	}
 	return s, nil
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -41,18 +41,18 @@
 	}
 }
 
-// usable is what a node needs at least, with one of each that a rule asks something of.
-const usable = `{"tickMs": 2, "bounds": {"maxRetryAfterMs": 1000},
+// validSettings is a minimal valid text with one example of each setting that a check concerns.
+const validSettings = `{"tickMs": 2, "bounds": {"maxRetryAfterMs": 1000},
 	"lanes": [{"deadlineMs": 900, "effect": "idempotent"}, {"deadlineMs": 900, "effect": "deduplicated", "windowMs": 500}],
 	"parties": [{"quotaRps": 4, "share": 0.5}],
 	"extra": {"cpus": 2, "ramKb": 5000, "runFactor": 4, "entryKb": 3, "below": "shared", "callShare": 0.5, "callsOverMs": 5000,
 	          "classCalls": [true], "classSkipWorth": [0.5], "justStarted": true},
 	"obligations": {"fallMultiple": 4, "rampTimeMs": 9000, "coldFrom": 0.3}}`
 
-// Each bad setting is refused in one line that names it; none is replaced by a guess that
-// would loosen a rule.
+// Each bad setting gives an error of one line that names it. None is replaced by a default,
+// which could loosen a rule of the decision module.
 func TestBadSettingsAreNamed(t *testing.T) {
-	if _, err := Parse([]byte(usable)); err != nil {
+	if _, err := Parse([]byte(validSettings)); err != nil {
 		t.Fatal(err)
 	}
 	for key, change := range map[string][2]string{
@@ -80,8 +80,8 @@
 		"obligations.coldFrom: 3 is":    {`"coldFrom": 0.3`, `"coldFrom": 3`},
 		"cannot unmarshal string into ": {`"cpus": 2`, `"cpus": "two"`},
 	} {
-		text := strings.Replace(usable, change[0], change[1], 1)
-		if text == usable {
+		text := strings.Replace(validSettings, change[0], change[1], 1)
+		if text == validSettings {
 			t.Fatalf("%s: nothing changed", key)
 		}
 		_, err := Parse([]byte(text))
--- a/internal/settings/shedding.go
+++ b/internal/settings/shedding.go
@@ -1,6 +1,3 @@
-// This file owns how the INI file's [together] becomes the module's, for both hosts.
-// It must never decide what becomes of a refusal.
-
 package settings
 
 import (
@@ -11,11 +8,12 @@
 	"robinmast/rules"
 )
 
-// UseTogether lets the module refuse with the fleet in mind, if own switches it on.
+// UseShedding sets the module's fleet-aware load shedding from the [together] section of own,
+// if that is enabled.
 func UseShedding(set *rules.Settings, own *config.Config) {
 	if !own.Shedding.Enabled {
 		return
 	}
-	told := own.Shedding.UseDigests
-	set.NewShedder = func(now time.Duration) rules.Shedder { return shedding.New(now, told) }
+	useDigests := own.Shedding.UseDigests
+	set.NewShedder = func(now time.Duration) rules.Shedder { return shedding.New(now, useDigests) }
 }
