--- a/cmd/robinmast/bench_test.go
+++ b/cmd/robinmast/bench_test.go
@@ -16,24 +16,24 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	around "robinmast/internal/standin/platform"
+	testplatform "robinmast/internal/standin/platform"
 )
 
-// stage is one real node between stand-ins, for measurements.
-type stage struct {
-	b       testing.TB
-	dir     string
-	addr    string
-	pool    *around.Pool
-	members *around.Members
-	ini     string
-	config  string // the platform's file, goodConfig if empty
-	cmd     *exec.Cmd
-	log     *lockedBuffer
-	cores   int
-	crowd   float64
-	began   time.Time
-	work    around.Work
+// testNode is the built program with a worker pool and a membership service of the test.
+type testNode struct {
+	b          testing.TB
+	dir        string
+	addr       string
+	pool       *testplatform.Pool
+	members    *testplatform.Members
+	ini        string
+	config     string // the platform's configuration, goodConfig if empty
+	cmd        *exec.Cmd
+	log        *lockedBuffer
+	cores      int
+	contention float64
+	began      time.Time
+	work       testplatform.Work
 }
 
 func buildNode(b testing.TB) string {
@@ -45,11 +45,11 @@
 	return binary
 }
 
-func newStage(b testing.TB, cores int, results string, work around.Work) *stage {
+func newTestNode(b testing.TB, cores int, results string, work testplatform.Work) *testNode {
 	b.Helper()
-	s := &stage{b: b, dir: b.TempDir(), cores: cores, crowd: 0.15, work: work}
+	s := &testNode{b: b, dir: b.TempDir(), cores: cores, contention: 0.15, work: work}
 	var err error
-	if s.members, err = around.StartMembers(); err != nil {
+	if s.members, err = testplatform.StartMembers(); err != nil {
 		b.Fatal(err)
 	}
 	hold, err := net.Listen("tcp", "127.0.0.1:0")
@@ -73,12 +73,12 @@
 	return s
 }
 
-// start brings up a worker pool, as a machine's start does, and the node.
-func (s *stage) start(binary string) {
+// start starts a new worker pool and the node, like the start of a machine.
+func (s *testNode) start(binary string) {
 	s.b.Helper()
 	var err error
 	s.began = time.Now()
-	if s.pool, err = around.StartPool(s.cores, s.crowd, s.work); err != nil {
+	if s.pool, err = testplatform.StartPool(s.cores, s.contention, s.work); err != nil {
 		s.b.Fatal(err)
 	}
 	whole := goodConfig
@@ -105,8 +105,8 @@
 	}
 }
 
-// kill ends the machine: the node and its worker pool.
-func (s *stage) kill() {
+// kill stops the node and its worker pool, like the crash of a machine.
+func (s *testNode) kill() {
 	if s.cmd == nil {
 		return
 	}
@@ -116,8 +116,8 @@
 	s.cmd = nil
 }
 
-// cpu is the processor time of the node.
-func (s *stage) cpu() time.Duration {
+// cpu returns the processor time of the node, to 10 ms.
+func (s *testNode) cpu() time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", s.cmd.Process.Pid))
 	if err != nil {
 		s.b.Fatal(err)
@@ -129,14 +129,14 @@
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
-// BenchmarkRemembered measures what remembering keyed results costs the node.
+// BenchmarkResultCache measures the cost of storing the results of keyed requests.
 //
-//	go test ./cmd/robinmast -run - -bench Remembered -benchtime 4000x
-func BenchmarkRemembered(b *testing.B) {
+//	go test ./cmd/robinmast -run - -bench ResultCache -benchtime 4000x
+func BenchmarkResultCache(b *testing.B) {
 	binary := buildNode(b)
 	for _, results := range []string{"off", "soon", "durable"} {
 		b.Run(results, func(b *testing.B) {
-			s := newStage(b, 8, results, func(r around.Run) (float64, string, []byte) { return 2, "complete", make([]byte, 512) })
+			s := newTestNode(b, 8, results, func(r testplatform.Run) (float64, string, []byte) { return 2, "complete", make([]byte, 512) })
 			s.start(binary)
 			var wg sync.WaitGroup
 			var mu sync.Mutex
@@ -146,7 +146,7 @@
 			b.ResetTimer()
 			for n := range 4 {
 				wg.Go(func() {
-					c, err := around.Dial(s.addr, n)
+					c, err := testplatform.Dial(s.addr, n)
 					if err != nil {
 						b.Error(err)
 						return
@@ -154,13 +154,13 @@
 					defer c.Close()
 					for i := next.Add(1); i <= int64(b.N); i = next.Add(1) {
 						began := time.Now()
-						a, err := c.Call(around.Request{Txn: fmt.Sprintf("%016x", i), Class: "pay", Tenant: "acme", Limit: 4 * time.Second,
+						a, err := c.Call(testplatform.Request{Txn: fmt.Sprintf("%016x", i), Class: "pay", Tenant: "acme", Limit: 4 * time.Second,
 							Unique: fmt.Sprint("k", i), Body: make([]byte, 256)})
 						if err != nil || a.Word != "ACK" {
 							bad.Add(1)
 						}
 						mu.Lock()
-						_ = h.RecordValue(int64(time.Since(began))) // beyond ten seconds it is clipped
+						_ = h.RecordValue(int64(time.Since(began))) // beyond ten seconds it is not recorded
 						mu.Unlock()
 					}
 				})
@@ -175,31 +175,30 @@
 	}
 }
 
-// BenchmarkNight replays the night of cold servers: three machines go down
-// together under load and come back cold, while desktops retry twice, walking
-// from server to server. It counts what ran, what was served in time, and how
-// long it took until nine in ten were served again.
+// BenchmarkFleetRestart replays an incident: three machines crash together under load and
+// restart cold, while desktops retry twice, each time at the next machine. It reports the
+// number of runs, the requests served in time, and the seconds until 90% are served again.
 //
-//	go test ./cmd/robinmast -run - -bench Night -benchtime 1x
-func BenchmarkNight(b *testing.B) {
+//	go test ./cmd/robinmast -run - -bench FleetRestart -benchtime 1x
+func BenchmarkFleetRestart(b *testing.B) {
 	const (
 		machines, cores = 3, 2
-		steps           = 900  // that desktops ask for, some more often than others
-		rate            = 300. // requests a second in all
+		steps           = 900  // distinct items, requested with different frequency
+		rate            = 300. // requests per second of all desktops
 		workMs          = 14.
-		play, crash     = 12 * time.Second, 5 * time.Second
-		coldFor, cold   = 3 * time.Second, 3. // after a start work takes so many times as long
+		length, crash   = 12 * time.Second, 5 * time.Second
+		coldFor, cold   = 3 * time.Second, 3. // for coldFor after a restart, runs take cold times as long
 	)
 	binary := buildNode(b)
 	for _, results := range []string{"off", "durable"} {
-		b.Run("memory="+results, func(b *testing.B) {
+		b.Run("results="+results, func(b *testing.B) {
 			for range b.N {
 				var runs, after atomic.Int64
 				var crashed atomic.Bool
-				var all []*stage
+				var all []*testNode
 				for range machines {
-					var s *stage
-					s = newStage(b, cores, results, func(r around.Run) (float64, string, []byte) {
+					var s *testNode
+					s = newTestNode(b, cores, results, func(r testplatform.Run) (float64, string, []byte) {
 						runs.Add(1)
 						ms := workMs
 						if crashed.Load() {
@@ -216,17 +215,17 @@
 				rnd := rand.New(rand.NewPCG(9, 2))
 				zipf := rand.NewZipf(rnd, 1.05, 20, steps-1)
 				var mu sync.Mutex
-				conns := map[[2]int]*around.Client{}
+				conns := map[[2]int]*testplatform.Client{}
 				var wg sync.WaitGroup
 				var txns, served atomic.Int64
-				seconds := int(play / time.Second)
+				seconds := int(length / time.Second)
 				good, sent := make([]int, seconds+1), make([]int, seconds+1)
 				try := func(desk, m int, item string, more bool) bool {
 					mu.Lock()
 					c := conns[[2]int{desk, m}]
 					if c == nil || !c.Usable() {
 						var err error
-						if c, err = around.Dial(all[m].addr, desk); err != nil {
+						if c, err = testplatform.Dial(all[m].addr, desk); err != nil {
 							mu.Unlock()
 							return false
 						}
@@ -234,14 +233,14 @@
 					}
 					mu.Unlock()
 					began := time.Now()
-					a, err := c.Call(around.Request{Txn: fmt.Sprintf("%016x", txns.Add(1)), Class: "read", Tenant: "acme", Limit: time.Second,
+					a, err := c.Call(testplatform.Request{Txn: fmt.Sprintf("%016x", txns.Add(1)), Class: "read", Tenant: "acme", Limit: time.Second,
 						Item: item, Body: []byte(item), Retry: more, HintMs: workMs})
 					return err == nil && a.Word == "ACK" && time.Since(began) < time.Second
 				}
 				began := time.Now()
 				next := began
 				down := false
-				for time.Since(began) < play {
+				for time.Since(began) < length {
 					if !down && time.Since(began) > crash {
 						down = true
 						crashed.Store(true)
--- a/cmd/robinmast/command.go
+++ b/cmd/robinmast/command.go
@@ -1,6 +1,3 @@
-// This file owns the command line: commands, flags, exit statuses. It must never
-// start a part of the node itself; it hands over to node.
-
 package main
 
 import (
@@ -18,14 +15,14 @@
 // Exit statuses of the program.
 const (
 	statusOK     = 0
-	statusFailed = 1 // it could not listen, or failed while it served
-	statusConfig = 2 // arguments or a configuration that can't be used; nothing was started
+	statusFailed = 1 // the node could not start or failed while it served
+	statusConfig = 2 // invalid arguments or configuration; nothing was started
 )
 
-// release is the version of the program; CHANGELOG.md tells what it holds.
+// release is the version of the program, see CHANGELOG.md.
 const release = "0.3.0-dev"
 
-// failure is an error with the exit status it stands for. A silent one was told already.
+// failure is an error with its exit status. A silent one was reported already.
 type failure struct {
 	error
 	status int
@@ -49,19 +46,21 @@
 	return f.status
 }
 
+// command returns the root command with all its subcommands.
 func command() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "robinmast",
-		Short: "An overload controller that lives inside each server of a fleet",
-		Long: `robinmast is one node: the decision module behind real sockets.
+		Short: "An overload controller for the servers of a fleet",
+		Long: `robinmast runs one node: it decides which requests its worker pool runs,
+queues or refuses.
 
-Without a command it does what the platform starts: it reads the file that
-EDGE_CONFIG names and serves with every feature of its own off.
+Without a command it reads the file that EDGE_CONFIG names, as the platform
+starts it, and serves with all features of the INI file off.
 
 Signals: TERM and INT are the notice to leave, HUP reads the platform's file
 again, USR1 logs the counters.
-Exit statuses: 0 it has left in order, 1 it failed, 2 arguments or a
-configuration that can't be used.`,
+Exit statuses: 0 the node has drained and left, 1 it failed, 2 invalid
+arguments or configuration.`,
 		Args:          cobra.NoArgs,
 		SilenceErrors: true,
 		SilenceUsage:  true,
@@ -75,9 +74,9 @@
 	var path string
 	c := &cobra.Command{
 		Use:   "run --config FILE",
-		Short: "Serve with the features that FILE switches on",
+		Short: "Serve with the features that FILE enables",
 		Long: `run serves like the program without a command, with the features that the INI
-file switches on (deploy/robinmast.ini has every key with its default). The
+file enables (deploy/robinmast.ini has every key with its default). The
 platform's own file is still named by EDGE_CONFIG.`,
 		Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
@@ -89,7 +88,7 @@
 		},
 	}
 	c.Flags().StringVarP(&path, "config", "c", "", "the INI file")
-	_ = c.MarkFlagRequired("config") // fails only for a flag that does not exist
+	_ = c.MarkFlagRequired("config") // fails only if the flag does not exist
 	_ = c.MarkFlagFilename("config", "ini")
 	return c
 }
@@ -98,20 +97,21 @@
 	var path string
 	c := &cobra.Command{
 		Use:   "check --config FILE",
-		Short: "Tell what is wrong with a file, without starting anything",
-		Long: `check reads the INI file as run would and starts nothing. It prints one line for
-each fault, FILE:LINE: [section] key: what is wrong, and exits with 2; a sound
-file prints nothing and exits with 0. If EDGE_CONFIG names the platform's file,
-that is checked too, and so are the names of classes that the INI file gives.`,
+		Short: "Report what is wrong with a file, without starting anything",
+		Long: `check reads the INI file like run and starts nothing. It prints one line for
+each fault, FILE:LINE: [section] key: what is wrong, and exits with 2; for a
+valid file it prints nothing and exits with 0. If EDGE_CONFIG names the
+platform's file, that is checked too, and so are the class names in the INI
+file.`,
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			own, err := config.Load(path)
 			if os.Getenv("EDGE_CONFIG") != "" {
-				cfg, also := load(os.Getenv)
-				if also == nil && own != nil {
-					also = own.CheckClasses(cfg.names.Classes)
+				cfg, platformErr := load(os.Getenv)
+				if platformErr == nil && own != nil {
+					platformErr = own.CheckClasses(cfg.names.Classes)
 				}
-				err = errors.Join(err, also)
+				err = errors.Join(err, platformErr)
 			}
 			if err != nil {
 				fmt.Fprintln(c.OutOrStdout(), err)
@@ -129,7 +129,7 @@
 func versionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "version",
-		Short: "Print the version and what it was built with",
+		Short: "Print the version of the program and of Go",
 		Args:  cobra.NoArgs,
 		Run: func(c *cobra.Command, _ []string) {
 			fmt.Fprintf(c.OutOrStdout(), "robinmast %s", release)
--- a/cmd/robinmast/config.go
+++ b/cmd/robinmast/config.go
@@ -1,6 +1,3 @@
-// This file owns the platform's file: where it comes from and which one is usable.
-// It must never start anything.
-
 package main
 
 import (
@@ -18,15 +15,15 @@
 	"robinmast/rules"
 )
 
-// platform is what the platform tells a node.
+// platform is the configuration that the platform gives a node.
 type platform struct {
 	Name    string  `json:"name"`
 	Listen  string  `json:"listen"`
 	Pool    string  `json:"pool"`
 	Members string  `json:"members"`
-	DB      string  `json:"db"` // what lies below, "" = nothing does
+	DB      string  `json:"db"` // address of the shared database, "" = none
 	Seed    string  `json:"seed"`
-	StopMs  float64 `json:"stop_ms"`
+	StopMs  float64 `json:"stop_ms"` // from the notice to leave until the process is killed
 	Limits  struct {
 		Cores    float64 `json:"cores"`
 		MemoryMB float64 `json:"memory_mb"`
@@ -37,26 +34,26 @@
 	set   rules.Settings
 	names settings.Names
 	seed  uint64
-	own   *config.Config // the node's own settings, not the platform's
-	began time.Time      // when the process began
+	own   *config.Config // from the node's INI file
+	began time.Time      // start of the process
 }
 
-// age is how long the process has been there.
-func (c *platform) age() time.Duration {
+// uptime is the time since the process started.
+func (c *platform) uptime() time.Duration {
 	if c.began.IsZero() {
 		return 0
 	}
 	return time.Since(c.began)
 }
 
-// Where the platform sets no limit, these hold.
+// Defaults for limits that the platform does not set.
 const (
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
 	defaultStop     = 3 * time.Second
 )
 
-// load reads and checks the configuration that EDGE_CONFIG names.
+// load reads and checks the configuration file that EDGE_CONFIG names.
 func load(env func(string) string) (*platform, error) {
 	path := env("EDGE_CONFIG")
 	if path == "" {
@@ -73,27 +70,30 @@
 	return c, nil
 }
 
-// place says where in the text a fault of its JSON lies, "" if that is not told.
-func place(text []byte, err error) string {
+// linePrefix returns the line of a JSON error in text as a prefix for a message, "" if the
+// error has no position.
+func linePrefix(text []byte, err error) string {
 	var syntax *json.SyntaxError
-	var kind *json.UnmarshalTypeError
-	at := int64(-1)
+	var typeError *json.UnmarshalTypeError
+	offset := int64(-1)
 	switch {
 	case errors.As(err, &syntax):
-		at = syntax.Offset
-	case errors.As(err, &kind):
-		at = kind.Offset
+		offset = syntax.Offset
+	case errors.As(err, &typeError):
+		offset = typeError.Offset
 	}
-	if at < 0 || at > int64(len(text)) {
+	if offset < 0 || offset > int64(len(text)) {
 		return ""
 	}
-	return fmt.Sprintf("line %d: ", 1+bytes.Count(text[:at], []byte("\n")))
+	return fmt.Sprintf("line %d: ", 1+bytes.Count(text[:offset], []byte("\n")))
 }
 
+// parse parses and checks a configuration; the name and the listen address may come from the
+// environment instead.
 func parse(text []byte, env func(string) string) (*platform, error) {
 	c := &platform{own: config.Defaults()}
 	if err := json.Unmarshal(text, c); err != nil {
-		return nil, fmt.Errorf("configuration: %s%w", place(text, err), err)
+		return nil, fmt.Errorf("configuration: %s%w", linePrefix(text, err), err)
 	}
 	if c.Name == "" {
 		c.Name = env("EDGE_NAME")
@@ -102,7 +102,7 @@
 		c.Listen = env("EDGE_LISTEN")
 	}
 	if c.Name == "" {
-		return nil, errors.New("configuration: no name")
+		return nil, errors.New("configuration: no node name")
 	}
 	for key, addr := range map[string]string{"listen": c.Listen, "pool": c.Pool, "members": c.Members} {
 		if err := checkAddress(addr); err != nil {
@@ -117,12 +117,12 @@
 	if c.Seed != "" {
 		seed, err := strconv.ParseUint(c.Seed, 16, 64)
 		if err != nil {
-			return nil, fmt.Errorf("configuration: seed %q is no hexadecimal number of 64 bits", c.Seed)
+			return nil, fmt.Errorf("configuration: seed %q is not a hexadecimal number of at most 64 bits", c.Seed)
 		}
 		c.seed = seed
 	}
 	if c.StopMs < 0 || c.Limits.Cores < 0 || c.Limits.MemoryMB < 0 || c.Limits.Sockets < 0 {
-		return nil, errors.New("configuration: a limit below 0")
+		return nil, errors.New("configuration: stop_ms and limits must not be negative")
 	}
 	if c.Limits.MemoryMB == 0 {
 		c.Limits.MemoryMB = defaultMemoryMB
@@ -137,53 +137,54 @@
 	return c, c.check()
 }
 
-// check refuses settings that this program can't serve.
+// check returns an error for settings that this program does not support.
 func (c *platform) check() error {
 	switch {
 	case c.set.Dependency == rules.DependencyTier:
-		return errors.New("configuration: settings: extra.below: calls to another tier have no protocol here")
+		return errors.New("configuration: settings: extra.below: calls to another tier are not supported")
 	case c.set.Dependency == rules.DependencyShared && c.DB == "":
-		return errors.New("configuration: settings: extra.below: calls below, and no db address to make them to")
+		return errors.New("configuration: settings: extra.below: downstream calls need a db address")
 	case c.set.Preemption == rules.PreemptPause:
-		return errors.New("configuration: settings: extra.preemption: pausing has no protocol here")
+		return errors.New("configuration: settings: extra.preemption: suspending runs is not supported")
 	case c.set.BatchInterval <= 0 || c.set.BatchInterval > time.Second:
-		return fmt.Errorf("configuration: settings: tickMs: %v is no usable tick", c.set.BatchInterval)
+		return fmt.Errorf("configuration: settings: tickMs: %v is out of range, want more than 0 and at most 1s", c.set.BatchInterval)
 	}
-	seen := map[string]bool{}
+	used := map[string]bool{}
 	for _, name := range c.names.Classes {
-		if name == "" || seen[name] {
-			return fmt.Errorf("configuration: settings: class name %q is empty or used twice", name)
+		if name == "" || used[name] {
+			return fmt.Errorf("configuration: settings: class name %q is empty or a duplicate", name)
 		}
-		seen[name] = true
+		used[name] = true
 	}
-	seen = map[string]bool{}
+	used = map[string]bool{}
 	for _, name := range c.names.Tenants {
-		if name == "" || seen[name] {
-			return fmt.Errorf("configuration: settings: tenant name %q is empty or used twice", name)
+		if name == "" || used[name] {
+			return fmt.Errorf("configuration: settings: tenant name %q is empty or a duplicate", name)
 		}
-		seen[name] = true
+		used[name] = true
 	}
-	if _, err := rules.New(0, c.set, 0, silent{}); err != nil {
+	if _, err := rules.New(0, c.set, 0, discardHost{}); err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
 	return nil
 }
 
+// checkAddress returns an error unless addr is an IP address with a port.
 func checkAddress(addr string) error {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
 		return err
 	}
 	if net.ParseIP(host) == nil {
-		return errors.New("no IP address")
+		return errors.New("host is not an IP address")
 	}
 	if n, err := strconv.ParseUint(port, 10, 16); err != nil || n == 0 {
-		return errors.New("no port")
+		return errors.New("port is not a number from 1 to 65535")
 	}
 	return nil
 }
 
-// stop is the time from the notice to leave until the process is killed.
+// stop returns the time from the notice to leave until the process is killed.
 func (c *platform) stop() time.Duration {
 	if c.StopMs == 0 {
 		return defaultStop
@@ -191,20 +192,20 @@
 	return time.Duration(min(c.StopMs, 3.6e6) * float64(time.Millisecond))
 }
 
-// silent is a host that does nothing, to try settings on the module.
-type silent struct{}
+// discardHost is a rules.Host that does nothing, to check settings with the module.
+type discardHost struct{}
 
-func (silent) Run(rules.RequestID)                         {}
-func (silent) Preempt(rules.RequestID)                     {}
-func (silent) Refuse(rules.RequestID, time.Duration, bool) {}
-func (silent) Fail(rules.RequestID)                        {}
-func (silent) Call(rules.RequestID, time.Duration)         {}
-func (silent) SkipCall(rules.RequestID)                    {}
-func (silent) KeepRecord(rules.RequestID, time.Duration)   {}
-func (silent) ForgetRecord(rules.RequestID)                {}
-func (silent) JoinEarlier(rules.RequestID)                 {}
-func (silent) SetHealth(bool, bool)                        {}
-func (silent) PublishLoad(float64)                         {}
-func (silent) SetIdleTimeout(time.Duration)                {}
-func (silent) StartTimer(uint64, time.Duration)            {}
-func (silent) Log(string)                                  {}
+func (discardHost) Run(rules.RequestID)                         {}
+func (discardHost) Preempt(rules.RequestID)                     {}
+func (discardHost) Refuse(rules.RequestID, time.Duration, bool) {}
+func (discardHost) Fail(rules.RequestID)                        {}
+func (discardHost) Call(rules.RequestID, time.Duration)         {}
+func (discardHost) SkipCall(rules.RequestID)                    {}
+func (discardHost) KeepRecord(rules.RequestID, time.Duration)   {}
+func (discardHost) ForgetRecord(rules.RequestID)                {}
+func (discardHost) JoinEarlier(rules.RequestID)                 {}
+func (discardHost) SetHealth(bool, bool)                        {}
+func (discardHost) PublishLoad(float64)                         {}
+func (discardHost) SetIdleTimeout(time.Duration)                {}
+func (discardHost) StartTimer(uint64, time.Duration)            {}
+func (discardHost) Log(string)                                  {}
--- a/cmd/robinmast/config_test.go
+++ b/cmd/robinmast/config_test.go
@@ -14,10 +14,10 @@
 //go:embed testdata/config.json
 var goodConfig string
 
-func none(string) string { return "" }
+func noEnv(string) string { return "" }
 
 func TestParse(t *testing.T) {
-	c, err := parse([]byte(goodConfig), none)
+	c, err := parse([]byte(goodConfig), noEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,7 +36,7 @@
 		"listen, port 0":  {`"127.0.0.1:8080"`, `"127.0.0.1:0"`},
 		"pool by name":    {`"127.0.0.1:4400"`, `"pool.local:4400"`},
 		"no members":      {`"members":"127.0.0.1:2379",`, ``},
-		"odd seed":        {`"8c1f30d27a5be964"`, `"seed"`},
+		"invalid seed":    {`"8c1f30d27a5be964"`, `"seed"`},
 		"negative memory": {`"memory_mb":96`, `"memory_mb":-1`},
 		"no settings":     {`"settings"`, `"setting"`},
 		"no classes":      {`"lanes"`, `"lane"`},
@@ -45,7 +45,7 @@
 		"no deadline":     {`"deadlineMs":4000,"effect":"idempotent"`, `"effect":"idempotent"`},
 		"no cores":        {`"cpus":2`, `"cpus":0`},
 		"no tick":         {`"tickMs":2`, `"tickMs":0`},
-		"calls below":     {`"below":"none"`, `"below":"shared"`},
+		"calls, no db":    {`"below":"none"`, `"below":"shared"`},
 		"db by name":      {`"stop_ms"`, `"db":"rows.local:7700","stop_ms"`},
 		"another tier":    {`"below":"none"`, `"below":"tier"`},
 		"pausing":         {`"preemption":"drop"`, `"preemption":"pause"`},
@@ -57,23 +57,23 @@
 		if text == goodConfig {
 			t.Fatalf("%s: nothing changed", name)
 		}
-		c, err := parse([]byte(text), none)
+		c, err := parse([]byte(text), noEnv)
 		if err == nil {
-			t.Errorf("%s: taken: %+v", name, c)
+			t.Errorf("%s: accepted: %+v", name, c)
 		} else if strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: more than a line: %q", name, err)
+			t.Errorf("%s: more than one line: %q", name, err)
 		}
 	}
 }
 
 func TestLoad(t *testing.T) {
-	if _, err := load(none); err == nil {
-		t.Error("no EDGE_CONFIG: taken")
+	if _, err := load(noEnv); err == nil {
+		t.Error("no EDGE_CONFIG: accepted")
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := func(k string) string { return map[string]string{"EDGE_CONFIG": path}[k] }
 	if _, err := load(env); err == nil {
-		t.Error("no file: taken")
+		t.Error("no file: accepted")
 	}
 	if err := os.WriteFile(path, []byte(goodConfig), 0o600); err != nil {
 		t.Fatal(err)
--- a/cmd/robinmast/control.go
+++ b/cmd/robinmast/control.go
@@ -1,6 +1,3 @@
-// This file owns what the node tells a control service of itself. It must never
-// wait, and never decide anything: each report is as of when it is sent.
-
 package main
 
 import (
@@ -25,37 +22,40 @@
 	"robinmast/internal/recovery"
 )
 
-// controlReport gathers what the next report says.
+// controlReport collects what the node reports to the control services. A report is made when
+// it is sent, from the values of that moment. The methods never block and may be called by
+// any goroutine.
 type controlReport struct {
-	links  []*controlLink
-	ledger *exchange.Counters
-
-	told func(since time.Time, src int, d shedding.Digest) // nil = no digest is asked for
+	links    []*controlLink
+	requests *exchange.Counters
 
-	back  *recovery.Keeper            // nil = nothing is said of the way back
-	heard func(*decide.PreviousStore) // takes what was heard of earlier lives
-	room  func(since time.Time, share float64)
+	// Set before the reporters run, nil where the feature is off. The time since is when the
+	// answered report was sent.
+	receiveDigest   func(since time.Time, source int, d shedding.Digest)
+	recovery        *recovery.Keeper
+	observePrevious func(*decide.PreviousStore) // receives what is known of previous incarnations
+	fleetCapacity   func(since time.Time, share float64)
 
-	mu   sync.Mutex
-	is   controlMessage
-	said shedding.LoadReport
-	view shedding.View
-	part controlWord
-	stop time.Time // the drain ends, zero = it has not begun
+	mu         sync.Mutex
+	message    controlMessage
+	loadReport shedding.LoadReport
+	view       shedding.View
+	shedding   controlShedding // part of message
+	stop       time.Time       // end of the drain, zero = the node does not drain
 }
 
-// controlLink is the link to one service: it has a pace of its own, so that one that
-// hangs delays no other.
+// controlLink is the link to one control service. Each has its own reporter, so that a service
+// that hangs does not delay reports to the others.
 type controlLink struct {
 	reporter *members.Reporter
-	src      int
+	source   int
 
-	read, refused, again int64 // as of its last report
-	at                   time.Time
-	knows                bool // it said what was heard of earlier lives
+	read, refused, furtherTries int64     // counters at the last report
+	at                          time.Time // of the last report
+	previousObserved            bool      // the service has answered what it knows of previous incarnations
 }
 
-// controlMessage is PUT /nodes/NAME of docs/control.md.
+// controlMessage is the body of PUT /nodes/NAME, see docs/control.md.
 type controlMessage struct {
 	Addr        string  `json:"addr"`
 	Zone        string  `json:"zone,omitempty"`
@@ -71,32 +71,32 @@
 	Refused     float64 `json:"refused"`
 	Flips       uint64  `json:"flips"`
 
-	Together *controlWord `json:"together,omitempty"`
-	Comeback *controlBack `json:"comeback,omitempty"`
+	Together *controlShedding `json:"together,omitempty"`
+	Comeback *controlRecovery `json:"comeback,omitempty"`
 }
 
-// controlBack is the part of a report of a node that watches its way to full service.
-type controlBack struct {
+// controlRecovery is the part of a report with [comeback] on.
+type controlRecovery struct {
 	State  string                `json:"state"`
 	Memory string                `json:"memory,omitempty"`
-	Store  *decide.PreviousStore `json:"store,omitempty"` // that remembers its results
-	Reads  float64               `json:"reads"`           // arrivals a second
-	Again  float64               `json:"again"`           // share of them that are further tries
+	Store  *decide.PreviousStore `json:"store,omitempty"` // identity of the store that holds the results
+	Reads  float64               `json:"reads"`           // requests per second
+	Again  float64               `json:"again"`           // share of the requests that are further tries
 }
 
-// controlWord is the part of a report of a node that thinks of the fleet.
-type controlWord struct {
-	Drain  float64            `json:"drain"`
-	Short  float64            `json:"short"`
-	Demand map[string]float64 `json:"demand"` // first tries a second by band of price; bands without any are left out
-	Ask    bool               `json:"ask"`    // for the digest
-	Cut    float64            `json:"cut"`    // that the node follows, 0 = none
-	Trust  float64            `json:"trust"`  // in its digest
+// controlShedding is the part of a report with [together] on.
+type controlShedding struct {
+	Drain  float64            `json:"drain"`  // queued requests that get a slot per second
+	Short  float64            `json:"short"`  // share of the time in which slots were short
+	Demand map[string]float64 `json:"demand"` // first tries per second by priority band; empty bands are left out
+	Ask    bool               `json:"ask"`    // for the fleet digest in the response
+	Cut    float64            `json:"cut"`    // shedding threshold that the node follows, 0 = none
+	Trust  float64            `json:"trust"`  // in the digest that the node follows, 0 to 1
 }
 
-// secure is how the service is spoken to, nil for plain text. The node's pair is
-// read anew for each connection, so that it may be replaced.
-func secure(own config.Control) (*tls.Config, error) {
+// controlTLS returns the TLS configuration for the control services, nil for plain text. The
+// node's certificate and key are read again for each connection, so they may be replaced.
+func controlTLS(own config.Control) (*tls.Config, error) {
 	if own.Cert == "" {
 		return nil, nil
 	}
@@ -113,7 +113,7 @@
 	}
 	ca := x509.NewCertPool()
 	if !ca.AppendCertsFromPEM(text) {
-		return nil, fmt.Errorf("control: %s holds no certificate", own.CA)
+		return nil, fmt.Errorf("control: no certificate in %s", own.CA)
 	}
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, RootCAs: ca, ServerName: own.ServerName,
@@ -121,159 +121,166 @@
 	}, nil
 }
 
-func newControlReport(cfg *platform, ledger *exchange.Counters, log *slog.Logger) (*controlReport, error) {
+func newControlReport(cfg *platform, requests *exchange.Counters, log *slog.Logger) (*controlReport, error) {
 	own := cfg.own.Control
-	tlsConfig, err := secure(own)
+	tlsConfig, err := controlTLS(own)
 	if err != nil {
 		return nil, err
 	}
-	c := &controlReport{ledger: ledger, is: controlMessage{
-		Addr: cmp.Or(own.Advertise, cfg.Listen), Zone: own.Zone, Incarnation: time.Now().UnixMicro(), Phase: "up", Healthy: true, Warm: 1,
+	c := &controlReport{requests: requests, message: controlMessage{
+		Addr: cmp.Or(own.Advertise, cfg.Listen), Zone: own.Zone, Incarnation: time.Now().UnixMicro(),
+		Phase: "up", Healthy: true, Warm: 1,
 	}}
 	for i, addr := range own.Address {
-		l := &controlLink{src: i}
+		l := &controlLink{source: i}
 		l.reporter = members.NewControl(addr, cfg.Name, tlsConfig, func() string { return c.next(l) }, log)
-		l.reporter.OnAnswer = func(sent time.Time, body []byte) { c.answered(l, sent, body) }
+		l.reporter.OnAnswer = func(sent time.Time, body []byte) { c.handleResponse(l, sent, body) }
 		c.links = append(c.links, l)
 	}
 	return c, nil
 }
 
-// word takes what the module says of itself for the fleet; it is put into words
-// when the next report is made.
-func (c *controlReport) word(w shedding.LoadReport, v shedding.View) {
+// setShedding sets the module's load report and view of the fleet, for the next report.
+func (c *controlReport) setShedding(r shedding.LoadReport, v shedding.View) {
 	c.mu.Lock()
-	c.said, c.view, c.is.Together = w, v, &c.part
+	c.loadReport, c.view, c.message.Together = r, v, &c.shedding
 	c.mu.Unlock()
 }
 
-// tell puts the last word into the next report; the lock must be held.
-func (c *controlReport) tell() {
-	c.part = controlWord{Drain: tenth(c.said.DrainRate), Short: round(c.said.ShortageShare), Demand: map[string]float64{},
-		Ask: c.told != nil, Cut: c.view.Threshold, Trust: round(c.view.Trust)}
-	for i, x := range c.said.Demand {
-		if x = tenth(x); x > 0 {
-			c.part.Demand[strconv.Itoa(i)] = x
+// fillShedding updates the shedding part of the message; c.mu must be held.
+func (c *controlReport) fillShedding() {
+	c.shedding = controlShedding{
+		Drain: roundTenth(c.loadReport.DrainRate), Short: round(c.loadReport.ShortageShare), Demand: map[string]float64{},
+		Ask: c.receiveDigest != nil, Cut: c.view.Threshold, Trust: round(c.view.Trust),
+	}
+	for band, rate := range c.loadReport.Demand {
+		if rate = roundTenth(rate); rate > 0 {
+			c.shedding.Demand[strconv.Itoa(band)] = rate
 		}
 	}
 }
 
-func tenth(x float64) float64 { return math.Round(10*x) / 10 }
+// roundTenth rounds to one decimal.
+func roundTenth(x float64) float64 { return math.Round(10*x) / 10 }
 
-// answered takes the body of an answer to a report made at the time sent: the
-// fleet's digest. What can't be read is as if never told.
-func (c *controlReport) answered(l *controlLink, sent time.Time, body []byte) {
+// handleResponse handles the body of the response to a report that was sent at the time sent:
+// the fleet digest, the fleet's capacity, and what the service knows of this node's previous
+// incarnations. A body that is not valid JSON is ignored.
+func (c *controlReport) handleResponse(l *controlLink, sent time.Time, body []byte) {
 	if len(body) == 0 {
 		return
 	}
 	var d struct {
 		shedding.Digest
-		Heard *controlHeard `json:"heard"`
-		Room  float64       `json:"room"`
+		Heard *controlPrevious `json:"heard"`
+		Room  float64          `json:"room"`
 	}
 	if err := json.Unmarshal(body, &d); err != nil {
 		return
 	}
-	if c.told != nil && d.Epoch != 0 {
-		c.told(sent, l.src, d.Digest)
+	if c.receiveDigest != nil && d.Epoch != 0 {
+		c.receiveDigest(sent, l.source, d.Digest)
 	}
-	if c.room != nil && d.Room > 0 {
-		c.room(sent, d.Room)
+	if c.fleetCapacity != nil && d.Room > 0 {
+		c.fleetCapacity(sent, d.Room)
 	}
-	if c.heard != nil && d.Heard != nil {
+	if c.observePrevious != nil && d.Heard != nil {
 		c.mu.Lock()
-		told := l.knows
-		l.knows = true
+		observed := l.previousObserved
+		l.previousObserved = true
 		c.mu.Unlock()
-		if !told { // a life's first answer tells all there is: an earlier life has ended
-			c.heard(d.Heard.Before)
+		if !observed { // the first response is complete, as previous incarnations have ended
+			c.observePrevious(d.Heard.Before)
 		}
 	}
 }
 
-// controlHeard is what a control service heard of this name's earlier lives.
-type controlHeard struct {
-	Before *decide.PreviousStore `json:"before,omitempty"` // nil = of none
+// controlPrevious is what a control service knows of previous incarnations of this node's name.
+type controlPrevious struct {
+	Before *decide.PreviousStore `json:"before,omitempty"` // nil = there was none
 }
 
-// remembers lets reports say what the store is and how the way back stands.
-func (c *controlReport) remembers(k *recovery.Keeper, heard func(*decide.PreviousStore), room func(time.Time, float64)) {
-	c.back, c.heard, c.room = k, heard, room
+// useRecovery adds the recovery state to the reports, and passes on what services answer of
+// previous incarnations and of the fleet's capacity. It must be called before the reporters run.
+func (c *controlReport) useRecovery(
+	keeper *recovery.Keeper, observePrevious func(*decide.PreviousStore), fleetCapacity func(time.Time, float64),
+) {
+	c.recovery, c.observePrevious, c.fleetCapacity = keeper, observePrevious, fleetCapacity
 }
 
-// next is the report to send now.
+// next returns the report to send now over a link.
 func (c *controlReport) next(l *controlLink) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.is.Seq++
-	if c.is.Together != nil {
-		c.tell()
+	c.message.Seq++
+	if c.message.Together != nil {
+		c.fillShedding()
 	}
-	read, refused := c.ledger.Read.Load(), c.ledger.Count(exchange.EndedRefused)
-	if c.is.Refused = 0; read > l.read {
-		c.is.Refused = min(max(float64(refused-l.refused)/float64(read-l.read), 0), 1)
+	read, refused := c.requests.Read.Load(), c.requests.Count(exchange.EndedRefused)
+	if c.message.Refused = 0; read > l.read {
+		c.message.Refused = min(max(float64(refused-l.refused)/float64(read-l.read), 0), 1)
 	}
-	c.lifeNow(l, read)
+	c.fillRecovery(l, read)
 	l.read, l.refused = read, refused
 	if !c.stop.IsZero() {
-		c.is.DrainLeftMs = max(float64(time.Until(c.stop).Milliseconds()), 0)
+		c.message.DrainLeftMs = max(float64(time.Until(c.stop).Milliseconds()), 0)
 	}
-	text, err := json.Marshal(c.is)
-	if err != nil { // the type has nothing that can't be encoded but figures that are none
+	text, err := json.Marshal(c.message)
+	if err != nil { // only a NaN or infinite number cannot be encoded
 		return "{}"
 	}
 	return string(text)
 }
 
-// lifeNow puts the way back into the report; the lock must be held.
-func (c *controlReport) lifeNow(l *controlLink, read int64) {
-	if c.back == nil {
+// fillRecovery updates the recovery part of the message; c.mu must be held.
+func (c *controlReport) fillRecovery(l *controlLink, read int64) {
+	if c.recovery == nil {
 		return
 	}
-	now, again := time.Now(), c.ledger.FurtherTries.Load()
-	b := &controlBack{Store: c.back.Identity()}
-	if v := c.back.View(); v != nil {
-		b.State, b.Memory = v.State, v.Memory
+	now, furtherTries := time.Now(), c.requests.FurtherTries.Load()
+	part := &controlRecovery{Store: c.recovery.Identity()}
+	if v := c.recovery.View(); v != nil {
+		part.State, part.Memory = v.State, v.Memory
 	}
-	if dt := now.Sub(l.at).Seconds(); !l.at.IsZero() && dt > 0 && read > l.read {
-		b.Reads = tenth(float64(read-l.read) / dt)
-		b.Again = round(min(float64(again-l.again)/float64(read-l.read), 1))
+	if seconds := now.Sub(l.at).Seconds(); !l.at.IsZero() && seconds > 0 && read > l.read {
+		part.Reads = roundTenth(float64(read-l.read) / seconds)
+		part.Again = round(min(float64(furtherTries-l.furtherTries)/float64(read-l.read), 1))
 	}
-	l.again, l.at = again, now
-	c.is.Comeback = b
+	l.furtherTries, l.at = furtherTries, now
+	c.message.Comeback = part
 }
 
-// load takes how the node stands.
-func (c *controlReport) load(l node.Load) {
+// setLoad sets the node's load, for the next report.
+func (c *controlReport) setLoad(l node.Load) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.is.Running, c.is.Limit, c.is.Pressure, c.is.Warm = l.Running, l.Limit, l.Pressure, l.Warm
+	c.message.Running, c.message.Limit, c.message.Pressure, c.message.Warm = l.Running, l.Limit, l.Pressure, l.Warm
 }
 
-// health takes what health checks are told, and reports a change at once.
-func (c *controlReport) health(good bool) {
+// setHealthy sets the result of the node's health checks, and reports a change at once.
+func (c *controlReport) setHealthy(healthy bool) {
 	c.mu.Lock()
-	changed := c.is.Healthy != good
+	changed := c.message.Healthy != healthy
 	if changed {
-		c.is.Healthy = good
-		c.is.Flips++
+		c.message.Healthy = healthy
+		c.message.Flips++
 	}
 	c.mu.Unlock()
 	if changed {
-		c.poke()
+		c.reportNow()
 	}
 }
 
-// drain takes the notice to leave, and reports it at once.
+// drain reports at once that the node drains for the time left.
 func (c *controlReport) drain(left time.Duration) {
 	c.mu.Lock()
-	c.is.Phase, c.stop = "draining", time.Now().Add(left)
+	c.message.Phase, c.stop = "draining", time.Now().Add(left)
 	c.mu.Unlock()
-	c.poke()
+	c.reportNow()
 }
 
-// poke has a report sent to every service at once.
-func (c *controlReport) poke() {
+// reportNow sends a report to every service without waiting for the interval.
+func (c *controlReport) reportNow() {
 	for _, l := range c.links {
 		l.reporter.ReportNow()
 	}
--- a/cmd/robinmast/counters.go
+++ b/cmd/robinmast/counters.go
@@ -1,5 +1,3 @@
-// This file owns the line of all counters. It must never change one.
-
 package main
 
 import (
@@ -16,59 +14,63 @@
 	"robinmast/rules"
 )
 
-// count logs every counter on one line. Requests read are the sum of served,
-// refused, failed, cancelled, gone and in_hand; answers queued that of sent,
-// dropped and what still waits; connections opened, tries that came to nothing
-// included, that of all ends and of those still open.
-func (p *parts) count(log *slog.Logger, line string) {
-	l, f, k := p.ledger, p.front, p.pool
+// logCounters logs all counters on one line with the message line. Three sums hold: requests
+// read are those served, refused, failed, cancelled, gone and in_hand; messages queued on a
+// link are those sent, dropped and still waiting; connections opened, failed attempts
+// included, are those of all end_ counters and those still open.
+func (p *runningNode) logCounters(log *slog.Logger, line string) {
+	requests, dispatchers, workers := p.requests, p.front, p.pool
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	var use syscall.Rusage
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &use) // zeros, should it fail
-	cpu := time.Duration(use.Utime.Nano() + use.Stime.Nano())
-	heldConnects, heldProbes := f.Delayed()
+	var usage syscall.Rusage
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage) // all zero if it fails
+	cpu := time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
+	delayedConnects, delayedProbes := dispatchers.Delayed()
 	args := []any{
 		slog.Group("requests",
-			"read", l.Read.Load(), "served", l.Count(exchange.EndedServed), "refused", l.Count(exchange.EndedRefused),
-			"failed", l.Count(exchange.EndedFailed), "cancelled", l.Count(exchange.EndedCancelled),
-			"gone", l.Count(exchange.EndedCallerGone), "in_hand", l.OpenRequests(), "late_answers", l.Late.Load()),
+			"read", requests.Read.Load(), "served", requests.Count(exchange.EndedServed),
+			"refused", requests.Count(exchange.EndedRefused), "failed", requests.Count(exchange.EndedFailed), "cancelled", requests.Count(exchange.EndedCancelled), "gone", requests.Count(exchange.EndedCallerGone),
+			"in_hand", requests.OpenRequests(), "late_answers", requests.Late.Load()),
 		slog.Group("dispatchers",
-			"calls", f.Counters.Calls.Load(), "malformed", f.Counters.Malformed.Load(),
-			"cancels", f.Counters.Cancels.Load(), "cancels_unmatched", f.Counters.Unmatched.Load(),
-			"health", f.Counters.Health.Load(), "unknown", f.Counters.Unknown.Load(),
-			"held_connections", heldConnects, "held_health", heldProbes, "accept_failures", f.Counters.AcceptFailures.Load(), "open", f.Conns(), traffic(&f.Traffic)),
+			"calls", dispatchers.Counters.Calls.Load(), "malformed", dispatchers.Counters.Malformed.Load(),
+			"cancels", dispatchers.Counters.Cancels.Load(), "cancels_unmatched", dispatchers.Counters.Unmatched.Load(),
+			"health", dispatchers.Counters.Health.Load(), "unknown", dispatchers.Counters.Unknown.Load(),
+			"held_connections", delayedConnects, "held_health", delayedProbes,
+			"accept_failures", dispatchers.Counters.AcceptFailures.Load(), "open", dispatchers.Conns(),
+			traffic(&dispatchers.Traffic)),
 		slog.Group("pool",
-			"links", k.Counters.Links.Load(),
-			"spawned", k.Counters.Started.Load(), "respawned", k.Counters.Restarted.Load(),
-			"suspended", k.Counters.Stopped.Load(), "complete", k.Counters.Finished[pool.Complete].Load(),
-			"error", k.Counters.Finished[pool.Error].Load(), "cancelled", k.Counters.Finished[pool.Cancelled].Load(),
-			"moot", k.Counters.Finished[pool.NeverStarted].Load(), "rejected", k.Counters.Rejected.Load(),
-			"running", k.OpenRuns(), "bad_lines", k.Counters.BadLines.Load(), "lost_notices", k.Counters.LostNotices.Load(),
-			"repeated_notices", k.Counters.RepeatedNotices.Load(),
-			traffic(&k.Traffic)),
-		slog.Group("members", "sent", p.report.Sent.Load(), "failed", p.report.Failed.Load(), traffic(&p.report.Traffic)),
+			"links", workers.Counters.Links.Load(),
+			"spawned", workers.Counters.Started.Load(), "respawned", workers.Counters.Restarted.Load(),
+			"suspended", workers.Counters.Stopped.Load(),
+			"complete", workers.Counters.Finished[pool.Complete].Load(), "error", workers.Counters.Finished[pool.Error].Load(),
+			"cancelled", workers.Counters.Finished[pool.Cancelled].Load(),
+			"moot", workers.Counters.Finished[pool.NeverStarted].Load(), "rejected", workers.Counters.Rejected.Load(),
+			"running", workers.OpenRuns(), "bad_lines", workers.Counters.BadLines.Load(),
+			"lost_notices", workers.Counters.LostNotices.Load(),
+			"repeated_notices", workers.Counters.RepeatedNotices.Load(),
+			traffic(&workers.Traffic)),
+		slog.Group("members", "sent", p.members.Sent.Load(), "failed", p.members.Failed.Load(), traffic(&p.members.Traffic)),
 		slog.Group("process",
-			"cpu", cpu, "max_rss_kb", use.Maxrss, "heap_kb", m.HeapAlloc>>10, "from_os_kb", m.Sys>>10,
+			"cpu", cpu, "max_rss_kb", usage.Maxrss, "heap_kb", m.HeapAlloc>>10, "from_os_kb", m.Sys>>10,
 			"gc", m.NumGC, "goroutines", runtime.NumGoroutine(), "descriptors", descriptors(),
 			"module_resets", p.node.ModuleResets.Load()),
 		slog.Group("keys", "misused", p.node.KeyConflicts.Load()),
 	}
-	if b := p.below; b != nil {
-		args = append(args, slog.Group("below", "calls", b.Calls.Load(), "well", b.Ended[rules.OK].Load(),
-			"failed", b.Ended[rules.Failed].Load(), "full", b.Ended[rules.CallRejected].Load(), "timed_out", b.Ended[rules.TimedOut].Load(),
-			"connect_failed", b.Ended[rules.ConnectFailed].Load(), "reset", b.Ended[rules.ConnectionReset].Load(),
-			"given_up", b.Ended[rules.Cancelled].Load(), traffic(&b.Traffic)))
+	if calls := p.dependency; calls != nil {
+		args = append(args, slog.Group("below", "calls", calls.Calls.Load(), "well", calls.Ended[rules.OK].Load(),
+			"failed", calls.Ended[rules.Failed].Load(), "full", calls.Ended[rules.CallRejected].Load(),
+			"timed_out", calls.Ended[rules.TimedOut].Load(), "connect_failed", calls.Ended[rules.ConnectFailed].Load(),
+			"reset", calls.Ended[rules.ConnectionReset].Load(), "given_up", calls.Ended[rules.Cancelled].Load(), traffic(&calls.Traffic)))
 	}
-	if p.memory != nil {
-		c, s := &p.memory.Counters, &p.memory.Store().Stats
+	if p.results != nil {
+		c, s := &p.results.Counters, &p.results.Store().Stats
 		syncs := s.Syncs.Load()
 		args = append(args, slog.Group("results",
 			"intents", c.Intents.Load(), "stored", c.Stored.Load(), "restored", c.Restored.Load(),
 			"answered", c.Answered.Load(), "unknown", c.Unknown.Load(), "late_ends", c.Late.Load(),
 			"aged", c.Aged.Load(), "evicted", c.Evicted.Load(), "no_room", c.NoRoom.Load(), "failed", c.Failed.Load()),
 			slog.Group("store",
-				"entries", p.memory.Store().Len(), "batches", s.Batches.Load(), "bytes", s.Bytes.Load(),
+				"entries", p.results.Store().Len(), "batches", s.Batches.Load(), "bytes", s.Bytes.Load(),
 				"syncs", syncs, "sync_mean", time.Duration(s.SyncNanos.Load()/max(syncs, 1)), "full", s.Full.Load(),
 				"compactions", s.Compactions.Load(), "compaction_failures", s.CompactionFailures.Load(),
 				"checkpoints", s.Checkpoints.Load(), "given_up", s.GivenUp.Load(), "damaged", s.Damaged.Load()))
@@ -80,24 +82,28 @@
 		}
 		args = append(args, slog.Group("control", "services", len(p.control.links), "sent", sent, "failed", failed))
 	}
-	if p.back != nil {
-		if v := p.back.View(); v != nil {
-			c := &p.back.Counters
-			args = append(args, slog.Group("comeback", "state", v.State, "asks", round(v.Ask), "warm", round(v.Warm), "memory", v.Memory, "why", v.Why,
-				"in_doubt", c.InDoubt.Load(), "snapshots", c.Snapshots.Load(), "priors_dropped", c.Dropped.Load(), "failed_writes", c.Failed.Load()))
+	if p.recovery != nil {
+		if v := p.recovery.View(); v != nil {
+			c := &p.recovery.Counters
+			args = append(args, slog.Group("comeback",
+				"state", v.State, "asks", round(v.Ask), "warm", round(v.Warm), "memory", v.Memory, "why", v.Why,
+				"in_doubt", c.InDoubt.Load(), "snapshots", c.Snapshots.Load(),
+				"priors_dropped", c.Dropped.Load(), "failed_writes", c.Failed.Load()))
 		}
 	}
-	if p.cfg.set.NewShedder != nil && line == linePresent {
-		if v, ok := p.node.Shedding(poolsWait); ok {
-			args = append(args, slog.Group("together", "others_refuse", round(v.PeerRefusalShare), "short", round(v.Shortage), "walks_ended", round(v.StoppedRetries),
-				"advice_spread", round(v.AdviceStretch), "trust", round(v.Trust), "cut", round(v.Threshold), "digest_age", v.DigestAge, "follows", v.Source+1))
+	if p.cfg.set.NewShedder != nil && line == countersMessage {
+		if v, ok := p.node.Shedding(viewTimeout); ok {
+			args = append(args, slog.Group("together",
+				"others_refuse", round(v.PeerRefusalShare), "short", round(v.Shortage),
+				"walks_ended", round(v.StoppedRetries), "advice_spread", round(v.AdviceStretch), "trust", round(v.Trust),
+				"cut", round(v.Threshold), "digest_age", v.DigestAge, "follows", v.Source+1))
 		}
 	}
-	if p.cfg.set.NewPools != nil && line == linePresent { // a loop that has ended shows nothing
-		views := p.node.Pools(poolsWait)
+	if p.cfg.set.NewPools != nil && line == countersMessage { // the decision loop answers only while it runs
+		views := p.node.Pools(viewTimeout)
 		var group []any
 		for _, v := range views {
-			if (v.Running > 0 || v.Queued > 0 || v.Limit > 0 || v.Refused > 0) && len(group) < mostPools {
+			if (v.Running > 0 || v.Queued > 0 || v.Limit > 0 || v.Refused > 0) && len(group) < maxLoggedPools {
 				group = append(group, slog.Group(v.Name, "running", v.Running, "held", v.Queued, "limit", round(v.Limit),
 					"reserve", round(v.Reserve), "lent", round(v.Lent), "borrowed", round(v.Borrowed), "refused", v.Refused,
 					"cheap", v.Cheap, "hangs", v.Hanging))
@@ -108,20 +114,22 @@
 	log.Info(line, args...)
 }
 
-// The lines that hold the counters: of a node that serves, and of one that has left.
+// Messages of the lines that hold the counters: of a node that serves, and of one that has left.
 const (
-	linePresent = "counters"
-	lineStopped = "node stopped"
+	countersMessage = "counters"
+	stoppedMessage  = "node stopped"
 )
 
-// Bounds of what is told of pools.
+// Limits of what is logged about shedding and pools.
 const (
-	poolsWait = 200 * time.Millisecond
-	mostPools = 32
+	viewTimeout    = 200 * time.Millisecond
+	maxLoggedPools = 32
 )
 
+// round rounds to two decimals.
 func round(x float64) float64 { return math.Round(100*x) / 100 }
 
+// traffic returns the counters of one kind of connections as the group link.
 func traffic(t *stream.Traffic) slog.Attr {
 	args := []any{
 		"opened", t.Opened.Load(), "bytes_in", t.BytesIn.Load(), "bytes_out", t.BytesOut.Load(),
@@ -135,7 +143,7 @@
 	return slog.Group("link", args...)
 }
 
-// descriptors is the number of open file descriptors, 0 if it can't be told.
+// descriptors returns the number of open file descriptors, 0 if it is unknown.
 func descriptors() int {
 	list, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
--- a/cmd/robinmast/kill_test.go
+++ b/cmd/robinmast/kill_test.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"robinmast/internal/standin"
-	around "robinmast/internal/standin/platform"
+	testplatform "robinmast/internal/standin/platform"
 )
 
 var (
@@ -25,22 +25,22 @@
 	killSeed = flag.Uint64("kill-seed", 20260209, "seed of TestKillAtRandomPoints")
 )
 
-// executions counts how often each keyed request ran; its result names the run.
+// executions counts the runs of each keyed request. Each result names its run.
 type executions struct {
 	mu   sync.Mutex
 	runs map[string]int
 	rnd  *rand.Rand
 }
 
-func (e *executions) work(r around.Run) (float64, string, []byte) {
+func (e *executions) work(r testplatform.Run) (float64, string, []byte) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.runs[string(r.Body)]++
 	return 1 + 12*e.rnd.Float64(), "complete", fmt.Appendf(nil, "%s by %s, %016x", r.Body, r.ID, e.rnd.Uint64())
 }
 
-// victim is the real program, killed and started again under one address.
-type victim struct {
+// restartedNode is the built program, killed and started again at the same address.
+type restartedNode struct {
 	t      *testing.T
 	binary string
 	dir    string
@@ -51,7 +51,7 @@
 	out *lockedBuffer
 }
 
-func (v *victim) start(durability string) {
+func (v *restartedNode) start(durability string) {
 	v.t.Helper()
 	ini := filepath.Join(v.dir, "robinmast.ini")
 	text := fmt.Sprintf("[results]\nenabled = true\ndir = %s\ndurability = %s\n[store]\nsegment = 256KB\n", filepath.Join(v.dir, "results"), durability)
@@ -68,8 +68,8 @@
 	v.cmd = c
 }
 
-// ready waits until the node takes requests and has its worker pool.
-func (v *victim) ready() bool {
+// ready waits until the node has its worker pool; it returns false after ten seconds.
+func (v *restartedNode) ready() bool {
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		if strings.Contains(v.out.String(), "worker pool bound") {
 			return true
@@ -78,14 +78,14 @@
 	return false
 }
 
-func (v *victim) kill() {
+func (v *restartedNode) kill() {
 	_ = v.cmd.Process.Kill()
 	_ = v.cmd.Wait() // it was killed
 }
 
-// TestKillAtRandomPoints kills the real program again and again while keyed
-// requests run and are repeated. The worker pool outlives it and counts: no key
-// runs twice, and whoever was answered is answered with the same bytes ever after:
+// TestKillAtRandomPoints kills the built program repeatedly while keyed requests run and are
+// repeated. The worker pool outlives it and counts the runs: no key runs twice, and once a
+// request is answered, every repeat gets the same bytes:
 //
 //	go test ./cmd/robinmast -run TestKill -kills 500 -kill-seed 1
 func TestKillAtRandomPoints(t *testing.T) {
@@ -97,21 +97,21 @@
 		t.Fatalf("build: %v: %s", err, out)
 	}
 	ran := &executions{runs: map[string]int{}, rnd: rand.New(rand.NewPCG(*killSeed, 2))}
-	pool, err := around.StartPool(8, 0, ran.work)
+	pool, err := testplatform.StartPool(8, 0, ran.work)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer pool.Close()
-	members, err := around.StartMembers()
+	members, err := testplatform.StartMembers()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer members.Close()
-	hold, err := net.Listen("tcp", "127.0.0.1:0") // a free port; the node takes it over
+	hold, err := net.Listen("tcp", "127.0.0.1:0") // a free port for the node
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := &victim{t: t, binary: binary, dir: dir, addr: hold.Addr().String()}
+	v := &restartedNode{t: t, binary: binary, dir: dir, addr: hold.Addr().String()}
 	hold.Close()
 	text := strings.NewReplacer("127.0.0.1:8080", v.addr, "127.0.0.1:4400", pool.Addr(), "127.0.0.1:2379", members.Addr(),
 		`"windowMs":5000`, `"windowMs":600000`, `"cpus":2`, `"cpus":8`, `"entryKb":1`, `"entryKb":0.1`, `"aimMs":1000`, `"aimMs":3000`).Replace(goodConfig)
@@ -128,22 +128,22 @@
 	var stop atomic.Bool
 	var txns atomic.Int64
 	var acks, repeats, fails, lost, gaveUp atomic.Int64
-	var known sync.Map // what was answered, by key
+	var known sync.Map // the answer to each key
 	var wg sync.WaitGroup
-	ask := func(client **around.Client, n int, unique string, more bool) (around.Answer, error) {
+	ask := func(client **testplatform.Client, n int, unique string, more bool) (testplatform.Answer, error) {
 		if *client == nil || !(*client).Usable() {
-			c, err := around.Dial(v.addr, n)
+			c, err := testplatform.Dial(v.addr, n)
 			if err != nil {
 				time.Sleep(2 * time.Millisecond)
-				return around.Answer{}, err
+				return testplatform.Answer{}, err
 			}
 			*client = c
 		}
 		limit := 2 * time.Second
-		if more { // its run may never have begun, and then it waits in vain
+		if more { // if its run never began, the node does not answer in time
 			limit = 60 * time.Millisecond
 		}
-		return (*client).Call(around.Request{
+		return (*client).Call(testplatform.Request{
 			Txn: fmt.Sprintf("%016x", txns.Add(1)), Class: "pay", Tenant: "acme", Limit: limit, Unique: unique,
 			Body: []byte(unique), Retry: more,
 		})
@@ -151,7 +151,7 @@
 	for n := range 8 {
 		r := rand.New(rand.NewPCG(*killSeed, uint64(10+n)))
 		wg.Go(func() {
-			clients := make([]*around.Client, 3)
+			clients := make([]*testplatform.Client, 3)
 			defer func() {
 				for _, c := range clients {
 					if c != nil {
@@ -171,7 +171,7 @@
 					if !first {
 						at = 3
 					}
-					answers, errs := make([]around.Answer, at), make([]error, at)
+					answers, errs := make([]testplatform.Answer, at), make([]error, at)
 					var round sync.WaitGroup
 					for j := range at {
 						round.Go(func() { answers[j], errs[j] = ask(&clients[j], 10*n+j, unique, !first) })
@@ -180,7 +180,7 @@
 					failed := 0
 					for j, a := range answers {
 						switch {
-						case errs[j] == around.ErrGone:
+						case errs[j] == testplatform.ErrGone:
 							lost.Add(1)
 							first = false
 						case errs[j] != nil:
@@ -204,7 +204,7 @@
 					if failed > 0 && body == "" {
 						if tries > 3 {
 							gaveUp.Add(1)
-							break // it may have run: nobody may know more
+							break // it may have run: no later answer is certain
 						}
 						time.Sleep(5 * time.Millisecond)
 					}
@@ -222,7 +222,7 @@
 		time.Sleep(time.Duration(10+rnd.IntN(150)) * time.Millisecond)
 		v.kill()
 		v.start([]string{"durable", "soon"}[i%2])
-		if rnd.IntN(4) > 0 && !v.ready() { // now and then it dies while it starts
+		if rnd.IntN(4) > 0 && !v.ready() { // in the other cases it is killed while it starts
 			t.Errorf("did not start again: %s", v.out.String())
 			break
 		}
@@ -233,13 +233,13 @@
 	time.Sleep(100 * time.Millisecond)
 	stop.Store(true)
 	wg.Wait()
-	// Whoever was answered in any life is answered the same in the last one.
-	var last *around.Client
+	// A request that any incarnation answered gets the same answer from the last one.
+	var last *testplatform.Client
 	checked := 0
 	known.Range(func(unique, body any) bool {
 		a, err := ask(&last, 99, unique.(string), false)
 		if err != nil || a.Word != "ACK" || string(a.Body) != body {
-			t.Errorf("%s: was answered %q, at last %s %q, %v", unique, body, a.Word, a.Body, err)
+			t.Errorf("%s: was answered %q, finally %s %q, %v", unique, body, a.Word, a.Body, err)
 		}
 		checked++
 		return checked < 1000
@@ -255,19 +255,19 @@
 			t.Errorf("%s ran %d times", u, n)
 		}
 	}
-	t.Logf("%d keys ran; %d answers, %d of them repeats; %d failed, %d connections lost requests, %d keys without an answer, %d asked for once more at last",
+	t.Logf("%d keys ran; %d answers, %d of them repeats; %d failed, %d connections lost requests, %d keys without an answer, %d checked at the end",
 		len(ran.runs), acks.Load(), repeats.Load(), fails.Load(), lost.Load(), gaveUp.Load(), checked)
 	if lost.Load() == 0 || repeats.Load() == 0 || len(ran.runs) < 4**kills {
-		t.Error("the kills met too little work to prove anything")
+		t.Error("too little work was running at the kills for a meaningful test")
 	}
 }
 
-// A store that can't be opened ends the start, or leaves the node without
-// memory, as set; both are told.
+// If the store cannot be opened, the program exits with an error, or logs one and serves
+// without the store, depending on the settings.
 func TestStoreCannotOpen(t *testing.T) {
 	dir := t.TempDir()
 	at := filepath.Join(dir, "results")
-	if err := os.WriteFile(at, nil, 0o600); err != nil { // a file where the folder should be
+	if err := os.WriteFile(at, nil, 0o600); err != nil { // a file where the directory should be
 		t.Fatal(err)
 	}
 	var cfg map[string]any
@@ -285,15 +285,15 @@
 		if forget {
 			ini += "unopened = forget\n"
 		}
-		c, _ := program(write(t, string(text)))
-		c.Args = append(c.Args, "run", "--config", write(t, ini))
+		c, _ := programCommand(writeFile(t, string(text)))
+		c.Args = append(c.Args, "run", "--config", writeFile(t, ini))
 		out := &lockedBuffer{}
 		c.Stdout, c.Stderr = out, out
 		if err := c.Start(); err != nil {
 			t.Fatal(err)
 		}
 		if forget {
-			standin.Eventually(t, "a start without memory", func() bool {
+			standin.Eventually(t, "a start without the store", func() bool {
 				return strings.Contains(out.String(), "serving without remembered results") && strings.Contains(out.String(), "node started")
 			})
 			_ = c.Process.Kill()
--- a/cmd/robinmast/lifecycle_test.go
+++ b/cmd/robinmast/lifecycle_test.go
@@ -16,11 +16,11 @@
 	"time"
 
 	"robinmast/internal/standin"
-	around "robinmast/internal/standin/platform"
+	testplatform "robinmast/internal/standin/platform"
 )
 
-// The tests of this file run the whole program as its platform does, and look at it
-// from outside only: its log, its exit status, and what its sockets say.
+// The tests of this file run the whole program like the platform does and check only what is
+// visible from outside: its log, its exit status and its sockets.
 
 // process is the whole program, started with one configuration.
 type process struct {
@@ -44,9 +44,10 @@
 	return p
 }
 
-func (p *process) says(what string) {
+// waitForLog waits until the log contains what.
+func (p *process) waitForLog(what string) {
 	p.t.Helper()
-	standin.Eventually(p.t, "the log says "+what, func() bool { return strings.Contains(p.out.String(), what) })
+	standin.Eventually(p.t, "the log line "+what, func() bool { return strings.Contains(p.out.String(), what) })
 }
 
 func (p *process) signal(all ...syscall.Signal) {
@@ -58,8 +59,8 @@
 	}
 }
 
-// leaves waits for the exit, which must be in order and within most.
-func (p *process) leaves(most time.Duration) {
+// waitForExit waits for the exit, which must have status 0 and come within most.
+func (p *process) waitForExit(most time.Duration) {
 	p.t.Helper()
 	began := time.Now()
 	select {
@@ -68,23 +69,23 @@
 			p.t.Errorf("exit %v after %v: %s", err, d, p.out.String())
 		}
 	case <-time.After(15 * time.Second):
-		p.t.Fatalf("does not leave: %s", p.out.String())
+		p.t.Fatalf("does not exit: %s", p.out.String())
 	}
 }
 
 var addresses atomic.Int64
 
-// ownAddress is an address that no other test listens at.
+// ownAddress returns an address that no other test uses.
 func ownAddress() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.85.%d.%d:%d", pid>>7&0x7f, pid&0x7f+1, 9000+addresses.Add(1))
 }
 
-// surroundings starts a worker pool whose runs take as many milliseconds as their bodies
-// say, and a membership service, and writes a configuration that names them.
-func surroundings(t *testing.T, listen string, more ...string) (pool *around.Pool, config string) {
+// startEnvironment starts a worker pool, whose runs take as many milliseconds as their bodies
+// say, and a membership service, and writes a configuration with their addresses.
+func startEnvironment(t *testing.T, listen string, more ...string) (pool *testplatform.Pool, config string) {
 	t.Helper()
-	pool, err := around.StartPool(8, 0, func(r around.Run) (float64, string, []byte) {
+	pool, err := testplatform.StartPool(8, 0, func(r testplatform.Run) (float64, string, []byte) {
 		var ms float64
 		fmt.Sscan(string(r.Body), &ms)
 		return ms, "complete", []byte(fmt.Sprintf("%s ran %s", r.ID, r.Body))
@@ -92,46 +93,47 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	members, err := around.StartMembers()
+	members, err := testplatform.StartMembers()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { pool.Close(); members.Close() })
-	return pool, write(t, configured(listen, pool.Addr(), members.Addr(), more...))
+	return pool, writeFile(t, configText(listen, pool.Addr(), members.Addr(), more...))
 }
 
-func configured(listen, pool, members string, more ...string) string {
+// configText returns goodConfig with the given addresses and further replacements.
+func configText(listen, pool, members string, more ...string) string {
 	return strings.NewReplacer(append([]string{"127.0.0.1:8080", listen, "127.0.0.1:4400", pool, "127.0.0.1:2379", members,
 		`"cpus":2`, `"cpus":8`, `"aimMs":1000`, `"aimMs":3000`}, more...)...).Replace(goodConfig)
 }
 
-// hanging accepts whoever connects, reads, and says nothing.
-func hanging(t *testing.T) string {
+// unresponsiveServer accepts connections, reads, and never answers.
+func unresponsiveServer(t *testing.T) string {
 	t.Helper()
 	return standin.Serve(t, func(c net.Conn) { _, _ = io.Copy(io.Discard, c) })
 }
 
-// launchBehind starts the program while its port is held, and waits until it says so.
-func launchBehind(t *testing.T) (addr string, former net.Listener, p *process) {
+// launchWithPortHeld starts the program while its port is held, and waits until it logs that.
+func launchWithPortHeld(t *testing.T) (addr string, previous net.Listener, p *process) {
 	t.Helper()
 	addr = ownAddress()
-	former, err := net.Listen("tcp", addr)
+	previous, err := net.Listen("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { former.Close() })
-	_, config := surroundings(t, addr)
+	t.Cleanup(func() { previous.Close() })
+	_, config := startEnvironment(t, addr)
 	p = launch(t, config)
-	p.says("another process holds the address")
-	return addr, former, p
+	p.waitForLog("another process holds the address")
+	return addr, previous, p
 }
 
-// The former process still holds the port: the next one waits for it, says so, and
-// serves as soon as it is free.
+// A previous process still holds the port: the new one logs that it waits, and serves as soon
+// as the port is free.
 func TestPortStillHeld(t *testing.T) {
-	addr, former, p := launchBehind(t)
-	former.Close()
-	p.says("worker pool bound")
+	addr, previous, p := launchWithPortHeld(t)
+	previous.Close()
+	p.waitForLog("worker pool bound")
 	d := standin.Dial(t, addr)
 	d.Send("RPC.HEALTH", "1", "")
 	if got := d.Receive(); !strings.HasPrefix(got, "1 GREEN") {
@@ -139,30 +141,30 @@
 	}
 	d.Close()
 	p.signal(syscall.SIGTERM)
-	p.leaves(3200 * time.Millisecond)
+	p.waitForExit(3200 * time.Millisecond)
 }
 
-// The notice comes before the node listens: it leaves at once, in order.
+// The notice to leave arrives before the node listens: it exits at once with status 0.
 func TestNoticeBeforeListening(t *testing.T) {
-	_, _, p := launchBehind(t)
+	_, _, p := launchWithPortHeld(t)
 	p.signal(syscall.SIGTERM)
-	p.leaves(3 * time.Second) // a program built to find races stays a second longer
-	p.says("notice to leave before anything listened")
+	p.waitForExit(3 * time.Second) // a program built with -race takes a second longer to exit
+	p.waitForLog("notice to leave before the node listened")
 }
 
-// The worker pool was never heard, the membership service hangs, and the new
-// configuration can't be read to its end when the notice comes, twice, with other
-// signals between: what was read is answered once, and the exit is in order and in time.
+// The worker pool and the membership service never answer, and reading the new configuration
+// blocks, when the notice to leave arrives twice with other signals between. Each request that
+// was read is answered once, and the program exits in time with status 0.
 func TestNoticeWhileAllHangs(t *testing.T) {
 	addr := ownAddress()
-	config := write(t, configured(addr, hanging(t), hanging(t)))
+	config := writeFile(t, configText(addr, unresponsiveServer(t), unresponsiveServer(t)))
 	p := launch(t, config)
-	p.says("node started")
-	d, rests := standin.Dial(t, addr), standin.Dial(t, addr)
+	p.waitForLog("node started")
+	d, idle := standin.Dial(t, addr), standin.Dial(t, addr)
 	for tag := 1; tag <= 3; tag++ {
 		d.Send("RPC.CALL", fmt.Sprint(tag), "read", fmt.Sprintf("txn=%016x,door=%d,lb=1,team=acme,limit=9000,ram=10,standing=0.5", tag, time.Now().UnixMilli()), "5")
 	}
-	for _, c := range []*standin.Dispatcher{rests, d} { // so all was read
+	for _, c := range []*standin.Dispatcher{idle, d} { // so that all was read
 		c.Send("RPC.HEALTH", "9", "")
 		if got := c.Receive(); !strings.HasPrefix(got, "9 ") {
 			t.Fatalf("%q", got)
@@ -173,7 +175,7 @@
 		t.Fatal(err)
 	}
 	p.signal(syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM)
-	p.says("notice to leave")
+	p.waitForLog("notice to leave")
 	p.signal(syscall.SIGTERM, syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGINT)
 	answers := map[string]int{}
 	for {
@@ -192,20 +194,20 @@
 			t.Errorf("%d answers to %s", answers[tag], tag)
 		}
 	}
-	p.leaves(3200 * time.Millisecond)
+	p.waitForExit(3200 * time.Millisecond)
 	if s := p.out.String(); strings.Count(s, "msg=\"notice to leave\"") != 1 {
-		t.Errorf("the notice is told more than once: %s", s)
+		t.Errorf("the notice to leave is logged more than once: %s", s)
 	}
 }
 
-// A configuration that is half written when SIGHUP comes changes nothing and is told
-// in one line; the same file, whole, moves both addresses.
+// A partly written configuration at SIGHUP changes nothing and is logged in one line; the
+// complete file changes both addresses.
 func TestHalfWrittenConfiguration(t *testing.T) {
 	addr := ownAddress()
-	_, config := surroundings(t, addr)
+	_, config := startEnvironment(t, addr)
 	p := launch(t, config)
-	p.says("worker pool bound")
-	next, other := surroundings(t, addr)
+	p.waitForLog("worker pool bound")
+	next, other := startEnvironment(t, addr)
 	text, err := os.ReadFile(other)
 	if err != nil {
 		t.Fatal(err)
@@ -216,7 +218,7 @@
 			t.Fatal(err)
 		}
 		p.signal(syscall.SIGHUP)
-		standin.Eventually(t, "one line more", func() bool { return strings.Count(p.out.String(), "new configuration not taken") == i+1 })
+		standin.Eventually(t, "another line about it", func() bool { return strings.Count(p.out.String(), "new configuration rejected") == i+1 })
 	}
 	if s := p.out.String(); strings.Count(s, config) != 4 {
 		t.Errorf("the lines do not name the file: %s", s)
@@ -225,7 +227,7 @@
 		t.Fatal(err)
 	}
 	p.signal(syscall.SIGHUP)
-	p.says("worker pool link moved")
+	p.waitForLog("worker pool link moved")
 	d := standin.Dial(t, addr)
 	d.Send("RPC.CALL", "1", "read", fmt.Sprintf("txn=00000000000000aa,door=%d,lb=1,team=acme,ram=10,standing=0.5", time.Now().UnixMilli()), "5")
 	if got := d.Receive(); !strings.HasPrefix(got, "1 ACK") {
@@ -235,21 +237,21 @@
 		t.Error("not run at the new address")
 	}
 	p.signal(syscall.SIGTERM)
-	p.leaves(3200 * time.Millisecond)
+	p.waitForExit(3200 * time.Millisecond)
 }
 
-// A node is replaced, told or killed, while a request runs and others come in. The
-// successor starts while the former still holds the port. Each request gets one final
-// answer or sees its connection end, none runs twice, and the successor serves none
-// from a word about the former's runs, which its worker pool tells it too.
+// A node is replaced, by the notice to leave or by a kill, while a request runs. The successor
+// starts while the previous process still holds the port. Each request gets one final answer
+// or sees its connection end, and none runs twice. The worker pool also sends the successor
+// the notices about its predecessor's runs; it must not answer its own requests with them.
 func TestReplacedWithRequestsInFlight(t *testing.T) {
-	for name, sig := range map[string]syscall.Signal{"told": syscall.SIGTERM, "killed": syscall.SIGKILL} {
+	for name, sig := range map[string]syscall.Signal{"notice": syscall.SIGTERM, "killed": syscall.SIGKILL} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			addr := ownAddress()
-			pool, config := surroundings(t, addr, `"stopSendingWithinMs":200`, `"stopSendingWithinMs":100`)
-			former := launch(t, config)
-			former.says("worker pool bound")
+			pool, config := startEnvironment(t, addr, `"stopSendingWithinMs":200`, `"stopSendingWithinMs":100`)
+			previous := launch(t, config)
+			previous.waitForLog("worker pool bound")
 			call := func(d *standin.Dispatcher, tag, txn, ms int) {
 				d.Send("RPC.CALL", fmt.Sprint(tag), "pay", fmt.Sprintf("txn=%016x,door=%d,lb=1,team=acme,limit=3500,ram=10,standing=0.5,unique=k%d",
 					txn, time.Now().UnixMilli(), txn), fmt.Sprint(ms))
@@ -259,8 +261,8 @@
 			call(d, 1, 1, 700)
 			standin.Eventually(t, "the run", func() bool { return began(1) == 1 })
 			successor := launch(t, config)
-			successor.says("another process holds the address")
-			former.signal(sig)
+			successor.waitForLog("another process holds the address")
+			previous.signal(sig)
 			if sig == syscall.SIGTERM {
 				got := d.Receive()
 				for got == "0 FIN" {
@@ -273,20 +275,20 @@
 					t.Errorf("%q", got)
 				}
 				d.Close()
-				former.leaves(3500 * time.Millisecond)
+				previous.waitForExit(3500 * time.Millisecond)
 			} else {
 				if got := d.Receive(); got != "EOF" {
 					t.Errorf("%q", got)
 				}
-				<-former.exited
+				<-previous.exited
 			}
-			successor.says("worker pool bound")
+			successor.waitForLog("worker pool bound")
 			d = standin.Dial(t, addr)
-			call(d, 1, 2, 30) // the tag of the former's request
+			call(d, 1, 2, 30) // the same tag as the previous process's request
 			if got := d.Receive(); !strings.HasSuffix(got, fmt.Sprintf("%016x ran 30", 2)) {
 				t.Errorf("%q", got)
 			}
-			standin.Eventually(t, "the word about the former's run", func() bool {
+			standin.Eventually(t, "the notice about the previous process's run", func() bool {
 				return strings.Contains(successor.out.String(), "end of a run that was not asked for")
 			})
 			call(d, 2, 3, 30)
@@ -300,7 +302,7 @@
 			}
 			d.Close()
 			successor.signal(syscall.SIGTERM)
-			successor.leaves(3200 * time.Millisecond)
+			successor.waitForExit(3200 * time.Millisecond)
 		})
 	}
 }
--- a/cmd/robinmast/log.go
+++ b/cmd/robinmast/log.go
@@ -1,6 +1,3 @@
-// This file owns the way of log lines to standard error. It must never make
-// whoever logs wait.
-
 package main
 
 import (
@@ -13,11 +10,12 @@
 	"robinmast/internal/config"
 )
 
-// logQueue is how many log lines may wait for whoever reads them.
+// logQueue is the number of log lines that may wait to be written.
 const logQueue = 256
 
-// logWriter hands log lines to a slow or broken reader without ever waiting for
-// it: the loop and the sides log too, and must not stand still by it.
+// logWriter writes log lines in a goroutine of its own, so that a slow or broken reader never
+// blocks the decision loop or a connection that logs. Lines beyond the queue are discarded
+// and counted.
 type logWriter struct {
 	lines chan []byte
 	lost  atomic.Int64
@@ -25,11 +23,11 @@
 	done  chan struct{}
 }
 
-// newLog returns a logger of the form and level that the settings name.
+// newLog returns a logger with the format and level of the settings.
 func newLog(out io.Writer, set config.Log) *slog.Logger {
 	opt := &slog.HandlerOptions{}
 	var level slog.Level
-	if level.UnmarshalText([]byte(set.Level)) == nil { // the settings were checked
+	if level.UnmarshalText([]byte(set.Level)) == nil { // always true: the settings were checked
 		opt.Level = level
 	}
 	if set.Format == "json" {
@@ -38,22 +36,24 @@
 	return slog.New(slog.NewTextHandler(out, opt))
 }
 
+// newLogWriter starts a writer to out; close ends it.
 func newLogWriter(out io.Writer) *logWriter {
 	w := &logWriter{lines: make(chan []byte, logQueue), done: make(chan struct{})}
 	go func() {
 		defer close(w.done)
-		note := slog.New(slog.NewTextHandler(out, nil))
+		lossLog := slog.New(slog.NewTextHandler(out, nil))
 		for line := range w.lines {
-			_, _ = out.Write(line) // there is nowhere else to say that this failed
+			_, _ = out.Write(line) // there is nowhere else to report an error
 			if n := w.lost.Swap(0); n > 0 {
-				note.Warn("log lines were lost", "lost", n)
+				lossLog.Warn("log lines were lost", "lost", n)
 			}
 		}
 	}()
 	return w
 }
 
-// Write queues one line, or drops it. It must not be called after close.
+// Write queues one line, or discards it if the queue is full; it never blocks or fails. It must
+// not be called after close.
 func (w *logWriter) Write(p []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), p...):
@@ -63,7 +63,7 @@
 	return len(p), nil
 }
 
-// close waits a moment for what is queued to be written.
+// close waits at most that long until the queued lines are written.
 func (w *logWriter) close(most time.Duration) {
 	w.once.Do(func() { close(w.lines) })
 	select {
--- a/cmd/robinmast/log_test.go
+++ b/cmd/robinmast/log_test.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// stuck is a reader of the log that takes nothing until it is let go.
-type stuck struct {
+// blockedWriter is a writer that blocks until free is closed.
+type blockedWriter struct {
 	free chan struct{}
 	got  bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	<-s.free
 	return s.got.Write(p)
 }
 
-// A log that nobody reads must not hold up whoever logs; what was lost is told.
-func TestLogNeverWaits(t *testing.T) {
-	out := &stuck{free: make(chan struct{})}
+// Logging does not block while the log has no reader, and the number of lost lines is logged.
+func TestLogNeverBlocks(t *testing.T) {
+	out := &blockedWriter{free: make(chan struct{})}
 	w := newLogWriter(out)
 	began := time.Now()
 	const lines = 4 * logQueue
@@ -40,12 +40,13 @@
 		fmt.Sscanf(text[i:], "lost=%d", &lost)
 	}
 	if written+lost != lines || lost == 0 || !strings.HasPrefix(text, "line 0\n") {
-		t.Errorf("%d written and %d told as lost, of %d", written, lost, lines)
+		t.Errorf("%d written and %d logged as lost, of %d", written, lost, lines)
 	}
 }
 
+// Closing the log does not wait for a writer that blocks.
 func TestLogClosesInTime(t *testing.T) {
-	out := &stuck{free: make(chan struct{})}
+	out := &blockedWriter{free: make(chan struct{})}
 	w := newLogWriter(out)
 	fmt.Fprintln(w, "line")
 	began := time.Now()
--- a/cmd/robinmast/main.go
+++ b/cmd/robinmast/main.go
@@ -1,9 +1,9 @@
-// Command robinmast is one real node: the decision module behind real sockets.
-// This file owns its start, its signals and its exit; it wires the parts
-// together and must never decide about a request or touch a connection.
+// Command robinmast runs one node: the decision module with its connections to dispatchers,
+// the worker pool and the membership service. It reads the platform's configuration from the
+// file that EDGE_CONFIG names and its own settings from an INI file.
 //
-// SIGTERM and SIGINT are the notice to leave, SIGHUP makes it read its
-// configuration again, SIGUSR1 logs the counters.
+// SIGTERM and SIGINT are the notice to leave: the node drains and exits with status 0. SIGHUP
+// makes it read the platform's configuration again, SIGUSR1 logs the counters.
 package main
 
 import (
@@ -23,30 +23,31 @@
 	"robinmast/internal/settings"
 )
 
-// Mechanics of the process.
+// Limits of the process.
 const (
-	heapShare  = 0.7                   // of the memory limit that Go's own limit takes: stacks and the kernel need some
-	gcPercent  = 100                   // measured: see docs/results.md
-	logFlush   = 50 * time.Millisecond // for the last log lines
-	listenWait = 20 * time.Millisecond // between tries to listen while another process holds the address
-	listenMost = 10 * time.Second      // of them
+	heapShare       = 0.7                   // of the memory limit for the Go runtime: stacks and the kernel need some
+	gcPercent       = 100                   // see docs/results.md
+	logFlush        = 50 * time.Millisecond // for writing the last log lines
+	listenRetryWait = 20 * time.Millisecond // between attempts to listen while another process holds the address
+	listenTimeout   = 10 * time.Second      // for all attempts
 )
 
 func main() { os.Exit(execute(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// serveNode serves as one node until it has left. An error that comes before
-// anything listens is one line on standard error, later ones are logged.
+// serveNode runs the node until it has left. An error before the node listens is returned, to
+// be printed as one line on standard error; a later one is logged and returned as silent.
 func serveNode(own *config.Config) error {
 	began := time.Now()
-	leave, other := make(chan os.Signal, 1), make(chan os.Signal, 16) // apart: no flood of the others crowds a notice out
+	// Separate channels, so that a flood of other signals cannot displace the notice to leave.
+	leave, other := make(chan os.Signal, 1), make(chan os.Signal, 16)
 	signal.Notify(leave, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(other, syscall.SIGHUP, syscall.SIGUSR1)
-	signal.Ignore(syscall.SIGPIPE) // else the node would die with the reader of its log
+	signal.Ignore(syscall.SIGPIPE) // else the node would be killed when the reader of its log exits
 	cfg, err := load(os.Getenv)
 	if err != nil {
 		return failure{error: err, status: statusConfig}
 	}
-	limit(cfg)
+	applyLimits(cfg)
 	cfg.own, cfg.began = own, began
 	settings.UseShedding(&cfg.set, own)
 	if err := settings.UsePools(&cfg.set, cfg.names, own); err != nil {
@@ -54,28 +55,28 @@
 	}
 	out := newLogWriter(os.Stderr)
 	log := newLog(out, own.Log).With("node", cfg.Name)
-	mem, err := remember(cfg, log)
+	results, err := openResultCache(cfg, log)
 	if err != nil {
 		out.close(logFlush)
 		return failure{error: err, status: statusFailed}
 	}
-	back, shut, err := comeBack(cfg, mem, began, log)
+	keeper, closeStore, err := openRecovery(cfg, results, began, log)
 	if err != nil {
 		out.close(logFlush)
 		return failure{error: err, status: statusFailed}
 	}
-	defer shut()
+	defer closeStore()
 	ln, err := listen(cfg.Listen, leave, log)
 	if err != nil {
 		out.close(logFlush)
 		return failure{error: fmt.Errorf("listen: %w", err), status: statusFailed}
 	}
 	if ln == nil {
-		log.Info("notice to leave before anything listened")
+		log.Info("notice to leave before the node listened")
 		out.close(logFlush)
 		return nil
 	}
-	err = serve(cfg, mem, back, ln, notices{leave, other}, func() (*platform, error) { return load(os.Getenv) }, log)
+	err = serve(cfg, results, keeper, ln, notices{leave, other}, func() (*platform, error) { return load(os.Getenv) }, log)
 	if err != nil {
 		log.Error("node failed", "err", err)
 	}
@@ -86,33 +87,34 @@
 	return nil
 }
 
-// listen opens the listener. A port that a former process still holds is waited
-// for, as that one is about to end. Without a listener and an error it was told to leave.
+// listen opens the listener. If a previous process still holds the address, it tries again
+// until listenTimeout, as that process is about to end. It returns neither a listener nor an
+// error if the notice to leave arrives first.
 func listen(addr string, leave <-chan os.Signal, log *slog.Logger) (net.Listener, error) {
-	for began, told := time.Now(), false; ; {
+	for began, logged := time.Now(), false; ; {
 		select {
 		case <-leave:
 			return nil, nil
 		default:
 		}
 		ln, err := net.Listen("tcp", addr)
-		if !errors.Is(err, syscall.EADDRINUSE) || time.Since(began) > listenMost {
+		if !errors.Is(err, syscall.EADDRINUSE) || time.Since(began) > listenTimeout {
 			return ln, err
 		}
-		if !told {
-			told = true
-			log.Warn("another process holds the address, waiting for it to end", "listen", addr, "most", listenMost)
+		if !logged {
+			logged = true
+			log.Warn("another process holds the address, waiting for it to end", "listen", addr, "most", listenTimeout)
 		}
 		select {
 		case <-leave:
 			return nil, nil
-		case <-time.After(listenWait):
+		case <-time.After(listenRetryWait):
 		}
 	}
 }
 
-// limit keeps the process within what the platform grants.
-func limit(cfg *platform) {
+// applyLimits sets the Go runtime's limits from the platform's limits.
+func applyLimits(cfg *platform) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Limits.Cores))))
 	debug.SetMemoryLimit(int64(heapShare * cfg.Limits.MemoryMB * (1 << 20)))
 	debug.SetGCPercent(gcPercent)
--- a/cmd/robinmast/main_test.go
+++ b/cmd/robinmast/main_test.go
@@ -14,7 +14,8 @@
 	"robinmast/internal/standin"
 )
 
-// TestMain lets the test's own program stand in for the built one.
+// TestMain runs the program itself if the environment asks for it, so that tests can start
+// their own binary as robinmast.
 func TestMain(m *testing.M) {
 	if os.Getenv("ROBINMAST_AS_MAIN") != "" {
 		main()
@@ -23,8 +24,8 @@
 	os.Exit(m.Run())
 }
 
-// program prepares a run of the whole program.
-func program(config string) (*exec.Cmd, *bytes.Buffer) {
+// programCommand returns a command that runs the whole program, and its output.
+func programCommand(config string) (*exec.Cmd, *bytes.Buffer) {
 	c := exec.Command(os.Args[0])
 	c.Env = append(os.Environ(), "ROBINMAST_AS_MAIN=1", "EDGE_CONFIG="+config)
 	out := &bytes.Buffer{}
@@ -32,7 +33,7 @@
 	return c, out
 }
 
-func write(t *testing.T, text string) string {
+func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -41,32 +42,31 @@
 	return path
 }
 
-// A configuration that can't be used is told in one line, before anything listens.
-func TestBadConfigEndsTheProgram(t *testing.T) {
+// An invalid configuration ends the program with status 2 and one line of output.
+func TestInvalidConfigEndsTheProgram(t *testing.T) {
 	for name, path := range map[string]string{
-		"none":        "",
-		"missing":     "/nowhere/config.json",
-		"unreadable":  t.TempDir(),
-		"calls below": write(t, strings.Replace(goodConfig, `"below":"none"`, `"below":"shared"`, 1)),
+		"none":         "",
+		"missing":      "/nowhere/config.json",
+		"unreadable":   t.TempDir(),
+		"calls, no db": writeFile(t, strings.Replace(goodConfig, `"below":"none"`, `"below":"shared"`, 1)),
 	} {
-		c, out := program(path)
+		c, out := programCommand(path)
 		err := c.Run()
 		if c.ProcessState == nil || c.ProcessState.ExitCode() != 2 {
 			t.Errorf("%s: %v", name, err)
 		}
 		if s := out.String(); strings.Count(s, "\n") != 1 || !strings.HasPrefix(s, "robinmast: ") {
-			t.Errorf("%s: says %q", name, s)
+			t.Errorf("%s: output %q", name, s)
 		}
 	}
 }
 
-// The whole program serves health checks with neither worker pool nor membership
-// service, counts on SIGUSR1, lives through SIGHUP, outlives the reader of its log, and leaves on
-// SIGTERM with status 0 in time.
+// The program answers health checks with neither worker pool nor membership service, survives
+// SIGUSR1, SIGHUP and the exit of its log's reader, and exits on SIGTERM in time with status 0.
 func TestProgram(t *testing.T) {
 	pid := os.Getpid()
-	addr := fmt.Sprintf("127.83.%d.%d:8080", pid>>7&0x7f, pid&0x7f+1) // no other test's ports lie there
-	c, _ := program(write(t, strings.Replace(goodConfig, "127.0.0.1:8080", addr, 1)))
+	addr := fmt.Sprintf("127.83.%d.%d:8080", pid>>7&0x7f, pid&0x7f+1) // an address that no other test uses
+	c, _ := programCommand(writeFile(t, strings.Replace(goodConfig, "127.0.0.1:8080", addr, 1)))
 	r, w, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
@@ -84,7 +84,7 @@
 	if err != nil || !strings.Contains(string(first[:n]), "node started") {
 		t.Fatalf("%q, %v", first[:n], err)
 	}
-	r.Close() // from now on nobody reads the log
+	r.Close() // from now on the log has no reader
 	d := standin.Dial(t, addr)
 	d.Send("RPC.HEALTH", "1", "")
 	if got := d.Receive(); !strings.HasPrefix(got, "1 GREEN") {
@@ -109,9 +109,9 @@
 			t.Errorf("exit: %v", err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("did not leave")
+		t.Fatal("did not exit")
 	}
 	if d := time.Since(began); d > 3200*time.Millisecond {
-		t.Errorf("left after %v", d)
+		t.Errorf("exited after %v", d)
 	}
 }
--- a/cmd/robinmast/pools_test.go
+++ b/cmd/robinmast/pools_test.go
@@ -14,22 +14,22 @@
 	"robinmast/internal/settings"
 	"robinmast/internal/standin"
 	"robinmast/internal/standin/machine"
-	around "robinmast/internal/standin/platform"
+	testplatform "robinmast/internal/standin/platform"
 )
 
-// Cheap calls of little worth, texts that an agent waits for, and script steps.
+// Three classes: cheap pings of little utility, texts that somebody waits for, and script steps.
 const poolLanes = `"lanes":[
   {"name":"ping","aimMs":600,"deadlineMs":1500,"effect":"idempotent","worth":0.05},
   {"name":"text","aimMs":600,"deadlineMs":1500,"effect":"idempotent","worth":2},
   {"name":"script","aimMs":600,"deadlineMs":1500,"effect":"idempotent","worth":3}],`
 
-// TestPoolsOverload plays 130% of what four crowded cores can do through the real
-// node on loopback: the worth stays near the best achievable, cheap calls are
-// served in every second, and every request has one answer in time. A reserve for
-// a class that does not exist ends the start.
+// TestPoolsOverload sends 130% of the capacity of four cores, whose runs slow each other down,
+// to the built program on loopback. The utility stays near the best achievable, cheap requests
+// are served in every second, and every request gets one answer in time. A reserve for a class
+// that does not exist ends the start.
 func TestPoolsOverload(t *testing.T) {
 	binary := buildNode(t)
-	s := newStage(t, 4, "[pools]\nenabled = true\nreserve = 0.04\n", func(r around.Run) (float64, string, []byte) {
+	s := newTestNode(t, 4, "[pools]\nenabled = true\nreserve = 0.04\n", func(r testplatform.Run) (float64, string, []byte) {
 		ms, err := strconv.ParseFloat(string(r.Body), 64)
 		if err != nil {
 			return 0, "error", nil
@@ -37,7 +37,7 @@
 		return ms, "complete", r.Body
 	})
 	from, to := strings.Index(goodConfig, `"lanes"`), strings.Index(goodConfig, `"parties"`)
-	s.crowd = 0.02
+	s.contention = 0.02
 	s.config = goodConfig[:from] + poolLanes + goodConfig[to:]
 	s.start(binary)
 	var cfg struct{ Settings json.RawMessage }
@@ -48,7 +48,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	const length, learning = 8 * time.Second, 2 * time.Second // what it earns counts once it knows its work
+	const length, learning = 8 * time.Second, 2 * time.Second // utility counts after the node has learned the cost of its work
 	work := 1.3 * 4
 	mean := []time.Duration{6 * time.Millisecond, 30 * time.Millisecond, 80 * time.Millisecond}
 	var streams []machine.Stream
@@ -61,9 +61,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var clients []*around.Client
+	var clients []*testplatform.Client
 	for n := range 8 {
-		c, err := around.Dial(s.addr, n)
+		c, err := testplatform.Dial(s.addr, n)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -71,7 +71,7 @@
 		clients = append(clients, c)
 	}
 	var mu sync.Mutex
-	worth, pings := 0.0, make([]int, length/time.Second)
+	utility, pings := 0.0, make([]int, length/time.Second)
 	words := map[string]int{}
 	var wg sync.WaitGroup
 	began := time.Now()
@@ -79,7 +79,7 @@
 		time.Sleep(time.Until(began.Add(a.At)))
 		wg.Go(func() {
 			sent := time.Now()
-			got, err := clients[i%len(clients)].Call(around.Request{
+			got, err := clients[i%len(clients)].Call(testplatform.Request{
 				Txn: fmt.Sprintf("%016x", i+1), Class: names.Classes[a.Class], Tenant: "acme", Limit: 1500 * time.Millisecond,
 				HintMs: float64(a.Hint) / 1e6, Body: strconv.AppendFloat(nil, float64(a.Work)/1e6, 'f', 3, 64),
 			})
@@ -97,7 +97,7 @@
 					pings[a.At/time.Second]++
 				}
 				if after <= set.Classes[a.Class].LatencyTarget && a.At >= learning {
-					worth += set.Classes[a.Class].Utility
+					utility += set.Classes[a.Class].Utility
 				}
 			}
 		})
@@ -106,19 +106,19 @@
 		t.Fatal(err)
 	}
 	wg.Wait()
-	t.Logf("%d requests: %v; worth %.3f of the best; cheap calls served by second %v", len(arrivals), words, worth/best, pings)
-	if worth < 0.8*best {
-		t.Errorf("worth %.3f of the best achievable", worth/best)
+	t.Logf("%d requests: %v; utility %.3f of the best; cheap requests served by second %v", len(arrivals), words, utility/best, pings)
+	if utility < 0.8*best {
+		t.Errorf("utility %.3f of the best achievable", utility/best)
 	}
 	for sec, n := range pings {
 		if n == 0 {
-			t.Errorf("no cheap call was served in second %d", sec)
+			t.Errorf("no cheap request was served in second %d", sec)
 		}
 	}
-	standin.Eventually(t, "the pools' counters", func() bool { return strings.Contains(s.log.String(), "pools.script.limit=") })
+	standin.Eventually(t, "the counters of the pools", func() bool { return strings.Contains(s.log.String(), "pools.script.limit=") })
 
-	c, out := program(write(t, goodConfig))
-	c.Args = append(c.Args, "run", "--config", write(t, "[pools]\nenabled = true\n[pool.reed]\nreserve = 0.1\n"))
+	c, out := programCommand(writeFile(t, goodConfig))
+	c.Args = append(c.Args, "run", "--config", writeFile(t, "[pools]\nenabled = true\n[pool.reed]\nreserve = 0.1\n"))
 	if err := c.Run(); c.ProcessState.ExitCode() != statusConfig || !strings.Contains(out.String(), ":3: [pool.reed] no such class; did you mean read?") {
 		t.Errorf("%v, %q", err, out.String())
 	}
--- a/cmd/robinmast/serve.go
+++ b/cmd/robinmast/serve.go
@@ -21,98 +21,103 @@
 	"robinmast/rules"
 )
 
-// Mechanics of the parts.
+// Shares of the node's sockets, memory and time.
 const (
-	callSockets = 32          // descriptors for calls below, where there are any
-	ownSockets  = 16          // descriptors for everything but dispatchers' connections
-	outShare    = 8           // part of the memory that all out rings may take: 1 of so many
-	keyShare    = 8           // part of the memory that kept results may take: 1 of so many
-	endMost     = time.Second // for the parts to end, at least
+	maxCallSockets  = 32          // for downstream calls, if there are any
+	reservedSockets = 16          // for everything but dispatchers' connections and downstream calls
+	outBufferPart   = 8           // all output buffers may use one part in so many of the memory
+	resultCachePart = 8           // the results in memory may use one part in so many of it
+	minStopWait     = time.Second // least time for the components to stop
 )
 
-// parts are the pieces of a running node.
-type parts struct {
-	cfg    *platform
-	reload func() (*platform, error)
-	log    *slog.Logger
-	ledger *exchange.Counters
-	front  *front.Server
-	pool   *pool.Link
-	report *members.Reporter
-	node   *node.Node
-	memory *resultcache.Cache // nil = nothing is remembered
-	below  *dependency.Client // nil = nothing is called
+// runningNode holds the components of a running node and the state of a reload. All methods
+// are called by the goroutine of serve.
+type runningNode struct {
+	cfg        *platform
+	reload     func() (*platform, error)
+	log        *slog.Logger
+	requests   *exchange.Counters
+	front      *front.Server
+	pool       *pool.Link
+	members    *members.Reporter
+	node       *node.Node
+	results    *resultcache.Cache // nil = [results] is off
+	dependency *dependency.Client // nil = no downstream calls
 
-	reloaded chan reloaded // a configuration that was read anew
-	reading  bool          // one is being read
-	again    bool          // it was asked for meanwhile
+	reloaded    chan reloaded // the result of a reload
+	reloading   bool          // a reload is running
+	reloadAgain bool          // another reload was requested meanwhile
 
-	control *controlReport   // nil = no reports to a control service
-	back    *recovery.Keeper // nil = the way back to full service is not looked at
+	control  *controlReport   // nil = no reports to a control service
+	recovery *recovery.Keeper // nil = [comeback] is off
 }
 
-// notices are the signals: to leave, and all others. One channel may be both.
+// notices holds the channels of the notice to leave and of all other signals. They may be the
+// same channel.
 type notices struct{ leave, other <-chan os.Signal }
 
-// serve runs the node until it has left; reload reads the configuration anew.
+// serve runs the node until it has left, or until a component fails; reload reads the
+// platform's configuration again.
 func serve(
-	cfg *platform, mem *resultcache.Cache, back *recovery.Keeper, ln net.Listener, signals notices, reload func() (*platform, error), log *slog.Logger,
+	cfg *platform, results *resultcache.Cache, keeper *recovery.Keeper, ln net.Listener, signals notices,
+	reload func() (*platform, error), log *slog.Logger,
 ) error {
 	memory := int64(cfg.Limits.MemoryMB * (1 << 20))
-	p := &parts{
-		cfg: cfg, reload: reload, log: log, memory: mem, back: back, reloaded: make(chan reloaded, 1),
-		ledger: &exchange.Counters{}, report: members.New(cfg.Members, cfg.Name, log),
+	p := &runningNode{
+		cfg: cfg, reload: reload, log: log, results: results, recovery: keeper, reloaded: make(chan reloaded, 1),
+		requests: &exchange.Counters{}, members: members.New(cfg.Members, cfg.Name, log),
 	}
 	nc := node.Config{
-		Settings: cfg.set, Seed: cfg.seed, ResultBytes: int(memory / keyShare), Health: p.report.SetServing, Log: log,
+		Settings: cfg.set, Seed: cfg.seed, ResultBytes: int(memory / resultCachePart),
+		Health: p.members.SetServing, Log: log,
 	}
 	if len(cfg.own.Control.Address) > 0 {
 		var err error
-		if p.control, err = newControlReport(cfg, p.ledger, log); err != nil {
+		if p.control, err = newControlReport(cfg, p.requests, log); err != nil {
 			return err
 		}
 		if cfg.own.Shedding.Enabled {
-			nc.LoadReport = p.control.word
+			nc.LoadReport = p.control.setShedding
 		}
-		nc.Load, nc.Health = p.control.load, func(good bool) {
-			p.report.SetServing(good)
-			p.control.health(good)
+		nc.Load, nc.Health = p.control.setLoad, func(healthy bool) {
+			p.members.SetServing(healthy)
+			p.control.setHealthy(healthy)
 		}
 	}
-	if mem != nil { // else the interface would not be nil
-		nc.ResultCache = mem
+	if results != nil { // a nil pointer in the interface would not equal nil
+		nc.ResultCache = results
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	sockets := cfg.Limits.Sockets - ownSockets
+	sockets := cfg.Limits.Sockets - reservedSockets
 	if cfg.set.Dependency == rules.DependencyShared {
-		conns := max(min(callSockets, cfg.Limits.Sockets/8), 1)
-		p.below = dependency.New(ctx, cfg.DB, conns, log)
-		nc.Calls = p.below
+		conns := max(min(maxCallSockets, cfg.Limits.Sockets/8), 1)
+		p.dependency = dependency.New(ctx, cfg.DB, conns, log)
+		nc.Calls = p.dependency
 		sockets -= conns
 	}
-	if back != nil {
-		nc.Recovery = back
+	if keeper != nil {
+		nc.Recovery = keeper
 	}
 	p.node = node.New(nc)
-	if p.control != nil && back != nil {
-		p.control.remembers(back, p.node.ObservePrevious, p.node.FleetCapacity)
+	if p.control != nil && keeper != nil {
+		p.control.useRecovery(keeper, p.node.ObservePrevious, p.node.FleetCapacity)
 	}
 	if p.control != nil && cfg.own.Shedding.Enabled && cfg.own.Shedding.UseDigests {
-		p.control.told = p.node.ReceiveDigest
+		p.control.receiveDigest = p.node.ReceiveDigest
 	}
-	setup := 0.0
+	setupCPU := 0.0
 	if cfg.own.Shedding.Enabled {
-		setup = cfg.own.Shedding.SetupShare * cfg.Limits.Cores
+		setupCPU = cfg.own.Shedding.SetupShare * cfg.Limits.Cores
 	}
 	p.front = front.New(front.Config{
 		Settings: cfg.set, Names: cfg.names, MaxConns: max(sockets, 1),
-		OutBytes: memory / outShare, SetupCPUShare: setup, Log: log,
-	}, p.node, p.ledger)
+		OutBytes: memory / outBufferPart, SetupCPUShare: setupCPU, Log: log,
+	}, p.node, p.requests)
 	p.pool = pool.New(cfg.Pool, p.node, log)
-	if cfg.own.Shedding.Enabled { // its own repeats are part of the harm too
+	if cfg.own.Shedding.Enabled { // the node's own reconnects and retries add to an overload too
 		p.pool.UseBackoff(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
-		p.report.UseBackoff(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+		p.members.UseBackoff(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	}
 	p.node.Attach(p.front, p.pool)
 
@@ -130,14 +135,14 @@
 		}
 	})
 	start(func() { p.pool.Run(ctx) })
-	start(func() { p.report.Run(ctx) })
+	start(func() { p.members.Run(ctx) })
 	if p.control != nil {
 		for _, l := range p.control.links {
 			start(func() { l.reporter.Run(ctx) })
 		}
 	}
 	log.Info("node started", "listen", cfg.Listen, "pool", cfg.Pool, "members", cfg.Members,
-		"memory_mb", cfg.Limits.MemoryMB, "sockets", cfg.Limits.Sockets, "after_ms", cfg.age().Milliseconds())
+		"memory_mb", cfg.Limits.MemoryMB, "sockets", cfg.Limits.Sockets, "after_ms", cfg.uptime().Milliseconds())
 
 	for {
 		var sig os.Signal
@@ -145,26 +150,26 @@
 		case err := <-failed:
 			return err
 		case r := <-p.reloaded:
-			p.readdress(r)
+			p.applyReload(r)
 			continue
 		case sig = <-signals.leave:
 		case sig = <-signals.other:
 		}
-		if p.told(sig) {
+		if p.handleSignal(sig) {
 			continue
 		}
 		notice := time.Now()
 		p.drain(notice, signals)
 		cancel()
-		p.ended(&running, notice)
-		p.count(log, lineStopped)
+		p.waitForComponents(&running, notice)
+		p.logCounters(log, stoppedMessage)
 		return nil
 	}
 }
 
-// ended waits for the parts to end. One that hangs does not keep the process: all
-// is answered and no connection is left.
-func (p *parts) ended(running *sync.WaitGroup, notice time.Time) {
+// waitForComponents waits for the components to stop, but not past the stop time: all requests
+// are answered and no connection is left, so the process may exit while one hangs.
+func (p *runningNode) waitForComponents(running *sync.WaitGroup, notice time.Time) {
 	done := make(chan struct{})
 	go func() {
 		running.Wait()
@@ -172,19 +177,19 @@
 	}()
 	select {
 	case <-done:
-	case <-time.After(max(p.cfg.stop()-time.Since(notice)-killMargin/2, endMost)):
-		p.log.Error("a part of the node did not end in time")
+	case <-time.After(max(p.cfg.stop()-time.Since(notice)-killMargin/2, minStopWait)):
+		p.log.Error("a component of the node did not stop in time")
 	}
 }
 
-// told carries out a signal that is no notice to leave; it reports whether it
-// was one. Such a signal may also come while the node leaves.
-func (p *parts) told(sig os.Signal) bool {
+// handleSignal carries out a signal other than the notice to leave, also while the node
+// drains. It reports whether sig was such a signal.
+func (p *runningNode) handleSignal(sig os.Signal) bool {
 	switch sig {
 	case syscall.SIGUSR1:
-		p.count(p.log, linePresent)
+		p.logCounters(p.log, countersMessage)
 	case syscall.SIGHUP:
-		p.reread()
+		p.startReload()
 	default:
 		return false
 	}
--- a/cmd/robinmast/serve_test.go
+++ b/cmd/robinmast/serve_test.go
@@ -21,9 +21,9 @@
 	"robinmast/internal/standin"
 )
 
-// workers stands in for the worker pool, from the published protocol. It runs a
-// request for as many milliseconds as its body says, keeps all notices, and
-// can drop its link at any time.
+// workers is a test double of the worker pool that follows the published protocol. A run takes
+// as many milliseconds as the request's body says. It keeps all notices, and can break its
+// link at any time.
 type workers struct {
 	t  *testing.T
 	ln net.Listener
@@ -33,7 +33,7 @@
 	notices []string
 	runs    map[string]*time.Timer
 	started map[string]int
-	deaf    bool // notices are kept and not sent
+	muted   bool // notices are kept but not sent
 }
 
 func newWorkers(t *testing.T) *workers {
@@ -42,7 +42,7 @@
 	return w
 }
 
-// listen serves the worker pool at one more address.
+// listen serves the protocol at another address.
 func (w *workers) listen() net.Listener {
 	ln := standin.Listen(w.t)
 	go func() {
@@ -117,17 +117,17 @@
 	w.notice(fmt.Sprintf(`"op":"finished","id":%q,"end":%s`, id, end))
 }
 
-// notice numbers, keeps and sends one; the lock must be held.
+// notice numbers, keeps and sends a notice; w.mu must be held.
 func (w *workers) notice(text string) {
 	n := fmt.Sprintf(`{"seq":%d,%s}`, len(w.notices)+1, text)
 	w.notices = append(w.notices, n)
-	if !w.deaf && w.link != nil {
+	if !w.muted && w.link != nil {
 		fmt.Fprintln(w.link, n)
 	}
 }
 
-// cut breaks the link off.
-func (w *workers) cut() {
+// disconnect aborts the link.
+func (w *workers) disconnect() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.link != nil {
@@ -137,14 +137,14 @@
 	}
 }
 
-// system is a node under test with all it talks to.
+// system is a node under test with its worker pool and membership service.
 type system struct {
 	t       *testing.T
 	ln      net.Listener
 	addr    string
 	workers *workers
-	config  atomic.Pointer[string] // what a reload reads
-	moved   atomic.Int64           // reports at the address of a reload
+	config  atomic.Pointer[string] // the text that a reload reads
+	moved   atomic.Int64           // membership reports at the address that a reload set
 	signals chan os.Signal
 	done    chan error
 	log     *logBuffer
@@ -180,11 +180,11 @@
 
 func newSystem(t *testing.T) *system {
 	t.Helper()
-	return newSystemOf(t, func(text string) string { return text })
+	return newSystemWith(t, func(text string) string { return text })
 }
 
-// newSystemOf is newSystem with a configuration that change has made of the usual one.
-func newSystemOf(t *testing.T, change func(string) string) *system {
+// newSystemWith is newSystem with a configuration that change has edited.
+func newSystemWith(t *testing.T, change func(string) string) *system {
 	t.Helper()
 	s := &system{t: t, workers: newWorkers(t), signals: make(chan os.Signal, 4), done: make(chan error, 1), log: &logBuffer{}}
 	members := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -200,13 +200,13 @@
 		"127.0.0.1:2379", strings.TrimPrefix(members.URL, "http://"), `"stop_ms":3200`, `"stop_ms":3000`, `"cpus":2`, `"cpus":64`,
 		`"stopSendingWithinMs":200`, `"stopSendingWithinMs":700`, `"aimMs":1000`, `"aimMs":3500`).Replace(goodConfig)
 	text = change(text)
-	cfg, err := parse([]byte(text), none)
+	cfg, err := parse([]byte(text), noEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
 	log := slog.New(slog.NewJSONHandler(s.log, nil))
 	s.config.Store(&text)
-	reload := func() (*platform, error) { return parse([]byte(*s.config.Load()), none) }
+	reload := func() (*platform, error) { return parse([]byte(*s.config.Load()), noEnv) }
 	go func() { s.done <- serve(cfg, nil, nil, ln, notices{s.signals, s.signals}, reload, log) }()
 	t.Cleanup(func() {
 		if !s.stopped {
@@ -223,7 +223,7 @@
 	return s
 }
 
-// stop sends the notice, waits for the exit and checks that the books balance.
+// stop sends the notice to leave, waits for the exit and checks that the counters add up.
 func (s *system) stop() map[string]any {
 	s.t.Helper()
 	s.stopped = true
@@ -251,10 +251,10 @@
 	}
 	r, d, p := group(c, "requests"), group(c, "dispatchers"), group(c, "pool")
 	if n(r, "read") != n(r, "served", "refused", "failed", "cancelled", "gone") || n(r, "in_hand") != 0 || n(r, "read") != n(d, "calls") {
-		s.t.Errorf("requests don't add up: %v, %v", r, d)
+		s.t.Errorf("requests do not add up: %v, %v", r, d)
 	}
 	if n(p, "spawned") != n(p, "complete", "error", "cancelled", "moot", "running") {
-		s.t.Errorf("runs don't add up: %v", p)
+		s.t.Errorf("runs do not add up: %v", p)
 	}
 	for _, side := range []map[string]any{d, p, group(c, "members"), group(c, "below")} {
 		l := group(side, "link")
@@ -265,7 +265,7 @@
 			}
 		}
 		if n(l, "opened") != ends || n(l, "queued") != n(l, "sent", "dropped") {
-			s.t.Errorf("a side's links don't add up: %v", l)
+			s.t.Errorf("the counters of a link do not add up: %v", l)
 		}
 	}
 	if x := n(group(c, "process"), "module_resets"); x != 0 {
@@ -280,7 +280,7 @@
 
 var txns atomic.Int64
 
-// call sends a request that runs for some milliseconds and returns its txn.
+// call sends a request that runs for ms milliseconds and returns its txn.
 func (d dispatcher) call(tag, ms int, more string) string {
 	txn := fmt.Sprintf("%016x", txns.Add(1))
 	class := "read"
@@ -292,15 +292,15 @@
 	return txn
 }
 
-// Requests of many connections, answered once each, with cancels and broken
-// connections between them; then the books must balance.
+// Each request of several connections is answered once, also with cancels and an aborted
+// connection among them, and the counters add up at the end.
 func TestServe(t *testing.T) {
 	s := newSystem(t)
 	var wg sync.WaitGroup
 	for i := range 8 {
 		wg.Go(func() {
 			d := s.dial()
-			if i == 7 { // breaks off with everything open
+			if i == 7 { // aborts the connection with everything open
 				d.call(1, 500, "")
 				d.call(2, 500, "")
 				d.Send("RPC.HEALTH", "3", "")
@@ -339,7 +339,7 @@
 	s.signals <- syscall.SIGUSR1
 	standin.Eventually(t, "counters on the signal", func() bool { return s.log.line("counters") != nil })
 	last := s.dial()
-	last.call(1, 1200, "") // keeps the node until the report of its leaving is out
+	last.call(1, 1200, "") // keeps the node running until it has reported that it leaves
 	last.Send("RPC.HEALTH", "2", "")
 	last.Receive() // so it was read
 	c := s.stop()
@@ -352,8 +352,8 @@
 	}
 }
 
-// The link to the worker pool breaks again and again while it works; no result
-// is lost and nothing runs twice.
+// The link to the worker pool breaks repeatedly while requests run: no result is lost and
+// nothing runs twice.
 func TestServeOverBrokenLinks(t *testing.T) {
 	s := newSystem(t)
 	d := s.dial()
@@ -364,12 +364,12 @@
 		}
 		time.Sleep(15 * time.Millisecond)
 		s.workers.mu.Lock()
-		s.workers.deaf = true // what ends now is in the replay only
+		s.workers.muted = true // runs that end now are only in the replayed notices
 		s.workers.mu.Unlock()
 		time.Sleep(20 * time.Millisecond)
-		s.workers.cut()
+		s.workers.disconnect()
 		s.workers.mu.Lock()
-		s.workers.deaf = false
+		s.workers.muted = false
 		s.workers.mu.Unlock()
 		time.Sleep(30 * time.Millisecond)
 	}
@@ -391,8 +391,8 @@
 	}
 }
 
-// The notice comes while requests run: they are answered, what comes within the
-// grace still runs, then connections are told to close and new ones are refused.
+// The notice to leave arrives while requests run: they are answered, requests that arrive
+// within the grace still run, then each connection gets `0 FIN` and new ones are refused.
 func TestServeDrain(t *testing.T) {
 	s := newSystem(t)
 	d := s.dial()
@@ -410,7 +410,7 @@
 	}
 	standin.Eventually(t, "the end of listening", func() bool {
 		_, err := s.ln.(*net.TCPListener).SyscallConn()
-		if err == nil { // an open listener's descriptor can still be asked
+		if err == nil { // a listener that is still open allows this
 			_, err = net.Dial("tcp", s.addr)
 		}
 		return err != nil
@@ -424,10 +424,9 @@
 	<-ended
 }
 
-// While runs are open, the configuration is replaced and SIGHUP comes: the node
-// goes on at the new addresses, loses nothing and runs nothing twice. It guards
-// against a node that dies of the signal, holds on to an address that nobody
-// serves any more, or takes up a file that can't be used.
+// The configuration is replaced and SIGHUP arrives while requests run: the node changes to the
+// new addresses, loses no result and runs nothing twice. The test guards against a node that
+// dies of the signal, stays at an address that is no longer served, or applies an invalid file.
 func TestServeReload(t *testing.T) {
 	s := newSystem(t)
 	d := s.dial()
@@ -438,7 +437,7 @@
 	good, bad := *s.config.Load(), "{"
 	s.config.Store(&bad)
 	s.signals <- syscall.SIGHUP
-	standin.Eventually(t, "a file refused", func() bool { return s.log.line("new configuration not taken") != nil })
+	standin.Eventually(t, "a rejected file", func() bool { return s.log.line("new configuration rejected") != nil })
 
 	s.log.mu.Lock()
 	s.log.b.Reset()
@@ -446,7 +445,7 @@
 	other := strings.Replace(good, `"stop_ms":3000`, `"stop_ms":2000`, 1)
 	s.config.Store(&other)
 	s.signals <- syscall.SIGHUP
-	standin.Eventually(t, "a restart asked for", func() bool { return s.log.line("new configuration not taken") != nil })
+	standin.Eventually(t, "a rejected change that needs a restart", func() bool { return s.log.line("new configuration rejected") != nil })
 
 	next := s.workers.listen()
 	members := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -459,7 +458,7 @@
 		t.Fatal(err)
 	}
 	text := strings.NewReplacer(was.Pool, next.Addr().String(), was.Members, strings.TrimPrefix(members.URL, "http://"),
-		`"upstreams":1`, `"upstreams":1,"justStarted":true`).Replace(good) // a fact of the start, no setting: it is no reason to refuse the file
+		`"upstreams":1`, `"upstreams":1,"justStarted":true`).Replace(good) // not a setting, so it must not cause a rejection
 	s.config.Store(&text)
 	s.workers.ln.Close()
 	s.signals <- syscall.SIGHUP
@@ -483,17 +482,17 @@
 		}
 	}
 	s.workers.mu.Unlock()
-	go func() { // it must also work while the node leaves
+	go func() { // a reload must also work during the drain
 		standin.Eventually(t, "the notice", func() bool { return s.log.line("notice to leave") != nil })
 		s.signals <- syscall.SIGHUP
 	}()
 	s.stop()
 }
 
-// On one connection a request under a key runs; on another somebody uses its key and
-// its other fields for a request of his own. He is not served the result, whether the
-// run is on its way or over, and the key's own request and its repeat are.
-func TestServeKeyOfAnother(t *testing.T) {
+// A request with an idempotency key runs; a different request on another connection has the
+// same key. That one fails during and after the run, while the first request and its repeat
+// get the result.
+func TestServeKeyConflict(t *testing.T) {
 	s := newSystem(t)
 	own, other := s.dial(), s.dial()
 	own.call(1, 150, ",unique=k")
@@ -518,9 +517,9 @@
 	}
 }
 
-// Another customer's requests call a database below: the run stands, the node makes the
-// call, and the run goes on with its rows. SIGHUP moves later calls to another address.
-func TestServeCallsBelow(t *testing.T) {
+// Requests call a shared database: the run waits, the node makes the call, and the run
+// continues with its result. After SIGHUP, calls go to the new address.
+func TestServeDownstreamCalls(t *testing.T) {
 	database := func(name string) (addr string, asked *atomic.Int64) {
 		asked = &atomic.Int64{}
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -533,7 +532,7 @@
 	}
 	first, asked := database("one")
 	next, then := database("two")
-	s := newSystemOf(t, func(text string) string {
+	s := newSystemWith(t, func(text string) string {
 		return strings.NewReplacer(`"stop_ms"`, `"db":"`+first+`","stop_ms"`, `"below":"none"`, `"below":"shared","callShare":8,"callsOverMs":5000,"classCalls":[true,true]`).Replace(text)
 	})
 	d := s.dial()
@@ -548,7 +547,7 @@
 	text := strings.Replace(*s.config.Load(), first, next, 1)
 	s.config.Store(&text)
 	s.signals <- syscall.SIGHUP
-	standin.Eventually(t, "the new configuration", func() bool { return s.log.line("new configuration") != nil })
+	standin.Eventually(t, "the new configuration", func() bool { return s.log.line("new configuration applied") != nil })
 	ask(2)
 	if got := d.Receive(); !strings.HasPrefix(got, "2 ACK") || !strings.HasSuffix(got, "from rows of two") {
 		t.Errorf("%q", got)
--- a/cmd/robinmast/settings_test.go
+++ b/cmd/robinmast/settings_test.go
@@ -11,9 +11,9 @@
 	"robinmast/internal/standin"
 )
 
-// customer draws a deployment's settings: whatever the platform may say of one, with
-// nothing that another has too but the form.
-func customer(rnd *rand.Rand) (settings map[string]any, classes []map[string]any, tenants []string) {
+// randomSettings returns valid settings of a deployment with random names and values, and
+// their classes and tenants.
+func randomSettings(rnd *rand.Rand) (settings map[string]any, classes []map[string]any, tenants []string) {
 	between := func(least, most float64) float64 { return least + (most-least)*rnd.Float64() }
 	one := func(words ...string) string { return words[rnd.IntN(len(words))] }
 	maybe := func() bool { return rnd.IntN(2) == 0 }
@@ -51,14 +51,14 @@
 	}, classes, tenants
 }
 
-// A node starts with whatever settings a customer has and gives each request of each
-// class and tenant one answer; a request of no class of theirs fails, once.
-func TestAnyCustomer(t *testing.T) {
+// A node starts with any valid settings and answers each request of each class and tenant
+// once; a request of an unknown class fails, once.
+func TestServeArbitrarySettings(t *testing.T) {
 	for seed := uint64(1); seed <= 24; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			settings, classes, tenants := customer(rand.New(rand.NewPCG(seed, 0)))
-			s := newSystemOf(t, func(text string) string {
+			settings, classes, tenants := randomSettings(rand.New(rand.NewPCG(seed, 0)))
+			s := newSystemWith(t, func(text string) string {
 				var config map[string]any
 				if err := json.Unmarshal([]byte(text), &config); err != nil {
 					t.Fatal(err)
@@ -87,12 +87,12 @@
 				if c["effect"] == "deduplicated" {
 					more = fmt.Sprint(",unique=k", i)
 				}
-				for range 2 { // the second is a repeat, where there is a key
+				for range 2 { // the second is a repeat if there is a key
 					tag++
 					ask(tag, c["name"].(string), more)
 				}
 			}
-			ask(tag+1, "no class of theirs", "")
+			ask(tag+1, "no such class", "")
 			served := 0
 			for len(want) > 0 {
 				tagged, word, _ := strings.Cut(d.Receive(), " ")
@@ -114,11 +114,11 @@
 	}
 }
 
-// Repeats of a keyed request come on other connections: while it runs, when it is over,
-// and when its short window is. Within the window it runs once and all get its result.
+// Repeats of a keyed request arrive on other connections: during the run, after it, and after
+// the short idempotency window. Within the window the request runs once and all get its result.
 func TestServeShortWindow(t *testing.T) {
 	const window = 600 * time.Millisecond
-	s := newSystemOf(t, func(text string) string {
+	s := newSystemWith(t, func(text string) string {
 		return strings.Replace(text, `"windowMs":5000`, fmt.Sprintf(`"windowMs":%d`, window.Milliseconds()), 1)
 	})
 	runs := func() int {
@@ -142,7 +142,7 @@
 	}
 	third.call(1, 100, ",unique=k")
 	if got := third.Receive(); !strings.HasPrefix(got, "1 ACK") {
-		t.Errorf("remembered: %q", got)
+		t.Errorf("after the run: %q", got)
 	}
 	if n := runs(); time.Since(began) < window && n != 1 {
 		t.Errorf("%d runs within the window", n)
