--- a/cmd/robinmast/config.go
+++ b/cmd/robinmast/config.go
@@ -147,7 +147,8 @@
 	case c.set.Preemption == rules.PreemptPause:
 		return errors.New("configuration: settings: extra.preemption: suspending runs is not supported")
 	case c.set.BatchInterval <= 0 || c.set.BatchInterval > time.Second:
-		return fmt.Errorf("configuration: settings: tickMs: %v is out of range, want more than 0 and at most 1s", c.set.BatchInterval)
+		return fmt.Errorf("configuration: settings: tickMs: %v is out of range, want more than 0 and at most 1s",
+			c.set.BatchInterval)
 	}
 	used := map[string]bool{}
 	for _, name := range c.names.Classes {
--- a/cmd/robinmast/counters.go
+++ b/cmd/robinmast/counters.go
@@ -29,7 +29,8 @@
 	args := []any{
 		slog.Group("requests",
 			"read", requests.Read.Load(), "served", requests.Count(exchange.EndedServed),
-			"refused", requests.Count(exchange.EndedRefused), "failed", requests.Count(exchange.EndedFailed), "cancelled", requests.Count(exchange.EndedCancelled), "gone", requests.Count(exchange.EndedCallerGone),
+			"refused", requests.Count(exchange.EndedRefused), "failed", requests.Count(exchange.EndedFailed),
+			"cancelled", requests.Count(exchange.EndedCancelled), "gone", requests.Count(exchange.EndedCallerGone),
 			"in_hand", requests.OpenRequests(), "late_answers", requests.Late.Load()),
 		slog.Group("dispatchers",
 			"calls", dispatchers.Counters.Calls.Load(), "malformed", dispatchers.Counters.Malformed.Load(),
@@ -57,7 +58,8 @@
 		slog.Group("keys", "misused", p.node.KeyConflicts.Load()),
 	}
 	if calls := p.dependency; calls != nil {
-		args = append(args, slog.Group("below", "calls", calls.Calls.Load(), "well", calls.Ended[rules.OK].Load(),
+		args = append(args, slog.Group("below",
+			"calls", calls.Calls.Load(), "well", calls.Ended[rules.OK].Load(),
 			"failed", calls.Ended[rules.Failed].Load(), "full", calls.Ended[rules.CallRejected].Load(),
 			"timed_out", calls.Ended[rules.TimedOut].Load(), "connect_failed", calls.Ended[rules.ConnectFailed].Load(),
 			"reset", calls.Ended[rules.ConnectionReset].Load(), "given_up", calls.Ended[rules.Cancelled].Load(), traffic(&calls.Traffic)))
