--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -116,7 +116,7 @@
 			b.Fatal(err)
 		}
 		if name == "log" {
-			checks, _ := filepath.Glob(filepath.Join(left, "*"+checkSuffix))
+			checks, _ := filepath.Glob(filepath.Join(left, "*"+checkpointSuffix))
 			for _, c := range checks {
 				if err := os.Remove(c); err != nil {
 					b.Fatal(err)
--- a/internal/store/checkpoint.go
+++ b/internal/store/checkpoint.go
@@ -21,16 +21,16 @@
 )
 
 const (
-	checkMagic  = "RMSTCKP\n"
-	checkSuffix = ".ckpt"
-	checkBlock  = 64 << 10
+	checkpointMagic     = "RMSTCKP\n"
+	checkpointSuffix    = ".ckpt"
+	checkpointBlockSize = 64 << 10
 )
 
-func checkName(id uint64) string { return fmt.Sprintf("%016x%s", id, checkSuffix) }
+func checkpointName(id uint64) string { return fmt.Sprintf("%016x%s", id, checkpointSuffix) }
 
 // parseCheck reads the name of a checkpoint.
-func parseCheck(name string) (uint64, bool) {
-	base, ok := strings.CutSuffix(name, checkSuffix)
+func parseCheckpointName(name string) (uint64, bool) {
+	base, ok := strings.CutSuffix(name, checkpointSuffix)
 	if !ok || len(base) != 16 {
 		return 0, false
 	}
@@ -39,7 +39,7 @@
 }
 
 // cover is what a checkpoint holds of a segment.
-type cover struct {
+type segmentCoverage struct {
 	id, salt uint64
 	end      int64
 	minSeq   uint64
@@ -50,34 +50,34 @@
 func (s *Store) Checkpoint() error {
 	s.compactMu.Lock()
 	defer s.compactMu.Unlock()
-	if err := s.checkpoint(); err != nil {
+	if err := s.checkpointLocked(); err != nil {
 		s.Stats.CheckpointFailures.Add(1)
-		return full(fmt.Errorf("checkpoint: %w", err))
+		return wrapDiskFull(fmt.Errorf("checkpoint: %w", err))
 	}
 	s.Stats.Checkpoints.Add(1)
 	return nil
 }
 
-func (s *Store) checkpoint() error {
-	var snap *btree.BTreeG[item]
-	var covers []cover
+func (s *Store) checkpointLocked() error {
+	var snapshot *btree.BTreeG[item]
+	var coverage []segmentCoverage
 	var seq uint64
-	err := s.visit(func() error {
+	err := s.runInWriter(func() error {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		snap, seq, s.logged = s.index.Clone(), s.seq, 0
-		for _, g := range s.segs {
-			covers = append(covers, cover{g.id, g.salt, g.end, g.minSeq, g.sealed})
+		snapshot, seq, s.bytesSinceCheckpoint = s.index.Clone(), s.seq, 0
+		for _, g := range s.segments {
+			coverage = append(coverage, segmentCoverage{g.id, g.salt, g.end, g.minSeq, g.sealed})
 		}
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	s.checkID++
-	name := vfs.Join(s.dir, checkName(s.checkID))
+	s.checkpointID++
+	name := vfs.Join(s.dir, checkpointName(s.checkpointID))
 	temp := name + tempSuffix
-	size, err := s.writeCheck(temp, snap, covers, seq)
+	size, err := s.writeCheckpoint(temp, snapshot, coverage, seq)
 	if err != nil {
 		if rerr := s.fs.Remove(temp); rerr != nil && !errors.Is(rerr, fs.ErrNotExist) {
 			err = errors.Join(err, rerr)
@@ -90,13 +90,13 @@
 	if err := s.fs.SyncDir(s.dir); err != nil {
 		return err
 	}
-	_ = s.visit(func() error { s.checkBytes = size; return nil }) // the writer reads it; a closed store needs it no more
+	_ = s.runInWriter(func() error { s.checkpointBytes = size; return nil }) // the writer reads it; a closed store needs it no more
 	names, err := s.fs.List(s.dir)
 	if err != nil {
 		return err
 	}
 	for _, old := range names { // older ones were only needed until this one was durable
-		if id, ok := parseCheck(old); ok && id < s.checkID {
+		if id, ok := parseCheckpointName(old); ok && id < s.checkpointID {
 			if err := s.fs.Remove(vfs.Join(s.dir, old)); err != nil {
 				return err
 			}
@@ -107,7 +107,7 @@
 
 // writeCheck writes a checkpoint: a header, blocks of entries, and an end block
 // with their number; each with a checksum.
-func (s *Store) writeCheck(name string, snap *btree.BTreeG[item], covers []cover, seq uint64) (int64, error) {
+func (s *Store) writeCheckpoint(name string, snapshot *btree.BTreeG[item], coverage []segmentCoverage, seq uint64) (int64, error) {
 	f, err := s.fs.Create(name)
 	if errors.Is(err, fs.ErrExist) {
 		if err = s.fs.Remove(name); err == nil {
@@ -128,11 +128,11 @@
 		off += int64(len(b))
 		return err
 	}
-	head := []byte(checkMagic)
+	head := []byte(checkpointMagic)
 	head = binary.AppendUvarint(head, Version)
 	head = binary.AppendUvarint(head, seq)
-	head = binary.AppendUvarint(head, uint64(len(covers)))
-	for _, c := range covers {
+	head = binary.AppendUvarint(head, uint64(len(coverage)))
+	for _, c := range coverage {
 		flag := uint64(0)
 		if c.sealed {
 			flag = 1
@@ -144,18 +144,18 @@
 	err = block('H', head)
 	var body []byte
 	count := uint64(0)
-	snap.Ascend(func(it item) bool {
+	snapshot.Ascend(func(it item) bool {
 		if err != nil {
 			return false
 		}
 		body = binary.AppendUvarint(body, uint64(len(it.key)))
 		body = append(body, it.key...)
 		body = binary.AppendVarint(body, it.expiry)
-		for _, v := range []uint64{it.seq, uint64(it.seg), uint64(it.off), uint64(it.meta), uint64(it.stale)} {
+		for _, v := range []uint64{it.seq, uint64(it.segmentID), uint64(it.offset), uint64(it.meta), uint64(it.staleRecords)} {
 			body = binary.AppendUvarint(body, v)
 		}
 		count++
-		if len(body) > checkBlock {
+		if len(body) > checkpointBlockSize {
 			err = block('B', body)
 			body = body[:0]
 		}
@@ -180,14 +180,14 @@
 // fits the segments that are there. It returns up to where each segment is
 // covered, nil if there is no such checkpoint. One of another version is an error. Whatever a
 // checkpoint says was synced of a segment goes to ends.
-func (s *Store) loadCheckpoint(all []found, names []string, ends map[uint64]int64) (map[uint64]int64, error) {
+func (s *Store) loadCheckpoint(all []segmentFile, names []string, ends map[uint64]int64) (map[uint64]int64, error) {
 	for i := len(names) - 1; i >= 0; i-- { // names sort by number
-		id, ok := parseCheck(names[i])
+		id, ok := parseCheckpointName(names[i])
 		if !ok {
 			continue
 		}
-		s.checkID = max(s.checkID, id)
-		index, covered, seq, err := s.readCheck(names[i], all, ends)
+		s.checkpointID = max(s.checkpointID, id)
+		index, covered, seq, err := s.readCheckpoint(names[i], all, ends)
 		var version *VersionError
 		if errors.As(err, &version) {
 			return nil, version
@@ -197,7 +197,7 @@
 		}
 		s.index, s.seq = index, seq
 		if f, err := s.fs.Open(vfs.Join(s.dir, names[i]), false); err == nil {
-			s.checkBytes, _ = f.Size()
+			s.checkpointBytes, _ = f.Size()
 			_ = f.Close()
 		}
 		return covered, nil
@@ -205,7 +205,7 @@
 	return nil, nil
 }
 
-func (s *Store) readCheck(name string, all []found, ends map[uint64]int64) (*btree.BTreeG[item], map[uint64]int64, uint64, error) {
+func (s *Store) readCheckpoint(name string, all []segmentFile, ends map[uint64]int64) (*btree.BTreeG[item], map[uint64]int64, uint64, error) {
 	f, err := s.fs.Open(vfs.Join(s.dir, name), false)
 	if err != nil {
 		return nil, nil, 0, err
@@ -223,7 +223,7 @@
 		}
 		n := binary.LittleEndian.Uint32(h[1:])
 		if int64(n) > size {
-			return 0, nil, errTorn
+			return 0, nil, errTruncated
 		}
 		b := make([]byte, n)
 		if _, err := io.ReadFull(in, b); err != nil {
@@ -238,32 +238,32 @@
 	if err != nil {
 		return nil, nil, 0, err
 	}
-	if kind != 'H' || !bytes.HasPrefix(b, []byte(checkMagic)) {
+	if kind != 'H' || !bytes.HasPrefix(b, []byte(checkpointMagic)) {
 		return nil, nil, 0, errors.New("no checkpoint")
 	}
-	r := &reader{b: b[len(checkMagic):]}
+	r := &checkpointDecoder{b: b[len(checkpointMagic):]}
 	if v := r.uvarint(); v != Version {
 		return nil, nil, 0, &VersionError{File: name, Version: uint32(v)}
 	}
 	seq, n := r.uvarint(), r.uvarint()
 	covered := map[uint64]int64{}
-	salts := map[uint64]cover{}
+	recorded := map[uint64]segmentCoverage{}
 	for range min(n, uint64(len(b))) {
-		c := cover{id: r.uvarint(), salt: r.uvarint(), end: int64(r.uvarint()), minSeq: r.uvarint(), sealed: r.uvarint() == 1}
-		salts[c.id] = c
+		c := segmentCoverage{id: r.uvarint(), salt: r.uvarint(), end: int64(r.uvarint()), minSeq: r.uvarint(), sealed: r.uvarint() == 1}
+		recorded[c.id] = c
 	}
-	if r.bad {
-		return nil, nil, 0, errTorn
+	if r.truncated {
+		return nil, nil, 0, errTruncated
 	}
 	for _, f := range all {
-		c, ok := salts[f.id]
+		c, ok := recorded[f.id]
 		if !ok {
 			continue
 		}
 		if c.salt == f.salt && ends != nil {
 			ends[f.id] = max(ends[f.id], c.end)
 		}
-		if c.salt != f.salt || f.size < c.end || !f.headOK {
+		if c.salt != f.salt || f.size < c.end || !f.headerOK {
 			return nil, nil, 0, fmt.Errorf("%s is not what the checkpoint saw", f.name)
 		}
 		f.minSeq = c.minSeq
@@ -279,57 +279,57 @@
 		if err != nil {
 			return nil, nil, 0, err
 		}
-		r := &reader{b: b}
+		r := &checkpointDecoder{b: b}
 		if kind == 'E' {
 			if r.uvarint() != count {
-				return nil, nil, 0, errTorn
+				return nil, nil, 0, errTruncated
 			}
 			return index, covered, clampSeq(seq), nil
 		}
-		for len(r.b) > 0 && !r.bad {
-			it := item{key: r.text(), expiry: r.varint(), seq: r.uvarint(), seg: uint32(r.uvarint()), off: uint32(r.uvarint()),
-				meta: uint32(r.uvarint()), stale: uint32(r.uvarint())}
+		for len(r.b) > 0 && !r.truncated {
+			it := item{key: r.str(), expiry: r.varint(), seq: r.uvarint(), segmentID: uint32(r.uvarint()), offset: uint32(r.uvarint()),
+				meta: uint32(r.uvarint()), staleRecords: uint32(r.uvarint())}
 			count++
-			if _, there := covered[uint64(it.seg)]; there { // else compaction took its segment, and moved it
+			if _, there := covered[uint64(it.segmentID)]; there { // else compaction took its segment, and moved it
 				index.ReplaceOrInsert(it)
 			}
 		}
-		if r.bad {
-			return nil, nil, 0, errTorn
+		if r.truncated {
+			return nil, nil, 0, errTruncated
 		}
 	}
 }
 
 // reader reads numbers and texts; bad is set once they end too soon.
-type reader struct {
-	b   []byte
-	bad bool
+type checkpointDecoder struct {
+	b         []byte
+	truncated bool
 }
 
-func (r *reader) uvarint() uint64 {
+func (r *checkpointDecoder) uvarint() uint64 {
 	v, n := binary.Uvarint(r.b)
 	if n <= 0 {
-		r.b, r.bad = nil, true
+		r.b, r.truncated = nil, true
 		return 0
 	}
 	r.b = r.b[n:]
 	return v
 }
 
-func (r *reader) varint() int64 {
+func (r *checkpointDecoder) varint() int64 {
 	v, n := binary.Varint(r.b)
 	if n <= 0 {
-		r.b, r.bad = nil, true
+		r.b, r.truncated = nil, true
 		return 0
 	}
 	r.b = r.b[n:]
 	return v
 }
 
-func (r *reader) text() string {
+func (r *checkpointDecoder) str() string {
 	n := r.uvarint()
 	if n > uint64(len(r.b)) {
-		r.b, r.bad = nil, true
+		r.b, r.truncated = nil, true
 		return ""
 	}
 	t := string(r.b[:n])
--- a/internal/store/compact.go
+++ b/internal/store/compact.go
@@ -19,31 +19,31 @@
 )
 
 const (
-	copyChunk  = 256 << 10              // bytes copied at a time
-	smallParts = 8                      // segments under half their size that are put together
-	leastShare = 0.05                   // of garbage for which a segment is rewritten
-	keepEvery  = time.Second            // between looks at expired entries
-	retryAfter = 200 * time.Millisecond // after a pass that failed, doubled up to retryMost
-	retryMost  = 30 * time.Second
+	copyChunkSize     = 256 << 10              // bytes copied at a time
+	mergeThreshold    = 8                      // segments under half their size that are put together
+	minGarbageShare   = 0.05                   // of garbage for which a segment is rewritten
+	sweepInterval     = time.Second            // between looks at expired entries
+	initialRetryDelay = 200 * time.Millisecond // after a pass that failed, doubled up to retryMost
+	maxRetryDelay     = 30 * time.Second
 )
 
 // poked wakes the upkeep.
-func (s *Store) poked() {
+func (s *Store) wakeMaintenance() {
 	select {
-	case s.maintain <- struct{}{}:
+	case s.maintenanceWake <- struct{}{}:
 	default:
 	}
 }
 
 // keep is the goroutine of upkeep: sweeps, compaction, checkpoints.
-func (s *Store) keep(ctx context.Context) {
-	defer s.done.Done()
-	tick := time.NewTicker(keepEvery)
+func (s *Store) runMaintenance(ctx context.Context) {
+	defer s.background.Done()
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
-	wait, until := retryAfter, time.Time{}
-	spread := time.Time{} // many stores on one disk that open together do not work on it together
+	retryDelay, retryAt := initialRetryDelay, time.Time{}
+	startAt := time.Time{} // many stores on one disk that open together do not work on it together
 	if s.opt.Spread > 0 {
-		spread = time.Now().Add(time.Duration(s.opt.Salt() % uint64(s.opt.Spread)))
+		startAt = time.Now().Add(time.Duration(s.opt.Salt() % uint64(s.opt.Spread)))
 	}
 	for {
 		select {
@@ -51,29 +51,29 @@
 			return
 		case <-tick.C:
 			s.sweep()
-		case <-s.maintain:
+		case <-s.maintenanceWake:
 		}
-		if now := time.Now(); now.Before(until) || now.Before(spread) && !s.overBound() {
+		if now := time.Now(); now.Before(retryAt) || now.Before(startAt) && !s.overDiskBound() {
 			continue
 		}
 		for ctx.Err() == nil {
 			again, err := s.compactOnce(ctx, false)
 			if err != nil && ctx.Err() == nil {
-				until = time.Now().Add(wait)
-				wait = min(2*wait, retryMost)
+				retryAt = time.Now().Add(retryDelay)
+				retryDelay = min(2*retryDelay, maxRetryDelay)
 				break
 			}
-			wait = retryAfter
+			retryDelay = initialRetryDelay
 			if !again {
 				break
 			}
 		}
 		select {
-		case s.passed <- struct{}{}:
+		case s.passDone <- struct{}{}:
 		default:
 		}
 		due := false
-		_ = s.visit(func() error { due = s.logged > max(4*s.opt.Segment, s.checkBytes); return nil })
+		_ = s.runInWriter(func() error { due = s.bytesSinceCheckpoint > max(4*s.opt.Segment, s.checkpointBytes); return nil })
 		if due && ctx.Err() == nil {
 			_ = s.Checkpoint() // counted; the log tells everything without it
 		}
@@ -81,10 +81,10 @@
 }
 
 // overBound reports whether the disk holds more than it should.
-func (s *Store) overBound() bool {
+func (s *Store) overDiskBound() bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.total > 2*s.live+s.opt.Segment
+	return s.diskBytes > 2*s.liveBytes+s.opt.Segment
 }
 
 // Compact rewrites everything that has garbage, and sets damaged segments aside.
@@ -92,11 +92,11 @@
 	if s.opt.ReadOnly {
 		return ErrReadOnly
 	}
-	if err := s.visit(s.rotate); err != nil {
+	if err := s.runInWriter(s.rotate); err != nil {
 		return err
 	}
 	s.mu.RLock()
-	rounds := 2*len(s.segs) + 2
+	rounds := 2*len(s.segments) + 2
 	s.mu.RUnlock()
 	for range rounds {
 		again, err := s.compactOnce(ctx, true)
@@ -113,12 +113,12 @@
 // victims chooses what one pass rewrites: a damaged segment by itself, else the
 // sealed ones with the largest share of garbage whose live data fit one segment,
 // else small ones to be put together. all asks for any garbage at all.
-func (s *Store) victims(all bool) []*segment {
+func (s *Store) selectVictims(anyGarbage bool) []*segment {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	var sealed []*segment
 	garbage, small := int64(0), 0
-	for _, g := range s.segs {
+	for _, g := range s.segments {
 		if !g.sealed {
 			continue
 		}
@@ -126,31 +126,33 @@
 			return []*segment{g}
 		}
 		sealed = append(sealed, g)
-		garbage += g.end - headerSize - g.live
-		if g.end < s.opt.unit()/2 {
+		garbage += g.end - headerSize - g.liveBytes
+		if g.end < s.opt.segmentSize()/2 {
 			small++
 		}
 	}
-	share := func(g *segment) float64 { return float64(g.end-headerSize-g.live) / float64(max(g.end-headerSize, 1)) }
+	share := func(g *segment) float64 {
+		return float64(g.end-headerSize-g.liveBytes) / float64(max(g.end-headerSize, 1))
+	}
 	slices.SortFunc(sealed, func(a, b *segment) int { return cmp.Or(cmp.Compare(share(b), share(a)), cmp.Compare(a.id, b.id)) })
 	var chosen []*segment
 	live := int64(0)
 	take := func(g *segment) bool {
-		if len(chosen) > 0 && live+g.live > s.opt.unit() {
+		if len(chosen) > 0 && live+g.liveBytes > s.opt.segmentSize() {
 			return false
 		}
 		chosen = append(chosen, g)
-		live += g.live
+		live += g.liveBytes
 		return true
 	}
 	switch {
-	case all || garbage > s.live/2+s.opt.unit():
+	case anyGarbage || garbage > s.liveBytes/2+s.opt.segmentSize():
 		for _, g := range sealed {
-			if share(g) <= 0 || !all && share(g) < leastShare || !take(g) {
+			if share(g) <= 0 || !anyGarbage && share(g) < minGarbageShare || !take(g) {
 				break
 			}
 		}
-	case small > smallParts:
+	case small > mergeThreshold:
 		slices.SortFunc(sealed, func(a, b *segment) int { return cmp.Compare(a.end, b.end) })
 		for _, g := range sealed[:small] {
 			if !take(g) {
@@ -165,48 +167,48 @@
 }
 
 // compactOnce does one pass; again reports whether another may be useful.
-func (s *Store) compactOnce(ctx context.Context, all bool) (again bool, err error) {
+func (s *Store) compactOnce(ctx context.Context, anyGarbage bool) (again bool, err error) {
 	s.compactMu.Lock()
 	defer s.compactMu.Unlock()
-	chosen := s.victims(all)
+	chosen := s.selectVictims(anyGarbage)
 	if len(chosen) == 0 {
 		return false, nil
 	}
-	err = s.rewrite(ctx, chosen)
-	s.failing.Store(err != nil)
+	err = s.rewriteSegments(ctx, chosen)
+	s.compactionFailing.Store(err != nil)
 	if err != nil {
 		s.Stats.CompactionFailures.Add(1)
-		return false, full(fmt.Errorf("compact: %w", err))
+		return false, wrapDiskFull(fmt.Errorf("compact: %w", err))
 	}
 	s.Stats.Compactions.Add(1)
 	return true, nil
 }
 
 // moved is a record that a pass copied, or left out.
-type moved struct {
-	was    item // as the index had it
-	to     item
-	copied bool
-	stale  string // key of a record with a value that was left out and did not count
+type relocation struct {
+	from     item // as the index had it
+	to       item
+	copied   bool
+	staleKey string // key of a record with a value that was left out and did not count
 }
 
 // rewrite copies what counts of the victims into one new segment and removes
 // them. Until the new one is synced under its name nothing else changes, so that
 // a crash or a full disk at any point leaves at worst a file to be removed.
-func (s *Store) rewrite(ctx context.Context, victims []*segment) (err error) {
-	h := header{salt: s.opt.Salt()}
+func (s *Store) rewriteSegments(ctx context.Context, victims []*segment) (err error) {
+	newHeader := header{salt: s.opt.Salt()}
 	s.mu.Lock()
 	s.nextID++
-	h.id = s.nextID
+	newHeader.id = s.nextID
 	s.mu.Unlock()
-	name := segmentName(h.id, h.salt, packSuffix)
+	name := segmentName(newHeader.id, newHeader.salt, packSuffix)
 	temp := vfs.Join(s.dir, name+tempSuffix)
 	f, err := s.fs.Create(temp)
 	if err != nil {
 		return err
 	}
-	g := &segment{id: h.id, salt: h.salt, name: name, file: f, end: headerSize, sealed: true, minSeq: ^uint64(0)}
-	g.refs.Store(1)
+	target := &segment{id: newHeader.id, salt: newHeader.salt, name: name, file: f, end: headerSize, sealed: true, minSeq: ^uint64(0)}
+	target.refs.Store(1)
 	renamed := false
 	defer func() {
 		if err != nil && !renamed {
@@ -216,16 +218,16 @@
 			}
 		}
 	}()
-	var list []moved
-	for _, v := range victims {
-		if list, err = s.copyLive(ctx, v, g, list); err != nil {
+	var list []relocation
+	for _, victim := range victims {
+		if list, err = s.copyLive(ctx, victim, target, list); err != nil {
 			return err
 		}
 	}
-	h.end = uint64(g.end)
-	keepNew := g.end > headerSize
-	if keepNew {
-		if _, err = f.WriteAt(h.encode(), 0); err != nil {
+	newHeader.end = uint64(target.end)
+	hasLive := target.end > headerSize
+	if hasLive {
+		if _, err = f.WriteAt(newHeader.encode(), 0); err != nil {
 			return err
 		}
 		if err = f.Sync(); err != nil {
@@ -243,47 +245,47 @@
 			return err
 		}
 	}
-	g.synced = g.end
-	s.switchOver(g, keepNew, victims, list)
-	if !keepNew {
+	target.syncedEnd = target.end
+	s.applyRelocations(target, hasLive, victims, list)
+	if !hasLive {
 		_ = f.Close()
 		renamed = true
 		_ = s.fs.Remove(temp) // opening removes it, should this fail
 	}
-	for _, v := range victims {
-		path := vfs.Join(s.dir, v.name)
-		if len(v.faults) > 0 {
-			aside := vfs.Join(s.dir, segmentName(v.id, v.salt, asideSuffix))
+	for _, victim := range victims {
+		path := vfs.Join(s.dir, victim.name)
+		if len(victim.faults) > 0 {
+			aside := vfs.Join(s.dir, segmentName(victim.id, victim.salt, damagedSuffix))
 			if err := s.fs.Rename(path, aside); err != nil {
 				return err
 			}
 		} else if err := s.fs.Remove(path); err != nil {
 			return err
 		}
-		v.release()
+		victim.release()
 	}
 	return nil
 }
 
 // copyLive appends what counts of a victim to g.
-func (s *Store) copyLive(ctx context.Context, v, g *segment, list []moved) ([]moved, error) {
-	f := found{segment: v, headOK: true, size: v.end}
-	sc, err := s.scan(f, 0)
+func (s *Store) copyLive(ctx context.Context, victim, target *segment, list []relocation) ([]relocation, error) {
+	f := segmentFile{segment: victim, headerOK: true, size: victim.end}
+	result, err := s.scanSegment(f, 0)
 	if err != nil {
 		return list, err
 	}
-	if len(sc.holes) > 0 { // it was sound when it was left
+	if len(result.holes) > 0 { // it was sound when it was left
 		s.mu.Lock()
-		for _, h := range sc.holes {
-			if (h.from < sc.synced || !v.torn) && len(v.faults) < mostFaults {
-				v.faults = append(v.faults, Fault{File: v.name, Offset: h.from, Size: h.to - h.from, Reason: sc.reason})
+		for _, h := range result.holes {
+			if (h.from < result.synced || !victim.torn) && len(victim.faults) < maxFaults {
+				victim.faults = append(victim.faults, Fault{File: victim.name, Offset: h.from, Size: h.to - h.from, Reason: result.reason})
 			}
 		}
 		s.mu.Unlock()
 	}
-	w := &window{f: v.file, size: v.end}
+	w := &bufferedReader{f: victim.file, size: victim.end}
 	var ops []op
-	var items []moved
+	var items []relocation
 	size, read := 0, 0
 	flush := func() error {
 		if len(ops) == 0 {
@@ -291,68 +293,68 @@
 		}
 		var buf []byte
 		for i := range ops { // a record each: damage later on costs one
-			off := g.end + int64(len(buf))
-			buf = appendRecord(buf, g.salt, off, off, ops[i:i+1], func(_ int, off, over int64) {
-				items[i].to.off, items[i].to.meta = uint32(off), newMeta(&ops[i], over)
+			off := target.end + int64(len(buf))
+			buf = appendRecord(buf, target.salt, off, off, ops[i:i+1], func(_ int, off, overhead int64) {
+				items[i].to.offset, items[i].to.meta = uint32(off), packMeta(&ops[i], overhead)
 			})
 		}
-		if err := s.pace(ctx, len(buf)+read); err != nil {
+		if err := s.throttle(ctx, len(buf)+read); err != nil {
 			return err
 		}
-		if _, err := g.file.WriteAt(buf, g.end); err != nil {
+		if _, err := target.file.WriteAt(buf, target.end); err != nil {
 			return err
 		}
 		s.Stats.Rewritten.Add(int64(len(buf)))
-		g.end += int64(len(buf))
+		target.end += int64(len(buf))
 		list = append(list, items...)
 		ops, items, size, read = nil, nil, 0, 0
 		return nil
 	}
-	for _, sp := range sc.spans {
+	for _, sp := range result.spans {
 		for off := sp.from; off < sp.to; {
-			head, err := w.at(off, recordHead)
+			head, err := w.at(off, recordHeaderSize)
 			if err != nil {
 				return list, err
 			}
-			r, _, ok := decodeHead(head, v.salt, off)
+			r, _, ok := decodeRecordHeader(head, victim.salt, off)
 			if !ok {
-				return list, fmt.Errorf("%s changed at %d", v.name, off)
+				return list, fmt.Errorf("%s changed at %d", victim.name, off)
 			}
 			b, err := w.at(off, int(r.size))
 			if err != nil || int64(len(b)) < r.size {
-				return list, errors.Join(fmt.Errorf("%s changed at %d", v.name, off), err)
+				return list, errors.Join(fmt.Errorf("%s changed at %d", victim.name, off), err)
 			}
-			r.body = b[recordHead:]
+			r.body = b[recordHeaderSize:]
 			off += r.size
 			read += int(r.size)
 			if r.kind != recordBatch {
 				continue
 			}
-			rerr := r.each(func(o op, at, _ int64) error {
+			rerr := r.decodeOps(func(o op, opOffset, _ int64) error {
 				s.mu.RLock()
-				was, had := s.index.Get(item{key: o.key})
+				current, exists := s.index.Get(item{key: o.key})
 				s.mu.RUnlock()
-				here := had && uint64(was.seg) == v.id && int64(was.off) == at
+				isCurrent := exists && uint64(current.segmentID) == victim.id && int64(current.offset) == opOffset
 				switch {
-				case !here && o.delete: // hidden by something newer, or it hid nothing
-				case !here:
-					list = append(list, moved{stale: o.key})
-				case was.gone() && s.hidesNothing(was, v), !was.gone() && was.dead(s.opt.Now()) && was.stale == 0:
-					list = append(list, moved{was: was})
+				case !isCurrent && o.delete: // hidden by something newer, or it hid nothing
+				case !isCurrent:
+					list = append(list, relocation{staleKey: o.key})
+				case current.deleted() && s.deletionObsolete(current, victim), !current.deleted() && current.deletedOrExpired(s.opt.Now()) && current.staleRecords == 0:
+					list = append(list, relocation{from: current})
 				default:
-					to := was
-					to.seg = uint32(g.id)
-					c := op{key: was.key, expiry: was.expiry, seq: was.seq, delete: o.delete}
-					if !was.gone() && was.dead(s.opt.Now()) { // it still hides older records
-						c.delete, c.expiry, to.expiry = true, 0, 0
+					to := current
+					to.segmentID = uint32(target.id)
+					newOp := op{key: current.key, expiry: current.expiry, seq: current.seq, delete: o.delete}
+					if !current.deleted() && current.deletedOrExpired(s.opt.Now()) { // it still hides older records
+						newOp.delete, newOp.expiry, to.expiry = true, 0, 0
 					}
-					if !c.delete {
-						c.value = slices.Clone(o.value)
+					if !newOp.delete {
+						newOp.value = slices.Clone(o.value)
 					}
-					ops = append(ops, c)
-					items = append(items, moved{was: was, to: to, copied: true})
-					size += c.size()
-					if size >= copyChunk {
+					ops = append(ops, newOp)
+					items = append(items, relocation{from: current, to: to, copied: true})
+					size += newOp.size()
+					if size >= copyChunkSize {
 						return flush()
 					}
 				}
@@ -363,16 +365,16 @@
 			}
 		}
 	}
-	for _, it := range s.within(v, sc.holes) {
-		value, err := s.read(v, it)
+	for _, it := range s.valuesInHoles(victim, result.holes) {
+		value, err := s.read(victim, it)
 		if err != nil {
 			continue // lost, and noted
 		}
 		to := it
-		to.seg = uint32(g.id)
+		to.segmentID = uint32(target.id)
 		ops = append(ops, op{key: it.key, value: value, expiry: it.expiry, seq: it.seq})
-		items = append(items, moved{was: it, to: to, copied: true})
-		if size += len(value); size >= copyChunk {
+		items = append(items, relocation{from: it, to: to, copied: true})
+		if size += len(value); size >= copyChunkSize {
 			if err := flush(); err != nil {
 				return list, err
 			}
@@ -383,15 +385,15 @@
 
 // within lists the values that the index, by a checkpoint, knows inside holes of
 // a segment: those that the damage spared can still be read.
-func (s *Store) within(v *segment, holes []span) (items []item) {
+func (s *Store) valuesInHoles(victim *segment, holes []span) (items []item) {
 	if len(holes) == 0 {
 		return nil
 	}
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	s.index.Ascend(func(it item) bool {
-		if uint64(it.seg) == v.id && !it.gone() && slices.ContainsFunc(holes, func(h span) bool {
-			return int64(it.off) >= h.from && int64(it.off) < h.to
+		if uint64(it.segmentID) == victim.id && !it.deleted() && slices.ContainsFunc(holes, func(h span) bool {
+			return int64(it.offset) >= h.from && int64(it.offset) < h.to
 		}) {
 			items = append(items, it)
 		}
@@ -402,14 +404,14 @@
 
 // hidesNothing reports whether a deletion may go: no older record of its key is
 // left, or none can be, as all other segments are younger.
-func (s *Store) hidesNothing(it item, v *segment) bool {
-	if it.stale == 0 {
+func (s *Store) deletionObsolete(it item, victim *segment) bool {
+	if it.staleRecords == 0 {
 		return true
 	}
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	for _, g := range s.segs {
-		if g != v && g.minSeq < it.seq {
+	for _, g := range s.segments {
+		if g != victim && g.minSeq < it.seq {
 			return false
 		}
 	}
@@ -418,74 +420,74 @@
 
 // switchOver makes the index point to the copies. What was overwritten while
 // they were made stays as it is: the copy is then what is stale.
-func (s *Store) switchOver(g *segment, keepNew bool, victims []*segment, list []moved) {
+func (s *Store) applyRelocations(target *segment, hasLive bool, victims []*segment, list []relocation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if keepNew {
-		s.segs[uint32(g.id)] = g
-		s.total += g.end
+	if hasLive {
+		s.segments[uint32(target.id)] = target
+		s.diskBytes += target.end
 	}
-	for _, m := range list {
-		key := m.stale
+	for _, move := range list {
+		key := move.staleKey
 		if key == "" {
-			key = m.was.key
+			key = move.from.key
 		}
-		now, ok := s.index.Get(item{key: key})
+		current, ok := s.index.Get(item{key: key})
 		switch {
 		case !ok:
-		case m.stale != "": // one record less that the key's newest hides
-			s.lessStale(now)
-		case now.seg == m.was.seg && now.off == m.was.off:
-			s.count(&now, -1)
-			if !m.copied {
-				s.index.Delete(now)
+		case move.staleKey != "": // one record less that the key's newest hides
+			s.decrementStale(current)
+		case current.segmentID == move.from.segmentID && current.offset == move.from.offset:
+			s.addLiveBytes(&current, -1)
+			if !move.copied {
+				s.index.Delete(current)
 				continue
 			}
-			m.to.stale = now.stale
-			s.index.ReplaceOrInsert(m.to)
-			s.count(&m.to, 1)
-			g.minSeq = min(g.minSeq, m.to.seq)
-		case !m.was.gone() && (!m.copied || m.to.gone()):
+			move.to.staleRecords = current.staleRecords
+			s.index.ReplaceOrInsert(move.to)
+			s.addLiveBytes(&move.to, 1)
+			target.minSeq = min(target.minSeq, move.to.seq)
+		case !move.from.deleted() && (!move.copied || move.to.deleted()):
 			// It was overwritten meanwhile and counted as stale; no copy of its value is left.
-			s.lessStale(now)
+			s.decrementStale(current)
 		}
-		if m.copied {
-			g.minSeq = min(g.minSeq, m.to.seq)
+		if move.copied {
+			target.minSeq = min(target.minSeq, move.to.seq)
 		}
 	}
-	for _, v := range victims {
-		if len(v.faults) > 0 { // what could not be read is lost
+	for _, victim := range victims {
+		if len(victim.faults) > 0 { // what could not be read is lost
 			var lost []item
 			s.index.Ascend(func(it item) bool {
-				if uint64(it.seg) == v.id {
+				if uint64(it.segmentID) == victim.id {
 					lost = append(lost, it)
 				}
 				return true
 			})
 			for _, it := range lost {
 				s.index.Delete(it)
-				s.count(&it, -1)
+				s.addLiveBytes(&it, -1)
 			}
 		}
-		delete(s.segs, uint32(v.id))
-		s.total -= v.end
-		s.Stats.Reclaimed.Add(v.end)
+		delete(s.segments, uint32(victim.id))
+		s.diskBytes -= victim.end
+		s.Stats.Reclaimed.Add(victim.end)
 	}
-	if keepNew {
-		s.Stats.Reclaimed.Add(-g.end)
+	if hasLive {
+		s.Stats.Reclaimed.Add(-target.end)
 	}
 }
 
 // lessStale notes that one record which the key's newest hides is gone; the lock
 // must be held.
-func (s *Store) lessStale(it item) {
-	if it.stale == 0 {
+func (s *Store) decrementStale(it item) {
+	if it.staleRecords == 0 {
 		return
 	}
-	it.stale--
-	if it.gone() && it.stale == 0 {
+	it.staleRecords--
+	if it.deleted() && it.staleRecords == 0 {
 		s.index.Delete(it)
-		s.count(&it, -1)
+		s.addLiveBytes(&it, -1)
 		return
 	}
 	s.index.ReplaceOrInsert(it)
@@ -493,12 +495,12 @@
 
 // pace waits as long as n more bytes need at the allowed rate, unless the disk's
 // bound is near: then foreground work is what waits.
-func (s *Store) pace(ctx context.Context, n int) error {
+func (s *Store) throttle(ctx context.Context, n int) error {
 	if s.limiter.Limit() == rate.Inf || s.opt.Manual {
 		return ctx.Err()
 	}
 	s.mu.RLock()
-	urgent := s.total > 2*s.live+s.opt.Segment/2
+	urgent := s.diskBytes > 2*s.liveBytes+s.opt.Segment/2
 	s.mu.RUnlock()
 	if urgent {
 		return ctx.Err()
--- a/internal/store/concurrent_test.go
+++ b/internal/store/concurrent_test.go
@@ -16,19 +16,19 @@
 // opened again holds exactly the last of each key.
 func TestConcurrent(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "store")
-	for life := range 3 {
+	for incarnation := range 3 {
 		s, rec, err := Open(dir, Options{Segment: 64 << 10})
 		if err != nil {
 			t.Fatal(err)
 		}
 		if len(rec.Damaged)+len(rec.Torn) > 0 {
-			t.Fatalf("life %d: %+v", life, rec)
+			t.Fatalf("life %d: %+v", incarnation, rec)
 		}
 		const writers = 8
 		want := make([]map[string]string, writers)
 		var wg sync.WaitGroup
 		for n := range writers {
-			r := rand.New(rand.NewPCG(uint64(life), uint64(n)))
+			r := rand.New(rand.NewPCG(uint64(incarnation), uint64(n)))
 			mine := map[string]string{}
 			want[n] = mine
 			prefix := fmt.Sprintf("%d/", n)
@@ -42,7 +42,7 @@
 			wg.Go(func() {
 				for i := range 600 {
 					k := fmt.Sprintf("%s%d", prefix, r.IntN(30))
-					v := fmt.Sprintf("%d-%d-%s", life, i, strings.Repeat("x", r.IntN(200)))
+					v := fmt.Sprintf("%d-%d-%s", incarnation, i, strings.Repeat("x", r.IntN(200)))
 					var b Batch
 					if r.IntN(5) == 0 {
 						b.Delete(k)
@@ -101,7 +101,7 @@
 		if err := s.Close(); err != nil {
 			t.Fatal(err)
 		}
-		s, _, err = Open(dir, Options{Segment: 64 << 10, noIndex: life%2 == 0})
+		s, _, err = Open(dir, Options{Segment: 64 << 10, ignoreCheckpoint: incarnation%2 == 0})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -110,7 +110,7 @@
 			maps.Copy(all, m)
 		}
 		if got := contents(t, s); !maps.Equal(got, all) {
-			t.Fatalf("life %d: %v", life, differs(got, all))
+			t.Fatalf("life %d: %v", incarnation, difference(got, all))
 		}
 		if err := s.Close(); err != nil {
 			t.Fatal(err)
--- a/internal/store/open.go
+++ b/internal/store/open.go
@@ -61,15 +61,15 @@
 // are vfs.ErrLocked, a *VersionError, or what the disk said.
 func Open(dir string, opt Options) (*Store, Recovery, error) {
 	began := time.Now()
-	opt = opt.filled()
+	opt = opt.withDefaults()
 	s := &Store{
 		dir: strings.TrimSuffix(dir, "/"), opt: opt, fs: opt.FS,
-		index: btree.NewG(treeDegree, func(a, b item) bool { return a.key < b.key }),
-		segs:  map[uint32]*segment{}, poke: make(chan struct{}, 1), maintain: make(chan struct{}, 1), passed: make(chan struct{}, 1),
-		limiter: rate.NewLimiter(rate.Inf, copyChunk),
+		index:    btree.NewG(treeDegree, func(a, b item) bool { return a.key < b.key }),
+		segments: map[uint32]*segment{}, writerWake: make(chan struct{}, 1), maintenanceWake: make(chan struct{}, 1), passDone: make(chan struct{}, 1),
+		limiter: rate.NewLimiter(rate.Inf, copyChunkSize),
 	}
 	if opt.CompactionRate > 0 {
-		s.limiter = rate.NewLimiter(rate.Limit(opt.CompactionRate), max(copyChunk, int(opt.CompactionRate/4)))
+		s.limiter = rate.NewLimiter(rate.Limit(opt.CompactionRate), max(copyChunkSize, int(opt.CompactionRate/4)))
 	}
 	if !opt.ReadOnly {
 		if err := s.fs.MkdirAll(s.dir); err != nil {
@@ -81,23 +81,23 @@
 		return nil, Recovery{}, fmt.Errorf("open store %s: %w", dir, err)
 	}
 	s.lock = lock
-	rec, err := s.recover()
+	rec, err := s.recoverIndex()
 	if err != nil {
-		for _, g := range s.segs {
+		for _, g := range s.segments {
 			_ = g.file.Close()
 		}
 		_ = lock.Close()
-		return nil, rec, fmt.Errorf("open store %s: %w", dir, full(err))
+		return nil, rec, fmt.Errorf("open store %s: %w", dir, wrapDiskFull(err))
 	}
 	if !opt.ReadOnly {
 		var ctx context.Context
-		ctx, s.stop = context.WithCancel(context.Background())
-		s.done.Add(1)
-		go s.write()
+		ctx, s.cancel = context.WithCancel(context.Background())
+		s.background.Add(1)
+		go s.runWriter()
 		if !opt.Manual {
-			s.done.Add(1)
-			go s.keep(ctx)
-			s.poked()
+			s.background.Add(1)
+			go s.runMaintenance(ctx)
+			s.wakeMaintenance()
 		}
 	}
 	rec.Took = time.Since(began)
@@ -105,29 +105,29 @@
 }
 
 // found is a segment file at opening.
-type found struct {
+type segmentFile struct {
 	*segment
-	head   header
-	headOK bool
-	size   int64
-	packed bool // made by compaction
-	newest bool // no segment that grew record by record is younger
+	header   header
+	headerOK bool
+	size     int64
+	packed   bool // made by compaction
+	newest   bool // no segment that grew record by record is younger
 }
 
 // recover reads the folder into the index.
-func (s *Store) recover() (rec Recovery, err error) {
+func (s *Store) recoverIndex() (rec Recovery, err error) {
 	names, err := s.fs.List(s.dir)
 	if err != nil {
 		return rec, err
 	}
-	var all []found
+	var all []segmentFile
 	for _, name := range names {
 		if strings.HasSuffix(name, tempSuffix) && !s.opt.ReadOnly {
 			if err := s.fs.Remove(vfs.Join(s.dir, name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 				return rec, err
 			}
 		}
-		if id, _, ok := parseName(name, asideSuffix); ok {
+		if id, _, ok := parseName(name, damagedSuffix); ok {
 			s.nextID = max(s.nextID, id)
 		}
 		id, salt, ok := parseName(name, segmentSuffix)
@@ -144,11 +144,11 @@
 		}
 		g := &segment{id: id, salt: salt, name: name, file: f, sealed: true, minSeq: ^uint64(0)}
 		g.refs.Store(1)
-		if was := s.segs[uint32(id)]; was != nil {
+		if was := s.segments[uint32(id)]; was != nil {
 			_ = f.Close()
 			return rec, fmt.Errorf("%s and %s have one number", was.name, name)
 		}
-		s.segs[uint32(id)] = g
+		s.segments[uint32(id)] = g
 		s.nextID = max(s.nextID, id)
 		size, err := f.Size()
 		if err != nil {
@@ -165,9 +165,9 @@
 			version.File = name
 			return rec, version
 		}
-		all = append(all, found{segment: g, head: h, headOK: err == nil && h.id == id && h.salt == salt, size: size, packed: packed})
+		all = append(all, segmentFile{segment: g, header: h, headerOK: err == nil && h.id == id && h.salt == salt, size: size, packed: packed})
 	}
-	slices.SortFunc(all, func(a, b found) int { return cmp.Compare(a.id, b.id) })
+	slices.SortFunc(all, func(a, b segmentFile) int { return cmp.Compare(a.id, b.id) })
 	for i := len(all) - 1; i >= 0; i-- {
 		if !all[i].packed {
 			all[i].newest = true
@@ -176,12 +176,12 @@
 	}
 	ends := map[uint64]int64{} // what later headers and checkpoints say was synced of earlier segments
 	for _, f := range all {
-		if f.headOK && f.head.prev != 0 {
-			ends[f.head.prev] = int64(f.head.prevEnd)
+		if f.headerOK && f.header.prev != 0 {
+			ends[f.header.prev] = int64(f.header.prevEnd)
 		}
 	}
 	var covered map[uint64]int64
-	if s.opt.noIndex { // only what it says of the segments counts
+	if s.opt.ignoreCheckpoint { // only what it says of the segments counts
 		covered, err := s.loadCheckpoint(all, names, ends)
 		if err != nil {
 			return rec, err
@@ -197,14 +197,14 @@
 	}
 	rec.Checkpoint = covered != nil
 	// Void records may stand in any later segment: they are looked for first.
-	scans := make([]*scan, len(all))
+	scans := make([]*scanResult, len(all))
 	voids := map[uint64]int64{}
 	for i, f := range all {
 		from := int64(0)
 		if c, ok := covered[f.id]; ok {
 			from = c
 		}
-		sc, err := s.scan(f, from)
+		sc, err := s.scanSegment(f, from)
 		if err != nil {
 			return rec, err
 		}
@@ -220,40 +220,40 @@
 			return rec, err
 		}
 	}
-	s.settleDoubt(&rec)
+	s.computeUncertainty(&rec)
 	s.prune(&rec)
-	rec.Segments = len(s.segs)
-	return rec, s.settleLast(all)
+	rec.Segments = len(s.segments)
+	return rec, s.syncNewest(all)
 }
 
 // holed notes that the end of a segment, or any part of one that compaction made, is
 // missing: what stood there is older than whatever grew later.
-func (s *Store) holed(g *segment) {
-	if s.holes == nil {
-		s.holes = map[uint64]bool{}
+func (s *Store) noteMissingEnd(g *segment) {
+	if s.missingEnds == nil {
+		s.missingEnds = map[uint64]bool{}
 	}
-	s.holes[g.id] = true
+	s.missingEnds[g.id] = true
 }
 
 // settleDoubt works out up to which sequence number an entry's newest record may be
 // among what can't be read: records are numbered in the order of their segments, and
 // compaction keeps their numbers.
-func (s *Store) settleDoubt(rec *Recovery) {
-	for id := range s.holes {
+func (s *Store) computeUncertainty(rec *Recovery) {
+	for id := range s.missingEnds {
 		before := ^uint64(0)
-		for _, g := range s.segs {
+		for _, g := range s.segments {
 			if g.id > id && g.minSeq > 0 && !strings.HasSuffix(g.name, packSuffix) {
 				before = min(before, g.minSeq)
 			}
 		}
-		s.doubtBefore = max(s.doubtBefore, before)
+		s.uncertainBefore = max(s.uncertainBefore, before)
 	}
-	s.holes = nil
-	if s.doubtBefore == 0 {
+	s.missingEnds = nil
+	if s.uncertainBefore == 0 {
 		return
 	}
 	s.index.Ascend(func(it item) bool {
-		if !it.gone() && it.seq < s.doubtBefore {
+		if !it.deleted() && it.seq < s.uncertainBefore {
 			rec.InDoubt++
 		}
 		return true
@@ -263,20 +263,20 @@
 // settleLast makes what was read of the newest segment durable before anything
 // builds on it: after a crash of the process alone, its end may be only in the
 // system's memory.
-func (s *Store) settleLast(all []found) error {
+func (s *Store) syncNewest(all []segmentFile) error {
 	if s.opt.ReadOnly {
 		return nil
 	}
 	for i := len(all) - 1; i >= 0; i-- {
 		g := all[i].segment
-		if s.segs[uint32(g.id)] != g || all[i].headOK && all[i].head.end > 0 {
+		if s.segments[uint32(g.id)] != g || all[i].headerOK && all[i].header.end > 0 {
 			continue
 		}
 		if len(g.faults) == 0 {
 			if err := g.file.Sync(); err != nil {
 				return fmt.Errorf("sync %s: %w", g.name, err)
 			}
-			s.last = g
+			s.previous = g
 		}
 		return nil
 	}
@@ -287,7 +287,7 @@
 type span struct{ from, to int64 }
 
 // scan is what reading a segment found.
-type scan struct {
+type scanResult struct {
 	from   int64 // where it began: the rest was covered by a checkpoint
 	spans  []span
 	holes  []span // between and behind them
@@ -297,7 +297,7 @@
 }
 
 // window reads a file through a buffer that only grows for a long record.
-type window struct {
+type bufferedReader struct {
 	f    vfs.File
 	size int64
 	off  int64 // of buf
@@ -305,13 +305,13 @@
 }
 
 // at returns up to n bytes from off, fewer only at the file's end.
-func (w *window) at(off int64, n int) ([]byte, error) {
+func (w *bufferedReader) at(off int64, n int) ([]byte, error) {
 	n = int(min(int64(n), w.size-off))
 	if n <= 0 {
 		return nil, nil
 	}
 	if off < w.off || off+int64(n) > w.off+int64(len(w.buf)) {
-		want := int(min(int64(max(n, readChunk)), w.size-off))
+		want := int(min(int64(max(n, readBufferSize)), w.size-off))
 		if cap(w.buf) < want {
 			w.buf = make([]byte, want)
 		}
@@ -327,99 +327,99 @@
 	return w.buf[i : i+n], nil
 }
 
-const readChunk = 1 << 20
+const readBufferSize = 1 << 20
 
 // scan finds the records of a segment. Where there is none it looks, byte by
 // byte, for the next one.
-func (s *Store) scan(f found, from int64) (*scan, error) {
-	sc := &scan{from: from, voids: map[uint64]int64{}}
-	w := &window{f: f.file, size: f.size}
+func (s *Store) scanSegment(f segmentFile, from int64) (*scanResult, error) {
+	result := &scanResult{from: from, voids: map[uint64]int64{}}
+	w := &bufferedReader{f: f.file, size: f.size}
 	off := from
 	if off == 0 {
 		off = headerSize
-		if !f.headOK {
-			sc.reason = "header damaged"
+		if !f.headerOK {
+			result.reason = "header damaged"
 			if f.size < headerSize {
-				sc.reason = "header cut short"
+				result.reason = "header cut short"
 			}
 		}
 	}
 	open := span{off, off}
 	for off < f.size {
-		head, err := w.at(off, recordHead)
+		head, err := w.at(off, recordHeaderSize)
 		if err != nil {
 			return nil, fmt.Errorf("read %s at %d: %w", f.name, off, err)
 		}
-		r, _, ok := decodeHead(head, f.salt, off)
-		var why error
+		r, _, ok := decodeRecordHeader(head, f.salt, off)
+		var recordErr error
 		if ok {
 			b, err := w.at(off, int(r.size))
 			if err != nil {
 				return nil, fmt.Errorf("read %s at %d: %w", f.name, off, err)
 			}
-			if r, why = decodeRecord(b, f.salt, off); why == nil {
+			if r, recordErr = decodeRecord(b, f.salt, off); recordErr == nil {
 				if open.to != off { // behind a hole
 					if open.to > open.from {
-						sc.spans = append(sc.spans, open)
+						result.spans = append(result.spans, open)
 					}
-					sc.holes = append(sc.holes, span{open.to, off})
+					result.holes = append(result.holes, span{open.to, off})
 					open = span{off, off}
 				}
 				if r.kind == recordVoid {
-					if seg, at, err := r.void(); err == nil {
-						sc.voids[seg] = at
+					if seg, at, err := r.decodeVoid(); err == nil {
+						result.voids[seg] = at
 					}
 				}
-				sc.synced = max(sc.synced, r.synced)
+				result.synced = max(result.synced, r.synced)
 				off += r.size
 				open.to = off
 				continue
 			}
 		}
-		if sc.reason == "" {
+		if result.reason == "" {
 			switch {
-			case why != nil:
-				sc.reason = why.Error()
-			case f.size-off < recordHead:
-				sc.reason = errTorn.Error()
+			case recordErr != nil:
+				result.reason = recordErr.Error()
+			case f.size-off < recordHeaderSize:
+				result.reason = errTruncated.Error()
 			default:
-				sc.reason = "no record"
+				result.reason = "no record"
 			}
 		}
 		off++
 	}
 	if open.to > open.from {
-		sc.spans = append(sc.spans, open)
+		result.spans = append(result.spans, open)
 	}
 	if open.to < f.size {
-		sc.holes = append(sc.holes, span{open.to, f.size})
+		result.holes = append(result.holes, span{open.to, f.size})
 	}
-	return sc, nil
+	return result, nil
 }
 
 // replay takes the records that a scan found into the index, and says what the
 // holes are. A hole that something later calls synced is damage; so is a file
 // shorter than the next segment's header says. Everything else was never
 // acknowledged, as nothing is before its sync.
-func (s *Store) replay(f found, sc *scan, ends, voids map[uint64]int64, rec *Recovery) error {
+func (s *Store) replay(f segmentFile, result *scanResult, ends, voids map[uint64]int64, rec *Recovery) error {
 	g := f.segment
 	end, known := ends[g.id]
-	if f.headOK && f.head.end > 0 {
-		end, known = int64(f.head.end), true
+	if f.headerOK && f.header.end > 0 {
+		end, known = int64(f.header.end), true
 	}
 	stop := f.size
 	if v, ok := voids[g.id]; ok {
 		stop = min(stop, v)
 	}
-	w := &window{f: g.file, size: f.size}
-	firsts := map[int64]uint64{} // the first sequence number of each span
-	for _, sp := range sc.spans {
+	w := &bufferedReader{f: g.file, size: f.size}
+	firstSeqs := map[int64]uint64{} // the first sequence number of each span
+	for _, sp := range result.spans {
 		for off := sp.from; off < min(sp.to, stop); {
-			head, err := w.at(off, recordHead)
+			head, err := w.at(off, recordHeaderSize)
 			if err != nil {
 				return fmt.Errorf("read %s at %d: %w", g.name, off, err)
 			}
-			r, _, ok := decodeHead(head, g.salt, off)
+			r, _, ok := decodeRecordHeader(head, g.salt, off)
 			if !ok {
 				return fmt.Errorf("read %s at %d: it changed while it was read", g.name, off)
 			}
@@ -430,14 +430,14 @@
 			if int64(len(b)) < r.size {
 				return fmt.Errorf("read %s at %d: it changed while it was read", g.name, off)
 			}
-			r.body = b[recordHead:r.size]
+			r.body = b[recordHeaderSize:r.size]
 			rec.Read += r.size
 			if r.kind == recordBatch {
-				err := r.each(func(o op, at, over int64) error {
-					if _, known := firsts[sp.from]; !known {
-						firsts[sp.from] = o.seq
+				err := r.decodeOps(func(o op, opOffset, overhead int64) error {
+					if _, known := firstSeqs[sp.from]; !known {
+						firstSeqs[sp.from] = o.seq
 					}
-					s.found(g, &o, at, over)
+					s.indexRecord(g, &o, opOffset, overhead)
 					return nil
 				})
 				if err != nil { // its checksum holds: another program wrote it
@@ -448,102 +448,102 @@
 		}
 	}
 	g.end = f.size
-	good := int64(headerSize) // end of what counts
-	if n := len(sc.spans); n > 0 {
-		good = sc.spans[n-1].to
-	} else if sc.from > 0 {
-		good = sc.from
-	}
-	if !f.headOK && (len(sc.spans) > 0 || known && end > 0 || f.packed || !f.newest) {
-		g.faults = append(g.faults, Fault{File: g.name, Size: headerSize, Reason: sc.reason})
-	} else if !f.headOK && len(sc.holes) == 0 {
-		rec.Torn = append(rec.Torn, Fault{File: g.name, Size: headerSize, Reason: sc.reason, Torn: true})
-	}
-	for _, h := range sc.holes {
+	validEnd := int64(headerSize) // end of what counts
+	if n := len(result.spans); n > 0 {
+		validEnd = result.spans[n-1].to
+	} else if result.from > 0 {
+		validEnd = result.from
+	}
+	if !f.headerOK && (len(result.spans) > 0 || known && end > 0 || f.packed || !f.newest) {
+		g.faults = append(g.faults, Fault{File: g.name, Size: headerSize, Reason: result.reason})
+	} else if !f.headerOK && len(result.holes) == 0 {
+		rec.Torn = append(rec.Torn, Fault{File: g.name, Size: headerSize, Reason: result.reason, Torn: true})
+	}
+	for _, h := range result.holes {
 		if h.from >= stop {
 			continue // it never counted
 		}
-		fault := Fault{File: g.name, Offset: h.from, Size: h.to - h.from, Reason: sc.reason}
-		fault.Torn = h.from >= sc.synced && (!known || h.from >= end)
+		fault := Fault{File: g.name, Offset: h.from, Size: h.to - h.from, Reason: result.reason}
+		fault.Torn = h.from >= result.synced && (!known || h.from >= end)
 		if fault.Torn {
 			rec.Torn = append(rec.Torn, fault)
 			g.torn = true
 			continue
 		}
 		g.faults = append(g.faults, fault)
-		if before := firsts[h.to]; before > 0 && !f.packed {
-			s.doubtBefore = max(s.doubtBefore, before)
+		if before := firstSeqs[h.to]; before > 0 && !f.packed {
+			s.uncertainBefore = max(s.uncertainBefore, before)
 		} else {
-			s.holed(g)
+			s.noteMissingEnd(g)
 		}
 	}
 	if v, ok := voids[g.id]; ok {
 		end = min(end, v)
 	}
-	if known && f.size < end && len(sc.holes) == 0 {
+	if known && f.size < end && len(result.holes) == 0 {
 		g.faults = append(g.faults, Fault{File: g.name, Offset: f.size, Size: end - f.size, Reason: "cut short"})
-		s.holed(g)
+		s.noteMissingEnd(g)
 	}
-	if len(g.faults) == 0 && good < f.size && f.headOK && !s.opt.ReadOnly && len(sc.spans) <= 1 && sc.from < f.size {
-		if err := g.file.Truncate(good); err == nil { // else it is read as torn again next time
-			g.end = good
+	if len(g.faults) == 0 && validEnd < f.size && f.headerOK && !s.opt.ReadOnly && len(result.spans) <= 1 && result.from < f.size {
+		if err := g.file.Truncate(validEnd); err == nil { // else it is read as torn again next time
+			g.end = validEnd
 		}
 	}
-	if !f.headOK && f.size > headerSize && len(g.faults) == 0 {
-		g.faults = append(g.faults, Fault{File: g.name, Size: f.size, Reason: sc.reason})
+	if !f.headerOK && f.size > headerSize && len(g.faults) == 0 {
+		g.faults = append(g.faults, Fault{File: g.name, Size: f.size, Reason: result.reason})
 	}
 	rec.Damaged = append(rec.Damaged, g.faults...)
-	empty := len(sc.spans) == 0 && sc.from == 0 && len(g.faults) == 0
+	empty := len(result.spans) == 0 && result.from == 0 && len(g.faults) == 0
 	if empty && !s.opt.ReadOnly { // made, and nothing acknowledged in it
-		delete(s.segs, uint32(g.id))
+		delete(s.segments, uint32(g.id))
 		_ = g.file.Close()
 		return s.fs.Remove(vfs.Join(s.dir, g.name))
 	}
-	g.synced = g.end
-	s.total += g.end
+	g.syncedEnd = g.end
+	s.diskBytes += g.end
 	return nil
 }
 
 // found takes a record of a segment into the index. Deletions are kept until
 // all segments were read: what they hide may come later.
-func (s *Store) found(g *segment, o *op, at, over int64) {
-	it := item{key: o.key, expiry: o.expiry, seq: o.seq, seg: uint32(g.id), off: uint32(at), meta: newMeta(o, over)}
+func (s *Store) indexRecord(g *segment, o *op, offset, overhead int64) {
+	newItem := item{key: o.key, expiry: o.expiry, seq: o.seq, segmentID: uint32(g.id), offset: uint32(offset), meta: packMeta(o, overhead)}
 	g.minSeq = min(g.minSeq, o.seq)
 	s.seq = max(s.seq, clampSeq(o.seq))
-	was, had := s.index.Get(it)
-	if had && (was.seq > it.seq || was.seq == it.seq && (was.gone() || !it.gone())) {
-		if !it.gone() {
-			was.stale++
-			s.index.ReplaceOrInsert(was)
+	current, exists := s.index.Get(newItem)
+	if exists && (current.seq > newItem.seq || current.seq == newItem.seq && (current.deleted() || !newItem.deleted())) {
+		if !newItem.deleted() {
+			current.staleRecords++
+			s.index.ReplaceOrInsert(current)
 		}
 		return
 	}
-	if had {
-		it.stale = was.stale
-		if !was.gone() {
-			it.stale++
+	if exists {
+		newItem.staleRecords = current.staleRecords
+		if !current.deleted() {
+			newItem.staleRecords++
 		}
 	}
-	s.index.ReplaceOrInsert(it)
+	s.index.ReplaceOrInsert(newItem)
 }
 
 // prune drops deletions that hide nothing, and counts what is live.
 func (s *Store) prune(rec *Recovery) {
 	now := s.opt.Now()
 	var drop []item
-	for _, g := range s.segs {
-		g.live = 0
+	for _, g := range s.segments {
+		g.liveBytes = 0
 	}
-	s.live = 0
+	s.liveBytes = 0
 	s.index.Ascend(func(it item) bool {
-		if it.gone() && it.stale == 0 || s.segs[it.seg] == nil {
+		if it.deleted() && it.staleRecords == 0 || s.segments[it.segmentID] == nil {
 			drop = append(drop, it)
 			return true
 		}
-		s.count(&it, 1)
+		s.addLiveBytes(&it, 1)
 		switch {
-		case it.gone():
-		case it.dead(now):
+		case it.deleted():
+		case it.deletedOrExpired(now):
 			rec.Expired++
 		default:
 			rec.Entries++
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -24,12 +24,12 @@
 )
 
 const (
-	segmentMagic = "RMSTSEG\n"
-	headerSize   = 64
-	recordMagic  = 0xA35C
-	recordHead   = 24
-	maxBody      = MaxBatch + 1<<20 // what a batch may need besides
-	opOverhead   = 16               // bytes an operation usually needs besides key and value
+	segmentMagic     = "RMSTSEG\n"
+	headerSize       = 64
+	recordMagic      = 0xA35C
+	recordHeaderSize = 24
+	maxRecordBody    = MaxBatch + 1<<20 // what a batch may need besides
+	opOverhead       = 16               // bytes an operation usually needs besides key and value
 )
 
 // The kinds of records.
@@ -40,7 +40,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-var errTorn = errors.New("cut short")
+var errTruncated = errors.New("cut short")
 
 // header is the first record of a segment file. The salt stands in the file's
 // name too, so that records can be told from stray bytes without the header.
@@ -57,7 +57,7 @@
 const (
 	segmentSuffix = ".seg"
 	packSuffix    = ".pack"
-	asideSuffix   = ".damaged"
+	damagedSuffix = ".damaged"
 )
 
 func segmentName(id, salt uint64, suffix string) string {
@@ -76,21 +76,21 @@
 }
 
 func (h header) encode() []byte {
-	b := make([]byte, 0, headerSize)
-	b = append(b, segmentMagic...)
-	b = binary.LittleEndian.AppendUint32(b, Version)
-	b = binary.LittleEndian.AppendUint32(b, 0)
+	buf := make([]byte, 0, headerSize)
+	buf = append(buf, segmentMagic...)
+	buf = binary.LittleEndian.AppendUint32(buf, Version)
+	buf = binary.LittleEndian.AppendUint32(buf, 0)
 	for _, v := range []uint64{h.id, h.salt, h.prev, h.prevEnd, h.end} {
-		b = binary.LittleEndian.AppendUint64(b, v)
+		buf = binary.LittleEndian.AppendUint64(buf, v)
 	}
-	b = binary.LittleEndian.AppendUint32(b, 0)
-	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
+	buf = binary.LittleEndian.AppendUint32(buf, 0)
+	return binary.LittleEndian.AppendUint32(buf, crc32.Checksum(buf, castagnoli))
 }
 
 // decodeHeader reads a header. An intact one of another version is a *VersionError.
 func decodeHeader(b []byte) (h header, err error) {
 	if len(b) < headerSize {
-		return h, errTorn
+		return h, errTruncated
 	}
 	b = b[:headerSize]
 	if string(b[:8]) != segmentMagic || binary.LittleEndian.Uint32(b[headerSize-4:]) != crc32.Checksum(b[:headerSize-4], castagnoli) {
@@ -117,10 +117,10 @@
 // appendRecord encodes a batch record that will stand at offset off of the
 // segment with this salt. at tells for each operation where in the file its
 // checksum, key and value stand, and what it takes besides key and value.
-func appendRecord(b []byte, salt uint64, off, synced int64, ops []op, at func(i int, off, over int64)) []byte {
+func appendRecord(b []byte, salt uint64, off, synced int64, ops []op, placed func(i int, off, over int64)) []byte {
 	start := len(b)
-	last := start
-	b = append(b, make([]byte, recordHead)...)
+	previousEnd := start
+	b = append(b, make([]byte, recordHeaderSize)...)
 	base := uint64(0)
 	if len(ops) > 0 {
 		base = ops[0].seq
@@ -128,37 +128,37 @@
 	b = binary.AppendUvarint(b, base)
 	b = binary.AppendUvarint(b, uint64(len(ops)))
 	for i := range ops {
-		o := &ops[i]
+		operation := &ops[i]
 		flag := byte(0)
-		if o.delete {
+		if operation.delete {
 			flag = 1
 		}
 		b = append(b, flag)
-		b = binary.AppendVarint(b, int64(o.seq-base))
-		b = binary.AppendVarint(b, o.expiry)
-		b = binary.AppendUvarint(b, uint64(len(o.key)))
-		b = binary.AppendUvarint(b, uint64(len(o.value)))
-		if at != nil {
-			at(i, off+int64(len(b)-start), int64(len(b)+4-last))
+		b = binary.AppendVarint(b, int64(operation.seq-base))
+		b = binary.AppendVarint(b, operation.expiry)
+		b = binary.AppendUvarint(b, uint64(len(operation.key)))
+		b = binary.AppendUvarint(b, uint64(len(operation.value)))
+		if placed != nil {
+			placed(i, off+int64(len(b)-start), int64(len(b)+4-previousEnd))
 		}
-		b = binary.LittleEndian.AppendUint32(b, opSum(o.key, o.value))
-		b = append(b, o.key...)
-		b = append(b, o.value...)
-		last = len(b)
+		b = binary.LittleEndian.AppendUint32(b, opChecksum(operation.key, operation.value))
+		b = append(b, operation.key...)
+		b = append(b, operation.value...)
+		previousEnd = len(b)
 	}
 	finishRecord(b[start:], recordBatch, salt, off, synced)
 	return b
 }
 
 // opSum covers one operation's key and value, so that a read needs no more of its batch.
-func opSum(key string, value []byte) uint32 {
+func opChecksum(key string, value []byte) uint32 {
 	return crc32.Update(crc32.Update(0, castagnoli, []byte(key)), castagnoli, value)
 }
 
 // appendVoid encodes a record that voids another segment from an offset on.
 func appendVoid(b []byte, salt uint64, off int64, seg uint64, from int64) []byte {
 	start := len(b)
-	b = append(b, make([]byte, recordHead)...)
+	b = append(b, make([]byte, recordHeaderSize)...)
 	b = binary.LittleEndian.AppendUint64(b, seg)
 	b = binary.LittleEndian.AppendUint64(b, uint64(from))
 	finishRecord(b[start:], recordVoid, salt, off, off)
@@ -169,16 +169,16 @@
 // the segment was synced before it, and the two checksums. That of the head
 // covers salt and offset too: a copy of a record elsewhere, or inside a value,
 // is none.
-func finishRecord(r []byte, kind byte, salt uint64, off, synced int64) {
-	binary.LittleEndian.PutUint16(r, recordMagic)
-	r[2], r[3] = kind, 0
-	binary.LittleEndian.PutUint32(r[4:], uint32(len(r)-recordHead))
-	binary.LittleEndian.PutUint64(r[8:], uint64(synced))
-	binary.LittleEndian.PutUint32(r[16:], crc32.Checksum(r[recordHead:], castagnoli))
-	binary.LittleEndian.PutUint32(r[20:], headSum(r, salt, off))
+func finishRecord(encoded []byte, kind byte, salt uint64, off, synced int64) {
+	binary.LittleEndian.PutUint16(encoded, recordMagic)
+	encoded[2], encoded[3] = kind, 0
+	binary.LittleEndian.PutUint32(encoded[4:], uint32(len(encoded)-recordHeaderSize))
+	binary.LittleEndian.PutUint64(encoded[8:], uint64(synced))
+	binary.LittleEndian.PutUint32(encoded[16:], crc32.Checksum(encoded[recordHeaderSize:], castagnoli))
+	binary.LittleEndian.PutUint32(encoded[20:], headerChecksum(encoded, salt, off))
 }
 
-func headSum(r []byte, salt uint64, off int64) uint32 {
+func headerChecksum(r []byte, salt uint64, off int64) uint32 {
 	var place [16]byte
 	binary.LittleEndian.PutUint64(place[:], salt)
 	binary.LittleEndian.PutUint64(place[8:], uint64(off))
@@ -195,28 +195,28 @@
 }
 
 // decodeHead reads a record's head; ok is false for anything else.
-func decodeHead(b []byte, salt uint64, off int64) (r record, sum uint32, ok bool) {
-	if len(b) < recordHead || binary.LittleEndian.Uint16(b) != recordMagic {
+func decodeRecordHeader(b []byte, salt uint64, off int64) (r record, sum uint32, ok bool) {
+	if len(b) < recordHeaderSize || binary.LittleEndian.Uint16(b) != recordMagic {
 		return r, 0, false
 	}
 	n := binary.LittleEndian.Uint32(b[4:])
-	if n > maxBody || binary.LittleEndian.Uint32(b[20:]) != headSum(b, salt, off) {
+	if n > maxRecordBody || binary.LittleEndian.Uint32(b[20:]) != headerChecksum(b, salt, off) {
 		return r, 0, false
 	}
-	r = record{kind: b[2], off: off, size: recordHead + int64(n), synced: int64(binary.LittleEndian.Uint64(b[8:]))}
+	r = record{kind: b[2], off: off, size: recordHeaderSize + int64(n), synced: int64(binary.LittleEndian.Uint64(b[8:]))}
 	return r, binary.LittleEndian.Uint32(b[16:]), true
 }
 
 // decodeRecord reads the record that begins b, which stands at off.
 func decodeRecord(b []byte, salt uint64, off int64) (record, error) {
-	r, sum, ok := decodeHead(b, salt, off)
+	r, sum, ok := decodeRecordHeader(b, salt, off)
 	if !ok {
 		return r, errors.New("no record")
 	}
 	if int64(len(b)) < r.size {
-		return r, errTorn
+		return r, errTruncated
 	}
-	r.body = b[recordHead:r.size]
+	r.body = b[recordHeaderSize:r.size]
 	if crc32.Checksum(r.body, castagnoli) != sum {
 		return r, errors.New("checksum differs")
 	}
@@ -224,7 +224,7 @@
 }
 
 // void reads the body of a void record.
-func (r *record) void() (seg uint64, from int64, err error) {
+func (r *record) decodeVoid() (seg uint64, from int64, err error) {
 	if len(r.body) != 16 {
 		return 0, 0, errors.New("void record of a wrong size")
 	}
@@ -233,9 +233,9 @@
 
 // each reads a batch's operations; off is where in the file an operation's
 // checksum, key and value stand, over what it takes besides key and value. Keys and values live as long as the body.
-func (r *record) each(f func(o op, off, over int64) error) error {
+func (r *record) decodeOps(f func(o op, off, overhead int64) error) error {
 	b := r.body
-	last := r.off
+	previousEnd := r.off
 	fault := func(what string) error {
 		return fmt.Errorf("record at %d: %s at byte %d of its body", r.off, what, len(r.body)-len(b))
 	}
@@ -257,7 +257,7 @@
 	}
 	base, ok1 := uvarint()
 	count, ok2 := uvarint()
-	if !ok1 || !ok2 || count > maxBody {
+	if !ok1 || !ok2 || count > maxRecordBody {
 		return fault("no count")
 	}
 	for range count {
@@ -279,12 +279,12 @@
 		b = b[4:]
 		o.key, o.value = string(b[:klen]), b[klen:klen+vlen:klen+vlen]
 		b = b[klen+vlen:]
-		if opSum(o.key, o.value) != sum {
+		if opChecksum(o.key, o.value) != sum {
 			return fault("an operation's checksum differs")
 		}
-		over := off + 4 - last
-		last = off + 4 + int64(klen+vlen)
-		if err := f(o, off, over); err != nil {
+		overhead := off + 4 - previousEnd
+		previousEnd = off + 4 + int64(klen+vlen)
+		if err := f(o, off, overhead); err != nil {
 			return err
 		}
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -67,10 +67,10 @@
 	ReadOnly       bool          // change nothing on the disk
 	Manual         bool          // no compaction, checkpoint or sweep but by Compact: for tests
 
-	noIndex bool // read the whole log, whatever a checkpoint holds
+	ignoreCheckpoint bool // read the whole log, whatever a checkpoint holds
 }
 
-func (o Options) filled() Options {
+func (o Options) withDefaults() Options {
 	if o.FS == nil {
 		o.FS = vfs.OS{}
 	}
@@ -89,61 +89,65 @@
 // unit is the size at which a segment file is left for the next one: a quarter
 // of the disk allowed beyond twice the live data, so that the open file, one
 // that compaction makes and some garbage fit.
-func (o Options) unit() int64 { return max(o.Segment/4, 512) }
+func (o Options) segmentSize() int64 { return max(o.Segment/4, 512) }
 
 // item is what the index knows of a key: 48 bytes and the key.
 type item struct {
-	key    string
-	expiry int64 // Unix milliseconds, 0 = never
-	seq    uint64
-	seg    uint32
-	off    uint32 // of checksum, key and value
-	meta   uint32 // see newMeta
-	stale  uint32 // other records of this key with a value on the disk
+	key          string
+	expiry       int64 // Unix milliseconds, 0 = never
+	seq          uint64
+	segmentID    uint32
+	offset       uint32 // of checksum, key and value
+	meta         uint32 // see newMeta
+	staleRecords uint32 // other records of this key with a value on the disk
 }
 
 // gone, in place of a value's size, marks a key that was deleted; its item stays
 // while older records of the key are on the disk, which it hides.
-const gone = 1<<24 - 1
+const deletedSize = 1<<24 - 1
 
 // newMeta packs the size of a value with what its record takes besides key and
 // value: its numbers and checksum, and the head of the batch for the first one.
-func newMeta(o *op, over int64) uint32 {
+func packMeta(o *op, overhead int64) uint32 {
 	n := uint32(len(o.value))
 	if o.delete {
-		n = gone
+		n = deletedSize
 	}
-	return uint32(min(over, 255))<<24 | n
+	return uint32(min(overhead, 255))<<24 | n
 }
 
-func (it *item) gone() bool { return it.meta&gone == gone }
+func (it *item) deleted() bool { return it.meta&deletedSize == deletedSize }
 
 // size is that of the value.
-func (it *item) size() int {
-	if it.gone() {
+func (it *item) valueSize() int {
+	if it.deleted() {
 		return 0
 	}
-	return int(it.meta & gone)
+	return int(it.meta & deletedSize)
 }
 
-func (it *item) dead(now int64) bool { return it.gone() || it.expiry != 0 && it.expiry <= now }
+func (it *item) deletedOrExpired(now int64) bool {
+	return it.deleted() || it.expiry != 0 && it.expiry <= now
+}
 
 // bytes is the room that the item's record takes.
-func (it *item) bytes() int64 { return int64(len(it.key)) + int64(it.size()) + int64(it.meta>>24) }
+func (it *item) recordSize() int64 {
+	return int64(len(it.key)) + int64(it.valueSize()) + int64(it.meta>>24)
+}
 
 // segment is one file of the log.
 type segment struct {
-	id, salt uint64
-	name     string
-	file     vfs.File
-	refs     atomic.Int32
-	end      int64 // where the next record goes, or the size
-	synced   int64
-	live     int64 // bytes of records that count
-	minSeq   uint64
-	sealed   bool // nothing is appended any more
-	torn     bool // holds bytes of writes that were never acknowledged
-	faults   []Fault
+	id, salt  uint64
+	name      string
+	file      vfs.File
+	refs      atomic.Int32
+	end       int64 // where the next record goes, or the size
+	syncedEnd int64
+	liveBytes int64 // bytes of records that count
+	minSeq    uint64
+	sealed    bool // nothing is appended any more
+	torn      bool // holds bytes of writes that were never acknowledged
+	faults    []Fault
 }
 
 func (g *segment) release() {
@@ -161,42 +165,42 @@
 	fs   vfs.FS
 	lock io.Closer
 
-	mu     sync.RWMutex // guards the next group
-	index  *btree.BTreeG[item]
-	segs   map[uint32]*segment
-	seq    uint64
-	nextID uint64
-	total  int64 // bytes of all segments
-	live   int64 // bytes of records that count
-	cursor string
+	mu          sync.RWMutex // guards the next group
+	index       *btree.BTreeG[item]
+	segments    map[uint32]*segment
+	seq         uint64
+	nextID      uint64
+	diskBytes   int64 // bytes of all segments
+	liveBytes   int64 // bytes of records that count
+	sweepCursor string
 
-	doubtBefore uint64          // entries with a lower number may have a newer record that can't be read; set by Open
-	holes       map[uint64]bool // segments that miss their end, while Open reads
+	uncertainBefore uint64          // entries with a lower number may have a newer record that can't be read; set by Open
+	missingEnds     map[uint64]bool // segments that miss their end, while Open reads
 
-	queueMu sync.Mutex
-	queue   []*pending
-	queued  int64
-	closed  bool
-	poke    chan struct{}
+	queueMu     sync.Mutex
+	queue       []*pendingWrite
+	queuedBytes int64
+	closed      bool
+	writerWake  chan struct{}
 
 	// The writer's own.
-	active *segment
-	last   *segment // the segment that was active before, for the next header
-	doubts []doubt
-	dirty  bool
-	buf    []byte
-
-	compactMu  sync.Mutex // one compaction or checkpoint at a time
-	maintain   chan struct{}
-	passed     chan struct{} // a pass of compaction ended
-	failing    atomic.Bool   // the last pass of compaction failed
-	limiter    *rate.Limiter
-	logged     int64 // bytes written since the last checkpoint, by the writer
-	checkBytes int64 // size of the last checkpoint
-	checkID    uint64
-
-	stop context.CancelFunc
-	done sync.WaitGroup
+	active      *segment
+	previous    *segment // the segment that was active before, for the next header
+	voidRanges  []voidRange
+	unsynced    bool
+	writeBuffer []byte
+
+	compactMu            sync.Mutex // one compaction or checkpoint at a time
+	maintenanceWake      chan struct{}
+	passDone             chan struct{} // a pass of compaction ended
+	compactionFailing    atomic.Bool   // the last pass of compaction failed
+	limiter              *rate.Limiter
+	bytesSinceCheckpoint int64 // bytes written since the last checkpoint, by the writer
+	checkpointBytes      int64 // size of the last checkpoint
+	checkpointID         uint64
+
+	cancel     context.CancelFunc
+	background sync.WaitGroup
 }
 
 // Stats are a store's counters.
@@ -266,11 +270,11 @@
 func (s *Store) GetExpiry(key string) ([]byte, int64, error) {
 	s.mu.RLock()
 	it, ok := s.index.Get(item{key: key})
-	if !ok || it.dead(s.opt.Now()) {
+	if !ok || it.deletedOrExpired(s.opt.Now()) {
 		s.mu.RUnlock()
 		return nil, 0, ErrNotFound
 	}
-	g := s.segs[it.seg]
+	g := s.segments[it.segmentID]
 	g.refs.Add(1)
 	s.mu.RUnlock()
 	defer g.release()
@@ -284,41 +288,41 @@
 func (s *Store) InDoubt(key string) bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	if s.doubtBefore == 0 {
+	if s.uncertainBefore == 0 {
 		return false
 	}
 	it, ok := s.index.Get(item{key: key})
-	return !ok || it.seq < s.doubtBefore
+	return !ok || it.seq < s.uncertainBefore
 }
 
 // read reads an item's value and checks it.
 func (s *Store) read(g *segment, it item) ([]byte, error) {
-	b := make([]byte, 4+len(it.key)+it.size())
-	if _, err := g.file.ReadAt(b, int64(it.off)); err != nil {
-		s.damaged(g, it, err.Error())
-		return nil, fmt.Errorf("read %s at %d: %w", g.name, it.off, errors.Join(ErrDamaged, err))
+	buf := make([]byte, 4+len(it.key)+it.valueSize())
+	if _, err := g.file.ReadAt(buf, int64(it.offset)); err != nil {
+		s.recordDamage(g, it, err.Error())
+		return nil, fmt.Errorf("read %s at %d: %w", g.name, it.offset, errors.Join(ErrDamaged, err))
 	}
-	key, value := b[4:4+len(it.key)], b[4+len(it.key):]
-	if string(key) != it.key || opSum(it.key, value) != uint32(b[0])|uint32(b[1])<<8|uint32(b[2])<<16|uint32(b[3])<<24 {
-		s.damaged(g, it, "checksum differs")
-		return nil, fmt.Errorf("read %s at %d: %w", g.name, it.off, ErrDamaged)
+	key, value := buf[4:4+len(it.key)], buf[4+len(it.key):]
+	if string(key) != it.key || opChecksum(it.key, value) != uint32(buf[0])|uint32(buf[1])<<8|uint32(buf[2])<<16|uint32(buf[3])<<24 {
+		s.recordDamage(g, it, "checksum differs")
+		return nil, fmt.Errorf("read %s at %d: %w", g.name, it.offset, ErrDamaged)
 	}
 	return value, nil
 }
 
 // mostFaults bounds what is noted of one segment; it is set aside by the first.
-const mostFaults = 16
+const maxFaults = 16
 
 // damaged notes a value that can't be read, and has its segment set aside.
-func (s *Store) damaged(g *segment, it item, why string) {
+func (s *Store) recordDamage(g *segment, it item, why string) {
 	s.Stats.Damaged.Add(1)
 	s.mu.Lock()
-	known := slices.ContainsFunc(g.faults, func(f Fault) bool { return f.Offset == int64(it.off) })
-	if !known && len(g.faults) < mostFaults {
-		g.faults = append(g.faults, Fault{File: g.name, Offset: int64(it.off), Size: int64(4 + len(it.key) + it.size()), Reason: why})
+	known := slices.ContainsFunc(g.faults, func(f Fault) bool { return f.Offset == int64(it.offset) })
+	if !known && len(g.faults) < maxFaults {
+		g.faults = append(g.faults, Fault{File: g.name, Offset: int64(it.offset), Size: int64(4 + len(it.key) + it.valueSize()), Reason: why})
 	}
 	s.mu.Unlock()
-	s.poked()
+	s.wakeMaintenance()
 }
 
 // Entry is one key with its value.
@@ -334,30 +338,30 @@
 // error by damaged, if set, else ends the scan.
 func (s *Store) Scan(prefix string, damaged func(key string, err error), f func(Entry) error) error {
 	s.mu.Lock() // a clone marks both trees as shared
-	snap := s.index.Clone()
-	held := make([]*segment, 0, len(s.segs))
-	byID := make(map[uint32]*segment, len(s.segs))
-	for id, g := range s.segs {
+	snapshot := s.index.Clone()
+	pinned := make([]*segment, 0, len(s.segments))
+	byID := make(map[uint32]*segment, len(s.segments))
+	for id, g := range s.segments {
 		g.refs.Add(1)
-		held = append(held, g)
+		pinned = append(pinned, g)
 		byID[id] = g
 	}
 	s.mu.Unlock()
 	defer func() {
-		for _, g := range held {
+		for _, g := range pinned {
 			g.release()
 		}
 	}()
 	now := s.opt.Now()
 	var err error
-	snap.AscendGreaterOrEqual(item{key: prefix}, func(it item) bool {
+	snapshot.AscendGreaterOrEqual(item{key: prefix}, func(it item) bool {
 		if len(it.key) < len(prefix) || it.key[:len(prefix)] != prefix {
 			return false
 		}
-		if it.dead(now) {
+		if it.deletedOrExpired(now) {
 			return true
 		}
-		v, rerr := s.read(byID[it.seg], it)
+		v, rerr := s.read(byID[it.segmentID], it)
 		if rerr != nil {
 			if damaged != nil {
 				damaged(it.key, rerr)
@@ -366,7 +370,7 @@
 			err = rerr
 			return false
 		}
-		err = f(Entry{Key: it.key, Value: v, Expiry: it.expiry, Doubt: it.seq < s.doubtBefore})
+		err = f(Entry{Key: it.key, Value: v, Expiry: it.expiry, Doubt: it.seq < s.uncertainBefore})
 		return err == nil
 	})
 	return err
@@ -385,28 +389,28 @@
 	names, _ := s.fs.List(s.dir) // the folder was readable a moment ago; without it nothing is set aside
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	i := Info{Segments: len(s.segs), DiskBytes: s.total, LiveBytes: s.live, Bound: 2*s.live + s.opt.Segment, LastSeq: s.seq}
+	info := Info{Segments: len(s.segments), DiskBytes: s.diskBytes, LiveBytes: s.liveBytes, Bound: 2*s.liveBytes + s.opt.Segment, LastSeq: s.seq}
 	now := s.opt.Now()
 	s.index.Ascend(func(it item) bool {
-		if !it.dead(now) {
-			i.Entries++
+		if !it.deletedOrExpired(now) {
+			info.Entries++
 		}
 		return true
 	})
 	for _, name := range names {
-		if _, _, ok := parseName(name, asideSuffix); ok {
-			i.SetAside++
+		if _, _, ok := parseName(name, damagedSuffix); ok {
+			info.SetAside++
 		}
 	}
-	for _, g := range s.segs {
-		i.Faults = append(i.Faults, g.faults...)
+	for _, g := range s.segments {
+		info.Faults = append(info.Faults, g.faults...)
 	}
-	slices.SortFunc(i.Faults, Fault.compare)
-	return i
+	slices.SortFunc(info.Faults, Fault.compare)
+	return info
 }
 
 // full turns an error for want of room into ErrFull.
-func full(err error) error {
+func wrapDiskFull(err error) error {
 	if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) || errors.Is(err, syscall.EFBIG) {
 		return fmt.Errorf("%w: %w", ErrFull, err)
 	}
@@ -415,72 +419,72 @@
 
 // put notes a record in the index; the lock must be held. It returns false if
 // a newer record, or the same one elsewhere, is known already.
-func (s *Store) put(it item) bool {
-	was, had := s.index.Get(item{key: it.key})
-	if had && was.seq >= it.seq {
-		if !it.gone() {
-			was.stale++
-			s.index.ReplaceOrInsert(was)
+func (s *Store) updateIndex(newItem item) bool {
+	current, exists := s.index.Get(item{key: newItem.key})
+	if exists && current.seq >= newItem.seq {
+		if !newItem.deleted() {
+			current.staleRecords++
+			s.index.ReplaceOrInsert(current)
 		}
 		return false
 	}
-	if had {
-		it.stale = was.stale
-		if !was.gone() {
-			it.stale++
+	if exists {
+		newItem.staleRecords = current.staleRecords
+		if !current.deleted() {
+			newItem.staleRecords++
 		}
-		s.count(&was, -1)
+		s.addLiveBytes(&current, -1)
 	}
-	if it.gone() && it.stale == 0 { // nothing to hide
-		if had {
-			s.index.Delete(was)
+	if newItem.deleted() && newItem.staleRecords == 0 { // nothing to hide
+		if exists {
+			s.index.Delete(current)
 		}
 		return true
 	}
-	s.index.ReplaceOrInsert(it)
-	s.count(&it, 1)
+	s.index.ReplaceOrInsert(newItem)
+	s.addLiveBytes(&newItem, 1)
 	return true
 }
 
 // count adds an item's bytes to, or takes them from, what is live.
-func (s *Store) count(it *item, sign int64) {
-	s.live += sign * it.bytes()
-	if g := s.segs[it.seg]; g != nil {
-		g.live += sign * it.bytes()
+func (s *Store) addLiveBytes(it *item, sign int64) {
+	s.liveBytes += sign * it.recordSize()
+	if g := s.segments[it.segmentID]; g != nil {
+		g.liveBytes += sign * it.recordSize()
 	}
 }
 
 // sweep takes expired entries out of the index, some at a time, so that all are
 // seen within a minute. One that hides older records stays until those are gone.
 func (s *Store) sweep() {
-	const step = 512
+	const batchSize = 512
 	now := s.opt.Now()
 	s.mu.RLock()
-	steps := 1 + s.index.Len()/60/step
+	steps := 1 + s.index.Len()/60/batchSize
 	s.mu.RUnlock()
 	for range steps {
 		s.mu.Lock()
-		var old []item
-		n, last := 0, ""
-		s.index.AscendGreaterOrEqual(item{key: s.cursor}, func(it item) bool {
-			n++
+		var expired []item
+		visited, last := 0, ""
+		s.index.AscendGreaterOrEqual(item{key: s.sweepCursor}, func(it item) bool {
+			visited++
 			last = it.key
-			if !it.gone() && it.dead(now) && it.stale == 0 {
-				old = append(old, it)
+			if !it.deleted() && it.deletedOrExpired(now) && it.staleRecords == 0 {
+				expired = append(expired, it)
 			}
-			return n < step
+			return visited < batchSize
 		})
-		s.cursor = last + "\x00"
-		if n < step {
-			s.cursor = ""
+		s.sweepCursor = last + "\x00"
+		if visited < batchSize {
+			s.sweepCursor = ""
 		}
-		for _, it := range old {
+		for _, it := range expired {
 			s.index.Delete(it)
-			s.count(&it, -1)
+			s.addLiveBytes(&it, -1)
 		}
-		s.Stats.Swept.Add(int64(len(old)))
+		s.Stats.Swept.Add(int64(len(expired)))
 		s.mu.Unlock()
-		if n < step {
+		if visited < batchSize {
 			return
 		}
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -24,36 +24,36 @@
 const dir = "/s"
 
 // world is a store under test with its disk, its clock and what it must hold.
-type world struct {
-	t     *testing.T
-	disk  *vfs.Mem
-	now   int64
-	salt  uint64
-	s     *Store
-	model map[string]string // key to value; an expiry stands in ends
-	ends  map[string]int64
+type harness struct {
+	t        *testing.T
+	disk     *vfs.Mem
+	now      int64
+	salt     uint64
+	s        *Store
+	model    map[string]string // key to value; an expiry stands in ends
+	expiries map[string]int64
 }
 
-func (w *world) options() Options {
+func (h *harness) options() Options {
 	return Options{
-		FS: w.disk, Segment: 4 << 10, Manual: true, Now: func() int64 { return w.now },
-		Salt: func() uint64 { w.salt += 0x9e3779b97f4a7c15; return w.salt },
+		FS: h.disk, Segment: 4 << 10, Manual: true, Now: func() int64 { return h.now },
+		Salt: func() uint64 { h.salt += 0x9e3779b97f4a7c15; return h.salt },
 	}
 }
 
-func newWorld(t *testing.T) *world {
-	w := &world{t: t, disk: vfs.NewMem(true), now: 1000, model: map[string]string{}, ends: map[string]int64{}}
-	w.open()
-	return w
+func newHarness(t *testing.T) *harness {
+	h := &harness{t: t, disk: vfs.NewMem(true), now: 1000, model: map[string]string{}, expiries: map[string]int64{}}
+	h.open()
+	return h
 }
 
-func (w *world) open() Recovery {
-	w.t.Helper()
-	s, rec, err := Open(dir, w.options())
+func (h *harness) open() Recovery {
+	h.t.Helper()
+	s, rec, err := Open(dir, h.options())
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	w.s = s
+	h.s = s
 	return rec
 }
 
@@ -77,18 +77,18 @@
 }
 
 // expected is what must be held now.
-func (w *world) expected() map[string]string {
+func (h *harness) expected() map[string]string {
 	m := map[string]string{}
-	for k, v := range w.model {
-		if e := w.ends[k]; e == 0 || e > w.now {
+	for k, v := range h.model {
+		if e := h.expiries[k]; e == 0 || e > h.now {
 			m[k] = v
 		}
 	}
 	return m
 }
 
-func (w *world) put(d Durability, pairs ...string) {
-	w.t.Helper()
+func (h *harness) apply(d Durability, pairs ...string) {
+	h.t.Helper()
 	var b Batch
 	for i := 0; i < len(pairs); i += 2 {
 		if pairs[i+1] == "" {
@@ -97,30 +97,30 @@
 			b.Put(pairs[i], []byte(pairs[i+1]), 0)
 		}
 	}
-	if err := w.s.Apply(&b, d); err != nil {
-		w.t.Fatal(err)
+	if err := h.s.Apply(&b, d); err != nil {
+		h.t.Fatal(err)
 	}
 	for i := 0; i < len(pairs); i += 2 {
-		delete(w.ends, pairs[i])
-		if w.model[pairs[i]] = pairs[i+1]; pairs[i+1] == "" {
-			delete(w.model, pairs[i])
+		delete(h.expiries, pairs[i])
+		if h.model[pairs[i]] = pairs[i+1]; pairs[i+1] == "" {
+			delete(h.model, pairs[i])
 		}
 	}
 }
 
 // step is a state that was acknowledged, and when.
-type step struct {
-	ops   int
-	now   int64
-	state map[string]string
-	ends  map[string]int64
+type acknowledgedState struct {
+	operations int
+	now        int64
+	state      map[string]string
+	expiries   map[string]int64
 }
 
 // at is what the state holds at a time.
-func (s step) at(now int64) map[string]string {
+func (s acknowledgedState) contentsAt(now int64) map[string]string {
 	m := map[string]string{}
 	for k, v := range s.state {
-		if e := s.ends[k]; e == 0 || e > now {
+		if e := s.expiries[k]; e == 0 || e > now {
 			m[k] = v
 		}
 	}
@@ -129,57 +129,59 @@
 
 // workload runs overwrites, deletes, expiry, batches and compaction, all durable
 // but for some, and returns the states in order of their acknowledgement.
-func workload(w *world, soon bool, batches int) []step {
-	r := rand.New(rand.NewPCG(7, 7))
-	var steps []step
-	note := func() { steps = append(steps, step{w.disk.Ops(), w.now, maps.Clone(w.model), maps.Clone(w.ends)}) }
-	note()
+func workload(h *harness, withSoon bool, batches int) []acknowledgedState {
+	random := rand.New(rand.NewPCG(7, 7))
+	var steps []acknowledgedState
+	recordState := func() {
+		steps = append(steps, acknowledgedState{h.disk.Ops(), h.now, maps.Clone(h.model), maps.Clone(h.expiries)})
+	}
+	recordState()
 	for i := range batches {
-		d := Durable
-		if soon && r.IntN(3) > 0 {
-			d = Soon
+		durability := Durable
+		if withSoon && random.IntN(3) > 0 {
+			durability = Soon
 		}
-		k := fmt.Sprintf("k%02d", r.IntN(12))
-		v := fmt.Sprintf("v%d-%s", i, strings.Repeat("x", r.IntN(40)))
-		switch r.IntN(8) {
+		k := fmt.Sprintf("k%02d", random.IntN(12))
+		v := fmt.Sprintf("v%d-%s", i, strings.Repeat("x", random.IntN(40)))
+		switch random.IntN(8) {
 		case 0: // a deletion, of both halves
-			w.put(d, k, "", "m"+k, "")
+			h.apply(durability, k, "", "m"+k, "")
 		case 1: // an expiry
 			var b Batch
-			b.Put(k, []byte(v), w.now+20)
-			b.Put("m"+k, []byte(v), w.now+20)
-			if err := w.s.Apply(&b, d); err != nil {
-				w.t.Fatal(err)
+			b.Put(k, []byte(v), h.now+20)
+			b.Put("m"+k, []byte(v), h.now+20)
+			if err := h.s.Apply(&b, durability); err != nil {
+				h.t.Fatal(err)
 			}
 			for _, key := range []string{k, "m" + k} {
-				w.model[key], w.ends[key] = v, w.now+20
+				h.model[key], h.expiries[key] = v, h.now+20
 			}
 		default:
-			w.put(d, k, v, "m"+k, v)
+			h.apply(durability, k, v, "m"+k, v)
 		}
-		note()
-		if r.IntN(3) == 0 {
-			w.now += 7
+		recordState()
+		if random.IntN(3) == 0 {
+			h.now += 7
 		}
 		if i%17 == 11 {
-			if err := w.s.Compact(context.Background()); err != nil {
-				w.t.Fatal(err)
+			if err := h.s.Compact(context.Background()); err != nil {
+				h.t.Fatal(err)
 			}
-			note()
+			recordState()
 		}
 		if i%23 == 20 {
-			if err := w.s.Close(); err != nil {
-				w.t.Fatal(err)
+			if err := h.s.Close(); err != nil {
+				h.t.Fatal(err)
 			}
-			w.open()
-			note()
+			h.open()
+			recordState()
 		}
 	}
 	return steps
 }
 
 // differs lists where two contents differ.
-func differs(got, want map[string]string) (d []string) {
+func difference(got, want map[string]string) (d []string) {
 	for k, v := range got {
 		if w, ok := want[k]; w != v || !ok {
 			d = append(d, fmt.Sprintf("%q is %.12q, not %.12q", k, v, w))
@@ -209,19 +211,19 @@
 // and in whatever order, a store of which every write was durable is exactly as
 // of the last acknowledgement, or one batch further; and it can go on.
 func TestEveryCut(t *testing.T) {
-	w := newWorld(t)
-	steps := workload(w, false, 60)
-	ops := w.disk.Ops()
+	h := newHarness(t)
+	steps := workload(h, false, 60)
+	ops := h.disk.Ops()
 	r := rand.New(rand.NewPCG(1, 2))
 	states := 0
 	at := 0
 	for n := 0; n <= ops; n++ {
-		for at+1 < len(steps) && steps[at+1].ops <= n {
+		for at+1 < len(steps) && steps[at+1].operations <= n {
 			at++
 		}
 		cuts := []vfs.Cut{vfs.KeepAll, vfs.KeepNone, vfs.KeepSome(r), vfs.KeepSome(r)}
 		if n > 0 {
-			if o := w.disk.OpAt(n - 1); o.Kind == vfs.OpWrite {
+			if o := h.disk.OpAt(n - 1); o.Kind == vfs.OpWrite {
 				for i := range len(o.Data) {
 					cuts = append(cuts, vfs.KeepBytes(i))
 				}
@@ -229,13 +231,13 @@
 		}
 		for i, cut := range cuts {
 			states++
-			disk := w.disk.After(n, cut)
+			disk := h.disk.After(n, cut)
 			next := steps[min(at+1, len(steps)-1)]
 			s, rec := reopen(t, disk, next.now)
 			got := contents(t, s)
-			was := steps[at].at(next.now)
-			if !maps.Equal(got, was) && !maps.Equal(got, next.at(next.now)) {
-				t.Fatalf("cut %d after operation %d (%v): %v or %v; %+v", i, n, w.disk.OpAt(max(n-1, 0)), differs(got, was), differs(got, next.at(next.now)), rec)
+			was := steps[at].contentsAt(next.now)
+			if !maps.Equal(got, was) && !maps.Equal(got, next.contentsAt(next.now)) {
+				t.Fatalf("cut %d after operation %d (%v): %v or %v; %+v", i, n, h.disk.OpAt(max(n-1, 0)), difference(got, was), difference(got, next.contentsAt(next.now)), rec)
 			}
 			if len(rec.Damaged) > 0 {
 				t.Fatalf("cut %d after operation %d: a cut passes for damage: %v", i, n, rec.Damaged)
@@ -267,8 +269,8 @@
 // With writes that are only acknowledged as written, a cut may lose them, but
 // not what was synced, nothing is invented, and no half of a batch is seen.
 func TestEveryCutSoon(t *testing.T) {
-	w := newWorld(t)
-	steps := workload(w, true, 80)
+	h := newHarness(t)
+	steps := workload(h, true, 80)
 	history := map[string]bool{}
 	for _, s := range steps {
 		for k, v := range s.state {
@@ -277,13 +279,13 @@
 	}
 	r := rand.New(rand.NewPCG(3, 4))
 	at := 0
-	for n := 0; n <= w.disk.Ops(); n++ {
-		for at+1 < len(steps) && steps[at+1].ops <= n {
+	for n := 0; n <= h.disk.Ops(); n++ {
+		for at+1 < len(steps) && steps[at+1].operations <= n {
 			at++
 		}
 		next := steps[min(at+1, len(steps)-1)]
 		for i, cut := range []vfs.Cut{vfs.KeepAll, vfs.KeepNone, vfs.KeepSome(r), vfs.KeepSome(r), vfs.KeepSome(r)} {
-			s, _ := reopen(t, w.disk.After(n, cut), next.now)
+			s, _ := reopen(t, h.disk.After(n, cut), next.now)
 			got := contents(t, s)
 			for k, v := range got {
 				if !history[k+"="+v] && (at+1 >= len(steps) || steps[at+1].state[k] != v) {
@@ -294,9 +296,9 @@
 				}
 			}
 			if i == 0 { // the process alone ended: everything acknowledged is there
-				want := steps[at].at(next.now)
-				if !maps.Equal(got, want) && !maps.Equal(got, next.at(next.now)) {
-					t.Fatalf("after %d (%v): %v or %v", n, w.disk.OpAt(max(n-1, 0)), differs(got, want), differs(got, next.at(next.now)))
+				want := steps[at].contentsAt(next.now)
+				if !maps.Equal(got, want) && !maps.Equal(got, next.contentsAt(next.now)) {
+					t.Fatalf("after %d (%v): %v or %v", n, h.disk.OpAt(max(n-1, 0)), difference(got, want), difference(got, next.contentsAt(next.now)))
 				}
 			}
 		}
@@ -307,14 +309,14 @@
 // serves every record that is still whole, and invents nothing. What is damaged
 // is told, set aside and never removed.
 func TestDamage(t *testing.T) {
-	w := newWorld(t)
-	workload(w, false, 50)
-	w.put(Durable, "k00", "last", "mk00", "last")
-	if err := w.s.Sync(); err != nil {
+	h := newHarness(t)
+	workload(h, false, 50)
+	h.apply(Durable, "k00", "last", "mk00", "last")
+	if err := h.s.Sync(); err != nil {
 		t.Fatal(err)
 	}
-	want := w.expected()
-	names, err := w.disk.List(dir)
+	want := h.expected()
+	names, err := h.disk.List(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -325,13 +327,13 @@
 		}
 	}
 	check := func(what string, disk *vfs.Mem, name string) {
-		s, rec := reopen(t, disk, w.now)
+		s, rec := reopen(t, disk, h.now)
 		got, lost := map[string]string{}, 0
-		doubted := map[string]bool{}
+		inDoubt := map[string]bool{}
 		unreadable := 0
 		err := s.Scan("", func(string, error) { unreadable++ }, func(e Entry) error {
 			got[e.Key] = string(e.Value)
-			doubted[e.Key] = e.Doubt
+			inDoubt[e.Key] = e.Doubt
 			return nil
 		})
 		if err != nil {
@@ -339,7 +341,7 @@
 		}
 		for k, v := range got {
 			if want[k] != v { // an older value, or a deletion that was lost
-				if lost++; len(rec.Damaged) > 0 && !doubted[k] {
+				if lost++; len(rec.Damaged) > 0 && !inDoubt[k] {
 					t.Fatalf("%s: key %s has %q for %q, and nothing says that it is in doubt", what, k, v, want[k])
 				}
 			}
@@ -358,7 +360,7 @@
 		if bytes += int64(len(s.Info().Faults)); lost > 0 && bytes == 0 && !(name == newest && strings.Contains(what, " cut at ")) { // a shorter log is a log
 			t.Fatalf("%s: %d keys differ and nothing is told", what, lost)
 		}
-		if strings.HasSuffix(name, checkSuffix) && lost > 0 {
+		if strings.HasSuffix(name, checkpointSuffix) && lost > 0 {
 			t.Fatalf("%s: %d keys differ though the log is whole", what, lost)
 		}
 		if len(rec.Damaged)+unreadable > 0 {
@@ -374,23 +376,23 @@
 			if err := s.Close(); err != nil {
 				t.Fatal(err)
 			}
-			rep, err := Verify(dir, Options{FS: disk, Now: func() int64 { return w.now }})
-			if err != nil || len(rep.Faults) == 0 || !strings.HasSuffix(rep.Faults[0].File, asideSuffix) {
+			rep, err := Verify(dir, Options{FS: disk, Now: func() int64 { return h.now }})
+			if err != nil || len(rep.Faults) == 0 || !strings.HasSuffix(rep.Faults[0].File, damagedSuffix) {
 				t.Fatalf("%s: verify: %+v, %v", what, rep, err)
 			}
 		}
 	}
 	for _, name := range names {
-		whole := w.disk.Bytes(vfs.Join(dir, name))
+		whole := h.disk.Bytes(vfs.Join(dir, name))
 		stride := 1
 		if testing.Short() {
 			stride = 7
 		}
 		for i := 0; i < len(whole); i += stride {
-			cut := w.disk.Clone()
+			cut := h.disk.Clone()
 			cut.Put(vfs.Join(dir, name), whole[:i])
 			check(fmt.Sprintf("%s cut at %d of %d", name, i, len(whole)), cut, name)
-			changed := w.disk.Clone()
+			changed := h.disk.Clone()
 			b := append([]byte(nil), whole...)
 			b[i] ^= 0x55
 			changed.Put(vfs.Join(dir, name), b)
@@ -404,15 +406,15 @@
 
 // Doubt is no more than it has to be: what was written after the damage is not in it,
 // and a write ends it.
-func TestDoubtEnds(t *testing.T) {
-	w := newWorld(t)
+func TestInDoubtEndsWithWrite(t *testing.T) {
+	h := newHarness(t)
 	for _, kv := range [][2]string{{"a", "1"}, {"b", "1"}, {"a", "2"}, {"c", "1"}} {
-		w.put(Durable, kv[0], kv[1])
+		h.apply(Durable, kv[0], kv[1])
 	}
-	if err := w.s.Sync(); err != nil {
+	if err := h.s.Sync(); err != nil {
 		t.Fatal(err)
 	}
-	names, err := w.disk.List(dir)
+	names, err := h.disk.List(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -420,16 +422,16 @@
 		if !strings.HasSuffix(name, segmentSuffix) {
 			continue
 		}
-		whole := w.disk.Bytes(vfs.Join(dir, name))
+		whole := h.disk.Bytes(vfs.Join(dir, name))
 		at := strings.LastIndex(string(whole), "a2")
 		if at < 0 {
 			continue
 		}
 		b := slices.Clone(whole)
 		b[at+1] ^= 1
-		w.disk.Put(vfs.Join(dir, name), b)
+		h.disk.Put(vfs.Join(dir, name), b)
 	}
-	s, rec := reopen(t, w.disk.Clone(), w.now)
+	s, rec := reopen(t, h.disk.Clone(), h.now)
 	v, err := s.Get("a")
 	if err != nil || string(v) != "1" || len(rec.Damaged) != 1 || rec.InDoubt != 2 {
 		t.Fatalf("a is %q, %v; %+v", v, err, rec)
@@ -452,51 +454,51 @@
 // A full disk at any operation of a compaction, or of ordinary writes: reads go
 // on, writes fail at once with one error, and all works again with room.
 func TestDiskFull(t *testing.T) {
-	for n := 0; ; n++ {
-		w := newWorld(t)
-		workload(w, false, 30)
-		want := w.expected()
+	for failAfter := 0; ; failAfter++ {
+		h := newHarness(t)
+		workload(h, false, 30)
+		want := h.expected()
 		count, failed := 0, false
-		w.disk.Fail(func(o vfs.Op) error {
+		h.disk.Fail(func(o vfs.Op) error {
 			if o.Kind != vfs.OpWrite && o.Kind != vfs.OpCreate {
 				return nil
 			}
 			count++
-			if failed = count > n; failed { // from here on until there is room
+			if failed = count > failAfter; failed { // from here on until there is room
 				return &vfs.Torn{N: len(o.Data) / 2, Err: syscall.ENOSPC}
 			}
 			return nil
 		})
-		err := w.s.Compact(context.Background())
+		err := h.s.Compact(context.Background())
 		if !failed {
 			if err != nil {
 				t.Fatal(err)
 			}
-			if n < 4 {
-				t.Fatalf("a compaction of %d writes", n)
+			if failAfter < 4 {
+				t.Fatalf("a compaction of %d writes", failAfter)
 			}
 			return
 		}
 		if !errors.Is(err, ErrFull) {
-			t.Fatalf("write %d: %v", n, err)
+			t.Fatalf("write %d: %v", failAfter, err)
 		}
-		if got := contents(t, w.s); !maps.Equal(got, want) {
-			t.Fatalf("write %d: reads give %v, want %v", n, got, want)
+		if got := contents(t, h.s); !maps.Equal(got, want) {
+			t.Fatalf("write %d: reads give %v, want %v", failAfter, got, want)
 		}
-		if err := w.s.Put("k", []byte("v"), 0, Durable); !errors.Is(err, ErrFull) {
-			t.Fatalf("write %d: a write to a full disk: %v", n, err)
+		if err := h.s.Put("k", []byte("v"), 0, Durable); !errors.Is(err, ErrFull) {
+			t.Fatalf("write %d: a write to a full disk: %v", failAfter, err)
 		}
-		if _, err := w.s.Get("k"); !errors.Is(err, ErrNotFound) {
-			t.Fatalf("write %d: a failed write is seen: %v", n, err)
+		if _, err := h.s.Get("k"); !errors.Is(err, ErrNotFound) {
+			t.Fatalf("write %d: a failed write is seen: %v", failAfter, err)
 		}
-		w.disk.Fail(nil)
-		w.put(Durable, "k", "v")
-		if err := w.s.Compact(context.Background()); err != nil {
+		h.disk.Fail(nil)
+		h.apply(Durable, "k", "v")
+		if err := h.s.Compact(context.Background()); err != nil {
 			t.Fatal(err)
 		}
-		s, rec := reopen(t, w.disk.After(w.disk.Ops(), vfs.KeepNone), w.now)
-		if got := contents(t, s); !maps.Equal(got, w.expected()) || len(rec.Damaged) > 0 {
-			t.Fatalf("write %d: with room again %v, want %v; %v", n, got, w.expected(), rec.Damaged)
+		s, rec := reopen(t, h.disk.After(h.disk.Ops(), vfs.KeepNone), h.now)
+		if got := contents(t, s); !maps.Equal(got, h.expected()) || len(rec.Damaged) > 0 {
+			t.Fatalf("write %d: with room again %v, want %v; %v", failAfter, got, h.expected(), rec.Damaged)
 		}
 	}
 }
@@ -505,11 +507,11 @@
 // acknowledged before stays, also after a cut, and the segment is not used again.
 func TestFailedSync(t *testing.T) {
 	for _, truncates := range []bool{true, false} {
-		w := newWorld(t)
-		w.put(Durable, "a", "1")
-		w.put(Soon, "b", "2")
+		h := newHarness(t)
+		h.apply(Durable, "a", "1")
+		h.apply(Soon, "b", "2")
 		var file string
-		w.disk.Fail(func(o vfs.Op) error {
+		h.disk.Fail(func(o vfs.Op) error {
 			if o.Kind == vfs.OpSync && (file == "" || o.Name == file) {
 				file = o.Name
 				return syscall.EIO
@@ -519,21 +521,21 @@
 			}
 			return nil
 		})
-		if err := w.s.Put("a", []byte("lost"), 0, Durable); err == nil || errors.Is(err, ErrFull) {
+		if err := h.s.Put("a", []byte("lost"), 0, Durable); err == nil || errors.Is(err, ErrFull) {
 			t.Fatalf("a write whose sync failed: %v", err)
 		}
-		if v, err := w.s.Get("a"); string(v) != "1" {
+		if v, err := h.s.Get("a"); string(v) != "1" {
 			t.Fatalf("a is %q, %v", v, err)
 		}
-		w.put(Durable, "c", "3")
-		if w.s.Stats.GivenUp.Load() != 1 {
+		h.apply(Durable, "c", "3")
+		if h.s.Stats.GivenUp.Load() != 1 {
 			t.Error("the segment was not given up")
 		}
-		w.disk.Fail(nil)
+		h.disk.Fail(nil)
 		for i, cut := range []vfs.Cut{vfs.KeepAll, vfs.KeepNone} {
-			s, _ := reopen(t, w.disk.After(w.disk.Ops(), cut), w.now)
-			if got := contents(t, s); !maps.Equal(got, w.expected()) {
-				t.Errorf("truncates %v, cut %d: %v, want %v", truncates, i, got, w.expected())
+			s, _ := reopen(t, h.disk.After(h.disk.Ops(), cut), h.now)
+			if got := contents(t, s); !maps.Equal(got, h.expected()) {
+				t.Errorf("truncates %v, cut %d: %v, want %v", truncates, i, got, h.expected())
 			}
 		}
 	}
@@ -542,43 +544,43 @@
 // Against a map: any operations, reopened and cut at any time.
 func TestAgainstMap(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		w := newWorld(t)
-		defer func() { _ = w.s.Close() }()
+		h := newHarness(t)
+		defer func() { _ = h.s.Close() }()
 		key := rapid.SampledFrom([]string{"a", "b", "c", "d/1", "d/2", "", "\x00\xff"})
 		for range rapid.IntRange(1, 60).Draw(r, "steps") {
 			switch rapid.IntRange(0, 9).Draw(r, "what") {
 			case 0:
-				w.put(Durable, key.Draw(r, "key"), "")
+				h.apply(Durable, key.Draw(r, "key"), "")
 			case 1:
-				w.now += int64(rapid.IntRange(1, 30).Draw(r, "ms"))
+				h.now += int64(rapid.IntRange(1, 30).Draw(r, "ms"))
 			case 2:
-				if err := w.s.Compact(context.Background()); err != nil {
+				if err := h.s.Compact(context.Background()); err != nil {
 					r.Fatal(err)
 				}
 			case 3:
-				if err := w.s.Close(); err != nil {
+				if err := h.s.Close(); err != nil {
 					r.Fatal(err)
 				}
-				w.open()
+				h.open()
 			case 4: // the process ends
-				left := w.disk.Clone()
-				_ = w.s.Close()
-				w.disk = left
-				w.open()
+				left := h.disk.Clone()
+				_ = h.s.Close()
+				h.disk = left
+				h.open()
 			case 5:
-				k, v, e := key.Draw(r, "key"), rapid.StringN(1, 9, 600).Draw(r, "value"), w.now+int64(rapid.IntRange(1, 40).Draw(r, "ttl"))
-				if err := w.s.Put(k, []byte(v), e, Durable); err != nil {
+				k, v, e := key.Draw(r, "key"), rapid.StringN(1, 9, 600).Draw(r, "value"), h.now+int64(rapid.IntRange(1, 40).Draw(r, "ttl"))
+				if err := h.s.Put(k, []byte(v), e, Durable); err != nil {
 					r.Fatal(err)
 				}
-				w.model[k], w.ends[k] = v, e
+				h.model[k], h.expiries[k] = v, e
 			case 6:
-				w.s.sweep()
+				h.s.sweep()
 			default:
-				w.put(Durability(rapid.IntRange(0, 1).Draw(r, "durability")), key.Draw(r, "key"),
+				h.apply(Durability(rapid.IntRange(0, 1).Draw(r, "durability")), key.Draw(r, "key"),
 					rapid.StringN(1, 9, 300).Draw(r, "value"), key.Draw(r, "key2"), rapid.StringN(1, 9, 300).Draw(r, "value2"))
 			}
-			if got := contents(t, w.s); !maps.Equal(got, w.expected()) {
-				r.Fatalf("holds %q, want %q", got, w.expected())
+			if got := contents(t, h.s); !maps.Equal(got, h.expected()) {
+				r.Fatalf("holds %q, want %q", got, h.expected())
 			}
 		}
 	})
--- a/internal/store/verify.go
+++ b/internal/store/verify.go
@@ -23,45 +23,45 @@
 // changes nothing. The errors are those of Open.
 func Verify(dir string, opt Options) (Report, error) {
 	opt.ReadOnly = true
-	opt = opt.filled()
+	opt = opt.withDefaults()
 	names, err := opt.FS.List(strings.TrimSuffix(dir, "/"))
 	if err != nil {
 		return Report{}, fmt.Errorf("verify store %s: %w", dir, err)
 	}
-	var checks []string
+	var checkpoints []string
 	for _, name := range names {
-		if _, ok := parseCheck(name); ok {
-			checks = append(checks, name)
+		if _, ok := parseCheckpointName(name); ok {
+			checkpoints = append(checkpoints, name)
 		}
 	}
-	opt.noIndex = true
+	opt.ignoreCheckpoint = true
 	s, rec, err := Open(dir, opt)
 	if err != nil {
 		return Report{}, err
 	}
-	rep := Report{Faults: rec.Damaged, Torn: rec.Torn, Entries: rec.Entries, Read: rec.Read}
+	report := Report{Faults: rec.Damaged, Torn: rec.Torn, Entries: rec.Entries, Read: rec.Read}
 	for _, name := range names {
-		id, salt, ok := parseName(name, asideSuffix)
+		id, salt, ok := parseName(name, damagedSuffix)
 		if !ok {
 			continue
 		}
-		faults, err := s.aside(name, id, salt)
+		faults, err := s.verifySetAside(name, id, salt)
 		if err != nil {
-			return rep, errors.Join(err, s.Close())
+			return report, errors.Join(err, s.Close())
 		}
-		rep.Faults = append(rep.Faults, faults...)
+		report.Faults = append(report.Faults, faults...)
 	}
-	for _, name := range checks {
-		if _, _, _, err := s.readCheck(name, nil, nil); err != nil {
-			rep.Faults = append(rep.Faults, Fault{File: name, Reason: "checkpoint: " + err.Error() + " (the log is read instead)"})
+	for _, name := range checkpoints {
+		if _, _, _, err := s.readCheckpoint(name, nil, nil); err != nil {
+			report.Faults = append(report.Faults, Fault{File: name, Reason: "checkpoint: " + err.Error() + " (the log is read instead)"})
 		}
 	}
-	slices.SortFunc(rep.Faults, Fault.compare)
-	return rep, s.Close()
+	slices.SortFunc(report.Faults, Fault.compare)
+	return report, s.Close()
 }
 
 // aside tells what is wrong with a segment that was set aside.
-func (s *Store) aside(name string, id, salt uint64) ([]Fault, error) {
+func (s *Store) verifySetAside(name string, id, salt uint64) ([]Fault, error) {
 	f, err := s.fs.Open(vfs.Join(s.dir, name), false)
 	if err != nil {
 		return nil, err
@@ -76,7 +76,7 @@
 		return nil, fmt.Errorf("read %s: %w", name, err)
 	}
 	h, err := decodeHeader(b)
-	sc, serr := s.scan(found{segment: &segment{id: id, salt: salt, name: name, file: f}, headOK: err == nil, size: size}, 0)
+	sc, serr := s.scanSegment(segmentFile{segment: &segment{id: id, salt: salt, name: name, file: f}, headerOK: err == nil, size: size}, 0)
 	if serr != nil {
 		return nil, serr
 	}
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -13,18 +13,18 @@
 )
 
 // pending is a write that waits for the writer.
-type pending struct {
+type pendingWrite struct {
 	ops     []op
 	size    int64
 	durable bool
 	done    func(error)
-	visit   func() error // run by the writer with all written and synced, instead of a write
+	task    func() error // run by the writer with all written and synced, instead of a write
 }
 
 // doubt says that a segment's bytes from an offset on never counted.
-type doubt struct {
-	seg  uint64
-	from int64
+type voidRange struct {
+	segmentID uint64
+	from      int64
 }
 
 // Apply writes a batch and returns when it is as durable as asked. All of it is
@@ -60,20 +60,20 @@
 		done(nil)
 		return
 	}
-	s.enqueue(&pending{ops: b.ops, size: int64(b.size), durable: d == Durable, done: done})
+	s.enqueue(&pendingWrite{ops: b.ops, size: int64(b.size), durable: d == Durable, done: done})
 }
 
 // Sync makes all that was acknowledged durable.
-func (s *Store) Sync() error { return s.visit(func() error { return nil }) }
+func (s *Store) Sync() error { return s.runInWriter(func() error { return nil }) }
 
 // visit runs f in the writer, with everything before it written and synced.
-func (s *Store) visit(f func() error) error {
+func (s *Store) runInWriter(f func() error) error {
 	done := make(chan error, 1)
-	s.enqueue(&pending{durable: true, done: func(err error) { done <- err }, visit: f})
+	s.enqueue(&pendingWrite{durable: true, done: func(err error) { done <- err }, task: f})
 	return <-done
 }
 
-func (s *Store) enqueue(p *pending) {
+func (s *Store) enqueue(p *pendingWrite) {
 	s.queueMu.Lock()
 	var err error
 	switch {
@@ -81,11 +81,11 @@
 		err = ErrReadOnly
 	case s.closed:
 		err = ErrClosed
-	case s.queued+p.size > s.opt.QueueBytes && len(s.queue) > 0:
+	case s.queuedBytes+p.size > s.opt.QueueBytes && len(s.queue) > 0:
 		err = ErrBusy
 	default:
 		s.queue = append(s.queue, p)
-		s.queued += p.size
+		s.queuedBytes += p.size
 	}
 	s.queueMu.Unlock()
 	if err != nil {
@@ -93,58 +93,58 @@
 		return
 	}
 	select {
-	case s.poke <- struct{}{}:
+	case s.writerWake <- struct{}{}:
 	default:
 	}
 }
 
 // take empties the queue; last tells that nothing will follow.
-func (s *Store) take() (queue []*pending, last bool) {
+func (s *Store) takeQueue() (queue []*pendingWrite, last bool) {
 	s.queueMu.Lock()
 	defer s.queueMu.Unlock()
-	queue, s.queue, s.queued = s.queue, nil, 0
+	queue, s.queue, s.queuedBytes = s.queue, nil, 0
 	return queue, s.closed
 }
 
 // write is the writer's goroutine.
-func (s *Store) write() {
-	defer s.done.Done()
+func (s *Store) runWriter() {
+	defer s.background.Done()
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
 		due := time.Hour
-		if s.dirty {
+		if s.unsynced {
 			due = s.opt.Interval
 		}
 		timer.Reset(due)
 		select {
-		case <-s.poke:
+		case <-s.writerWake:
 		case <-timer.C:
-			if s.dirty {
-				_ = s.settle() // what was acknowledged and can't be synced is written again elsewhere
+			if s.unsynced {
+				_ = s.syncActive() // what was acknowledged and can't be synced is written again elsewhere
 			}
 		}
-		queue, last := s.take()
+		queue, last := s.takeQueue()
 		for len(queue) > 0 {
-			n, size := 0, int64(0)
-			for n < len(queue) && queue[n].visit == nil && (n == 0 || size+queue[n].size <= maxBody/2) {
-				size += queue[n].size
-				n++
+			count, size := 0, int64(0)
+			for count < len(queue) && queue[count].task == nil && (count == 0 || size+queue[count].size <= maxRecordBody/2) {
+				size += queue[count].size
+				count++
 			}
-			if n > 0 {
-				s.commit(queue[:n])
+			if count > 0 {
+				s.commit(queue[:count])
 			} else {
-				n = 1
-				err := s.settle()
+				count = 1
+				err := s.syncActive()
 				if err == nil {
-					err = queue[0].visit()
+					err = queue[0].task()
 				}
 				queue[0].done(err)
 			}
-			queue = queue[n:]
+			queue = queue[count:]
 		}
 		if last {
-			s.finish()
+			s.syncBeforeExit()
 			return
 		}
 	}
@@ -153,10 +153,10 @@
 // commit writes a group of batches, syncs it if one of them asks for that, and
 // acknowledges. The index follows the disk: nothing of a group that failed is
 // ever seen.
-func (s *Store) commit(group []*pending) {
+func (s *Store) commit(group []*pendingWrite) {
 	err := s.commitGroup(group)
 	if err != nil {
-		err = full(err)
+		err = wrapDiskFull(err)
 		s.Stats.Failures.Add(int64(len(group)))
 		if errors.Is(err, ErrFull) {
 			s.Stats.Full.Add(int64(len(group)))
@@ -167,77 +167,77 @@
 	}
 }
 
-func (s *Store) commitGroup(group []*pending) error {
-	if s.active != nil && s.active.end >= s.opt.unit() {
+func (s *Store) commitGroup(group []*pendingWrite) error {
+	if s.active != nil && s.active.end >= s.opt.segmentSize() {
 		if err := s.rotate(); err != nil {
 			return err
 		}
 	}
-	s.room(group)
-	if err := s.ensure(); err != nil {
+	s.waitForSpace(group)
+	if err := s.ensureActive(); err != nil {
 		return err
 	}
 	g := s.active
 	durable := false
 	items := make([]item, 0, len(group))
-	s.buf = s.buf[:0]
+	s.writeBuffer = s.writeBuffer[:0]
 	seq := s.seq // only the writer moves it
-	for _, p := range group {
-		for i := range p.ops {
+	for _, write := range group {
+		for i := range write.ops {
 			seq++
-			p.ops[i].seq = seq
+			write.ops[i].seq = seq
 		}
 		first := len(items)
-		for i := range p.ops {
-			o := &p.ops[i]
-			items = append(items, item{key: o.key, expiry: o.expiry, seq: o.seq, seg: uint32(g.id)})
+		for i := range write.ops {
+			o := &write.ops[i]
+			items = append(items, item{key: o.key, expiry: o.expiry, seq: o.seq, segmentID: uint32(g.id)})
 		}
-		s.buf = appendRecord(s.buf, g.salt, g.end+int64(len(s.buf)), g.synced, p.ops, func(i int, off, over int64) {
-			items[first+i].off, items[first+i].meta = uint32(off), newMeta(&p.ops[i], over)
+		s.writeBuffer = appendRecord(s.writeBuffer, g.salt, g.end+int64(len(s.writeBuffer)), g.syncedEnd, write.ops, func(i int, off, overhead int64) {
+			items[first+i].offset, items[first+i].meta = uint32(off), packMeta(&write.ops[i], overhead)
 		})
-		durable = durable || p.durable
+		durable = durable || write.durable
 	}
-	if _, err := g.file.WriteAt(s.buf, g.end); err != nil {
-		s.cut(g, err)
+	if _, err := g.file.WriteAt(s.writeBuffer, g.end); err != nil {
+		s.truncateFailedWrite(g, err)
 		return fmt.Errorf("write %s: %w", g.name, err)
 	}
-	size := int64(len(s.buf))
+	size := int64(len(s.writeBuffer))
 	if durable {
-		if err := s.sync(g); err != nil {
-			s.giveUp(g)
+		if err := s.syncSegment(g); err != nil {
+			s.abandonSegment(g)
 			return fmt.Errorf("sync %s: %w", g.name, err)
 		}
-		g.synced = g.end + size
+		g.syncedEnd = g.end + size
 	}
 	s.mu.Lock()
 	s.seq = seq
 	g.end += size
-	s.total += size
+	s.diskBytes += size
 	g.minSeq = min(g.minSeq, seq-uint64(len(items))+1)
 	for _, it := range items {
-		s.put(it)
+		s.updateIndex(it)
 	}
 	s.mu.Unlock()
-	s.dirty = !durable
-	s.logged += size
+	s.unsynced = !durable
+	s.bytesSinceCheckpoint += size
 	s.Stats.Batches.Add(int64(len(group)))
 	s.Stats.Bytes.Add(size)
-	if s.logged > max(4*s.opt.Segment, s.checkBytes) && !s.opt.Manual {
-		s.poked()
+	if s.bytesSinceCheckpoint > max(4*s.opt.Segment, s.checkpointBytes) && !s.opt.Manual {
+		s.wakeMaintenance()
 	}
 	return nil
 }
 
 // cut takes back what a failed write may have left behind the end of a segment.
-func (s *Store) cut(g *segment, _ error) {
+func (s *Store) truncateFailedWrite(g *segment, _ error) {
 	if err := g.file.Truncate(g.end); err != nil {
-		s.doubts = append(s.doubts, doubt{g.id, g.end})
-		s.leave(g)
+		s.voidRanges = append(s.voidRanges, voidRange{g.id, g.end})
+		s.seal(g)
 	}
 }
 
 // sync syncs a segment and counts the time that took.
-func (s *Store) sync(g *segment) error {
+func (s *Store) syncSegment(g *segment) error {
 	began := time.Now()
 	err := g.file.Sync()
 	s.Stats.Syncs.Add(1)
@@ -247,83 +247,83 @@
 
 // settle syncs what was acknowledged as Soon. If that fails the segment is given
 // up, and what was acknowledged in it is written again to a new one.
-func (s *Store) settle() error {
+func (s *Store) syncActive() error {
 	g := s.active
-	if g == nil || g.synced == g.end {
-		s.dirty = false
-		if len(s.doubts) > 0 {
-			return s.ensure()
+	if g == nil || g.syncedEnd == g.end {
+		s.unsynced = false
+		if len(s.voidRanges) > 0 {
+			return s.ensureActive()
 		}
 		return nil
 	}
-	if err := s.sync(g); err != nil {
-		s.giveUp(g)
-		if err := s.ensure(); err != nil {
-			return full(err)
+	if err := s.syncSegment(g); err != nil {
+		s.abandonSegment(g)
+		if err := s.ensureActive(); err != nil {
+			return wrapDiskFull(err)
 		}
-		return s.settle()
+		return s.syncActive()
 	}
-	g.synced, s.dirty = g.end, false
+	g.syncedEnd, s.unsynced = g.end, false
 	return nil
 }
 
 // giveUp leaves a segment whose sync failed: nobody knows what the disk holds of
 // the bytes since the last one. The next segment says that they never counted,
 // and holds what was acknowledged of them anew.
-func (s *Store) giveUp(g *segment) {
+func (s *Store) abandonSegment(g *segment) {
 	s.Stats.GivenUp.Add(1)
-	s.doubts = append(s.doubts, doubt{g.id, g.synced})
-	s.dirty = true // until it stands elsewhere
-	s.leave(g)
+	s.voidRanges = append(s.voidRanges, voidRange{g.id, g.syncedEnd})
+	s.unsynced = true // until it stands elsewhere
+	s.seal(g)
 }
 
 // leave makes a segment one that nothing is appended to.
-func (s *Store) leave(g *segment) {
+func (s *Store) seal(g *segment) {
 	s.mu.Lock()
 	g.sealed = true
 	s.mu.Unlock()
-	s.last, s.active = g, nil
+	s.previous, s.active = g, nil
 }
 
 // rotate leaves the active segment, all of it synced, for a new one.
 func (s *Store) rotate() error {
-	if err := s.settle(); err != nil {
+	if err := s.syncActive(); err != nil {
 		return err
 	}
 	if g := s.active; g != nil {
-		s.leave(g)
+		s.seal(g)
 	}
 	if !s.opt.Manual {
-		s.poked()
+		s.wakeMaintenance()
 	}
 	return nil
 }
 
 // ensure opens a new segment if there is none to append to, and settles the
 // doubts about older ones in it before anything else.
-func (s *Store) ensure() error {
+func (s *Store) ensureActive() error {
 	if s.active != nil {
 		return nil
 	}
-	h := header{salt: s.opt.Salt()}
-	if s.last != nil {
-		h.prev, h.prevEnd = s.last.id, uint64(s.last.end)
-		for _, d := range s.doubts {
-			if d.seg == s.last.id {
-				h.prevEnd = uint64(min(int64(h.prevEnd), d.from))
+	newHeader := header{salt: s.opt.Salt()}
+	if s.previous != nil {
+		newHeader.prev, newHeader.prevEnd = s.previous.id, uint64(s.previous.end)
+		for _, d := range s.voidRanges {
+			if d.segmentID == s.previous.id {
+				newHeader.prevEnd = uint64(min(int64(newHeader.prevEnd), d.from))
 			}
 		}
 	}
-	g, err := s.create(&h)
+	g, err := s.createSegment(&newHeader)
 	if err != nil {
 		return fmt.Errorf("new segment: %w", err)
 	}
-	moved, buf := s.again(g)
+	relocated, buf := s.encodeVoided(g)
 	if len(buf) > 0 {
 		_, err = g.file.WriteAt(buf, g.end)
 	}
 	if err == nil {
-		err = s.sync(g)
+		err = s.syncSegment(g)
 	}
 	if err == nil {
 		err = s.fs.SyncDir(s.dir)
@@ -334,33 +334,33 @@
 		return fmt.Errorf("new segment %s: %w", g.name, err)
 	}
 	g.end += int64(len(buf))
-	g.synced = g.end
+	g.syncedEnd = g.end
 	s.mu.Lock()
-	s.segs[uint32(g.id)] = g
-	s.total += g.end
-	for _, m := range moved {
-		if now, ok := s.index.Get(m); ok && now.seq == m.seq && now.seg != m.seg {
-			s.count(&now, -1)
-			m.stale = now.stale // the copy left behind never counted
+	s.segments[uint32(g.id)] = g
+	s.diskBytes += g.end
+	for _, m := range relocated {
+		if current, ok := s.index.Get(m); ok && current.seq == m.seq && current.segmentID != m.segmentID {
+			s.addLiveBytes(&current, -1)
+			m.staleRecords = current.staleRecords // the copy left behind never counted
 			s.index.ReplaceOrInsert(m)
-			s.count(&m, 1)
+			s.addLiveBytes(&m, 1)
 			g.minSeq = min(g.minSeq, m.seq)
 		}
 	}
-	for _, d := range s.doubts {
-		if old := s.segs[uint32(d.seg)]; old != nil {
+	for _, d := range s.voidRanges {
+		if old := s.segments[uint32(d.segmentID)]; old != nil {
 			_ = old.file.Truncate(d.from) // the void record says it, should this fail
-			s.total -= old.end - d.from
+			s.diskBytes -= old.end - d.from
 			old.end = d.from
 		}
 	}
 	s.mu.Unlock()
-	s.active, s.doubts, s.dirty = g, nil, false
+	s.active, s.voidRanges, s.unsynced = g, nil, false
 	return nil
 }
 
 // create makes a segment file with its header; nothing is synced yet.
-func (s *Store) create(h *header) (*segment, error) {
+func (s *Store) createSegment(h *header) (*segment, error) {
 	s.mu.Lock()
 	s.nextID++
 	h.id = s.nextID
@@ -382,61 +382,61 @@
 
 // again encodes, for the segment g, the void records of all doubts and the
 // acknowledged entries that stand in doubtful bytes.
-func (s *Store) again(g *segment) (moved []item, buf []byte) {
-	for _, d := range s.doubts {
-		buf = appendVoid(buf, g.salt, g.end+int64(len(buf)), d.seg, d.from)
+func (s *Store) encodeVoided(g *segment) (relocated []item, buf []byte) {
+	for _, d := range s.voidRanges {
+		buf = appendVoid(buf, g.salt, g.end+int64(len(buf)), d.segmentID, d.from)
 		s.mu.RLock()
 		var items []item
 		s.index.Ascend(func(it item) bool {
-			if uint64(it.seg) == d.seg && int64(it.off) >= d.from {
+			if uint64(it.segmentID) == d.segmentID && int64(it.offset) >= d.from {
 				items = append(items, it)
 			}
 			return true
 		})
-		old := s.segs[uint32(d.seg)]
+		old := s.segments[uint32(d.segmentID)]
 		s.mu.RUnlock()
 		for _, it := range items {
-			o := op{key: it.key, expiry: it.expiry, seq: it.seq, delete: it.gone()}
+			o := op{key: it.key, expiry: it.expiry, seq: it.seq, delete: it.deleted()}
 			if !o.delete {
 				var err error
 				if o.value, err = s.read(old, it); err != nil {
 					continue // it can't be read where it is: nothing better is to be had
 				}
 			}
-			buf = appendRecord(buf, g.salt, g.end+int64(len(buf)), 0, []op{o}, func(_ int, off, over int64) {
-				it.off, it.meta = uint32(off), newMeta(&o, over)
+			buf = appendRecord(buf, g.salt, g.end+int64(len(buf)), 0, []op{o}, func(_ int, off, overhead int64) {
+				it.offset, it.meta = uint32(off), packMeta(&o, overhead)
 			})
-			it.seg = uint32(g.id)
-			moved = append(moved, it)
+			it.segmentID = uint32(g.id)
+			relocated = append(relocated, it)
 		}
 	}
-	return moved, buf
+	return relocated, buf
 }
 
 // room waits for compaction while the disk's bound would be passed.
-func (s *Store) room(group []*pending) {
+func (s *Store) waitForSpace(group []*pendingWrite) {
 	if s.opt.Manual {
 		return
 	}
 	size := int64(0)
 	for _, p := range group {
-		size += p.size + recordHead
+		size += p.size + recordHeaderSize
 	}
 	for range 8 {
 		s.mu.RLock()
-		over := s.total+size > 2*(s.live+size)+s.opt.Segment
+		over := s.diskBytes+size > 2*(s.liveBytes+size)+s.opt.Segment
 		s.mu.RUnlock()
-		if !over || s.failing.Load() { // a full disk must not hold up writes: they fail, or still fit
+		if !over || s.compactionFailing.Load() { // a full disk must not hold up writes: they fail, or still fit
 			return
 		}
-		if s.active != nil && s.active.end-s.active.live > s.opt.unit()/2 {
+		if s.active != nil && s.active.end-s.active.liveBytes > s.opt.segmentSize()/2 {
 			if err := s.rotate(); err != nil {
 				return // the write that follows meets the same
 			}
 		}
-		s.poked()
+		s.wakeMaintenance()
 		select {
-		case <-s.passed:
+		case <-s.passDone:
 		case <-time.After(250 * time.Millisecond):
 			return
 		}
@@ -444,8 +444,8 @@
 }
 
 // finish ends the writer: everything acknowledged is synced.
-func (s *Store) finish() {
-	_ = s.settle() // Close syncs again and tells
+func (s *Store) syncBeforeExit() {
+	_ = s.syncActive() // Close syncs again and tells
 }
 
 // Close syncs, leaves a checkpoint, and closes. Writes that wait are done first.
@@ -458,23 +458,23 @@
 		}
 	}
 	s.queueMu.Lock()
-	was := s.closed
+	alreadyClosed := s.closed
 	s.closed = true
 	s.queueMu.Unlock()
-	if was {
+	if alreadyClosed {
 		return ErrClosed
 	}
-	if s.stop != nil {
-		s.stop()
+	if s.cancel != nil {
+		s.cancel()
 	}
 	select {
-	case s.poke <- struct{}{}:
+	case s.writerWake <- struct{}{}:
 	default:
 	}
-	s.done.Wait()
+	s.background.Wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, g := range s.segs {
+	for _, g := range s.segments {
 		g.release()
 	}
 	if s.lock != nil {
