--- /dev/null
+++ b/internal/store/batch.go
@@ -0,0 +1,40 @@
+package store
+
+import (
+	"fmt"
+)
+
+// Batch is a set of changes that take effect together. The zero value is empty.
+type Batch struct {
+	ops  []op
+	size int
+}
+
+// Put sets a key; expiry is Unix milliseconds, 0 = never. The value must not
+// change until the batch was applied.
+func (b *Batch) Put(key string, value []byte, expiry int64) {
+	b.add(op{key: key, value: value, expiry: expiry})
+}
+
+// Delete removes a key.
+func (b *Batch) Delete(key string) { b.add(op{key: key, delete: true}) }
+
+func (b *Batch) add(o op) {
+	b.ops = append(b.ops, o)
+	b.size += o.size()
+}
+
+// Len is the number of changes.
+func (b *Batch) Len() int { return len(b.ops) }
+
+func (b *Batch) check() error {
+	if b.size > MaxBatch {
+		return fmt.Errorf("batch of %d bytes: %w", b.size, ErrTooLarge)
+	}
+	for i := range b.ops {
+		if o := &b.ops[i]; len(o.key) > MaxKey || len(o.value) > MaxValue {
+			return fmt.Errorf("key of %d bytes with a value of %d: %w", len(o.key), len(o.value), ErrTooLarge)
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/store/rotate.go
@@ -0,0 +1,181 @@
+package store
+
+import (
+	"fmt"
+
+	"robinmast/internal/store/vfs"
+)
+
+// doubt says that a segment's bytes from an offset on never counted.
+type voidRange struct {
+	segmentID uint64
+	from      int64
+}
+
+// settle syncs what was acknowledged as Soon. If that fails the segment is given
+// up, and what was acknowledged in it is written again to a new one.
+func (s *Store) syncActive() error {
+	g := s.active
+	if g == nil || g.syncedEnd == g.end {
+		s.unsynced = false
+		if len(s.voidRanges) > 0 {
+			return s.ensureActive()
+		}
+		return nil
+	}
+	if err := s.syncSegment(g); err != nil {
+		s.abandonSegment(g)
+		if err := s.ensureActive(); err != nil {
+			return wrapDiskFull(err)
+		}
+		return s.syncActive()
+	}
+	g.syncedEnd, s.unsynced = g.end, false
+	return nil
+}
+
+// giveUp leaves a segment whose sync failed: nobody knows what the disk holds of
+// the bytes since the last one. The next segment says that they never counted,
+// and holds what was acknowledged of them anew.
+func (s *Store) abandonSegment(g *segment) {
+	s.Stats.GivenUp.Add(1)
+	s.voidRanges = append(s.voidRanges, voidRange{g.id, g.syncedEnd})
+	s.unsynced = true // until it stands elsewhere
+	s.seal(g)
+}
+
+// leave makes a segment one that nothing is appended to.
+func (s *Store) seal(g *segment) {
+	s.mu.Lock()
+	g.sealed = true
+	s.mu.Unlock()
+	s.previous, s.active = g, nil
+}
+
+// rotate leaves the active segment, all of it synced, for a new one.
+func (s *Store) rotate() error {
+	if err := s.syncActive(); err != nil {
+		return err
+	}
+	if g := s.active; g != nil {
+		s.seal(g)
+	}
+	if !s.opt.Manual {
+		s.wakeMaintenance()
+	}
+	return nil
+}
+
+// ensure opens a new segment if there is none to append to, and settles the
+// doubts about older ones in it before anything else.
+func (s *Store) ensureActive() error {
+	if s.active != nil {
+		return nil
+	}
+	newHeader := header{salt: s.opt.Salt()}
+	if s.previous != nil {
+		newHeader.prev, newHeader.prevEnd = s.previous.id, uint64(s.previous.end)
+		for _, d := range s.voidRanges {
+			if d.segmentID == s.previous.id {
+				newHeader.prevEnd = uint64(min(int64(newHeader.prevEnd), d.from))
+			}
+		}
+	}
+	g, err := s.createSegment(&newHeader)
+	if err != nil {
+		return fmt.Errorf("new segment: %w", err)
+	}
+	relocated, buf := s.encodeVoided(g)
+	if len(buf) > 0 {
+		_, err = g.file.WriteAt(buf, g.end)
+	}
+	if err == nil {
+		err = s.syncSegment(g)
+	}
+	if err == nil {
+		err = s.fs.SyncDir(s.dir)
+	}
+	if err != nil {
+		_ = g.file.Close()
+		_ = s.fs.Remove(vfs.Join(s.dir, g.name)) // an empty or unsynced one left behind is told apart when opened
+		return fmt.Errorf("new segment %s: %w", g.name, err)
+	}
+	g.end += int64(len(buf))
+	g.syncedEnd = g.end
+	s.mu.Lock()
+	s.segments[uint32(g.id)] = g
+	s.diskBytes += g.end
+	for _, m := range relocated {
+		if current, ok := s.index.Get(m); ok && current.seq == m.seq && current.segmentID != m.segmentID {
+			s.addLiveBytes(&current, -1)
+			m.staleRecords = current.staleRecords // the copy left behind never counted
+			s.index.ReplaceOrInsert(m)
+			s.addLiveBytes(&m, 1)
+			g.minSeq = min(g.minSeq, m.seq)
+		}
+	}
+	for _, d := range s.voidRanges {
+		if old := s.segments[uint32(d.segmentID)]; old != nil {
+			_ = old.file.Truncate(d.from) // the void record says it, should this fail
+			s.diskBytes -= old.end - d.from
+			old.end = d.from
+		}
+	}
+	s.mu.Unlock()
+	s.active, s.voidRanges, s.unsynced = g, nil, false
+	return nil
+}
+
+// create makes a segment file with its header; nothing is synced yet.
+func (s *Store) createSegment(h *header) (*segment, error) {
+	s.mu.Lock()
+	s.nextID++
+	h.id = s.nextID
+	s.mu.Unlock()
+	name := segmentName(h.id, h.salt, segmentSuffix)
+	f, err := s.fs.Create(vfs.Join(s.dir, name))
+	if err != nil {
+		return nil, err
+	}
+	if _, err := f.WriteAt(h.encode(), 0); err != nil {
+		_ = f.Close()
+		_ = s.fs.Remove(vfs.Join(s.dir, name))
+		return nil, err
+	}
+	g := &segment{id: h.id, salt: h.salt, name: name, file: f, end: headerSize, minSeq: ^uint64(0)}
+	g.refs.Store(1)
+	return g, nil
+}
+
+// again encodes, for the segment g, the void records of all doubts and the
+// acknowledged entries that stand in doubtful bytes.
+func (s *Store) encodeVoided(g *segment) (relocated []item, buf []byte) {
+	for _, d := range s.voidRanges {
+		buf = appendVoid(buf, g.salt, g.end+int64(len(buf)), d.segmentID, d.from)
+		s.mu.RLock()
+		var items []item
+		s.index.Ascend(func(it item) bool {
+			if uint64(it.segmentID) == d.segmentID && int64(it.offset) >= d.from {
+				items = append(items, it)
+			}
+			return true
+		})
+		old := s.segments[uint32(d.segmentID)]
+		s.mu.RUnlock()
+		for _, it := range items {
+			o := op{key: it.key, expiry: it.expiry, seq: it.seq, delete: it.deleted()}
+			if !o.delete {
+				var err error
+				if o.value, err = s.read(old, it); err != nil {
+					continue // it can't be read where it is: nothing better is to be had
+				}
+			}
+			buf = appendRecord(buf, g.salt, g.end+int64(len(buf)), 0, []op{o}, func(_ int, off, overhead int64) {
+				it.offset, it.meta = uint32(off), packMeta(&o, overhead)
+			})
+			it.segmentID = uint32(g.id)
+			relocated = append(relocated, it)
+		}
+	}
+	return relocated, buf
+}
