--- a/internal/store/batch.go
+++ b/internal/store/batch.go
@@ -1,8 +1,6 @@
 package store
 
-import (
-	"fmt"
-)
+import "fmt"
 
 // Batch is a set of changes that take effect together. The zero value is empty.
 type Batch struct {
@@ -10,8 +8,8 @@
 	size int
 }
 
-// Put sets a key; expiry is Unix milliseconds, 0 = never. The value must not
-// change until the batch was applied.
+// Put sets a key; expiry is in Unix milliseconds, 0 = never. The value must not be
+// changed until the batch is applied.
 func (b *Batch) Put(key string, value []byte, expiry int64) {
 	b.add(op{key: key, value: value, expiry: expiry})
 }
@@ -24,9 +22,10 @@
 	b.size += o.size()
 }
 
-// Len is the number of changes.
+// Len returns the number of changes.
 func (b *Batch) Len() int { return len(b.ops) }
 
+// check verifies the limits of the batch, its keys and its values.
 func (b *Batch) check() error {
 	if b.size > MaxBatch {
 		return fmt.Errorf("batch of %d bytes: %w", b.size, ErrTooLarge)
--- a/internal/store/checkpoint.go
+++ b/internal/store/checkpoint.go
@@ -1,7 +1,3 @@
-// This file owns checkpoints: copies of the index that spare reading the whole
-// log. It must never be needed: without a sound checkpoint the log alone tells
-// everything.
-
 package store
 
 import (
@@ -23,12 +19,12 @@
 const (
 	checkpointMagic     = "RMSTCKP\n"
 	checkpointSuffix    = ".ckpt"
-	checkpointBlockSize = 64 << 10
+	checkpointBlockSize = 64 << 10 // bytes of entries after which a block is written
 )
 
 func checkpointName(id uint64) string { return fmt.Sprintf("%016x%s", id, checkpointSuffix) }
 
-// parseCheck reads the name of a checkpoint.
+// parseCheckpointName returns the number of a checkpoint file.
 func parseCheckpointName(name string) (uint64, bool) {
 	base, ok := strings.CutSuffix(name, checkpointSuffix)
 	if !ok || len(base) != 16 {
@@ -38,15 +34,16 @@
 	return id, err == nil
 }
 
-// cover is what a checkpoint holds of a segment.
+// segmentCoverage is the part of a segment that a checkpoint includes.
 type segmentCoverage struct {
 	id, salt uint64
-	end      int64
+	end      int64 // bytes
 	minSeq   uint64
 	sealed   bool
 }
 
-// Checkpoint writes the index to a file, with everything before it synced.
+// Checkpoint syncs all earlier writes and writes the index to a file. Recovery then reads
+// only what follows it; without a valid checkpoint it reads the whole log instead.
 func (s *Store) Checkpoint() error {
 	s.compactMu.Lock()
 	defer s.compactMu.Unlock()
@@ -58,6 +55,7 @@
 	return nil
 }
 
+// checkpointLocked writes a checkpoint and removes older ones; compactMu must be held.
 func (s *Store) checkpointLocked() error {
 	var snapshot *btree.BTreeG[item]
 	var coverage []segmentCoverage
@@ -90,12 +88,12 @@
 	if err := s.fs.SyncDir(s.dir); err != nil {
 		return err
 	}
-	_ = s.runInWriter(func() error { s.checkpointBytes = size; return nil }) // the writer reads it; a closed store needs it no more
+	_ = s.runInWriter(func() error { s.checkpointBytes = size; return nil }) // fails only if the store is closed
 	names, err := s.fs.List(s.dir)
 	if err != nil {
 		return err
 	}
-	for _, old := range names { // older ones were only needed until this one was durable
+	for _, old := range names { // older ones are not needed once this one is durable
 		if id, ok := parseCheckpointName(old); ok && id < s.checkpointID {
 			if err := s.fs.Remove(vfs.Join(s.dir, old)); err != nil {
 				return err
@@ -105,9 +103,11 @@
 	return nil
 }
 
-// writeCheck writes a checkpoint: a header, blocks of entries, and an end block
-// with their number; each with a checksum.
-func (s *Store) writeCheckpoint(name string, snapshot *btree.BTreeG[item], coverage []segmentCoverage, seq uint64) (int64, error) {
+// writeCheckpoint writes a checkpoint file: a header block, blocks of entries and an end
+// block with the number of entries, each with a checksum. It returns the size in bytes.
+func (s *Store) writeCheckpoint(
+	name string, snapshot *btree.BTreeG[item], coverage []segmentCoverage, seq uint64,
+) (int64, error) {
 	f, err := s.fs.Create(name)
 	if errors.Is(err, fs.ErrExist) {
 		if err = s.fs.Remove(name); err == nil {
@@ -151,7 +151,8 @@
 		body = binary.AppendUvarint(body, uint64(len(it.key)))
 		body = append(body, it.key...)
 		body = binary.AppendVarint(body, it.expiry)
-		for _, v := range []uint64{it.seq, uint64(it.segmentID), uint64(it.offset), uint64(it.meta), uint64(it.staleRecords)} {
+		numbers := []uint64{it.seq, uint64(it.segmentID), uint64(it.offset), uint64(it.meta), uint64(it.staleRecords)}
+		for _, v := range numbers {
 			body = binary.AppendUvarint(body, v)
 		}
 		count++
@@ -176,12 +177,14 @@
 	return off, err
 }
 
-// loadCheckpoint fills the index from the newest checkpoint that is sound and
-// fits the segments that are there. It returns up to where each segment is
-// covered, nil if there is no such checkpoint. One of another version is an error. Whatever a
-// checkpoint says was synced of a segment goes to ends.
-func (s *Store) loadCheckpoint(all []segmentFile, names []string, ends map[uint64]int64) (map[uint64]int64, error) {
-	for i := len(names) - 1; i >= 0; i-- { // names sort by number
+// loadCheckpoint loads the index from the newest checkpoint that is intact and matches the
+// segments. It returns the covered size of each segment, or nil if there is no such
+// checkpoint. A checkpoint of another version is an error. The synced sizes of segments
+// that a checkpoint states are added to ends.
+func (s *Store) loadCheckpoint(
+	all []segmentFile, names []string, ends map[uint64]int64,
+) (map[uint64]int64, error) {
+	for i := len(names) - 1; i >= 0; i-- { // names are sorted by number
 		id, ok := parseCheckpointName(names[i])
 		if !ok {
 			continue
@@ -193,7 +196,7 @@
 			return nil, version
 		}
 		if err != nil {
-			continue // the log tells everything
+			continue // an older checkpoint or the log is used
 		}
 		s.index, s.seq = index, seq
 		if f, err := s.fs.Open(vfs.Join(s.dir, names[i]), false); err == nil {
@@ -205,7 +208,11 @@
 	return nil, nil
 }
 
-func (s *Store) readCheckpoint(name string, all []segmentFile, ends map[uint64]int64) (*btree.BTreeG[item], map[uint64]int64, uint64, error) {
+// readCheckpoint reads and verifies a checkpoint file. It returns the index, the covered
+// size of each segment in all, and the sequence number.
+func (s *Store) readCheckpoint(
+	name string, all []segmentFile, ends map[uint64]int64,
+) (*btree.BTreeG[item], map[uint64]int64, uint64, error) {
 	f, err := s.fs.Open(vfs.Join(s.dir, name), false)
 	if err != nil {
 		return nil, nil, 0, err
@@ -249,7 +256,9 @@
 	covered := map[uint64]int64{}
 	recorded := map[uint64]segmentCoverage{}
 	for range min(n, uint64(len(b))) {
-		c := segmentCoverage{id: r.uvarint(), salt: r.uvarint(), end: int64(r.uvarint()), minSeq: r.uvarint(), sealed: r.uvarint() == 1}
+		c := segmentCoverage{
+			id: r.uvarint(), salt: r.uvarint(), end: int64(r.uvarint()), minSeq: r.uvarint(), sealed: r.uvarint() == 1,
+		}
 		recorded[c.id] = c
 	}
 	if r.truncated {
@@ -264,11 +273,11 @@
 			ends[f.id] = max(ends[f.id], c.end)
 		}
 		if c.salt != f.salt || f.size < c.end || !f.headerOK {
-			return nil, nil, 0, fmt.Errorf("%s is not what the checkpoint saw", f.name)
+			return nil, nil, 0, fmt.Errorf("segment %s does not match the checkpoint", f.name)
 		}
 		f.minSeq = c.minSeq
 		covered[f.id] = c.end
-		if c.sealed { // what stands behind its end never counted
+		if c.sealed { // bytes after its end are not valid
 			covered[f.id] = f.size
 		}
 	}
@@ -287,10 +296,13 @@
 			return index, covered, clampSeq(seq), nil
 		}
 		for len(r.b) > 0 && !r.truncated {
-			it := item{key: r.str(), expiry: r.varint(), seq: r.uvarint(), segmentID: uint32(r.uvarint()), offset: uint32(r.uvarint()),
-				meta: uint32(r.uvarint()), staleRecords: uint32(r.uvarint())}
+			it := item{
+				key: r.str(), expiry: r.varint(), seq: r.uvarint(), segmentID: uint32(r.uvarint()),
+				offset: uint32(r.uvarint()), meta: uint32(r.uvarint()), staleRecords: uint32(r.uvarint()),
+			}
 			count++
-			if _, there := covered[uint64(it.segmentID)]; there { // else compaction took its segment, and moved it
+			// A segment that is not covered was removed by compaction, which copied its live records.
+			if _, there := covered[uint64(it.segmentID)]; there {
 				index.ReplaceOrInsert(it)
 			}
 		}
@@ -300,7 +312,8 @@
 	}
 }
 
-// reader reads numbers and texts; bad is set once they end too soon.
+// checkpointDecoder decodes numbers and strings; truncated is set when the bytes end too
+// early or a number is malformed.
 type checkpointDecoder struct {
 	b         []byte
 	truncated bool
--- a/internal/store/compact.go
+++ b/internal/store/compact.go
@@ -1,7 +1,3 @@
-// This file owns compaction and upkeep: which segments are rewritten, when, and
-// at what pace; damaged ones are emptied and set aside. It must never remove a
-// segment before all that counts of it is durable elsewhere.
-
 package store
 
 import (
@@ -16,12 +12,13 @@
 )
 
 const (
-	copyChunkSize   = 256 << 10 // bytes copied at a time
-	mergeThreshold  = 8         // segments under half their size that are put together
-	minGarbageShare = 0.05      // of garbage for which a segment is rewritten
+	copyChunkSize   = 256 << 10 // bytes written at a time
+	mergeThreshold  = 8         // more segments below half of segmentSize than this are merged
+	minGarbageShare = 0.05      // smallest share of garbage for which a segment is rewritten
 )
 
-// Compact rewrites everything that has garbage, and sets damaged segments aside.
+// Compact rewrites all segments with garbage, sets damaged ones aside and writes a
+// checkpoint. A segment is removed only after its live records are durable elsewhere.
 func (s *Store) Compact(ctx context.Context) error {
 	if s.opt.ReadOnly {
 		return ErrReadOnly
@@ -44,14 +41,14 @@
 	return s.Checkpoint()
 }
 
-// victims chooses what one pass rewrites: a damaged segment by itself, else the
-// sealed ones with the largest share of garbage whose live data fit one segment,
-// else small ones to be put together. all asks for any garbage at all.
+// selectVictims selects the segments that one pass rewrites: a damaged segment alone, else
+// the sealed ones with the largest share of garbage whose live data fit into one segment,
+// else small ones to be merged. With anyGarbage, segments with any garbage are selected.
 func (s *Store) selectVictims(anyGarbage bool) []*segment {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	var sealed []*segment
-	garbage, small := int64(0), 0
+	garbageBytes, small := int64(0), 0
 	for _, g := range s.segments {
 		if !g.sealed {
 			continue
@@ -60,7 +57,7 @@
 			return []*segment{g}
 		}
 		sealed = append(sealed, g)
-		garbage += g.end - headerSize - g.liveBytes
+		garbageBytes += g.end - headerSize - g.liveBytes
 		if g.end < s.opt.segmentSize()/2 {
 			small++
 		}
@@ -68,7 +65,9 @@
 	share := func(g *segment) float64 {
 		return float64(g.end-headerSize-g.liveBytes) / float64(max(g.end-headerSize, 1))
 	}
-	slices.SortFunc(sealed, func(a, b *segment) int { return cmp.Or(cmp.Compare(share(b), share(a)), cmp.Compare(a.id, b.id)) })
+	slices.SortFunc(sealed, func(a, b *segment) int {
+		return cmp.Or(cmp.Compare(share(b), share(a)), cmp.Compare(a.id, b.id))
+	})
 	var chosen []*segment
 	live := int64(0)
 	take := func(g *segment) bool {
@@ -80,7 +79,7 @@
 		return true
 	}
 	switch {
-	case anyGarbage || garbage > s.liveBytes/2+s.opt.segmentSize():
+	case anyGarbage || garbageBytes > s.liveBytes/2+s.opt.segmentSize():
 		for _, g := range sealed {
 			if share(g) <= 0 || !anyGarbage && share(g) < minGarbageShare || !take(g) {
 				break
@@ -100,7 +99,7 @@
 	return chosen
 }
 
-// compactOnce does one pass; again reports whether another may be useful.
+// compactOnce does one pass; again reports whether another pass may find work.
 func (s *Store) compactOnce(ctx context.Context, anyGarbage bool) (again bool, err error) {
 	s.compactMu.Lock()
 	defer s.compactMu.Unlock()
@@ -118,17 +117,18 @@
 	return true, nil
 }
 
-// moved is a record that a pass copied, or left out.
+// relocation is a record that a pass copied or dropped.
 type relocation struct {
-	from     item // as the index had it
-	to       item
-	copied   bool
-	staleKey string // key of a record with a value that was left out and did not count
+	from     item   // the index entry before the pass
+	to       item   // the entry of the copy
+	copied   bool   // false = dropped
+	staleKey string // set instead of from: key of a stale record with a value that was dropped
 }
 
-// rewrite copies what counts of the victims into one new segment and removes
-// them. Until the new one is synced under its name nothing else changes, so that
-// a crash or a full disk at any point leaves at worst a file to be removed.
+// rewriteSegments copies the live records of the victims into one new segment and removes
+// the victims, or sets them aside if they are damaged. Nothing else changes before the new
+// segment is synced under its final name, so a crash or a full disk at any point leaves at
+// worst a file to be removed.
 func (s *Store) rewriteSegments(ctx context.Context, victims []*segment) (err error) {
 	newHeader := header{salt: s.opt.Salt()}
 	s.mu.Lock()
@@ -141,7 +141,10 @@
 	if err != nil {
 		return err
 	}
-	target := &segment{id: newHeader.id, salt: newHeader.salt, name: name, file: f, end: headerSize, sealed: true, minSeq: ^uint64(0)}
+	target := &segment{
+		id: newHeader.id, salt: newHeader.salt, name: name, file: f,
+		end: headerSize, sealed: true, minSeq: ^uint64(0),
+	}
 	target.refs.Store(1)
 	renamed := false
 	defer func() {
@@ -172,8 +175,8 @@
 		}
 		renamed = true
 		if err = s.fs.SyncDir(s.dir); err != nil {
-			// Under which name it stands after a cut is not known; both are harmless:
-			// its records are copies of what the victims still hold.
+			// After a power cut the file may have either name. Both are harmless: its
+			// records are copies of records that the victims still hold.
 			_ = f.Close()
 			_ = s.fs.Remove(vfs.Join(s.dir, name))
 			return err
@@ -184,13 +187,13 @@
 	if !hasLive {
 		_ = f.Close()
 		renamed = true
-		_ = s.fs.Remove(temp) // opening removes it, should this fail
+		_ = s.fs.Remove(temp) // on an error, Open removes it
 	}
 	for _, victim := range victims {
 		path := vfs.Join(s.dir, victim.name)
 		if len(victim.faults) > 0 {
-			aside := vfs.Join(s.dir, segmentName(victim.id, victim.salt, damagedSuffix))
-			if err := s.fs.Rename(path, aside); err != nil {
+			setAsidePath := vfs.Join(s.dir, segmentName(victim.id, victim.salt, damagedSuffix))
+			if err := s.fs.Rename(path, setAsidePath); err != nil {
 				return err
 			}
 		} else if err := s.fs.Remove(path); err != nil {
@@ -201,23 +204,26 @@
 	return nil
 }
 
-// copyLive appends what counts of a victim to g.
+// copyLive appends the live records of a victim to the target, and appends what it copied
+// and dropped to the list.
 func (s *Store) copyLive(ctx context.Context, victim, target *segment, list []relocation) ([]relocation, error) {
 	f := segmentFile{segment: victim, headerOK: true, size: victim.end}
 	result, err := s.scanSegment(f, 0)
 	if err != nil {
 		return list, err
 	}
-	if len(result.holes) > 0 { // it was sound when it was left
+	if len(result.holes) > 0 { // none were known when the victim was selected
 		s.mu.Lock()
 		for _, h := range result.holes {
 			if (h.from < result.synced || !victim.torn) && len(victim.faults) < maxFaults {
-				victim.faults = append(victim.faults, Fault{File: victim.name, Offset: h.from, Size: h.to - h.from, Reason: result.reason})
+				victim.faults = append(victim.faults, Fault{
+					File: victim.name, Offset: h.from, Size: h.to - h.from, Reason: result.reason,
+				})
 			}
 		}
 		s.mu.Unlock()
 	}
-	w := &bufferedReader{f: victim.file, size: victim.end}
+	w := &bufferedReader{file: victim.file, size: victim.end}
 	var ops []op
 	var items []relocation
 	size, read := 0, 0
@@ -226,7 +232,7 @@
 			return nil
 		}
 		var buf []byte
-		for i := range ops { // a record each: damage later on costs one
+		for i := range ops { // one record each: later damage then costs a single operation
 			off := target.end + int64(len(buf))
 			buf = appendRecord(buf, target.salt, off, off, ops[i:i+1], func(_ int, off, overhead int64) {
 				items[i].to.offset, items[i].to.meta = uint32(off), packMeta(&ops[i], overhead)
@@ -252,11 +258,11 @@
 			}
 			r, _, ok := decodeRecordHeader(head, victim.salt, off)
 			if !ok {
-				return list, fmt.Errorf("%s changed at %d", victim.name, off)
+				return list, fmt.Errorf("read %s at %d: file changed during compaction", victim.name, off)
 			}
 			b, err := w.at(off, int(r.size))
 			if err != nil || int64(len(b)) < r.size {
-				return list, errors.Join(fmt.Errorf("%s changed at %d", victim.name, off), err)
+				return list, errors.Join(fmt.Errorf("read %s at %d: file changed during compaction", victim.name, off), err)
 			}
 			r.body = b[recordHeaderSize:]
 			off += r.size
@@ -270,16 +276,17 @@
 				s.mu.RUnlock()
 				isCurrent := exists && uint64(current.segmentID) == victim.id && int64(current.offset) == opOffset
 				switch {
-				case !isCurrent && o.delete: // hidden by something newer, or it hid nothing
+				case !isCurrent && o.delete: // a newer record replaced it, or it hid no records
 				case !isCurrent:
 					list = append(list, relocation{staleKey: o.key})
-				case current.deleted() && s.deletionObsolete(current, victim), !current.deleted() && current.deletedOrExpired(s.opt.Now()) && current.staleRecords == 0:
+				case current.deleted() && s.deletionObsolete(current, victim),
+					!current.deleted() && current.deletedOrExpired(s.opt.Now()) && current.staleRecords == 0:
 					list = append(list, relocation{from: current})
 				default:
 					to := current
 					to.segmentID = uint32(target.id)
 					newOp := op{key: current.key, expiry: current.expiry, seq: current.seq, delete: o.delete}
-					if !current.deleted() && current.deletedOrExpired(s.opt.Now()) { // it still hides older records
+					if !current.deleted() && current.deletedOrExpired(s.opt.Now()) { // expired, but it still hides older records
 						newOp.delete, newOp.expiry, to.expiry = true, 0, 0
 					}
 					if !newOp.delete {
@@ -302,7 +309,7 @@
 	for _, it := range s.valuesInHoles(victim, result.holes) {
 		value, err := s.read(victim, it)
 		if err != nil {
-			continue // lost, and noted
+			continue // lost; read recorded the fault
 		}
 		to := it
 		to.segmentID = uint32(target.id)
--- a/internal/store/index.go
+++ b/internal/store/index.go
@@ -1,22 +1,22 @@
 package store
 
-// item is what the index knows of a key: 48 bytes and the key.
+// item is the index entry of a key: 48 bytes and the key itself.
 type item struct {
 	key          string
 	expiry       int64 // Unix milliseconds, 0 = never
 	seq          uint64
 	segmentID    uint32
-	offset       uint32 // of checksum, key and value
-	meta         uint32 // see newMeta
-	staleRecords uint32 // other records of this key with a value on the disk
+	offset       uint32 // in the segment file, of checksum, key and value
+	meta         uint32 // see packMeta
+	staleRecords uint32 // older records of this key, with a value, that are still on the disk
 }
 
-// gone, in place of a value's size, marks a key that was deleted; its item stays
-// while older records of the key are on the disk, which it hides.
+// deletedSize, in place of a value's size, marks a deleted key. Its item stays in the
+// index as long as older records of the key are on the disk: it hides them.
 const deletedSize = 1<<24 - 1
 
-// newMeta packs the size of a value with what its record takes besides key and
-// value: its numbers and checksum, and the head of the batch for the first one.
+// packMeta packs the size of a value (24 bits) with the overhead of its record (8 bits):
+// its numbers and checksum and, for the first operation of a batch, the record header.
 func packMeta(o *op, overhead int64) uint32 {
 	n := uint32(len(o.value))
 	if o.delete {
@@ -27,7 +27,7 @@
 
 func (it *item) deleted() bool { return it.meta&deletedSize == deletedSize }
 
-// size is that of the value.
+// valueSize is the size of the value in bytes.
 func (it *item) valueSize() int {
 	if it.deleted() {
 		return 0
@@ -39,13 +39,13 @@
 	return it.deleted() || it.expiry != 0 && it.expiry <= now
 }
 
-// bytes is the room that the item's record takes.
+// recordSize is the number of bytes that the record of the item takes on the disk.
 func (it *item) recordSize() int64 {
 	return int64(len(it.key)) + int64(it.valueSize()) + int64(it.meta>>24)
 }
 
-// put notes a record in the index; the lock must be held. It returns false if
-// a newer record, or the same one elsewhere, is known already.
+// updateIndex adds a record to the index; the lock must be held. It returns false if the
+// index already has a newer record of the key, or a copy of the same one.
 func (s *Store) updateIndex(newItem item) bool {
 	current, exists := s.index.Get(item{key: newItem.key})
 	if exists && current.seq >= newItem.seq {
@@ -73,7 +73,8 @@
 	return true
 }
 
-// count adds an item's bytes to, or takes them from, what is live.
+// addLiveBytes adds the size of a record to the live bytes of the store and of its
+// segment (sign 1), or subtracts it (sign -1).
 func (s *Store) addLiveBytes(it *item, sign int64) {
 	s.liveBytes += sign * it.recordSize()
 	if g := s.segments[it.segmentID]; g != nil {
@@ -81,8 +82,9 @@
 	}
 }
 
-// sweep takes expired entries out of the index, some at a time, so that all are
-// seen within a minute. One that hides older records stays until those are gone.
+// sweep removes expired entries from the index. Each call visits a part, so that calls
+// once a second cover the index within a minute and hold the lock only for a short time.
+// An expired entry that hides older records stays until those are removed.
 func (s *Store) sweep() {
 	const batchSize = 512
 	now := s.opt.Now()
--- a/internal/store/maintenance.go
+++ b/internal/store/maintenance.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	sweepInterval     = time.Second            // between looks at expired entries
-	initialRetryDelay = 200 * time.Millisecond // after a pass that failed, doubled up to retryMost
+	sweepInterval     = time.Second            // between sweeps of expired entries
+	initialRetryDelay = 200 * time.Millisecond // after a failed pass; doubled up to maxRetryDelay
 	maxRetryDelay     = 30 * time.Second
 )
 
-// poked wakes the upkeep.
+// wakeMaintenance wakes the maintenance goroutine.
 func (s *Store) wakeMaintenance() {
 	select {
 	case s.maintenanceWake <- struct{}{}:
@@ -21,13 +21,16 @@
 	}
 }
 
-// keep is the goroutine of upkeep: sweeps, compaction, checkpoints.
+// runMaintenance is the goroutine that sweeps expired entries, compacts and writes
+// checkpoints.
 func (s *Store) runMaintenance(ctx context.Context) {
 	defer s.background.Done()
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	retryDelay, retryAt := initialRetryDelay, time.Time{}
-	startAt := time.Time{} // many stores on one disk that open together do not work on it together
+	// Stores on one disk that are opened together should not compact together, unless disk use
+	// is over its bound.
+	startAt := time.Time{}
 	if s.opt.Spread > 0 {
 		startAt = time.Now().Add(time.Duration(s.opt.Salt() % uint64(s.opt.Spread)))
 	}
@@ -59,22 +62,25 @@
 		default:
 		}
 		due := false
-		_ = s.runInWriter(func() error { due = s.bytesSinceCheckpoint > max(4*s.opt.Segment, s.checkpointBytes); return nil })
+		_ = s.runInWriter(func() error {
+			due = s.bytesSinceCheckpoint > max(4*s.opt.Segment, s.checkpointBytes)
+			return nil
+		})
 		if due && ctx.Err() == nil {
-			_ = s.Checkpoint() // counted; the log tells everything without it
+			_ = s.Checkpoint() // a failure is counted; the log is complete without a checkpoint
 		}
 	}
 }
 
-// overBound reports whether the disk holds more than it should.
+// overDiskBound reports whether the segments exceed the bound of disk use.
 func (s *Store) overDiskBound() bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.diskBytes > 2*s.liveBytes+s.opt.Segment
 }
 
-// pace waits as long as n more bytes need at the allowed rate, unless the disk's
-// bound is near: then foreground work is what waits.
+// throttle waits as long as n more bytes take at Options.CompactionRate, unless disk use is
+// close to its bound: writers would have to wait for the compaction then.
 func (s *Store) throttle(ctx context.Context, n int) error {
 	if s.limiter.Limit() == rate.Inf || s.opt.Manual {
 		return ctx.Err()
--- a/internal/store/open.go
+++ b/internal/store/open.go
@@ -1,7 +1,3 @@
-// This file owns opening: what the files hold is told apart into what counts, a
-// torn tail, damage, and files of another version. It must never drop a record
-// that was acknowledged and can be read, and never delete what is damaged.
-
 package store
 
 import (
@@ -24,18 +20,19 @@
 const (
 	tempSuffix = ".tmp"
 	lockName   = "LOCK"
-	treeDegree = 48
+	treeDegree = 48 // of the index
 )
 
-// Fault is one thing wrong with a file.
+// Fault describes unreadable bytes of a file.
 type Fault struct {
 	File   string `json:"file"`
-	Offset int64  `json:"offset"`
-	Size   int64  `json:"size"` // bytes that can't be read as records
+	Offset int64  `json:"offset"` // bytes
+	Size   int64  `json:"size"`   // bytes that can't be read as records
 	Reason string `json:"reason"`
-	Torn   bool   `json:"torn"` // the end of a write that was never acknowledged: no loss
+	Torn   bool   `json:"torn"` // the remains of a write that was never acknowledged: nothing is lost
 }
 
+// String returns the file, the place, the size and the reason.
 func (f Fault) String() string {
 	return fmt.Sprintf("%s: offset %d: %d bytes: %s", f.File, f.Offset, f.Size, f.Reason)
 }
@@ -44,28 +41,30 @@
 	return cmp.Or(strings.Compare(f.File, g.File), cmp.Compare(f.Offset, g.Offset))
 }
 
-// Recovery tells what opening found.
+// Recovery describes what Open found.
 type Recovery struct {
-	Entries    int           // keys that count and have not expired
-	Expired    int           // keys that have
-	Segments   int           //
+	Entries    int           // keys that have not expired
+	Expired    int           // keys that have expired
+	Segments   int           // segment files in use
 	Read       int64         // bytes of segments that were read
-	Checkpoint bool          // a checkpoint spared the rest
-	Torn       []Fault       // ends of writes that were never acknowledged, cut
-	Damaged    []Fault       // bytes that can't be read; all other records are served
-	InDoubt    int           // entries whose newest record may be among them: an older value is served
-	Took       time.Duration //
+	Checkpoint bool          // a checkpoint was used, and only what followed it was read
+	Torn       []Fault       // remains of writes that were never acknowledged; they are truncated
+	Damaged    []Fault       // unreadable bytes; all other records are served
+	InDoubt    int           // entries whose newest record may be among Damaged: an older value is served
+	Took       time.Duration // duration of Open
 }
 
-// Open opens the store in a folder, and makes it if it is missing. The errors
-// are vfs.ErrLocked, a *VersionError, or what the disk said.
+// Open opens the store in a directory, and creates it if it does not exist. It never drops
+// an acknowledged record that can be read, and never deletes damaged data. The error is
+// vfs.ErrLocked, a *VersionError, or that of the file system.
 func Open(dir string, opt Options) (*Store, Recovery, error) {
 	began := time.Now()
 	opt = opt.withDefaults()
 	s := &Store{
 		dir: strings.TrimSuffix(dir, "/"), opt: opt, fs: opt.FS,
-		index:    btree.NewG(treeDegree, func(a, b item) bool { return a.key < b.key }),
-		segments: map[uint32]*segment{}, writerWake: make(chan struct{}, 1), maintenanceWake: make(chan struct{}, 1), passDone: make(chan struct{}, 1),
+		index:      btree.NewG(treeDegree, func(a, b item) bool { return a.key < b.key }),
+		segments:   map[uint32]*segment{},
+		writerWake: make(chan struct{}, 1), maintenanceWake: make(chan struct{}, 1), passDone: make(chan struct{}, 1),
 		limiter: rate.NewLimiter(rate.Inf, copyChunkSize),
 	}
 	if opt.CompactionRate > 0 {
@@ -104,17 +103,17 @@
 	return s, rec, nil
 }
 
-// found is a segment file at opening.
+// segmentFile is a segment file as found at opening.
 type segmentFile struct {
 	*segment
 	header   header
-	headerOK bool
-	size     int64
-	packed   bool // made by compaction
-	newest   bool // no segment that grew record by record is younger
+	headerOK bool  // the header is intact and matches the file name
+	size     int64 // bytes
+	packed   bool  // written by compaction
+	newest   bool  // the last one that was appended to
 }
 
-// recover reads the folder into the index.
+// recoverIndex builds the index from the files of the directory.
 func (s *Store) recoverIndex() (rec Recovery, err error) {
 	names, err := s.fs.List(s.dir)
 	if err != nil {
@@ -144,9 +143,9 @@
 		}
 		g := &segment{id: id, salt: salt, name: name, file: f, sealed: true, minSeq: ^uint64(0)}
 		g.refs.Store(1)
-		if was := s.segments[uint32(id)]; was != nil {
+		if other := s.segments[uint32(id)]; other != nil {
 			_ = f.Close()
-			return rec, fmt.Errorf("%s and %s have one number", was.name, name)
+			return rec, fmt.Errorf("segments %s and %s have the same number", other.name, name)
 		}
 		s.segments[uint32(id)] = g
 		s.nextID = max(s.nextID, id)
@@ -165,7 +164,9 @@
 			version.File = name
 			return rec, version
 		}
-		all = append(all, segmentFile{segment: g, header: h, headerOK: err == nil && h.id == id && h.salt == salt, size: size, packed: packed})
+		all = append(all, segmentFile{
+			segment: g, header: h, headerOK: err == nil && h.id == id && h.salt == salt, size: size, packed: packed,
+		})
 	}
 	slices.SortFunc(all, func(a, b segmentFile) int { return cmp.Compare(a.id, b.id) })
 	for i := len(all) - 1; i >= 0; i-- {
@@ -174,14 +175,14 @@
 			break
 		}
 	}
-	ends := map[uint64]int64{} // what later headers and checkpoints say was synced of earlier segments
+	ends := map[uint64]int64{} // synced size of segments, according to later headers and checkpoints
 	for _, f := range all {
 		if f.headerOK && f.header.prev != 0 {
 			ends[f.header.prev] = int64(f.header.prevEnd)
 		}
 	}
 	var covered map[uint64]int64
-	if s.opt.ignoreCheckpoint { // only what it says of the segments counts
+	if s.opt.ignoreCheckpoint { // only the synced sizes that it records are used
 		covered, err := s.loadCheckpoint(all, names, ends)
 		if err != nil {
 			return rec, err
@@ -196,7 +197,8 @@
 		}
 	}
 	rec.Checkpoint = covered != nil
-	// Void records may stand in any later segment: they are looked for first.
+	// A void record may be in any later segment, so all segments are scanned before any
+	// is replayed.
 	scans := make([]*scanResult, len(all))
 	voids := map[uint64]int64{}
 	for i, f := range all {
@@ -204,13 +206,13 @@
 		if c, ok := covered[f.id]; ok {
 			from = c
 		}
-		sc, err := s.scanSegment(f, from)
+		result, err := s.scanSegment(f, from)
 		if err != nil {
 			return rec, err
 		}
-		scans[i] = sc
-		for seg, from := range sc.voids {
-			if was, ok := voids[seg]; !ok || from < was {
+		scans[i] = result
+		for seg, from := range result.voids {
+			if other, ok := voids[seg]; !ok || from < other {
 				voids[seg] = from
 			}
 		}
@@ -226,8 +228,8 @@
 	return rec, s.syncNewest(all)
 }
 
-// holed notes that the end of a segment, or any part of one that compaction made, is
-// missing: what stood there is older than whatever grew later.
+// noteMissingEnd records that the end of a segment, or any part of a segment written by
+// compaction, is missing. What it held is older than all that was appended to later segments.
 func (s *Store) noteMissingEnd(g *segment) {
 	if s.missingEnds == nil {
 		s.missingEnds = map[uint64]bool{}
@@ -235,8 +237,8 @@
 	s.missingEnds[g.id] = true
 }
 
-// settleDoubt works out up to which sequence number an entry's newest record may be
-// among what can't be read: records are numbered in the order of their segments, and
+// computeUncertainty determines the sequence number below which the newest record of an
+// entry may be unreadable. Records are numbered in the order of their segments, and
 // compaction keeps their numbers.
 func (s *Store) computeUncertainty(rec *Recovery) {
 	for id := range s.missingEnds {
@@ -260,9 +262,8 @@
 	})
 }
 
-// settleLast makes what was read of the newest segment durable before anything
-// builds on it: after a crash of the process alone, its end may be only in the
-// system's memory.
+// syncNewest syncs the newest segment before anything is written that depends on it: after
+// a crash of the process, its end may be only in the page cache.
 func (s *Store) syncNewest(all []segmentFile) error {
 	if s.opt.ReadOnly {
 		return nil
--- a/internal/store/read.go
+++ b/internal/store/read.go
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-// Get reads a value. The error is ErrNotFound, ErrDamaged or what the disk said.
+// Get reads a value. The error is ErrNotFound, or ErrDamaged with its cause.
 func (s *Store) Get(key string) ([]byte, error) {
 	v, _, err := s.GetExpiry(key)
 	return v, err
 }
 
-// GetExpiry is Get and the value's expiry.
+// GetExpiry is like Get, and also returns the expiry: Unix milliseconds, 0 = never.
 func (s *Store) GetExpiry(key string) ([]byte, int64, error) {
 	s.mu.RLock()
 	it, ok := s.index.Get(item{key: key})
@@ -28,9 +28,9 @@
 	return v, it.expiry, err
 }
 
-// InDoubt reports whether a key's newest record may be among what could not be read
-// at opening, so that Get gives an older value, or none where there was one. A write
-// of the key ends it.
+// InDoubt reports whether the newest record of a key may be among the bytes that could
+// not be read at opening. Get may then return an older value, or ErrNotFound although
+// there was a value. A write of the key ends this state.
 func (s *Store) InDoubt(key string) bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -41,7 +41,7 @@
 	return !ok || it.seq < s.uncertainBefore
 }
 
-// read reads an item's value and checks it.
+// read reads the value of an item and verifies its checksum.
 func (s *Store) read(g *segment, it item) ([]byte, error) {
 	buf := make([]byte, 4+len(it.key)+it.valueSize())
 	if _, err := g.file.ReadAt(buf, int64(it.offset)); err != nil {
@@ -49,41 +49,46 @@
 		return nil, fmt.Errorf("read %s at %d: %w", g.name, it.offset, errors.Join(ErrDamaged, err))
 	}
 	key, value := buf[4:4+len(it.key)], buf[4+len(it.key):]
-	if string(key) != it.key || opChecksum(it.key, value) != uint32(buf[0])|uint32(buf[1])<<8|uint32(buf[2])<<16|uint32(buf[3])<<24 {
+	if string(key) != it.key ||
+		opChecksum(it.key, value) != uint32(buf[0])|uint32(buf[1])<<8|uint32(buf[2])<<16|uint32(buf[3])<<24 {
 		s.recordDamage(g, it, "checksum differs")
 		return nil, fmt.Errorf("read %s at %d: %w", g.name, it.offset, ErrDamaged)
 	}
 	return value, nil
 }
 
-// mostFaults bounds what is noted of one segment; it is set aside by the first.
+// maxFaults bounds the faults that are recorded for one segment. The first one already
+// has the segment set aside.
 const maxFaults = 16
 
-// damaged notes a value that can't be read, and has its segment set aside.
-func (s *Store) recordDamage(g *segment, it item, why string) {
+// recordDamage records that a value can't be read, and wakes the maintenance, which
+// sets the segment aside.
+func (s *Store) recordDamage(g *segment, it item, reason string) {
 	s.Stats.Damaged.Add(1)
 	s.mu.Lock()
 	known := slices.ContainsFunc(g.faults, func(f Fault) bool { return f.Offset == int64(it.offset) })
 	if !known && len(g.faults) < maxFaults {
-		g.faults = append(g.faults, Fault{File: g.name, Offset: int64(it.offset), Size: int64(4 + len(it.key) + it.valueSize()), Reason: why})
+		g.faults = append(g.faults, Fault{
+			File: g.name, Offset: int64(it.offset), Size: int64(4 + len(it.key) + it.valueSize()), Reason: reason,
+		})
 	}
 	s.mu.Unlock()
 	s.wakeMaintenance()
 }
 
-// Entry is one key with its value.
+// Entry is a key with its value.
 type Entry struct {
 	Key    string
 	Value  []byte
-	Expiry int64
-	Doubt  bool // its newest record may be one that can't be read: this may be an older value
+	Expiry int64 // Unix milliseconds, 0 = never
+	Doubt  bool  // the newest record may be unreadable, and this value an older one: see InDoubt
 }
 
-// Scan calls f for every key that begins with prefix, in order, as of now. An
-// error of f ends it; a damaged value is passed to f with a nil Value and the
-// error by damaged, if set, else ends the scan.
+// Scan calls f for every key that begins with prefix, in order of the keys, on a snapshot
+// of the store. An error of f ends the scan and is returned. A key whose value is damaged
+// is passed, with the error, to damaged instead of f; without damaged its error ends the scan.
 func (s *Store) Scan(prefix string, damaged func(key string, err error), f func(Entry) error) error {
-	s.mu.Lock() // a clone marks both trees as shared
+	s.mu.Lock() // not RLock: cloning marks both trees as shared
 	snapshot := s.index.Clone()
 	pinned := make([]*segment, 0, len(s.segments))
 	byID := make(map[uint32]*segment, len(s.segments))
@@ -122,8 +127,8 @@
 	return err
 }
 
-// Len is the number of keys in the index, those that expired but were not yet
-// swept included.
+// Len returns the number of keys in the index, including those that expired but are not
+// swept yet.
 func (s *Store) Len() int {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -1,6 +1,3 @@
-// This file owns the form of records and of segment headers in bytes. It must
-// never read or write a file. docs/store.md describes the same form in words.
-
 package store
 
 import (
@@ -13,14 +10,15 @@
 	"strings"
 )
 
-// Version is the version of the format, in every file's header.
+// Version is the version of the format, stored in the header of every file. docs/store.md
+// describes the format.
 const Version = 1
 
-// Bounds of what is stored.
+// Limits of what is stored.
 const (
-	MaxKey   = 64 << 10 // bytes
-	MaxValue = 16<<20 - 2
-	MaxBatch = 32 << 20 // of all keys and values of a batch
+	MaxKey   = 64 << 10   // bytes
+	MaxValue = 16<<20 - 2 // bytes
+	MaxBatch = 32 << 20   // bytes of all keys and values of a batch, with opOverhead for each
 )
 
 const (
@@ -28,43 +26,42 @@
 	headerSize       = 64
 	recordMagic      = 0xA35C
 	recordHeaderSize = 24
-	maxRecordBody    = MaxBatch + 1<<20 // what a batch may need besides
-	opOverhead       = 16               // bytes an operation usually needs besides key and value
+	maxRecordBody    = MaxBatch + 1<<20 // bytes; more than MaxBatch, for numbers and checksums
+	opOverhead       = 16               // bytes that an operation usually takes besides key and value
 )
 
 // The kinds of records.
 const (
-	recordBatch = 1 // operations that take effect together
-	recordVoid  = 2 // says that the rest of another segment never counted
+	recordBatch = 1 // the operations of one batch
+	recordVoid  = 2 // states that another segment is not valid from an offset on
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 var errTruncated = errors.New("cut short")
 
-// header is the first record of a segment file. The salt stands in the file's
-// name too, so that records can be told from stray bytes without the header.
+// header is the header of a segment file. The file name has the salt too, so that records
+// can be recognized even if the header is damaged.
 type header struct {
 	id, salt uint64
-	prev     uint64 // the segment that was written before, 0 = none
-	prevEnd  uint64 // its size when it was left, all of it synced
-	end      uint64 // size of a segment that compaction made; 0 = it grew record by record
+	prev     uint64 // number of the previous segment, 0 = none
+	prevEnd  uint64 // synced size of the previous segment when it was sealed
+	end      uint64 // size of a segment written by compaction; 0 = the segment was appended to
 }
 
-// The suffixes of segment files: one that grew record by record, one that
-// compaction made and that had its name only once it was whole, and one that was
-// set aside.
+// The suffixes of segment files.
 const (
-	segmentSuffix = ".seg"
-	packSuffix    = ".pack"
-	damagedSuffix = ".damaged"
+	segmentSuffix = ".seg"     // records are appended to it
+	packSuffix    = ".pack"    // written by compaction, and renamed to this name only when complete
+	damagedSuffix = ".damaged" // set aside since it is damaged
 )
 
+// segmentName returns the name of a segment file.
 func segmentName(id, salt uint64, suffix string) string {
 	return fmt.Sprintf("%08x-%016x%s", id, salt, suffix)
 }
 
-// parseName reads the name of a segment file; suffix is what follows the salt.
+// parseName parses the name of a segment file that ends in suffix.
 func parseName(name, suffix string) (id, salt uint64, ok bool) {
 	base, found := strings.CutSuffix(name, suffix)
 	if !found || len(base) != 25 || base[8] != '-' {
@@ -75,6 +72,7 @@
 	return id, salt, err1 == nil && err2 == nil && id > 0
 }
 
+// encode returns the headerSize bytes of the header.
 func (h header) encode() []byte {
 	buf := make([]byte, 0, headerSize)
 	buf = append(buf, segmentMagic...)
@@ -87,13 +85,15 @@
 	return binary.LittleEndian.AppendUint32(buf, crc32.Checksum(buf, castagnoli))
 }
 
-// decodeHeader reads a header. An intact one of another version is a *VersionError.
+// decodeHeader decodes a header. The error for an intact one of another version is a
+// *VersionError.
 func decodeHeader(b []byte) (h header, err error) {
 	if len(b) < headerSize {
 		return h, errTruncated
 	}
 	b = b[:headerSize]
-	if string(b[:8]) != segmentMagic || binary.LittleEndian.Uint32(b[headerSize-4:]) != crc32.Checksum(b[:headerSize-4], castagnoli) {
+	if string(b[:8]) != segmentMagic ||
+		binary.LittleEndian.Uint32(b[headerSize-4:]) != crc32.Checksum(b[:headerSize-4], castagnoli) {
 		return h, errors.New("header damaged")
 	}
 	if v := binary.LittleEndian.Uint32(b[8:]); v != Version {
@@ -112,12 +112,13 @@
 	delete bool
 }
 
+// size is the approximate size of the operation in a record, in bytes.
 func (o *op) size() int { return len(o.key) + len(o.value) + opOverhead }
 
-// appendRecord encodes a batch record that will stand at offset off of the
-// segment with this salt. at tells for each operation where in the file its
-// checksum, key and value stand, and what it takes besides key and value.
-func appendRecord(b []byte, salt uint64, off, synced int64, ops []op, placed func(i int, off, over int64)) []byte {
+// appendRecord appends a batch record for offset off of the segment with this salt. For
+// each operation, placed (if not nil) receives the offset in the file of its checksum, key
+// and value, and its overhead: the bytes that it takes besides key and value.
+func appendRecord(b []byte, salt uint64, off, synced int64, ops []op, placed func(i int, off, overhead int64)) []byte {
 	start := len(b)
 	previousEnd := start
 	b = append(b, make([]byte, recordHeaderSize)...)
@@ -150,12 +151,13 @@
 	return b
 }
 
-// opSum covers one operation's key and value, so that a read needs no more of its batch.
+// opChecksum covers the key and value of one operation, so that it can be read and
+// verified without the rest of its batch.
 func opChecksum(key string, value []byte) uint32 {
 	return crc32.Update(crc32.Update(0, castagnoli, []byte(key)), castagnoli, value)
 }
 
-// appendVoid encodes a record that voids another segment from an offset on.
+// appendVoid appends a record that voids the segment seg from the offset from on.
 func appendVoid(b []byte, salt uint64, off int64, seg uint64, from int64) []byte {
 	start := len(b)
 	b = append(b, make([]byte, recordHeaderSize)...)
@@ -165,10 +167,10 @@
 	return b
 }
 
-// finishRecord fills the head of a record: magic, kind, body size, how much of
-// the segment was synced before it, and the two checksums. That of the head
-// covers salt and offset too: a copy of a record elsewhere, or inside a value,
-// is none.
+// finishRecord fills in the header of an encoded record: magic, kind, body size, synced
+// size of the segment before it, and the checksums of body and header. The header's
+// checksum covers salt and offset too, so that a copy of a record at another place, or
+// inside a value, is not taken for a record.
 func finishRecord(encoded []byte, kind byte, salt uint64, off, synced int64) {
 	binary.LittleEndian.PutUint16(encoded, recordMagic)
 	encoded[2], encoded[3] = kind, 0
@@ -178,6 +180,7 @@
 	binary.LittleEndian.PutUint32(encoded[20:], headerChecksum(encoded, salt, off))
 }
 
+// headerChecksum is the checksum of a record header at this place.
 func headerChecksum(r []byte, salt uint64, off int64) uint32 {
 	var place [16]byte
 	binary.LittleEndian.PutUint64(place[:], salt)
@@ -185,16 +188,17 @@
 	return crc32.Update(crc32.Checksum(place[:], castagnoli), castagnoli, r[:20])
 }
 
-// record is a record as read.
+// record is a decoded record.
 type record struct {
 	kind   byte
-	off    int64
-	size   int64 // with its head
-	synced int64
+	off    int64 // in the segment file
+	size   int64 // bytes, with the header
+	synced int64 // synced size of the segment when it was written
 	body   []byte
 }
 
-// decodeHead reads a record's head; ok is false for anything else.
+// decodeRecordHeader decodes the header of a record at off, and returns the checksum of the
+// body. ok is false if b does not start with a valid header.
 func decodeRecordHeader(b []byte, salt uint64, off int64) (r record, sum uint32, ok bool) {
 	if len(b) < recordHeaderSize || binary.LittleEndian.Uint16(b) != recordMagic {
 		return r, 0, false
@@ -203,11 +207,14 @@
 	if n > maxRecordBody || binary.LittleEndian.Uint32(b[20:]) != headerChecksum(b, salt, off) {
 		return r, 0, false
 	}
-	r = record{kind: b[2], off: off, size: recordHeaderSize + int64(n), synced: int64(binary.LittleEndian.Uint64(b[8:]))}
+	r = record{
+		kind: b[2], off: off, size: recordHeaderSize + int64(n),
+		synced: int64(binary.LittleEndian.Uint64(b[8:])),
+	}
 	return r, binary.LittleEndian.Uint32(b[16:]), true
 }
 
-// decodeRecord reads the record that begins b, which stands at off.
+// decodeRecord decodes the record at the start of b, which is at off in the file.
 func decodeRecord(b []byte, salt uint64, off int64) (record, error) {
 	r, sum, ok := decodeRecordHeader(b, salt, off)
 	if !ok {
@@ -223,7 +230,7 @@
 	return r, nil
 }
 
-// void reads the body of a void record.
+// decodeVoid decodes the body of a void record.
 func (r *record) decodeVoid() (seg uint64, from int64, err error) {
 	if len(r.body) != 16 {
 		return 0, 0, errors.New("void record of a wrong size")
@@ -231,8 +238,9 @@
 	return binary.LittleEndian.Uint64(r.body), int64(binary.LittleEndian.Uint64(r.body[8:])), nil
 }
 
-// each reads a batch's operations; off is where in the file an operation's
-// checksum, key and value stand, over what it takes besides key and value. Keys and values live as long as the body.
+// decodeOps calls f for each operation of a batch, with the offset in the file of its
+// checksum, key and value, and the bytes that it takes besides key and value. Values share
+// memory with the body.
 func (r *record) decodeOps(f func(o op, off, overhead int64) error) error {
 	b := r.body
 	previousEnd := r.off
@@ -294,5 +302,5 @@
 	return nil
 }
 
-// clampSeq guards the count of operations against a number read from a file.
+// clampSeq bounds a sequence number read from a file, so that counting on does not overflow.
 func clampSeq(seq uint64) uint64 { return min(seq, math.MaxUint64/2) }
--- a/internal/store/relocate.go
+++ b/internal/store/relocate.go
@@ -4,8 +4,8 @@
 	"slices"
 )
 
-// within lists the values that the index, by a checkpoint, knows inside holes of
-// a segment: those that the damage spared can still be read.
+// valuesInHoles lists the values that the index, loaded from a checkpoint, has inside the
+// holes of a segment. Those whose own bytes are intact can still be read.
 func (s *Store) valuesInHoles(victim *segment, holes []span) (items []item) {
 	if len(holes) == 0 {
 		return nil
@@ -23,8 +23,8 @@
 	return items
 }
 
-// hidesNothing reports whether a deletion may go: no older record of its key is
-// left, or none can be, as all other segments are younger.
+// deletionObsolete reports whether a deletion may be dropped: no older record of its key is
+// left, or none can be, since all other segments are younger.
 func (s *Store) deletionObsolete(it item, victim *segment) bool {
 	if it.staleRecords == 0 {
 		return true
@@ -39,8 +39,8 @@
 	return true
 }
 
-// switchOver makes the index point to the copies. What was overwritten while
-// they were made stays as it is: the copy is then what is stale.
+// applyRelocations makes the index refer to the copies. An entry that was overwritten while
+// its copy was made is not changed: the copy is stale then.
 func (s *Store) applyRelocations(target *segment, hasLive bool, victims []*segment, list []relocation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,7 +56,7 @@
 		current, ok := s.index.Get(item{key: key})
 		switch {
 		case !ok:
-		case move.staleKey != "": // one record less that the key's newest hides
+		case move.staleKey != "": // the newest record of the key hides one record less
 			s.decrementStale(current)
 		case current.segmentID == move.from.segmentID && current.offset == move.from.offset:
 			s.addLiveBytes(&current, -1)
@@ -69,7 +69,8 @@
 			s.addLiveBytes(&move.to, 1)
 			target.minSeq = min(target.minSeq, move.to.seq)
 		case !move.from.deleted() && (!move.copied || move.to.deleted()):
-			// It was overwritten meanwhile and counted as stale; no copy of its value is left.
+			// The record was overwritten meanwhile and counted as stale, and no copy of its
+			// value is left.
 			s.decrementStale(current)
 		}
 		if move.copied {
@@ -77,7 +78,7 @@
 		}
 	}
 	for _, victim := range victims {
-		if len(victim.faults) > 0 { // what could not be read is lost
+		if len(victim.faults) > 0 { // entries that could not be copied are lost
 			var lost []item
 			s.index.Ascend(func(it item) bool {
 				if uint64(it.segmentID) == victim.id {
@@ -99,7 +100,7 @@
 	}
 }
 
-// lessStale notes that one record which the key's newest hides is gone; the lock
+// decrementStale records that one of the records that an item hides was removed; the lock
 // must be held.
 func (s *Store) decrementStale(it item) {
 	if it.staleRecords == 0 {
--- a/internal/store/replay.go
+++ b/internal/store/replay.go
@@ -6,10 +6,10 @@
 	"robinmast/internal/store/vfs"
 )
 
-// replay takes the records that a scan found into the index, and says what the
-// holes are. A hole that something later calls synced is damage; so is a file
-// shorter than the next segment's header says. Everything else was never
-// acknowledged, as nothing is before its sync.
+// replay adds the records that a scan found to the index, and classifies the holes. A
+// hole before an offset that a later record, header or checkpoint states as synced is
+// damage; so is a file shorter than the header of the next segment says. Every other hole
+// is torn: its bytes were not synced, so no durable write there was acknowledged.
 func (s *Store) replay(f segmentFile, result *scanResult, ends, voids map[uint64]int64, rec *Recovery) error {
 	g := f.segment
 	end, known := ends[g.id]
@@ -20,7 +20,7 @@
 	if v, ok := voids[g.id]; ok {
 		stop = min(stop, v)
 	}
-	w := &bufferedReader{f: g.file, size: f.size}
+	w := &bufferedReader{file: g.file, size: f.size}
 	firstSeqs := map[int64]uint64{} // the first sequence number of each span
 	for _, sp := range result.spans {
 		for off := sp.from; off < min(sp.to, stop); {
@@ -30,14 +30,14 @@
 			}
 			r, _, ok := decodeRecordHeader(head, g.salt, off)
 			if !ok {
-				return fmt.Errorf("read %s at %d: it changed while it was read", g.name, off)
+				return fmt.Errorf("read %s at %d: file changed during recovery", g.name, off)
 			}
 			b, err := w.at(off, int(r.size))
 			if err != nil {
 				return fmt.Errorf("read %s at %d: %w", g.name, off, err)
 			}
 			if int64(len(b)) < r.size {
-				return fmt.Errorf("read %s at %d: it changed while it was read", g.name, off)
+				return fmt.Errorf("read %s at %d: file changed during recovery", g.name, off)
 			}
 			r.body = b[recordHeaderSize:r.size]
 			rec.Read += r.size
@@ -49,7 +49,7 @@
 					s.indexRecord(g, &o, opOffset, overhead)
 					return nil
 				})
-				if err != nil { // its checksum holds: another program wrote it
+				if err != nil { // the checksum is right, so another program wrote it
 					g.faults = append(g.faults, Fault{File: g.name, Offset: off, Size: r.size, Reason: err.Error()})
 				}
 			}
@@ -57,7 +57,7 @@
 		}
 	}
 	g.end = f.size
-	validEnd := int64(headerSize) // end of what counts
+	validEnd := int64(headerSize) // end of the valid records
 	if n := len(result.spans); n > 0 {
 		validEnd = result.spans[n-1].to
 	} else if result.from > 0 {
@@ -70,7 +70,7 @@
 	}
 	for _, h := range result.holes {
 		if h.from >= stop {
-			continue // it never counted
+			continue // voided
 		}
 		fault := Fault{File: g.name, Offset: h.from, Size: h.to - h.from, Reason: result.reason}
 		fault.Torn = h.from >= result.synced && (!known || h.from >= end)
@@ -93,8 +93,9 @@
 		g.faults = append(g.faults, Fault{File: g.name, Offset: f.size, Size: end - f.size, Reason: "cut short"})
 		s.noteMissingEnd(g)
 	}
-	if len(g.faults) == 0 && validEnd < f.size && f.headerOK && !s.opt.ReadOnly && len(result.spans) <= 1 && result.from < f.size {
-		if err := g.file.Truncate(validEnd); err == nil { // else it is read as torn again next time
+	if len(g.faults) == 0 && validEnd < f.size && f.headerOK && !s.opt.ReadOnly &&
+		len(result.spans) <= 1 && result.from < f.size {
+		if err := g.file.Truncate(validEnd); err == nil { // on an error, the next Open finds it torn again
 			g.end = validEnd
 		}
 	}
@@ -103,7 +104,7 @@
 	}
 	rec.Damaged = append(rec.Damaged, g.faults...)
 	empty := len(result.spans) == 0 && result.from == 0 && len(g.faults) == 0
-	if empty && !s.opt.ReadOnly { // made, and nothing acknowledged in it
+	if empty && !s.opt.ReadOnly { // created, but nothing in it was acknowledged
 		delete(s.segments, uint32(g.id))
 		_ = g.file.Close()
 		return s.fs.Remove(vfs.Join(s.dir, g.name))
@@ -113,14 +114,18 @@
 	return nil
 }
 
-// found takes a record of a segment into the index. Deletions are kept until
-// all segments were read: what they hide may come later.
+// indexRecord adds a record of a segment to the index while Open reads. Deletions are kept
+// until all segments are read, since the records that they hide may be read later.
 func (s *Store) indexRecord(g *segment, o *op, offset, overhead int64) {
-	newItem := item{key: o.key, expiry: o.expiry, seq: o.seq, segmentID: uint32(g.id), offset: uint32(offset), meta: packMeta(o, overhead)}
+	newItem := item{
+		key: o.key, expiry: o.expiry, seq: o.seq,
+		segmentID: uint32(g.id), offset: uint32(offset), meta: packMeta(o, overhead),
+	}
 	g.minSeq = min(g.minSeq, o.seq)
 	s.seq = max(s.seq, clampSeq(o.seq))
 	current, exists := s.index.Get(newItem)
-	if exists && (current.seq > newItem.seq || current.seq == newItem.seq && (current.deleted() || !newItem.deleted())) {
+	if exists && (current.seq > newItem.seq ||
+		current.seq == newItem.seq && (current.deleted() || !newItem.deleted())) {
 		if !newItem.deleted() {
 			current.staleRecords++
 			s.index.ReplaceOrInsert(current)
@@ -136,7 +141,7 @@
 	s.index.ReplaceOrInsert(newItem)
 }
 
-// prune drops deletions that hide nothing, and counts what is live.
+// prune removes deletions that hide no records, and counts entries and live bytes.
 func (s *Store) prune(rec *Recovery) {
 	now := s.opt.Now()
 	var drop []item
--- a/internal/store/rotate.go
+++ b/internal/store/rotate.go
@@ -6,14 +6,15 @@
 	"robinmast/internal/store/vfs"
 )
 
-// doubt says that a segment's bytes from an offset on never counted.
+// voidRange states that the bytes of a segment from an offset on are not valid: they hold
+// writes that failed, or that were written again elsewhere.
 type voidRange struct {
 	segmentID uint64
 	from      int64
 }
 
-// settle syncs what was acknowledged as Soon. If that fails the segment is given
-// up, and what was acknowledged in it is written again to a new one.
+// syncActive syncs the writes that were acknowledged as Soon. If that fails the segment is
+// abandoned, and the acknowledged writes in it are written again to a new one.
 func (s *Store) syncActive() error {
 	g := s.active
 	if g == nil || g.syncedEnd == g.end {
@@ -34,17 +35,17 @@
 	return nil
 }
 
-// giveUp leaves a segment whose sync failed: nobody knows what the disk holds of
-// the bytes since the last one. The next segment says that they never counted,
-// and holds what was acknowledged of them anew.
+// abandonSegment seals a segment whose sync failed: what the disk holds of the bytes since
+// the last successful sync is unknown, and a repeated sync would not tell. The next segment
+// voids those bytes and holds the acknowledged writes among them again.
 func (s *Store) abandonSegment(g *segment) {
 	s.Stats.GivenUp.Add(1)
 	s.voidRanges = append(s.voidRanges, voidRange{g.id, g.syncedEnd})
-	s.unsynced = true // until it stands elsewhere
+	s.unsynced = true // until it is written to the next segment
 	s.seal(g)
 }
 
-// leave makes a segment one that nothing is appended to.
+// seal ends appending to a segment.
 func (s *Store) seal(g *segment) {
 	s.mu.Lock()
 	g.sealed = true
@@ -52,7 +53,7 @@
 	s.previous, s.active = g, nil
 }
 
-// rotate leaves the active segment, all of it synced, for a new one.
+// rotate syncs and seals the active segment; the next write creates a new one.
 func (s *Store) rotate() error {
 	if err := s.syncActive(); err != nil {
 		return err
@@ -66,8 +67,8 @@
 	return nil
 }
 
-// ensure opens a new segment if there is none to append to, and settles the
-// doubts about older ones in it before anything else.
+// ensureActive creates a new segment if there is none to append to. Its first records are
+// the void records of all void ranges and the acknowledged writes that were in them.
 func (s *Store) ensureActive() error {
 	if s.active != nil {
 		return nil
@@ -83,7 +84,7 @@
 	}
 	g, err := s.createSegment(&newHeader)
 	if err != nil {
-		return fmt.Errorf("new segment: %w", err)
+		return fmt.Errorf("create segment: %w", err)
 	}
 	relocated, buf := s.encodeVoided(g)
 	if len(buf) > 0 {
@@ -97,8 +98,8 @@
 	}
 	if err != nil {
 		_ = g.file.Close()
-		_ = s.fs.Remove(vfs.Join(s.dir, g.name)) // an empty or unsynced one left behind is told apart when opened
-		return fmt.Errorf("new segment %s: %w", g.name, err)
+		_ = s.fs.Remove(vfs.Join(s.dir, g.name)) // Open recognizes an empty or unsynced segment
+		return fmt.Errorf("create segment %s: %w", g.name, err)
 	}
 	g.end += int64(len(buf))
 	g.syncedEnd = g.end
@@ -108,7 +109,7 @@
 	for _, m := range relocated {
 		if current, ok := s.index.Get(m); ok && current.seq == m.seq && current.segmentID != m.segmentID {
 			s.addLiveBytes(&current, -1)
-			m.staleRecords = current.staleRecords // the copy left behind never counted
+			m.staleRecords = current.staleRecords // the copy in the old segment is void, not stale
 			s.index.ReplaceOrInsert(m)
 			s.addLiveBytes(&m, 1)
 			g.minSeq = min(g.minSeq, m.seq)
@@ -116,7 +117,7 @@
 	}
 	for _, d := range s.voidRanges {
 		if old := s.segments[uint32(d.segmentID)]; old != nil {
-			_ = old.file.Truncate(d.from) // the void record says it, should this fail
+			_ = old.file.Truncate(d.from) // on an error, the void record has the same effect
 			s.diskBytes -= old.end - d.from
 			old.end = d.from
 		}
@@ -126,7 +127,7 @@
 	return nil
 }
 
-// create makes a segment file with its header; nothing is synced yet.
+// createSegment creates a segment file and writes its header; it syncs nothing.
 func (s *Store) createSegment(h *header) (*segment, error) {
 	s.mu.Lock()
 	s.nextID++
@@ -147,8 +148,8 @@
 	return g, nil
 }
 
-// again encodes, for the segment g, the void records of all doubts and the
-// acknowledged entries that stand in doubtful bytes.
+// encodeVoided encodes, for the segment g, the void records of all void ranges and the
+// acknowledged entries that were written in them.
 func (s *Store) encodeVoided(g *segment) (relocated []item, buf []byte) {
 	for _, d := range s.voidRanges {
 		buf = appendVoid(buf, g.salt, g.end+int64(len(buf)), d.segmentID, d.from)
@@ -167,7 +168,7 @@
 			if !o.delete {
 				var err error
 				if o.value, err = s.read(old, it); err != nil {
-					continue // it can't be read where it is: nothing better is to be had
+					continue // the only copy can't be read; read recorded the fault
 				}
 			}
 			buf = appendRecord(buf, g.salt, g.end+int64(len(buf)), 0, []op{o}, func(_ int, off, overhead int64) {
--- a/internal/store/scan.go
+++ b/internal/store/scan.go
@@ -7,57 +7,58 @@
 	"robinmast/internal/store/vfs"
 )
 
-// span is a part of a segment that holds records without a break.
+// span is a range of bytes of a segment.
 type span struct{ from, to int64 }
 
-// scan is what reading a segment found.
+// scanResult lists the readable and the unreadable ranges of a segment.
 type scanResult struct {
-	from   int64 // where it began: the rest was covered by a checkpoint
-	spans  []span
-	holes  []span // between and behind them
-	synced int64  // what the records say was synced
-	voids  map[uint64]int64
-	reason string // what is wrong where the first hole begins
+	from   int64            // start of the scan; a checkpoint covers what is before it
+	spans  []span           // contiguous records
+	holes  []span           // unreadable bytes between and after the spans
+	synced int64            // synced size of the segment, according to its records
+	voids  map[uint64]int64 // void records found: segment number to offset
+	reason string           // fault at the start of the first hole
 }
 
-// window reads a file through a buffer that only grows for a long record.
+// bufferedReader reads a file through a buffer, which grows only for a large record.
 type bufferedReader struct {
-	f    vfs.File
-	size int64
-	off  int64 // of buf
-	buf  []byte
+	file   vfs.File
+	size   int64 // of the file
+	offset int64 // offset of buf in the file
+	buf    []byte
 }
 
-// at returns up to n bytes from off, fewer only at the file's end.
+// at returns n bytes from off, fewer only at the end of the file. They are valid until
+// the next call.
 func (w *bufferedReader) at(off int64, n int) ([]byte, error) {
 	n = int(min(int64(n), w.size-off))
 	if n <= 0 {
 		return nil, nil
 	}
-	if off < w.off || off+int64(n) > w.off+int64(len(w.buf)) {
+	if off < w.offset || off+int64(n) > w.offset+int64(len(w.buf)) {
 		want := int(min(int64(max(n, readBufferSize)), w.size-off))
 		if cap(w.buf) < want {
 			w.buf = make([]byte, want)
 		}
-		w.buf, w.off = w.buf[:want], off
-		m, err := w.f.ReadAt(w.buf, off)
+		w.buf, w.offset = w.buf[:want], off
+		m, err := w.file.ReadAt(w.buf, off)
 		if err != nil && err != io.EOF {
 			return nil, err
 		}
 		w.buf = w.buf[:m]
 		n = min(n, m)
 	}
-	i := int(off - w.off)
+	i := int(off - w.offset)
 	return w.buf[i : i+n], nil
 }
 
-const readBufferSize = 1 << 20
+const readBufferSize = 1 << 20 // bytes
 
-// scan finds the records of a segment. Where there is none it looks, byte by
-// byte, for the next one.
+// scanSegment finds the records of a segment from an offset on. Where there is no valid
+// record it searches, byte by byte, for the next one.
 func (s *Store) scanSegment(f segmentFile, from int64) (*scanResult, error) {
 	result := &scanResult{from: from, voids: map[uint64]int64{}}
-	w := &bufferedReader{f: f.file, size: f.size}
+	w := &bufferedReader{file: f.file, size: f.size}
 	off := from
 	if off == 0 {
 		off = headerSize
@@ -82,7 +83,7 @@
 				return nil, fmt.Errorf("read %s at %d: %w", f.name, off, err)
 			}
 			if r, recordErr = decodeRecord(b, f.salt, off); recordErr == nil {
-				if open.to != off { // behind a hole
+				if open.to != off { // the record follows a hole
 					if open.to > open.from {
 						result.spans = append(result.spans, open)
 					}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,8 +1,15 @@
-// Package store owns a small embedded store that survives cuts: keys to values
-// with an expiry, atomic batches, iteration by prefix, over a log of segments
-// with an index in memory, checkpoints and compaction. docs/store.md has the
-// format and the guarantees. It must never know what is stored, never log, and
-// never acknowledge what the disk has not taken as asked.
+// Package store is a small embedded key-value store that survives crashes and power
+// cuts. It maps keys to values with an expiry, applies batches atomically and
+// iterates by prefix. The data is a log of segment files with an index of all keys in
+// memory; checkpoints of the index shorten recovery, and compaction bounds the use of
+// the disk. docs/store.md specifies the format and the guarantees.
+//
+// The package does not interpret keys or values and writes no log messages: faults are
+// returned as errors, counted in Stats and listed in Recovery and Info. A write is not
+// acknowledged before it is as durable as its caller asked for.
+//
+// One goroutine writes the log (see writer.go) and one does the maintenance (see
+// maintenance.go). The methods of a Store may be called by any goroutine.
 package store
 
 import (
@@ -24,52 +31,54 @@
 	"robinmast/internal/store/vfs"
 )
 
-// The errors of a store, for errors.Is.
+// Errors of a store, to be tested with errors.Is.
 var (
-	ErrNotFound = errors.New("no such key")
-	ErrFull     = errors.New("no room on the disk")    // reads go on; writes work again when there is room
-	ErrClosed   = errors.New("the store is closed")    //
-	ErrBusy     = errors.New("too many writes wait")   // the queue's bound is met
-	ErrReadOnly = errors.New("the store is read-only") //
-	ErrDamaged  = errors.New("the value is damaged")   // its checksum differs
+	ErrNotFound = errors.New("key not found")
+	ErrFull     = errors.New("disk full") // reads still work; writes work again once there is space
+	ErrClosed   = errors.New("store is closed")
+	ErrBusy     = errors.New("write queue is full") // Options.QueueBytes is reached
+	ErrReadOnly = errors.New("store is read-only")
+	ErrDamaged  = errors.New("value is damaged") // it can't be read, or its checksum differs
 	ErrTooLarge = errors.New("larger than the store takes")
 )
 
-// VersionError says that a file has another version of the format. Nothing was touched.
+// VersionError reports a file with another version of the format. No file was changed.
 type VersionError struct {
 	File    string
 	Version uint32
 }
 
+// Error names the file, its version and the supported one.
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("%s: format version %d, this program knows %d", e.File, e.Version, Version)
+	return fmt.Sprintf("%s: unsupported format version %d (supported: %d)", e.File, e.Version, Version)
 }
 
-// Durability says when a write is acknowledged.
+// Durability defines when a write is acknowledged.
 type Durability uint8
 
-// The durabilities of a write.
+// The levels of durability of a write.
 const (
-	Soon    Durability = iota // when written; synced within Options.Interval
-	Durable                   // when synced; concurrent writers share a sync
+	Soon    Durability = iota // once written; it is synced within Options.Interval
+	Durable                   // once synced; concurrent writers share a sync
 )
 
 // Options are a store's settings. The zero value is usable.
 type Options struct {
-	FS             vfs.FS        // nil = the real file system
-	Segment        int64         // bytes of disk beyond twice the live data; 0 = 8 MiB
-	Interval       time.Duration // longest time until a Soon write is synced; 0 = 20 ms
-	CompactionRate int64         // bytes a second while disk use is within its bound; 0 = no limit
-	QueueBytes     int64         // most bytes of writes that wait; 0 = 32 MiB
-	Now            func() int64  // Unix milliseconds; nil = the system's clock
-	Spread         time.Duration // compaction and checkpoints wait a random part of it after opening, unless the disk is over its bound
-	Salt           func() uint64 // random numbers for file names; nil = random
+	FS             vfs.FS        // nil = the operating system's file system
+	Segment        int64         // bytes of disk allowed beyond twice the live data; 0 = 8 MiB
+	Interval       time.Duration // maximum time until a Soon write is synced; 0 = 20 ms
+	CompactionRate int64         // bytes per second while disk use is within its bound; 0 = no limit
+	QueueBytes     int64         // maximum bytes of queued writes; 0 = 32 MiB
+	Now            func() int64  // Unix time in milliseconds; nil = the system's clock
+	Spread         time.Duration // maximum random delay of maintenance after opening; 0 = none
+	Salt           func() uint64 // random numbers for file names; nil = math/rand/v2
 	ReadOnly       bool          // change nothing on the disk
-	Manual         bool          // no compaction, checkpoint or sweep but by Compact: for tests
+	Manual         bool          // compaction, checkpoints and sweeps only on request: for tests
 
-	ignoreCheckpoint bool // read the whole log, whatever a checkpoint holds
+	ignoreCheckpoint bool // read the whole log even if there is a valid checkpoint
 }
 
+// withDefaults replaces zero values by the defaults.
 func (o Options) withDefaults() Options {
 	if o.FS == nil {
 		o.FS = vfs.OS{}
@@ -86,9 +95,9 @@
 	return o
 }
 
-// unit is the size at which a segment file is left for the next one: a quarter
-// of the disk allowed beyond twice the live data, so that the open file, one
-// that compaction makes and some garbage fit.
+// segmentSize is the size in bytes at which a segment file is sealed and the next one
+// is created: a quarter of the disk space allowed beyond twice the live data, so that the
+// active segment, one being written by compaction and some garbage fit into it.
 func (o Options) segmentSize() int64 { return max(o.Segment/4, 512) }
 
 // segment is one file of the log.
@@ -97,18 +106,19 @@
 	name      string
 	file      vfs.File
 	refs      atomic.Int32
-	end       int64 // where the next record goes, or the size
-	syncedEnd int64
-	liveBytes int64 // bytes of records that count
-	minSeq    uint64
-	sealed    bool // nothing is appended any more
-	torn      bool // holds bytes of writes that were never acknowledged
+	end       int64  // offset of the next record; the size once sealed
+	syncedEnd int64  // end as of the last sync
+	liveBytes int64  // bytes of records that the index refers to
+	minSeq    uint64 // lowest sequence number in it
+	sealed    bool   // nothing is appended any more
+	torn      bool   // holds bytes of writes that were never acknowledged
 	faults    []Fault
 }
 
+// release drops a reference; the last one closes the file.
 func (g *segment) release() {
 	if g.refs.Add(-1) == 0 {
-		_ = g.file.Close() // it was only read, or synced before
+		_ = g.file.Close() // all that was written to it is synced
 	}
 }
 
@@ -121,17 +131,18 @@
 	fs   vfs.FS
 	lock io.Closer
 
-	mu          sync.RWMutex // guards the next group
+	mu          sync.RWMutex // guards the fields up to sweepCursor
 	index       *btree.BTreeG[item]
 	segments    map[uint32]*segment
 	seq         uint64
 	nextID      uint64
-	diskBytes   int64 // bytes of all segments
-	liveBytes   int64 // bytes of records that count
-	sweepCursor string
+	diskBytes   int64  // bytes of all segments
+	liveBytes   int64  // bytes of records that the index refers to
+	sweepCursor string // key at which the next sweep continues
 
-	uncertainBefore uint64          // entries with a lower number may have a newer record that can't be read; set by Open
-	missingEnds     map[uint64]bool // segments that miss their end, while Open reads
+	// Set by Open: an entry with a lower sequence number may have a newer, unreadable record.
+	uncertainBefore uint64
+	missingEnds     map[uint64]bool // segments whose end is missing; used while Open reads
 
 	queueMu     sync.Mutex
 	queue       []*pendingWrite
@@ -139,20 +150,20 @@
 	closed      bool
 	writerWake  chan struct{}
 
-	// The writer's own.
+	// Used only by the writer's goroutine.
 	active      *segment
-	previous    *segment // the segment that was active before, for the next header
-	voidRanges  []voidRange
-	unsynced    bool
+	previous    *segment    // the segment that was active before; the next header refers to it
+	voidRanges  []voidRange // to be recorded in the next segment
+	unsynced    bool        // acknowledged writes are not synced yet
 	writeBuffer []byte
 
-	compactMu            sync.Mutex // one compaction or checkpoint at a time
+	compactMu            sync.Mutex // held by a compaction or a checkpoint
 	maintenanceWake      chan struct{}
-	passDone             chan struct{} // a pass of compaction ended
-	compactionFailing    atomic.Bool   // the last pass of compaction failed
+	passDone             chan struct{} // signalled after each maintenance pass
+	compactionFailing    atomic.Bool   // the last compaction pass failed
 	limiter              *rate.Limiter
-	bytesSinceCheckpoint int64 // bytes written since the last checkpoint, by the writer
-	checkpointBytes      int64 // size of the last checkpoint
+	bytesSinceCheckpoint int64 // used only by the writer
+	checkpointBytes      int64 // size of the last checkpoint file
 	checkpointID         uint64
 
 	cancel     context.CancelFunc
@@ -161,32 +172,35 @@
 
 // Stats are a store's counters.
 type Stats struct {
-	Batches, Bytes, Syncs, SyncNanos  atomic.Int64 // written, and the syncs that it took
-	Failures, Full                    atomic.Int64 // batches that failed, and those of them for want of room
-	Compactions, Reclaimed, Rewritten atomic.Int64 // passes; bytes freed and written by them
-	CompactionFailures, GivenUp       atomic.Int64 // passes that failed; segments given up after a failed sync
+	Batches, Bytes, Syncs, SyncNanos  atomic.Int64 // written, and the syncs they took
+	Failures, Full                    atomic.Int64 // failed batches, and those of them that met a full disk
+	Compactions, Reclaimed, Rewritten atomic.Int64 // passes; bytes freed, and bytes written, by them
+	CompactionFailures, GivenUp       atomic.Int64 // failed passes; segments abandoned after a failed sync
 	Checkpoints, CheckpointFailures   atomic.Int64
-	Swept, Damaged                    atomic.Int64 // entries dropped by age; reads that found damage
+	Swept, Damaged                    atomic.Int64 // expired entries removed; reads that found damage
 }
 
-// Info tells how a store stands.
+// Info describes the state of a store.
 type Info struct {
-	Entries   int     `json:"entries"`
+	Entries   int     `json:"entries"` // keys that have not expired
 	Segments  int     `json:"segments"`
 	DiskBytes int64   `json:"disk_bytes"`
 	LiveBytes int64   `json:"live_bytes"`
-	Bound     int64   `json:"bound_bytes"` // of DiskBytes
+	Bound     int64   `json:"bound_bytes"` // limit of DiskBytes
 	LastSeq   uint64  `json:"last_seq"`
-	SetAside  int     `json:"set_aside"`
+	SetAside  int     `json:"set_aside"` // damaged segment files that were set aside
 	Faults    []Fault `json:"faults,omitempty"`
 }
 
-// Info tells how the store stands.
+// Info returns the state of the store.
 func (s *Store) Info() Info {
-	names, _ := s.fs.List(s.dir) // the folder was readable a moment ago; without it nothing is set aside
+	names, _ := s.fs.List(s.dir) // on an error SetAside is 0
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	info := Info{Segments: len(s.segments), DiskBytes: s.diskBytes, LiveBytes: s.liveBytes, Bound: 2*s.liveBytes + s.opt.Segment, LastSeq: s.seq}
+	info := Info{
+		Segments: len(s.segments), DiskBytes: s.diskBytes, LiveBytes: s.liveBytes,
+		Bound: 2*s.liveBytes + s.opt.Segment, LastSeq: s.seq,
+	}
 	now := s.opt.Now()
 	s.index.Ascend(func(it item) bool {
 		if !it.deletedOrExpired(now) {
@@ -206,7 +220,8 @@
 	return info
 }
 
-// full turns an error for want of room into ErrFull.
+// wrapDiskFull adds ErrFull to an error that says that the disk, the quota or the file
+// size is exhausted.
 func wrapDiskFull(err error) error {
 	if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) || errors.Is(err, syscall.EFBIG) {
 		return fmt.Errorf("%w: %w", ErrFull, err)
--- a/internal/store/verify.go
+++ b/internal/store/verify.go
@@ -1,5 +1,3 @@
-// This file owns looking at a store without changing it. It must never write.
-
 package store
 
 import (
@@ -11,16 +9,16 @@
 	"robinmast/internal/store/vfs"
 )
 
-// Report is what Verify found.
+// Report is the result of Verify.
 type Report struct {
-	Faults  []Fault // damage: bytes that can't be read, in segments in use and in those set aside
-	Torn    []Fault // ends of writes that were never acknowledged; opening cuts them
-	Entries int
-	Read    int64 // bytes
+	Faults  []Fault // unreadable bytes, in segments in use and in those set aside, and invalid checkpoints
+	Torn    []Fault // remains of writes that were never acknowledged; Open truncates them
+	Entries int     // keys that have not expired
+	Read    int64   // bytes of segments in use that were read
 }
 
-// Verify reads every byte of the store in a folder, the checkpoint aside, and
-// changes nothing. The errors are those of Open.
+// Verify reads and checks all files of the store in a directory and changes nothing. The
+// errors are those of Open.
 func Verify(dir string, opt Options) (Report, error) {
 	opt.ReadOnly = true
 	opt = opt.withDefaults()
@@ -35,11 +33,11 @@
 		}
 	}
 	opt.ignoreCheckpoint = true
-	s, rec, err := Open(dir, opt)
+	s, recovery, err := Open(dir, opt)
 	if err != nil {
 		return Report{}, err
 	}
-	report := Report{Faults: rec.Damaged, Torn: rec.Torn, Entries: rec.Entries, Read: rec.Read}
+	report := Report{Faults: recovery.Damaged, Torn: recovery.Torn, Entries: recovery.Entries, Read: recovery.Read}
 	for _, name := range names {
 		id, salt, ok := parseName(name, damagedSuffix)
 		if !ok {
@@ -53,14 +51,16 @@
 	}
 	for _, name := range checkpoints {
 		if _, _, _, err := s.readCheckpoint(name, nil, nil); err != nil {
-			report.Faults = append(report.Faults, Fault{File: name, Reason: "checkpoint: " + err.Error() + " (the log is read instead)"})
+			report.Faults = append(report.Faults, Fault{
+				File: name, Reason: "checkpoint: " + err.Error() + " (the log is read instead)",
+			})
 		}
 	}
 	slices.SortFunc(report.Faults, Fault.compare)
 	return report, s.Close()
 }
 
-// aside tells what is wrong with a segment that was set aside.
+// verifySetAside returns the faults of a segment that was set aside.
 func (s *Store) verifySetAside(name string, id, salt uint64) ([]Fault, error) {
 	f, err := s.fs.Open(vfs.Join(s.dir, name), false)
 	if err != nil {
@@ -76,18 +76,19 @@
 		return nil, fmt.Errorf("read %s: %w", name, err)
 	}
 	h, err := decodeHeader(b)
-	sc, serr := s.scanSegment(segmentFile{segment: &segment{id: id, salt: salt, name: name, file: f}, headerOK: err == nil, size: size}, 0)
+	g := &segment{id: id, salt: salt, name: name, file: f}
+	result, serr := s.scanSegment(segmentFile{segment: g, headerOK: err == nil, size: size}, 0)
 	if serr != nil {
 		return nil, serr
 	}
 	var faults []Fault
 	if err != nil {
-		faults = append(faults, Fault{File: name, Size: min(size, headerSize), Reason: sc.reason})
+		faults = append(faults, Fault{File: name, Size: min(size, headerSize), Reason: result.reason})
 	}
-	for _, hole := range sc.holes {
-		faults = append(faults, Fault{File: name, Offset: hole.from, Size: hole.to - hole.from, Reason: sc.reason})
+	for _, hole := range result.holes {
+		faults = append(faults, Fault{File: name, Offset: hole.from, Size: hole.to - hole.from, Reason: result.reason})
 	}
-	if err == nil && h.end > 0 && size < int64(h.end) && len(sc.holes) == 0 {
+	if err == nil && h.end > 0 && size < int64(h.end) && len(result.holes) == 0 {
 		faults = append(faults, Fault{File: name, Offset: size, Size: int64(h.end) - size, Reason: "cut short"})
 	}
 	if len(faults) == 0 {
--- a/internal/store/vfs/mem.go
+++ b/internal/store/vfs/mem.go
@@ -1,6 +1,3 @@
-// This file owns the file system in memory: the record of every operation, and
-// the states that a power cut may leave. It must never be used in service.
-
 package vfs
 
 import (
@@ -14,7 +11,7 @@
 	"sync"
 )
 
-// OpKind is the kind of an operation that changes something.
+// OpKind is the kind of an operation that changes the file system.
 type OpKind uint8
 
 // The kinds of operations.
@@ -28,86 +25,92 @@
 	OpSyncDir
 )
 
+// String returns the name of the kind.
 func (k OpKind) String() string {
 	return [...]string{"create", "write", "truncate", "sync", "rename", "remove", "syncdir"}[k]
 }
 
-// Op is one operation, as it was asked for.
+// Op is one operation with its arguments.
 type Op struct {
 	Kind OpKind
-	Name string // of the file, or the folder for OpSyncDir
+	Name string // the file; OpSyncDir: the directory
 	To   string // OpRename: the new name
-	Off  int64  // OpWrite; the size for OpTruncate
-	Data []byte // OpWrite
+	Off  int64  // OpWrite: the offset; OpTruncate: the size
+	Data []byte // OpWrite: what is written
 
 	file *inode
 }
 
+// String returns the kind, the names, the offset and the size.
 func (o Op) String() string {
 	return fmt.Sprintf("%v %s %s@%d+%d", o.Kind, o.Name, o.To, o.Off, len(o.Data))
 }
 
-// inode is a file's content apart from its name.
+// inode is the content of a file, independent of its name.
 type inode struct {
 	data    []byte
-	durable []byte // as of the last sync
-	pending []Op   // writes and truncations since
+	durable []byte // content as of the last sync
+	pending []Op   // writes and truncations since the last sync
 }
 
-// Mem is a file system in memory.
+// Mem is a file system in memory, for tests.
 type Mem struct {
 	mu      sync.Mutex
 	names   map[string]*inode
-	durable map[string]*inode // names as of the last sync of their folder
-	pending []Op              // creations, renames and removals since, by any folder
+	durable map[string]*inode // names as of the last sync of their directory
+	pending []Op              // creations, renames and removals since then, in any directory
 	locks   map[string]bool
 	ops     []Op
 	record  bool
-	fault   func(Op) error
+	failure func(Op) error
 }
 
 var _ FS = (*Mem)(nil)
 
-// NewMem returns an empty file system. With record it keeps every operation for Ops.
+// NewMem returns an empty file system. With record it records every operation for Ops,
+// OpAt and After.
 func NewMem(record bool) *Mem {
 	return &Mem{names: map[string]*inode{}, durable: map[string]*inode{}, locks: map[string]bool{}, record: record}
 }
 
-// Ops is how many operations were recorded.
+// Ops returns the number of recorded operations.
 func (m *Mem) Ops() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.ops)
 }
 
-// OpAt is the operation with a number from 0.
+// OpAt returns the recorded operation i, counted from 0.
 func (m *Mem) OpAt(i int) Op {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.ops[i]
 }
 
-// Fail sets what decides, before each operation, whether it fails; nil lets all
-// through. A write that fails may be torn: Fail may return a *Torn.
+// Fail sets a function that is called before each operation; if it returns an error, the
+// operation fails with it. With a *Torn a write takes effect in part. nil ends all failures.
 func (m *Mem) Fail(f func(Op) error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.fault = f
+	m.failure = f
 }
 
-// Torn is an error of a write of which the first N bytes took effect.
+// Torn is the error of a failed write of which the first N bytes took effect.
 type Torn struct {
 	N   int
 	Err error
 }
 
+// Error returns the text of the cause.
 func (t *Torn) Error() string { return t.Err.Error() }
+
+// Unwrap returns the cause.
 func (t *Torn) Unwrap() error { return t.Err }
 
-// do records an operation and applies it; the lock must be held.
+// do applies and records an operation, unless it is to fail; the lock must be held.
 func (m *Mem) do(o Op) error {
-	if m.fault != nil {
-		if err := m.fault(o); err != nil {
+	if m.failure != nil {
+		if err := m.failure(o); err != nil {
 			if torn, ok := err.(*Torn); ok && o.Kind == OpWrite && torn.N > 0 {
 				o.Data = o.Data[:min(torn.N, len(o.Data))]
 				m.apply(o)
@@ -119,6 +122,7 @@
 	return nil
 }
 
+// apply records an operation and applies it; the lock must be held.
 func (m *Mem) apply(o Op) {
 	if o.Kind == OpWrite {
 		o.Data = slices.Clone(o.Data)
@@ -128,10 +132,10 @@
 	}
 	switch o.Kind {
 	case OpCreate, OpRename, OpRemove:
-		change(m.names, o)
+		applyToNames(m.names, o)
 		m.pending = append(m.pending, o)
 	case OpWrite, OpTruncate:
-		o.file.data = alter(o.file.data, o)
+		o.file.data = applyToContent(o.file.data, o)
 		o.file.pending = append(o.file.pending, o)
 	case OpSync:
 		o.file.durable, o.file.pending = slices.Clone(o.file.data), nil
@@ -139,7 +143,7 @@
 		left := m.pending[:0]
 		for _, p := range m.pending {
 			if path.Dir(p.Name) == o.Name {
-				change(m.durable, p)
+				applyToNames(m.durable, p)
 			} else {
 				left = append(left, p)
 			}
@@ -148,8 +152,8 @@
 	}
 }
 
-// change applies an operation on names.
-func change(names map[string]*inode, o Op) {
+// applyToNames applies a creation, rename or removal.
+func applyToNames(names map[string]*inode, o Op) {
 	switch o.Kind {
 	case OpCreate:
 		names[o.Name] = o.file
@@ -165,8 +169,8 @@
 	}
 }
 
-// alter applies a write or a truncation to a content.
-func alter(data []byte, o Op) []byte {
+// applyToContent applies a write or a truncation and returns the new content.
+func applyToContent(data []byte, o Op) []byte {
 	if o.Kind == OpTruncate {
 		if int64(len(data)) >= o.Off {
 			return data[:o.Off:o.Off]
@@ -180,16 +184,18 @@
 	return data
 }
 
-// Cut says which of what was not yet durable a power cut leaves.
+// Cut decides what a power cut leaves of an operation that was not yet durable: keep
+// reports whether it took effect, bytes is how much of a write did. The operation is number
+// i of the pending ones of its file (or, for names, of all).
 type Cut func(o Op, i, of int) (keep bool, bytes int)
 
-// KeepAll is the end of the process alone: everything that was written is there.
+// KeepAll keeps everything that was written, like a crash of the process alone.
 func KeepAll(o Op, _, _ int) (bool, int) { return true, len(o.Data) }
 
-// KeepNone loses all that was not synced.
+// KeepNone loses everything that was not synced.
 func KeepNone(Op, int, int) (bool, int) { return false, 0 }
 
-// KeepSome keeps a random part, in any order, and cuts a write now and then.
+// KeepSome keeps a random part, independent of the order, and shortens some writes.
 func KeepSome(r *rand.Rand) Cut {
 	return func(o Op, _, _ int) (bool, int) {
 		n := len(o.Data)
@@ -200,7 +206,7 @@
 	}
 }
 
-// KeepBytes keeps everything but cuts the last write of each file after n bytes.
+// KeepBytes keeps everything, but only n bytes of the last write of each file.
 func KeepBytes(n int) Cut {
 	return func(o Op, i, of int) (bool, int) {
 		if o.Kind == OpWrite && i == of-1 {
@@ -210,13 +216,13 @@
 	}
 }
 
-// After returns the file system that a power cut after the first n recorded
-// operations leaves, by cut. It holds nothing of the locks.
+// After returns the file system that a power cut after the first n recorded operations
+// leaves, according to cut. It has no locks.
 func (m *Mem) After(n int, cut Cut) *Mem {
 	m.mu.Lock()
 	ops := m.ops[:n:n]
 	m.mu.Unlock()
-	was := NewMem(false)
+	before := NewMem(false)
 	files := map[*inode]*inode{}
 	for _, o := range ops {
 		if o.file != nil {
@@ -225,27 +231,27 @@
 			}
 			o.file = files[o.file]
 		}
-		was.apply(o)
+		before.apply(o)
 	}
-	is := NewMem(false)
+	left := NewMem(false)
 	names := map[string]*inode{}
-	for name, f := range was.durable {
+	for name, f := range before.durable {
 		names[name] = f
 	}
-	for i, o := range was.pending {
-		if keep, _ := cut(o, i, len(was.pending)); keep {
-			change(names, o)
+	for i, o := range before.pending {
+		if keep, _ := cut(o, i, len(before.pending)); keep {
+			applyToNames(names, o)
 		}
 	}
-	done := map[*inode]*inode{}
+	copied := map[*inode]*inode{}
 	order := make([]string, 0, len(names))
 	for name := range names {
 		order = append(order, name)
 	}
-	slices.Sort(order) // so that a seed replays
+	slices.Sort(order) // so that a random cut is reproducible from its seed
 	for _, name := range order {
 		f := names[name]
-		if done[f] == nil {
+		if copied[f] == nil {
 			data := slices.Clone(f.durable)
 			for i, o := range f.pending {
 				keep, bytes := cut(o, i, len(f.pending))
@@ -255,16 +261,16 @@
 				if o.Kind == OpWrite {
 					o.Data = o.Data[:bytes]
 				}
-				data = alter(data, o)
+				data = applyToContent(data, o)
 			}
-			done[f] = &inode{data: data, durable: slices.Clone(data)}
+			copied[f] = &inode{data: data, durable: slices.Clone(data)}
 		}
-		is.names[name], is.durable[name] = done[f], done[f]
+		left.names[name], left.durable[name] = copied[f], copied[f]
 	}
-	return is
+	return left
 }
 
-// Clone copies the file system as it is, for tests that change bytes.
+// Clone returns a copy of the current state, for tests that change bytes.
 func (m *Mem) Clone() *Mem {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -276,7 +282,7 @@
 	return c
 }
 
-// Bytes is a file's content, nil if there is no such file.
+// Bytes returns the content of a file, nil if there is no such file.
 func (m *Mem) Bytes(name string) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -286,7 +292,7 @@
 	return nil
 }
 
-// Put makes or replaces a file, durable at once.
+// Put creates or replaces a file, durable at once.
 func (m *Mem) Put(name string, data []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -301,7 +307,7 @@
 	write bool
 }
 
-// Create makes a file.
+// Create creates a file.
 func (m *Mem) Create(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -337,7 +343,7 @@
 	return m.do(Op{Kind: OpRename, Name: oldName, To: newName, file: f})
 }
 
-// Remove removes a file's name; who has it open keeps it.
+// Remove removes the name of a file; open files stay readable.
 func (m *Mem) Remove(name string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -348,7 +354,7 @@
 	return m.do(Op{Kind: OpRemove, Name: name, file: f})
 }
 
-// List names the files of a folder.
+// List returns the sorted names of the files in a directory.
 func (m *Mem) List(dir string) ([]string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -362,10 +368,10 @@
 	return names, nil
 }
 
-// MkdirAll does nothing: folders are parts of names.
+// MkdirAll does nothing: directories are parts of names.
 func (m *Mem) MkdirAll(string) error { return nil }
 
-// SyncDir makes a folder's names durable.
+// SyncDir makes the names in a directory durable.
 func (m *Mem) SyncDir(dir string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -377,7 +383,7 @@
 	name string
 }
 
-// Lock takes a lock within this file system.
+// Lock locks a name within this file system.
 func (m *Mem) Lock(name string) (io.Closer, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/store/vfs/vfs.go
+++ b/internal/store/vfs/vfs.go
@@ -1,7 +1,7 @@
-// Package vfs owns the seam between the store and the file system: the few
-// operations that the store needs, the real ones, and for tests a file system in
-// memory that records every operation, fails where it is told to, and can be cut
-// as a power cut would. It must never know what is stored.
+// Package vfs is the interface between the store and the file system: the few operations
+// that the store needs. OS implements them with the operating system; Mem, for tests, is a
+// file system in memory that records every operation, injects errors and simulates power
+// cuts. All methods may be called by any goroutine.
 package vfs
 
 import (
@@ -17,25 +17,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrLocked says that another process holds the folder.
+// ErrLocked reports that another process has locked the directory.
 var ErrLocked = errors.New("locked by another process")
 
-// FS is a file system. Names are paths with slashes. All methods may be called
-// by any goroutine.
+// FS is a file system. Names are paths separated by slashes.
 type FS interface {
-	// Create makes an empty file, which must not exist, open for reading and writing.
+	// Create creates a file, which must not exist, and opens it for reading and writing.
 	Create(name string) (File, error)
 	// Open opens a file for reading and, if write is set, writing.
 	Open(name string, write bool) (File, error)
-	// Rename replaces newName by the file called oldName.
+	// Rename renames oldName to newName, and replaces a file of that name.
 	Rename(oldName, newName string) error
+	// Remove removes a file.
 	Remove(name string) error
-	// List names what a folder holds, sorted, without folders.
+	// List returns the sorted names of the files in a directory, without directories.
 	List(dir string) ([]string, error)
+	// MkdirAll creates a directory, and its parents, if it does not exist.
 	MkdirAll(dir string) error
-	// SyncDir makes creations, renames and removals in a folder durable.
+	// SyncDir makes creations, renames and removals in a directory durable.
 	SyncDir(dir string) error
-	// Lock takes a folder for this process until the closer is closed.
+	// Lock locks the file called name for this process until the closer is closed. The error
+	// is ErrLocked if another process has locked it.
 	Lock(name string) (io.Closer, error)
 }
 
@@ -46,18 +48,20 @@
 	io.Closer
 	// Sync makes the content and the size durable.
 	Sync() error
+	// Truncate changes the size, in bytes.
 	Truncate(size int64) error
+	// Size returns the size in bytes.
 	Size() (int64, error)
 }
 
-// OS is the real file system.
+// OS is the file system of the operating system.
 type OS struct{}
 
 var _ FS = OS{}
 
 type osFile struct{ *os.File }
 
-// Sync is fdatasync: content and size, not the times.
+// Sync calls fdatasync, which writes content and size but not the timestamps.
 func (f osFile) Sync() error {
 	if err := unix.Fdatasync(int(f.Fd())); err != nil {
 		return &fs.PathError{Op: "fdatasync", Path: f.Name(), Err: err}
@@ -65,6 +69,7 @@
 	return nil
 }
 
+// Size returns the size in bytes.
 func (f osFile) Size() (int64, error) {
 	st, err := f.Stat()
 	if err != nil {
@@ -73,7 +78,7 @@
 	return st.Size(), nil
 }
 
-// Create makes a file.
+// Create creates a file, readable only by its owner.
 func (OS) Create(name string) (File, error) {
 	f, err := os.OpenFile(name, os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
@@ -101,7 +106,7 @@
 // Remove removes a file.
 func (OS) Remove(name string) error { return os.Remove(name) }
 
-// List names the files of a folder.
+// List returns the sorted names of the files in a directory.
 func (OS) List(dir string) ([]string, error) {
 	all, err := os.ReadDir(dir)
 	if err != nil {
@@ -117,7 +122,7 @@
 	return names, nil
 }
 
-// MkdirAll makes a folder, and makes its name durable.
+// MkdirAll creates a directory, readable only by its owner, and makes its name durable.
 func (o OS) MkdirAll(dir string) error {
 	if _, err := os.Stat(dir); err == nil {
 		return nil
@@ -128,7 +133,7 @@
 	return o.SyncDir(filepath.Dir(dir))
 }
 
-// SyncDir syncs a folder.
+// SyncDir syncs a directory.
 func (OS) SyncDir(dir string) error {
 	f, err := os.Open(dir)
 	if err != nil {
@@ -141,7 +146,8 @@
 	return err
 }
 
-// Lock takes a lock file by flock; it is released when the process ends, however it ends.
+// Lock locks a file with flock. The kernel releases the lock when the process ends, also
+// after a crash.
 func (OS) Lock(name string) (io.Closer, error) {
 	f, err := os.OpenFile(name, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -157,5 +163,5 @@
 	return f, nil
 }
 
-// Join puts a folder and a file's name together.
+// Join joins a directory and a file name.
 func Join(dir, name string) string { return strings.TrimSuffix(dir, "/") + "/" + name }
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -1,7 +1,3 @@
-// This file owns the one writer: group commit, rotation, and what becomes of a
-// segment when the disk fails. It must never acknowledge a write that is not
-// as durable as was asked, and never try a failed sync again on the same file.
-
 package store
 
 import (
@@ -10,39 +6,40 @@
 	"time"
 )
 
-// pending is a write that waits for the writer.
+// pendingWrite is a queued write.
 type pendingWrite struct {
 	ops     []op
 	size    int64
 	durable bool
 	done    func(error)
-	task    func() error // run by the writer with all written and synced, instead of a write
+	task    func() error // if set, the writer runs it, after all earlier writes are synced, instead of a write
 }
 
-// Apply writes a batch and returns when it is as durable as asked. All of it is
-// there after a crash, or nothing.
+// Apply writes a batch and returns once it is as durable as requested. After a crash
+// either all of the batch is there or nothing. The errors are ErrTooLarge, ErrBusy,
+// ErrFull, ErrReadOnly, ErrClosed, or that of the file system.
 func (s *Store) Apply(b *Batch, d Durability) error {
 	done := make(chan error, 1)
 	s.ApplyAsync(b, d, func(err error) { done <- err })
 	return <-done
 }
 
-// Put is Apply of one key.
+// Put applies a batch that sets one key.
 func (s *Store) Put(key string, value []byte, expiry int64, d Durability) error {
 	var b Batch
 	b.Put(key, value, expiry)
 	return s.Apply(&b, d)
 }
 
-// Delete is Apply of one deletion.
+// Delete applies a batch that deletes one key.
 func (s *Store) Delete(key string, d Durability) error {
 	var b Batch
 	b.Delete(key)
 	return s.Apply(&b, d)
 }
 
-// ApplyAsync is Apply that never waits: done is called once, by the writer's
-// goroutine or at once, and must not block.
+// ApplyAsync is like Apply but does not wait: done is called once, by the writer's
+// goroutine or before ApplyAsync returns, and must not block.
 func (s *Store) ApplyAsync(b *Batch, d Durability, done func(error)) {
 	if err := b.check(); err != nil {
 		done(err)
@@ -55,17 +52,18 @@
 	s.enqueue(&pendingWrite{ops: b.ops, size: int64(b.size), durable: d == Durable, done: done})
 }
 
-// Sync makes all that was acknowledged durable.
+// Sync makes all acknowledged writes durable.
 func (s *Store) Sync() error { return s.runInWriter(func() error { return nil }) }
 
-// visit runs f in the writer, with everything before it written and synced.
+// runInWriter runs f in the writer's goroutine, after all earlier writes are synced.
 func (s *Store) runInWriter(f func() error) error {
 	done := make(chan error, 1)
 	s.enqueue(&pendingWrite{durable: true, done: func(err error) { done <- err }, task: f})
 	return <-done
 }
 
-func (s *Store) enqueue(p *pendingWrite) {
+// enqueue adds a write to the queue, or calls its done with the error.
+func (s *Store) enqueue(write *pendingWrite) {
 	s.queueMu.Lock()
 	var err error
 	switch {
@@ -73,15 +71,15 @@
 		err = ErrReadOnly
 	case s.closed:
 		err = ErrClosed
-	case s.queuedBytes+p.size > s.opt.QueueBytes && len(s.queue) > 0:
+	case s.queuedBytes+write.size > s.opt.QueueBytes && len(s.queue) > 0:
 		err = ErrBusy
 	default:
-		s.queue = append(s.queue, p)
-		s.queuedBytes += p.size
+		s.queue = append(s.queue, write)
+		s.queuedBytes += write.size
 	}
 	s.queueMu.Unlock()
 	if err != nil {
-		p.done(err)
+		write.done(err)
 		return
 	}
 	select {
@@ -90,7 +88,7 @@
 	}
 }
 
-// take empties the queue; last tells that nothing will follow.
+// takeQueue empties the queue; last reports that the store is closed and nothing will follow.
 func (s *Store) takeQueue() (queue []*pendingWrite, last bool) {
 	s.queueMu.Lock()
 	defer s.queueMu.Unlock()
@@ -98,7 +96,8 @@
 	return queue, s.closed
 }
 
-// write is the writer's goroutine.
+// runWriter is the writer's goroutine: it alone appends to the log. It never retries a
+// failed sync on the same file.
 func (s *Store) runWriter() {
 	defer s.background.Done()
 	timer := time.NewTimer(time.Hour)
@@ -113,13 +112,14 @@
 		case <-s.writerWake:
 		case <-timer.C:
 			if s.unsynced {
-				_ = s.syncActive() // what was acknowledged and can't be synced is written again elsewhere
+				_ = s.syncActive() // if it fails, the acknowledged writes are written again to another segment
 			}
 		}
 		queue, last := s.takeQueue()
 		for len(queue) > 0 {
 			count, size := 0, int64(0)
-			for count < len(queue) && queue[count].task == nil && (count == 0 || size+queue[count].size <= maxRecordBody/2) {
+			for count < len(queue) && queue[count].task == nil &&
+				(count == 0 || size+queue[count].size <= maxRecordBody/2) {
 				size += queue[count].size
 				count++
 			}
@@ -142,9 +142,9 @@
 	}
 }
 
-// commit writes a group of batches, syncs it if one of them asks for that, and
-// acknowledges. The index follows the disk: nothing of a group that failed is
-// ever seen.
+// commit writes a group of batches, syncs if one of them is to be durable, and
+// acknowledges all of them. The index is updated after the disk, so no part of a group
+// that failed is ever visible.
 func (s *Store) commit(group []*pendingWrite) {
 	err := s.commitGroup(group)
 	if err != nil {
@@ -154,11 +154,12 @@
 			s.Stats.Full.Add(int64(len(group)))
 		}
 	}
-	for _, p := range group {
-		p.done(err)
+	for _, write := range group {
+		write.done(err)
 	}
 }
 
+// commitGroup writes, syncs and indexes a group of batches.
 func (s *Store) commitGroup(group []*pendingWrite) error {
 	if s.active != nil && s.active.end >= s.opt.segmentSize() {
 		if err := s.rotate(); err != nil {
@@ -173,7 +174,7 @@
 	durable := false
 	items := make([]item, 0, len(group))
 	s.writeBuffer = s.writeBuffer[:0]
-	seq := s.seq // only the writer moves it
+	seq := s.seq // only the writer changes it
 	for _, write := range group {
 		for i := range write.ops {
 			seq++
@@ -184,9 +185,10 @@
 			o := &write.ops[i]
 			items = append(items, item{key: o.key, expiry: o.expiry, seq: o.seq, segmentID: uint32(g.id)})
 		}
-		s.writeBuffer = appendRecord(s.writeBuffer, g.salt, g.end+int64(len(s.writeBuffer)), g.syncedEnd, write.ops, func(i int, off, overhead int64) {
-			items[first+i].offset, items[first+i].meta = uint32(off), packMeta(&write.ops[i], overhead)
-		})
+		s.writeBuffer = appendRecord(s.writeBuffer, g.salt, g.end+int64(len(s.writeBuffer)), g.syncedEnd, write.ops,
+			func(i int, off, overhead int64) {
+				items[first+i].offset, items[first+i].meta = uint32(off), packMeta(&write.ops[i], overhead)
+			})
 		durable = durable || write.durable
 	}
 	if _, err := g.file.WriteAt(s.writeBuffer, g.end); err != nil {
@@ -220,7 +222,8 @@
 	return nil
 }
 
-// cut takes back what a failed write may have left behind the end of a segment.
+// truncateFailedWrite removes the bytes that a failed write may have left after the end of
+// a segment. If that fails too, the segment is sealed and those bytes are voided.
 func (s *Store) truncateFailedWrite(g *segment, _ error) {
 	if err := g.file.Truncate(g.end); err != nil {
 		s.voidRanges = append(s.voidRanges, voidRange{g.id, g.end})
@@ -228,7 +231,7 @@
 	}
 }
 
-// sync syncs a segment and counts the time that took.
+// syncSegment syncs a segment and counts the syncs and their duration.
 func (s *Store) syncSegment(g *segment) error {
 	began := time.Now()
 	err := g.file.Sync()
@@ -237,25 +240,25 @@
 	return err
 }
 
-// room waits for compaction while the disk's bound would be passed.
+// waitForSpace waits for compaction as long as the group would exceed the bound of disk use.
 func (s *Store) waitForSpace(group []*pendingWrite) {
 	if s.opt.Manual {
 		return
 	}
 	size := int64(0)
-	for _, p := range group {
-		size += p.size + recordHeaderSize
+	for _, write := range group {
+		size += write.size + recordHeaderSize
 	}
 	for range 8 {
 		s.mu.RLock()
 		over := s.diskBytes+size > 2*(s.liveBytes+size)+s.opt.Segment
 		s.mu.RUnlock()
-		if !over || s.compactionFailing.Load() { // a full disk must not hold up writes: they fail, or still fit
+		if !over || s.compactionFailing.Load() { // a full disk must not delay writes: they fail, or still fit
 			return
 		}
 		if s.active != nil && s.active.end-s.active.liveBytes > s.opt.segmentSize()/2 {
 			if err := s.rotate(); err != nil {
-				return // the write that follows meets the same
+				return // the write that follows will fail with the same error
 			}
 		}
 		s.wakeMaintenance()
@@ -267,12 +270,12 @@
 	}
 }
 
-// finish ends the writer: everything acknowledged is synced.
+// syncBeforeExit syncs all acknowledged writes before the writer ends.
 func (s *Store) syncBeforeExit() {
-	_ = s.syncActive() // Close syncs again and tells
+	_ = s.syncActive() // Close has synced before, and returned its error
 }
 
-// Close syncs, leaves a checkpoint, and closes. Writes that wait are done first.
+// Close completes the queued writes, syncs, writes a checkpoint and closes the store.
 func (s *Store) Close() error {
 	var err error
 	if !s.opt.ReadOnly {
