--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -15,8 +15,8 @@
 	"robinmast/internal/store/vfs"
 )
 
-// BenchmarkDurable compares durable writes with a bare loop that appends the
-// same bytes and syncs them in groups of the same size, in one run.
+// BenchmarkDurable compares durable writes with a loop that only appends the same number of
+// bytes to a file and syncs them in groups of the same size.
 //
 //	go test ./internal/store -run - -bench Durable -benchtime 2s
 func BenchmarkDurable(b *testing.B) {
@@ -70,7 +70,7 @@
 	}
 }
 
-// BenchmarkMillion reads from, and recovers, a store of 1,000,000 entries.
+// BenchmarkMillion measures reads from a store of 1,000,000 entries, and its recovery.
 //
 //	go test ./internal/store -run - -bench Million -benchtime 200000x
 func BenchmarkMillion(b *testing.B) {
@@ -93,48 +93,48 @@
 	if err := s.Sync(); err != nil {
 		b.Fatal(err)
 	}
-	h := hdrhistogram.New(1, int64(time.Second), 3)
+	latencies := hdrhistogram.New(1, int64(time.Second), 3)
 	for range b.N {
 		key := fmt.Sprintf("tenant/class/%08d", rand.IntN(n))
 		began := time.Now()
 		if _, err := s.Get(key); err != nil {
 			b.Fatal(err)
 		}
-		_ = h.RecordValue(int64(time.Since(began))) // beyond a second it is clipped
+		_ = latencies.RecordValue(int64(time.Since(began))) // values above one second are not recorded
 	}
-	b.ReportMetric(float64(h.ValueAtQuantile(50)), "get-p50-ns")
-	b.ReportMetric(float64(h.ValueAtQuantile(99)), "get-p99-ns")
-	// As kill -9 leaves it: the files as they are, without and with a checkpoint.
+	b.ReportMetric(float64(latencies.ValueAtQuantile(50)), "get-p50-ns")
+	b.ReportMetric(float64(latencies.ValueAtQuantile(99)), "get-p99-ns")
+	// Recovery of the files as a killed process leaves them, without and with a checkpoint.
 	for _, name := range []string{"log", "checkpoint"} {
 		if name == "checkpoint" {
 			if err := s.Checkpoint(); err != nil {
 				b.Fatal(err)
 			}
 		}
-		left := filepath.Join(b.TempDir(), name)
-		if err := os.CopyFS(left, os.DirFS(dir)); err != nil {
+		copied := filepath.Join(b.TempDir(), name)
+		if err := os.CopyFS(copied, os.DirFS(dir)); err != nil {
 			b.Fatal(err)
 		}
 		if name == "log" {
-			checks, _ := filepath.Glob(filepath.Join(left, "*"+checkpointSuffix))
-			for _, c := range checks {
+			checkpoints, _ := filepath.Glob(filepath.Join(copied, "*"+checkpointSuffix))
+			for _, c := range checkpoints {
 				if err := os.Remove(c); err != nil {
 					b.Fatal(err)
 				}
 			}
 		}
-		var was, is runtime.MemStats
+		var before, after runtime.MemStats
 		runtime.GC()
-		runtime.ReadMemStats(&was)
-		r, rec, err := Open(left, Options{Segment: 64 << 20})
+		runtime.ReadMemStats(&before)
+		r, rec, err := Open(copied, Options{Segment: 64 << 20})
 		if err != nil || rec.Entries != n {
 			b.Fatalf("%+v, %v", rec, err)
 		}
 		runtime.GC()
-		runtime.ReadMemStats(&is)
+		runtime.ReadMemStats(&after)
 		b.ReportMetric(rec.Took.Seconds(), "open-"+name+"-s")
-		b.ReportMetric(float64(is.HeapAlloc-was.HeapAlloc)/n-21, "index-B/key")
-		b.ReportMetric(float64(is.Sys)/(1<<20), "from-os-MB")
+		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/n-21, "index-B/key")
+		b.ReportMetric(float64(after.Sys)/(1<<20), "from-os-MB")
 		if err := r.Close(); err != nil {
 			b.Fatal(err)
 		}
--- a/internal/store/concurrent_test.go
+++ b/internal/store/concurrent_test.go
@@ -11,9 +11,9 @@
 	"testing"
 )
 
-// Writers, readers, compaction, checkpoints and sweeps at once: whoever was
-// acknowledged reads what was written, scans see whole batches, and the store
-// opened again holds exactly the last of each key.
+// Writers, readers, compaction, checkpoints and sweeps run concurrently. A writer must read
+// its acknowledged writes, a scan must see whole batches only, and the store must have the
+// last value of each key after a restart, with and without a checkpoint.
 func TestConcurrent(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "store")
 	for incarnation := range 3 {
@@ -22,7 +22,7 @@
 			t.Fatal(err)
 		}
 		if len(rec.Damaged)+len(rec.Torn) > 0 {
-			t.Fatalf("life %d: %+v", incarnation, rec)
+			t.Fatalf("incarnation %d: %+v", incarnation, rec)
 		}
 		const writers = 8
 		want := make([]map[string]string, writers)
@@ -60,7 +60,7 @@
 					}
 					got, err := s.Get(k)
 					if w, ok := mine[k]; ok && string(got) != w || !ok && !errors.Is(err, ErrNotFound) {
-						t.Errorf("%s is %.20q, %v, want %.20q", k, got, err, w)
+						t.Errorf("Get of %s returned %.20q, %v, want %.20q", k, got, err, w)
 						return
 					}
 				}
@@ -82,7 +82,7 @@
 				}
 				for k, v := range last {
 					if !strings.HasSuffix(k, "m") && last[k+"m"] != v {
-						t.Errorf("a scan saw half a batch of %s", k)
+						t.Errorf("a scan returned part of the batch of %s", k)
 						return
 					}
 				}
@@ -96,7 +96,7 @@
 		close(stop)
 		others.Wait()
 		if s.Stats.Compactions.Load() == 0 {
-			t.Error("nothing was compacted")
+			t.Error("no segment was compacted")
 		}
 		if err := s.Close(); err != nil {
 			t.Fatal(err)
@@ -110,7 +110,7 @@
 			maps.Copy(all, m)
 		}
 		if got := contents(t, s); !maps.Equal(got, all) {
-			t.Fatalf("life %d: %v", incarnation, difference(got, all))
+			t.Fatalf("incarnation %d: %v", incarnation, difference(got, all))
 		}
 		if err := s.Close(); err != nil {
 			t.Fatal(err)
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -21,17 +21,17 @@
 	"robinmast/internal/store/vfs"
 )
 
-const dir = "/s"
+const dir = "/s" // of the store, in memory
 
-// world is a store under test with its disk, its clock and what it must hold.
+// harness is a store under test with its disk, its clock and a model of its contents.
 type harness struct {
 	t        *testing.T
 	disk     *vfs.Mem
 	now      int64
 	salt     uint64
 	s        *Store
-	model    map[string]string // key to value; an expiry stands in ends
-	expiries map[string]int64
+	model    map[string]string // key to value
+	expiries map[string]int64  // key to expiry, for keys that have one
 }
 
 func (h *harness) options() Options {
@@ -42,11 +42,14 @@
 }
 
 func newHarness(t *testing.T) *harness {
-	h := &harness{t: t, disk: vfs.NewMem(true), now: 1000, model: map[string]string{}, expiries: map[string]int64{}}
+	h := &harness{
+		t: t, disk: vfs.NewMem(true), now: 1000, model: map[string]string{}, expiries: map[string]int64{},
+	}
 	h.open()
 	return h
 }
 
+// open opens the store on the disk of the harness.
 func (h *harness) open() Recovery {
 	h.t.Helper()
 	s, rec, err := Open(dir, h.options())
@@ -57,7 +60,7 @@
 	return rec
 }
 
-// contents is all that a store holds.
+// contents returns all keys and values of a store, and checks their order.
 func contents(t *testing.T, s *Store) map[string]string {
 	t.Helper()
 	all := map[string]string{}
@@ -76,7 +79,7 @@
 	return all
 }
 
-// expected is what must be held now.
+// expected returns what the model holds now.
 func (h *harness) expected() map[string]string {
 	m := map[string]string{}
 	for k, v := range h.model {
@@ -87,6 +90,8 @@
 	return m
 }
 
+// apply writes one batch of keys and values, and updates the model. An empty value
+// deletes the key.
 func (h *harness) apply(d Durability, pairs ...string) {
 	h.t.Helper()
 	var b Batch
@@ -108,7 +113,7 @@
 	}
 }
 
-// step is a state that was acknowledged, and when.
+// acknowledgedState is the contents after an acknowledged write, and when it was.
 type acknowledgedState struct {
 	operations int
 	now        int64
@@ -116,7 +121,7 @@
 	expiries   map[string]int64
 }
 
-// at is what the state holds at a time.
+// contentsAt returns the keys and values that have not expired at a time.
 func (s acknowledgedState) contentsAt(now int64) map[string]string {
 	m := map[string]string{}
 	for k, v := range s.state {
@@ -127,8 +132,9 @@
 	return m
 }
 
-// workload runs overwrites, deletes, expiry, batches and compaction, all durable
-// but for some, and returns the states in order of their acknowledgement.
+// workload runs overwrites, deletions, expiring writes, compactions and restarts. Writes are
+// durable, or with withSoon partly Soon. Each batch sets or deletes a key and the same key
+// with the prefix "m". It returns the states in the order of acknowledgement.
 func workload(h *harness, withSoon bool, batches int) []acknowledgedState {
 	random := rand.New(rand.NewPCG(7, 7))
 	var steps []acknowledgedState
@@ -144,9 +150,9 @@
 		k := fmt.Sprintf("k%02d", random.IntN(12))
 		v := fmt.Sprintf("v%d-%s", i, strings.Repeat("x", random.IntN(40)))
 		switch random.IntN(8) {
-		case 0: // a deletion, of both halves
+		case 0: // deletion of both keys
 			h.apply(durability, k, "", "m"+k, "")
-		case 1: // an expiry
+		case 1: // with an expiry
 			var b Batch
 			b.Put(k, []byte(v), h.now+20)
 			b.Put("m"+k, []byte(v), h.now+20)
@@ -180,48 +186,52 @@
 	return steps
 }
 
-// differs lists where two contents differ.
+// difference lists the keys whose values differ.
 func difference(got, want map[string]string) (d []string) {
 	for k, v := range got {
 		if w, ok := want[k]; w != v || !ok {
-			d = append(d, fmt.Sprintf("%q is %.12q, not %.12q", k, v, w))
+			d = append(d, fmt.Sprintf("%q is %.12q, want %.12q", k, v, w))
 		}
 	}
 	for k, w := range want {
 		if _, ok := got[k]; !ok {
-			d = append(d, fmt.Sprintf("%q is missing, not %.12q", k, w))
+			d = append(d, fmt.Sprintf("%q is missing, want %.12q", k, w))
 		}
 	}
 	slices.Sort(d)
 	return d
 }
 
-// reopen opens what a cut left, at a time.
+// reopen opens the store on what a crash left, at a time in Unix milliseconds.
 func reopen(t *testing.T, disk *vfs.Mem, now int64) (*Store, Recovery) {
 	t.Helper()
 	salt := uint64(now) * 977
-	s, rec, err := Open(dir, Options{FS: disk, Segment: 4 << 10, Manual: true, Now: func() int64 { return now }, Salt: func() uint64 { salt++; return salt }})
+	s, rec, err := Open(dir, Options{
+		FS: disk, Segment: 4 << 10, Manual: true,
+		Now: func() int64 { return now }, Salt: func() uint64 { salt++; return salt },
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return s, rec
 }
 
-// After a cut at any operation and any byte, whatever of the unsynced was lost
-// and in whatever order, a store of which every write was durable is exactly as
-// of the last acknowledgement, or one batch further; and it can go on.
+// Guards against loss and corruption by a power cut. A store with only durable writes is cut
+// after each operation, and within each write after each byte; of what was not synced all,
+// nothing or a random part is kept. Recovery must give exactly the last acknowledged state, or
+// that with the batch in progress, must report no damage, and the store must be usable.
 func TestEveryCut(t *testing.T) {
 	h := newHarness(t)
 	steps := workload(h, false, 60)
 	ops := h.disk.Ops()
-	r := rand.New(rand.NewPCG(1, 2))
+	random := rand.New(rand.NewPCG(1, 2))
 	states := 0
-	at := 0
+	current := 0
 	for n := 0; n <= ops; n++ {
-		for at+1 < len(steps) && steps[at+1].operations <= n {
-			at++
+		for current+1 < len(steps) && steps[current+1].operations <= n {
+			current++
 		}
-		cuts := []vfs.Cut{vfs.KeepAll, vfs.KeepNone, vfs.KeepSome(r), vfs.KeepSome(r)}
+		cuts := []vfs.Cut{vfs.KeepAll, vfs.KeepNone, vfs.KeepSome(random), vfs.KeepSome(random)}
 		if n > 0 {
 			if o := h.disk.OpAt(n - 1); o.Kind == vfs.OpWrite {
 				for i := range len(o.Data) {
@@ -232,17 +242,18 @@
 		for i, cut := range cuts {
 			states++
 			disk := h.disk.After(n, cut)
-			next := steps[min(at+1, len(steps)-1)]
+			next := steps[min(current+1, len(steps)-1)]
 			s, rec := reopen(t, disk, next.now)
 			got := contents(t, s)
-			was := steps[at].contentsAt(next.now)
-			if !maps.Equal(got, was) && !maps.Equal(got, next.contentsAt(next.now)) {
-				t.Fatalf("cut %d after operation %d (%v): %v or %v; %+v", i, n, h.disk.OpAt(max(n-1, 0)), difference(got, was), difference(got, next.contentsAt(next.now)), rec)
+			acknowledged := steps[current].contentsAt(next.now)
+			if !maps.Equal(got, acknowledged) && !maps.Equal(got, next.contentsAt(next.now)) {
+				t.Fatalf("cut %d after operation %d (%v): differs from the acknowledged state by %v, from the next by %v; %+v",
+					i, n, h.disk.OpAt(max(n-1, 0)), difference(got, acknowledged), difference(got, next.contentsAt(next.now)), rec)
 			}
 			if len(rec.Damaged) > 0 {
-				t.Fatalf("cut %d after operation %d: a cut passes for damage: %v", i, n, rec.Damaged)
+				t.Fatalf("cut %d after operation %d: a power cut is reported as damage: %v", i, n, rec.Damaged)
 			}
-			if i < 4 { // what is there can be built on
+			if i < 4 { // the recovered store accepts writes, compaction and a restart
 				if err := s.Put("after", []byte("cut"), 0, Durable); err != nil {
 					t.Fatal(err)
 				}
@@ -251,23 +262,24 @@
 				}
 				got["after"] = "cut"
 				if now := contents(t, s); !maps.Equal(now, got) {
-					t.Fatalf("after a cut and more: %v, want %v", now, got)
+					t.Fatalf("after a write and a compaction: %v, want %v", now, got)
 				}
 				if err := s.Close(); err != nil {
 					t.Fatal(err)
 				}
 				s, _ = reopen(t, disk, next.now)
 				if now := contents(t, s); !maps.Equal(now, got) {
-					t.Fatalf("opened again: %v, want %v", now, got)
+					t.Fatalf("after a restart: %v, want %v", now, got)
 				}
 			}
 		}
 	}
-	t.Logf("%d states of %d operations", states, ops)
+	t.Logf("%d states after %d operations", states, ops)
 }
 
-// With writes that are only acknowledged as written, a cut may lose them, but
-// not what was synced, nothing is invented, and no half of a batch is seen.
+// Guards the weaker guarantee of Soon writes. A power cut may lose those that were not
+// synced, but recovery must not return a value that was never written, nor a part of a
+// batch. A crash of the process alone must lose no acknowledged write.
 func TestEveryCutSoon(t *testing.T) {
 	h := newHarness(t)
 	steps := workload(h, true, 80)
@@ -277,37 +289,39 @@
 			history[k+"="+v] = true
 		}
 	}
-	r := rand.New(rand.NewPCG(3, 4))
-	at := 0
+	random := rand.New(rand.NewPCG(3, 4))
+	current := 0
 	for n := 0; n <= h.disk.Ops(); n++ {
-		for at+1 < len(steps) && steps[at+1].operations <= n {
-			at++
+		for current+1 < len(steps) && steps[current+1].operations <= n {
+			current++
 		}
-		next := steps[min(at+1, len(steps)-1)]
-		for i, cut := range []vfs.Cut{vfs.KeepAll, vfs.KeepNone, vfs.KeepSome(r), vfs.KeepSome(r), vfs.KeepSome(r)} {
+		next := steps[min(current+1, len(steps)-1)]
+		cuts := []vfs.Cut{vfs.KeepAll, vfs.KeepNone, vfs.KeepSome(random), vfs.KeepSome(random), vfs.KeepSome(random)}
+		for i, cut := range cuts {
 			s, _ := reopen(t, h.disk.After(n, cut), next.now)
 			got := contents(t, s)
 			for k, v := range got {
-				if !history[k+"="+v] && (at+1 >= len(steps) || steps[at+1].state[k] != v) {
-					t.Fatalf("cut %d after %d: %s=%s was never written", i, n, k, v)
+				if !history[k+"="+v] && (current+1 >= len(steps) || steps[current+1].state[k] != v) {
+					t.Fatalf("cut %d after operation %d: %s=%s was never written", i, n, k, v)
 				}
 				if !strings.HasPrefix(k, "m") && got["m"+k] != v {
-					t.Fatalf("cut %d after %d: half a batch: %s=%s, m%s=%s", i, n, k, v, k, got["m"+k])
+					t.Fatalf("cut %d after operation %d: part of a batch: %s=%s, m%s=%s", i, n, k, v, k, got["m"+k])
 				}
 			}
-			if i == 0 { // the process alone ended: everything acknowledged is there
-				want := steps[at].contentsAt(next.now)
+			if i == 0 { // the process alone crashed: no acknowledged write is lost
+				want := steps[current].contentsAt(next.now)
 				if !maps.Equal(got, want) && !maps.Equal(got, next.contentsAt(next.now)) {
-					t.Fatalf("after %d (%v): %v or %v", n, h.disk.OpAt(max(n-1, 0)), difference(got, want), difference(got, next.contentsAt(next.now)))
+					t.Fatalf("after operation %d (%v): differs from the acknowledged state by %v, from the next by %v",
+						n, h.disk.OpAt(max(n-1, 0)), difference(got, want), difference(got, next.contentsAt(next.now)))
 				}
 			}
 		}
 	}
 }
 
-// Every file is cut at every byte, and every byte is changed: the store opens,
-// serves every record that is still whole, and invents nothing. What is damaged
-// is told, set aside and never removed.
+// Guards against silent loss by damaged files. Every file is truncated at every byte, and
+// every byte is changed. The store must open, mark as in doubt every key whose value differs,
+// report the damage, and set the damaged segment aside without changing the contents.
 func TestDamage(t *testing.T) {
 	h := newHarness(t)
 	workload(h, false, 50)
@@ -340,16 +354,16 @@
 			t.Fatal(err)
 		}
 		for k, v := range got {
-			if want[k] != v { // an older value, or a deletion that was lost
+			if want[k] != v { // an older value, or a lost deletion
 				if lost++; len(rec.Damaged) > 0 && !inDoubt[k] {
-					t.Fatalf("%s: key %s has %q for %q, and nothing says that it is in doubt", what, k, v, want[k])
+					t.Fatalf("%s: key %s is %q, want %q, and is not marked as in doubt", what, k, v, want[k])
 				}
 			}
 		}
 		for k := range want {
 			if _, ok := got[k]; !ok {
 				if lost++; len(rec.Damaged) > 0 && unreadable == 0 && !s.InDoubt(k) {
-					t.Fatalf("%s: key %s is missing, and nothing says that it is in doubt", what, k)
+					t.Fatalf("%s: key %s is missing and is not marked as in doubt", what, k)
 				}
 			}
 		}
@@ -357,28 +371,30 @@
 		for _, f := range append(rec.Damaged, rec.Torn...) {
 			bytes += f.Size
 		}
-		if bytes += int64(len(s.Info().Faults)); lost > 0 && bytes == 0 && !(name == newest && strings.Contains(what, " cut at ")) { // a shorter log is a log
-			t.Fatalf("%s: %d keys differ and nothing is told", what, lost)
+		// A truncated newest segment can't be told from a shorter log.
+		if bytes += int64(len(s.Info().Faults)); lost > 0 && bytes == 0 &&
+			!(name == newest && strings.Contains(what, " truncated at ")) {
+			t.Fatalf("%s: %d keys differ and no fault is reported", what, lost)
 		}
 		if strings.HasSuffix(name, checkpointSuffix) && lost > 0 {
-			t.Fatalf("%s: %d keys differ though the log is whole", what, lost)
+			t.Fatalf("%s: %d keys differ although the log is intact", what, lost)
 		}
 		if len(rec.Damaged)+unreadable > 0 {
 			if err := s.Compact(context.Background()); err != nil {
 				t.Fatal(err)
 			}
 			if now := contents(t, s); !maps.Equal(now, got) {
-				t.Fatalf("%s: setting aside changed %v to %v", what, got, now)
+				t.Fatalf("%s: compaction changed %v to %v", what, got, now)
 			}
 			if i := s.Info(); i.SetAside == 0 || len(i.Faults) > 0 {
-				t.Fatalf("%s: not set aside: %+v", what, i)
+				t.Fatalf("%s: the damaged segment is not set aside: %+v", what, i)
 			}
 			if err := s.Close(); err != nil {
 				t.Fatal(err)
 			}
 			rep, err := Verify(dir, Options{FS: disk, Now: func() int64 { return h.now }})
 			if err != nil || len(rep.Faults) == 0 || !strings.HasSuffix(rep.Faults[0].File, damagedSuffix) {
-				t.Fatalf("%s: verify: %+v, %v", what, rep, err)
+				t.Fatalf("%s: Verify returned %+v, %v", what, rep, err)
 			}
 		}
 	}
@@ -389,9 +405,9 @@
 			stride = 7
 		}
 		for i := 0; i < len(whole); i += stride {
-			cut := h.disk.Clone()
-			cut.Put(vfs.Join(dir, name), whole[:i])
-			check(fmt.Sprintf("%s cut at %d of %d", name, i, len(whole)), cut, name)
+			truncated := h.disk.Clone()
+			truncated.Put(vfs.Join(dir, name), whole[:i])
+			check(fmt.Sprintf("%s truncated at %d of %d", name, i, len(whole)), truncated, name)
 			changed := h.disk.Clone()
 			b := append([]byte(nil), whole...)
 			b[i] ^= 0x55
@@ -404,8 +420,8 @@
 	}
 }
 
-// Doubt is no more than it has to be: what was written after the damage is not in it,
-// and a write ends it.
+// Guards against marking too many keys as in doubt: a key that was written after the damaged
+// record is not in doubt, and a write of a key ends its doubt.
 func TestInDoubtEndsWithWrite(t *testing.T) {
 	h := newHarness(t)
 	for _, kv := range [][2]string{{"a", "1"}, {"b", "1"}, {"a", "2"}, {"c", "1"}} {
@@ -434,11 +450,11 @@
 	s, rec := reopen(t, h.disk.Clone(), h.now)
 	v, err := s.Get("a")
 	if err != nil || string(v) != "1" || len(rec.Damaged) != 1 || rec.InDoubt != 2 {
-		t.Fatalf("a is %q, %v; %+v", v, err, rec)
+		t.Fatalf("Get of a returned %q, %v; %+v", v, err, rec)
 	}
 	for key, want := range map[string]bool{"a": true, "b": true, "c": false, "never": true} {
 		if got := s.InDoubt(key); got != want {
-			t.Errorf("%s in doubt: %v", key, got)
+			t.Errorf("InDoubt of %s is %v", key, got)
 		}
 	}
 	var batch Batch
@@ -447,12 +463,12 @@
 		t.Fatal(err)
 	}
 	if s.InDoubt("a") {
-		t.Error("a was written and is still in doubt")
+		t.Error("a is still in doubt after a write")
 	}
 }
 
-// A full disk at any operation of a compaction, or of ordinary writes: reads go
-// on, writes fail at once with one error, and all works again with room.
+// The disk becomes full at any write of a compaction. Reads must still work, writes must fail
+// with ErrFull and not be visible, and everything must work again once there is space.
 func TestDiskFull(t *testing.T) {
 	for failAfter := 0; ; failAfter++ {
 		h := newHarness(t)
@@ -464,7 +480,7 @@
 				return nil
 			}
 			count++
-			if failed = count > failAfter; failed { // from here on until there is room
+			if failed = count > failAfter; failed { // until Fail(nil)
 				return &vfs.Torn{N: len(o.Data) / 2, Err: syscall.ENOSPC}
 			}
 			return nil
@@ -475,21 +491,21 @@
 				t.Fatal(err)
 			}
 			if failAfter < 4 {
-				t.Fatalf("a compaction of %d writes", failAfter)
+				t.Fatalf("compaction took only %d writes", failAfter)
 			}
 			return
 		}
 		if !errors.Is(err, ErrFull) {
-			t.Fatalf("write %d: %v", failAfter, err)
+			t.Fatalf("write %d: compaction returned %v, want ErrFull", failAfter, err)
 		}
 		if got := contents(t, h.s); !maps.Equal(got, want) {
-			t.Fatalf("write %d: reads give %v, want %v", failAfter, got, want)
+			t.Fatalf("write %d: contents are %v, want %v", failAfter, got, want)
 		}
 		if err := h.s.Put("k", []byte("v"), 0, Durable); !errors.Is(err, ErrFull) {
-			t.Fatalf("write %d: a write to a full disk: %v", failAfter, err)
+			t.Fatalf("write %d: a write to a full disk returned %v, want ErrFull", failAfter, err)
 		}
 		if _, err := h.s.Get("k"); !errors.Is(err, ErrNotFound) {
-			t.Fatalf("write %d: a failed write is seen: %v", failAfter, err)
+			t.Fatalf("write %d: a failed write is visible: %v", failAfter, err)
 		}
 		h.disk.Fail(nil)
 		h.apply(Durable, "k", "v")
@@ -498,13 +514,15 @@
 		}
 		s, rec := reopen(t, h.disk.After(h.disk.Ops(), vfs.KeepNone), h.now)
 		if got := contents(t, s); !maps.Equal(got, h.expected()) || len(rec.Damaged) > 0 {
-			t.Fatalf("write %d: with room again %v, want %v; %v", failAfter, got, h.expected(), rec.Damaged)
+			t.Fatalf("write %d: contents after the disk has space again are %v, want %v; %v",
+				failAfter, got, h.expected(), rec.Damaged)
 		}
 	}
 }
 
-// A sync that fails: what asked for it is reported failed and not seen, what was
-// acknowledged before stays, also after a cut, and the segment is not used again.
+// A sync fails, and the truncation after it works or fails too. The write that needed the
+// sync must fail and not be visible, acknowledged writes must survive a power cut, and the
+// segment must not be used again: a second sync of the file could succeed without the data.
 func TestFailedSync(t *testing.T) {
 	for _, truncates := range []bool{true, false} {
 		h := newHarness(t)
@@ -522,14 +540,14 @@
 			return nil
 		})
 		if err := h.s.Put("a", []byte("lost"), 0, Durable); err == nil || errors.Is(err, ErrFull) {
-			t.Fatalf("a write whose sync failed: %v", err)
+			t.Fatalf("a write whose sync failed returned %v", err)
 		}
 		if v, err := h.s.Get("a"); string(v) != "1" {
-			t.Fatalf("a is %q, %v", v, err)
+			t.Fatalf("Get of a returned %q, %v", v, err)
 		}
 		h.apply(Durable, "c", "3")
 		if h.s.Stats.GivenUp.Load() != 1 {
-			t.Error("the segment was not given up")
+			t.Error("the segment was not abandoned")
 		}
 		h.disk.Fail(nil)
 		for i, cut := range []vfs.Cut{vfs.KeepAll, vfs.KeepNone} {
@@ -541,7 +559,7 @@
 	}
 }
 
-// Against a map: any operations, reopened and cut at any time.
+// Compares the store with a map under random operations, restarts and crashes of the process.
 func TestAgainstMap(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		h := newHarness(t)
@@ -562,13 +580,14 @@
 					r.Fatal(err)
 				}
 				h.open()
-			case 4: // the process ends
-				left := h.disk.Clone()
+			case 4: // crash of the process
+				remaining := h.disk.Clone()
 				_ = h.s.Close()
-				h.disk = left
+				h.disk = remaining
 				h.open()
 			case 5:
-				k, v, e := key.Draw(r, "key"), rapid.StringN(1, 9, 600).Draw(r, "value"), h.now+int64(rapid.IntRange(1, 40).Draw(r, "ttl"))
+				k, v := key.Draw(r, "key"), rapid.StringN(1, 9, 600).Draw(r, "value")
+				e := h.now + int64(rapid.IntRange(1, 40).Draw(r, "ttl"))
 				if err := h.s.Put(k, []byte(v), e, Durable); err != nil {
 					r.Fatal(err)
 				}
@@ -580,14 +599,14 @@
 					rapid.StringN(1, 9, 300).Draw(r, "value"), key.Draw(r, "key2"), rapid.StringN(1, 9, 300).Draw(r, "value2"))
 			}
 			if got := contents(t, h.s); !maps.Equal(got, h.expected()) {
-				r.Fatalf("holds %q, want %q", got, h.expected())
+				r.Fatalf("contents are %q, want %q", got, h.expected())
 			}
 		}
 	})
 }
 
-// Many writers at once share syncs, and disk use stays within its bound while
-// everything is overwritten again and again, on the real file system.
+// On the operating system's file system, concurrent writers must share syncs, and disk use
+// must stay within its bound while all keys are overwritten repeatedly.
 func TestGroupCommitAndBound(t *testing.T) {
 	s, _, err := Open(filepath.Join(t.TempDir(), "store"), Options{Segment: 256 << 10})
 	if err != nil {
@@ -603,7 +622,7 @@
 					t.Error(err)
 				}
 				if info := s.Info(); info.DiskBytes > info.Bound {
-					t.Errorf("%d bytes on the disk, bound %d", info.DiskBytes, info.Bound)
+					t.Errorf("%d bytes on the disk, the bound is %d", info.DiskBytes, info.Bound)
 				}
 			}
 		})
@@ -616,7 +635,7 @@
 		t.Errorf("%d keys, %d compactions", s.Len(), s.Stats.Compactions.Load())
 	}
 	if _, _, err := Open(s.dir, Options{}); !errors.Is(err, vfs.ErrLocked) {
-		t.Errorf("opened twice: %v", err)
+		t.Errorf("opening the store twice returned %v", err)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
@@ -632,16 +651,17 @@
 		t.Fatal(err)
 	}
 	if err := s.Put("k", nil, 0, Durable); !errors.Is(err, ErrClosed) {
-		t.Errorf("a write after the close: %v", err)
+		t.Errorf("a write after Close returned %v", err)
 	}
 }
 
-// A file of another version is refused and left as it is.
+// A file with another version of the format is refused and not changed.
 func TestOtherVersion(t *testing.T) {
 	path := t.TempDir()
 	b := header{id: 1, salt: 5}.encode()
 	b[8] = 9
-	binary.LittleEndian.PutUint32(b[headerSize-4:], crc32.Checksum(b[:headerSize-4], castagnoli)) // as that version would
+	checksum := crc32.Checksum(b[:headerSize-4], castagnoli)
+	binary.LittleEndian.PutUint32(b[headerSize-4:], checksum)
 	name := filepath.Join(path, segmentName(1, 5, segmentSuffix))
 	if err := os.WriteFile(name, b, 0o600); err != nil {
 		t.Fatal(err)
@@ -649,14 +669,14 @@
 	_, _, err := Open(path, Options{})
 	var v *VersionError
 	if !errors.As(err, &v) || v.Version != 9 {
-		t.Fatalf("%v", err)
+		t.Fatalf("Open returned %v", err)
 	}
 	if now, _ := os.ReadFile(name); string(now) != string(b) {
-		t.Error("it was touched")
+		t.Error("the file was changed")
 	}
 }
 
-// Whatever stands in a segment, opening neither fails by accident nor invents.
+// Any bytes in a segment: opening must not panic, and a compaction must not change the contents.
 func FuzzRecovery(f *testing.F) {
 	var ops = []op{{key: "k", value: []byte("v"), seq: 1}, {key: "k2", seq: 2, delete: true}}
 	good := appendRecord(header{id: 1, salt: 5}.encode(), 5, headerSize, 0, ops, nil)
