--- a/internal/store/concurrent_test.go
+++ b/internal/store/concurrent_test.go
@@ -11,24 +11,24 @@
 	"testing"
 )
 
-// Writers, readers, compaction, checkpoints and sweeps at once: whoever was
-// acknowledged reads what was written, scans see whole batches, and the store
-// opened again holds exactly the last of each key.
+// Writers, readers, compaction, checkpoints and sweeps run concurrently. A writer must read
+// its acknowledged writes, a scan must see whole batches only, and the store must have the
+// last value of each key after a restart, with and without a checkpoint.
 func TestConcurrent(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "store")
-	for life := range 3 {
+	for incarnation := range 3 {
 		s, rec, err := Open(dir, Options{Segment: 64 << 10})
 		if err != nil {
 			t.Fatal(err)
 		}
 		if len(rec.Damaged)+len(rec.Torn) > 0 {
-			t.Fatalf("life %d: %+v", life, rec)
+			t.Fatalf("incarnation %d: %+v", incarnation, rec)
 		}
 		const writers = 8
 		want := make([]map[string]string, writers)
 		var wg sync.WaitGroup
 		for n := range writers {
-			r := rand.New(rand.NewPCG(uint64(life), uint64(n)))
+			r := rand.New(rand.NewPCG(uint64(incarnation), uint64(n)))
 			mine := map[string]string{}
 			want[n] = mine
 			prefix := fmt.Sprintf("%d/", n)
@@ -42,7 +42,7 @@
 			wg.Go(func() {
 				for i := range 600 {
 					k := fmt.Sprintf("%s%d", prefix, r.IntN(30))
-					v := fmt.Sprintf("%d-%d-%s", life, i, strings.Repeat("x", r.IntN(200)))
+					v := fmt.Sprintf("%d-%d-%s", incarnation, i, strings.Repeat("x", r.IntN(200)))
 					var b Batch
 					if r.IntN(5) == 0 {
 						b.Delete(k)
@@ -60,7 +60,7 @@
 					}
 					got, err := s.Get(k)
 					if w, ok := mine[k]; ok && string(got) != w || !ok && !errors.Is(err, ErrNotFound) {
-						t.Errorf("%s is %.20q, %v, want %.20q", k, got, err, w)
+						t.Errorf("Get of %s returned %.20q, %v, want %.20q", k, got, err, w)
 						return
 					}
 				}
@@ -82,7 +82,7 @@
 				}
 				for k, v := range last {
 					if !strings.HasSuffix(k, "m") && last[k+"m"] != v {
-						t.Errorf("a scan saw half a batch of %s", k)
+						t.Errorf("a scan returned part of the batch of %s", k)
 						return
 					}
 				}
@@ -96,12 +96,12 @@
 		close(stop)
 		others.Wait()
 		if s.Stats.Compactions.Load() == 0 {
-			t.Error("nothing was compacted")
+			t.Error("no segment was compacted")
 		}
 		if err := s.Close(); err != nil {
 			t.Fatal(err)
 		}
-		s, _, err = Open(dir, Options{Segment: 64 << 10, noIndex: life%2 == 0})
+		s, _, err = Open(dir, Options{Segment: 64 << 10, ignoreCheckpoint: incarnation%2 == 0})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -110,7 +110,7 @@
 			maps.Copy(all, m)
 		}
 		if got := contents(t, s); !maps.Equal(got, all) {
-			t.Fatalf("life %d: %v", life, differs(got, all))
+			t.Fatalf("incarnation %d: %v", incarnation, difference(got, all))
 		}
 		if err := s.Close(); err != nil {
 			t.Fatal(err)
