--- a/internal/control/comeback.go
+++ b/internal/control/events.go
@@ -12,7 +12,6 @@
 
 	"robinmast/decide/fleet"
 	"robinmast/decide/recovery"
-	"robinmast/decide/shedding"
 	"robinmast/internal/store"
 )
 
@@ -22,37 +21,6 @@
 	pastKey   = "history"
 )
 
-// back is the part of a report of a node that watches its way to full service.
-type back struct {
-	State  string                  `json:"state"`
-	Memory string                  `json:"memory"`
-	Store  *recovery.PreviousStore `json:"store"`
-	Reads  float64                 `json:"reads"`
-	Again  float64                 `json:"again"`
-}
-
-// parse makes a word of it, nil if there is none.
-func (b *back) parse(r *fleet.Report) *recovery.NodeReport {
-	if b == nil || r == nil {
-		return nil
-	}
-	return &recovery.NodeReport{Name: r.Name, Zone: r.Zone, Incarnation: r.Incarnation, Leaving: r.Phase != fleet.Up,
-		Warm: r.Warm, Limit: r.Limit, ArrivalRate: b.Reads, FurtherTryShare: b.Again}
-}
-
-// told is the answer to a report: the fleet's digest, and what was heard of the
-// node's earlier lives.
-type told struct {
-	*shedding.Digest
-	Heard *heard  `json:"heard,omitempty"`
-	Room  float64 `json:"room,omitempty"` // share of the fleet's usual room that is there
-}
-
-// heard is nil in Before where nothing was heard of an earlier life.
-type heard struct {
-	Before *recovery.PreviousStore `json:"before,omitempty"`
-}
-
 // savedEvents is what is stored of the events.
 type savedEvents struct {
 	Wall   int64            `json:"wall"` // Unix milliseconds at the service's zero
--- /dev/null
+++ b/internal/control/proxies.go
@@ -0,0 +1,47 @@
+package control
+
+import (
+	"slices"
+	"strings"
+	"time"
+
+	"robinmast/decide/xds"
+)
+
+// Proxy is how a proxy stands.
+type Proxy struct {
+	Node, Zone, Peer, Form string
+	Since, Heard           time.Time
+	Types                  map[string]xds.Status
+	Behind                 []string // types of which it has not accepted the latest
+}
+
+// Proxies lists who is connected.
+func (s *Streams) Proxies() []Proxy {
+	s.mu.Lock()
+	all := make([]*stream, 0, len(s.streams))
+	for x := range s.streams {
+		all = append(all, x)
+	}
+	s.mu.Unlock()
+	list := make([]Proxy, 0, len(all))
+	for _, x := range all {
+		x.mu.Lock()
+		p := Proxy{Node: x.node, Zone: x.zone, Peer: x.peer, Form: [...]string{"world", "delta"}[x.form], Since: x.since, Heard: x.last, Types: map[string]xds.Status{}}
+		latest, err := s.latest(x.zone)
+		for t := xds.Type(0); t < xds.NumTypes; t++ {
+			st := x.state.Status(t)
+			if !st.Subscribed {
+				continue
+			}
+			p.Types[t.String()] = st
+			if err == nil && latest != nil && st.Acked != latest.snaps[t].Version {
+				p.Behind = append(p.Behind, t.String())
+			}
+		}
+		x.mu.Unlock()
+		list = append(list, p)
+	}
+	slices.SortFunc(list, func(a, b Proxy) int { return strings.Compare(a.Node+a.Peer, b.Node+b.Peer) })
+	return list
+}
--- a/internal/control/streams.go
+++ b/internal/control/streams.go
@@ -11,10 +11,8 @@
 	"crypto/tls"
 	"encoding/hex"
 	"errors"
-	"fmt"
 	"io"
 	"slices"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -167,50 +165,6 @@
 	return x, nil
 }
 
-// step grants turns; turnMu must be held.
-func (s *Streams) step() {
-	granted, again := s.turns.Grant(time.Since(s.began))
-	for _, turn := range granted {
-		close(s.waiting[turn])
-		delete(s.waiting, turn)
-	}
-	if again == 0 {
-		return
-	}
-	if s.waker == nil {
-		s.waker = time.AfterFunc(again, func() {
-			s.turnMu.Lock()
-			defer s.turnMu.Unlock()
-			s.step()
-		})
-		return
-	}
-	s.waker.Reset(again)
-}
-
-// whole waits for a turn to be given a whole answer; done gives it back.
-func (s *Streams) whole(ctx context.Context, name string) (done func(), err error) {
-	s.turnMu.Lock()
-	turn, granted := s.turns.Request(name), make(chan struct{})
-	s.waiting[turn] = granted
-	s.step()
-	s.turnMu.Unlock()
-	done = func() {
-		s.turnMu.Lock()
-		defer s.turnMu.Unlock()
-		s.turns.Release(turn)
-		delete(s.waiting, turn)
-		s.step()
-	}
-	select {
-	case <-granted:
-		return done, nil
-	case <-ctx.Done():
-		done()
-		return nil, ctx.Err()
-	}
-}
-
 func (s *Streams) close(x *stream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -309,105 +263,3 @@
 		}
 	}
 }
-
-// StreamAggregatedResources is the state-of-the-world form.
-func (s *Streams) StreamAggregatedResources(g discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
-	x, err := s.open(g.Context(), xds.World)
-	if err != nil {
-		return err
-	}
-	defer s.close(x)
-	return x.run(g.Context(), func() error {
-		q, err := g.Recv()
-		if err != nil {
-			return err
-		}
-		t, known := typeOf(q.GetTypeUrl())
-		if !known {
-			return nil // a type that is not published: it never will be answered
-		}
-		return x.take(q.GetNode(), xds.Request{
-			Type: t, Version: q.GetVersionInfo(), Nonce: q.GetResponseNonce(), Names: q.GetResourceNames(), Error: reason(q.GetErrorDetail().GetCode(), q.GetErrorDetail().GetMessage()),
-		})
-	}, func(r *xds.Response, bodies []*anypb.Any) error {
-		return g.Send(&discoveryv3.DiscoveryResponse{VersionInfo: r.Version, Resources: bodies, TypeUrl: typeURLs[r.Type], Nonce: r.Nonce})
-	})
-}
-
-// DeltaAggregatedResources is the incremental form.
-func (s *Streams) DeltaAggregatedResources(g discoveryv3.AggregatedDiscoveryService_DeltaAggregatedResourcesServer) error {
-	x, err := s.open(g.Context(), xds.Delta)
-	if err != nil {
-		return err
-	}
-	defer s.close(x)
-	return x.run(g.Context(), func() error {
-		q, err := g.Recv()
-		if err != nil {
-			return err
-		}
-		t, known := typeOf(q.GetTypeUrl())
-		if !known {
-			return nil
-		}
-		return x.take(q.GetNode(), xds.Request{
-			Type: t, Nonce: q.GetResponseNonce(), Subscribe: q.GetResourceNamesSubscribe(), Unsubscribe: q.GetResourceNamesUnsubscribe(),
-			Initial: q.GetInitialResourceVersions(), Error: reason(q.GetErrorDetail().GetCode(), q.GetErrorDetail().GetMessage()),
-		})
-	}, func(r *xds.Response, bodies []*anypb.Any) error {
-		out := &discoveryv3.DeltaDiscoveryResponse{SystemVersionInfo: r.Version, TypeUrl: typeURLs[r.Type], Nonce: r.Nonce, RemovedResources: r.Removed}
-		for i, b := range bodies {
-			out.Resources = append(out.Resources, &discoveryv3.Resource{Name: r.Names[i], Version: fmt.Sprintf("%016x", digest(b)), Resource: b})
-		}
-		return g.Send(out)
-	})
-}
-
-// reason is why a response was rejected; a rejection without a reason is one too.
-func reason(code int32, message string) string {
-	if code == 0 && message == "" {
-		return ""
-	}
-	if message == "" {
-		return fmt.Sprintf("code %d without a reason", code)
-	}
-	return message
-}
-
-// Proxy is how a proxy stands.
-type Proxy struct {
-	Node, Zone, Peer, Form string
-	Since, Heard           time.Time
-	Types                  map[string]xds.Status
-	Behind                 []string // types of which it has not accepted the latest
-}
-
-// Proxies lists who is connected.
-func (s *Streams) Proxies() []Proxy {
-	s.mu.Lock()
-	all := make([]*stream, 0, len(s.streams))
-	for x := range s.streams {
-		all = append(all, x)
-	}
-	s.mu.Unlock()
-	list := make([]Proxy, 0, len(all))
-	for _, x := range all {
-		x.mu.Lock()
-		p := Proxy{Node: x.node, Zone: x.zone, Peer: x.peer, Form: [...]string{"world", "delta"}[x.form], Since: x.since, Heard: x.last, Types: map[string]xds.Status{}}
-		latest, err := s.latest(x.zone)
-		for t := xds.Type(0); t < xds.NumTypes; t++ {
-			st := x.state.Status(t)
-			if !st.Subscribed {
-				continue
-			}
-			p.Types[t.String()] = st
-			if err == nil && latest != nil && st.Acked != latest.snaps[t].Version {
-				p.Behind = append(p.Behind, t.String())
-			}
-		}
-		x.mu.Unlock()
-		list = append(list, p)
-	}
-	slices.SortFunc(list, func(a, b Proxy) int { return strings.Compare(a.Node+a.Peer, b.Node+b.Peer) })
-	return list
-}
