--- a/cmd/robinmast-control/main_test.go
+++ b/cmd/robinmast-control/main_test.go
@@ -36,7 +36,7 @@
 }
 
 // free is an address on loopback at which nobody listens just now.
-func free(t *testing.T) string {
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -71,7 +71,7 @@
 func nodeToProxy(t *testing.T, secure bool) {
 	service, node := build(t, "robinmast-control"), build(t, "robinmast")
 	dir := t.TempDir()
-	xds, reports, listen := free(t), free(t), free(t)
+	xds, reports, listen := freeAddress(t), freeAddress(t), freeAddress(t)
 	args := []string{"--xds", xds, "--reports", reports, "--dir", filepath.Join(dir, "view")}
 	ini := "[control]\naddress = " + reports + "\nzone = z1\n"
 	var operator *tls.Config
@@ -92,7 +92,7 @@
 		ini += "cert = " + put("node.cert", cert) + "\nkey = " + put("node.key", key) + "\nca = " + ca + "\nserver_name = control\n"
 		operator, creds = a.Client("somebody.operators", "control"), credentials.NewTLS(a.Client("p.proxy", "control"))
 	}
-	begin := func() *exec.Cmd {
+	startService := func() *exec.Cmd {
 		c := exec.Command(service, args...)
 		c.Stderr = &bytes.Buffer{}
 		if err := c.Start(); err != nil {
@@ -100,8 +100,8 @@
 		}
 		return c
 	}
-	s := begin()
-	defer func() { _ = s.Process.Kill(); _ = s.Wait() }()
+	serviceProcess := startService()
+	defer func() { _ = serviceProcess.Process.Kill(); _ = serviceProcess.Wait() }()
 
 	pool, err := platform.StartPool(2, 0, func(r platform.Run) (float64, string, []byte) { return 1, "complete", nil })
 	if err != nil {
@@ -123,14 +123,14 @@
 			t.Fatal(err)
 		}
 	}
-	n := exec.Command(node, "run", "--config", filepath.Join(dir, "robinmast.ini"))
-	n.Env = append(os.Environ(), "EDGE_CONFIG="+filepath.Join(dir, "config.json"))
-	if err := n.Start(); err != nil {
+	nodeProcess := exec.Command(node, "run", "--config", filepath.Join(dir, "robinmast.ini"))
+	nodeProcess.Env = append(os.Environ(), "EDGE_CONFIG="+filepath.Join(dir, "config.json"))
+	if err := nodeProcess.Start(); err != nil {
 		t.Fatal(err)
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- n.Wait() }()
-	defer n.Process.Kill()
+	nodeExit := make(chan error, 1)
+	go func() { nodeExit <- nodeProcess.Wait() }()
+	defer nodeProcess.Process.Kill()
 
 	conn, err := grpc.NewClient(xds, grpc.WithTransportCredentials(creds))
 	if err != nil {
@@ -153,9 +153,9 @@
 	if len(f.Nodes) != 1 || f.Nodes[0].Name != "n3" || f.Nodes[0].Zone != "z1" || f.Nodes[0].Limit < 2 {
 		t.Fatalf("%+v", f)
 	}
-	_ = s.Process.Kill()
-	_ = s.Wait()
-	s = begin()
+	_ = serviceProcess.Process.Kill()
+	_ = serviceProcess.Wait()
+	serviceProcess = startService()
 	standin.Eventually(t, "the last view after kill -9", func() bool { return len(fetchFleet(reports, operator).Nodes) == 1 })
 	if after := fetchFleet(reports, operator); after.Version <= f.Version {
 		t.Errorf("version %d after %d", after.Version, f.Version)
@@ -164,11 +164,11 @@
 	if status() != "HEALTHY" {
 		t.Errorf("the proxy holds %s", status())
 	}
-	if err := n.Process.Signal(syscall.SIGTERM); err != nil {
+	if err := nodeProcess.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	standin.Eventually(t, "the drain at the proxy", func() bool { return status() == "DRAINING" })
-	if err := <-ended; err != nil {
+	if err := <-nodeExit; err != nil {
 		t.Error(err)
 	}
 	standin.Eventually(t, "the node gone from the proxy", func() bool { return status() == "none" })
--- a/cmd/robinmastctl/fleet.go
+++ b/cmd/robinmastctl/fleet.go
@@ -1,6 +1,3 @@
-// This file owns the commands that ask a control service how things stand. It
-// must never change anything there.
-
 package main
 
 import (
@@ -20,50 +17,56 @@
 	"github.com/spf13/cobra"
 )
 
-// asked are the flags of both commands.
-type asked struct {
+// queryOptions are the flags of the commands that query a control service.
+type queryOptions struct {
 	service string
 	json    bool
 	watch   bool
 }
 
+// fleetCommands returns the commands that show the state of a control service. They change nothing
+// there.
 func fleetCommands() []*cobra.Command {
-	make := func(use, short, path string, print func(io.Writer, []byte) error) *cobra.Command {
-		var o asked
+	newCommand := func(use, short, path string, print func(io.Writer, []byte) error) *cobra.Command {
+		var o queryOptions
 		c := &cobra.Command{
 			Use: use, Short: short, Args: cobra.NoArgs,
 			RunE: func(c *cobra.Command, _ []string) error {
 				ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 				defer stop()
-				return o.ask(ctx, path, c.OutOrStdout(), print)
+				return o.run(ctx, path, c.OutOrStdout(), print)
 			},
 		}
 		f := c.Flags()
-		f.StringVar(&o.service, "service", "127.0.0.1:18001", "where the control service takes reports")
-		f.BoolVar(&o.json, "json", false, "print what the service says, as JSON")
-		f.BoolVar(&o.watch, "watch", false, "print again each second until stopped")
+		f.StringVar(&o.service, "service", "127.0.0.1:18001", "address for reports of the control service")
+		f.BoolVar(&o.json, "json", false, "print the service's answer as JSON")
+		f.BoolVar(&o.watch, "watch", false, "print again every second until stopped")
 		return c
 	}
-	fleet := make("fleet", "Show the control service's view of the nodes", "/fleet", printFleet)
-	fleet.AddCommand(make("events", "Show when most nodes were lost, and how long it took to come back", "/events", printEvents))
-	fleet.AddCommand(make("history", "Show each node's changes of state over the last day, with their evidence", "/history", printHistory))
+	fleet := newCommand("fleet", "Show the control service's view of the nodes", "/fleet", printFleet)
+	fleet.AddCommand(newCommand("events",
+		"Show when many nodes were lost at once and how long recovery took", "/events", printEvents))
+	fleet.AddCommand(newCommand("history",
+		"Show the nodes' state changes over the last day, with their reasons", "/history", printHistory))
 	return []*cobra.Command{
 		fleet,
-		make("proxies", "Show the proxies that listen to the control service", "/proxies", printProxies),
+		newCommand("proxies", "Show the proxies that are connected to the control service", "/proxies", printProxies),
 	}
 }
 
-// ask prints once, or each second.
-func (o *asked) ask(ctx context.Context, path string, out io.Writer, print func(io.Writer, []byte) error) error {
+// run fetches and prints a resource of the service once, or every second until ctx is done.
+func (o *queryOptions) run(
+	ctx context.Context, path string, out io.Writer, print func(io.Writer, []byte) error,
+) error {
 	for {
-		text, err := fetch(ctx, "http://"+o.service+path)
+		body, err := fetch(ctx, "http://"+o.service+path)
 		if err != nil {
 			return err
 		}
 		if o.json {
-			_, err = out.Write(text)
+			_, err = out.Write(body)
 		} else {
-			err = print(out, text)
+			err = print(out, body)
 		}
 		if err != nil || !o.watch {
 			return err
@@ -76,26 +79,27 @@
 	}
 }
 
+// fetch returns the body of a successful GET request.
 func fetch(ctx context.Context, url string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
 	}
-	r, err := http.DefaultClient.Do(q)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return nil, err
 	}
-	defer r.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(r.Body, 64<<20))
-	if err == nil && r.StatusCode != http.StatusOK {
-		err = fmt.Errorf("%s: %s", url, r.Status)
+	defer response.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(response.Body, 64<<20))
+	if err == nil && response.StatusCode != http.StatusOK {
+		err = fmt.Errorf("%s: %s", url, response.Status)
 	}
-	return text, err
+	return body, err
 }
 
-// fleetView is GET /fleet of docs/control.md.
+// fleetView is the answer to GET /fleet (docs/control.md).
 type fleetView struct {
 	Version uint64   `json:"version"`
 	Drop    float64  `json:"drop"`
@@ -115,56 +119,63 @@
 	}
 }
 
-func printFleet(out io.Writer, text []byte) error {
-	var v fleetView
-	if err := json.Unmarshal(text, &v); err != nil {
-		return fmt.Errorf("the service's answer: %w", err)
+// printFleet prints the answer to GET /fleet.
+func printFleet(out io.Writer, body []byte) error {
+	var view fleetView
+	if err := json.Unmarshal(body, &view); err != nil {
+		return fmt.Errorf("parse the control service's answer: %w", err)
 	}
-	fmt.Fprintf(out, "view %d, %d nodes", v.Version, len(v.Nodes))
-	if v.Frozen {
-		fmt.Fprint(out, ", FROZEN: the service doubts its own ears")
+	fmt.Fprintf(out, "view %d, %d nodes", view.Version, len(view.Nodes))
+	if view.Frozen {
+		fmt.Fprint(out, ", FROZEN: too many nodes fell silent at once, none is removed")
 	}
-	if len(v.Lost) > 0 {
-		fmt.Fprintf(out, ", zones lost: %s", strings.Join(v.Lost, ", "))
+	if len(view.Lost) > 0 {
+		fmt.Fprintf(out, ", zones lost: %s", strings.Join(view.Lost, ", "))
 	}
-	if v.Drop > 0 {
-		fmt.Fprintf(out, ", proxies drop %.0f%%", 100*v.Drop)
+	if view.Drop > 0 {
+		fmt.Fprintf(out, ", proxies drop %.0f%%", 100*view.Drop)
 	}
 	fmt.Fprintln(out)
-	if d := v.Digest; d.Nodes > 0 && d.Cut > 0 {
-		fmt.Fprintf(out, "the fleet is full below %.1f worth a second of work: %.0f first tries a second, %.0f drain, told by %d nodes\n", d.Cut, d.Demand, d.Drain, d.Nodes)
-	} else if d.Nodes > 0 {
-		fmt.Fprintf(out, "the fleet has room for all: %.0f first tries a second, told by %d nodes\n", d.Demand, d.Nodes)
-	}
-	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(w, "NODE\tZONE\tADDRESS\tSTATE\tFOR\tWEIGHT\tLIMIT\tPENALTY\tFOLLOWS\tWHY")
-	for _, n := range v.Nodes {
-		state := n.State
-		if n.Unproven {
+	if digest := view.Digest; digest.Nodes > 0 && digest.Cut > 0 {
+		fmt.Fprintf(out, "shedding threshold %.1f: %.0f first tries per second, drain rate %.0f, from %d nodes\n",
+			digest.Cut, digest.Demand, digest.Drain, digest.Nodes)
+	} else if digest.Nodes > 0 {
+		fmt.Fprintf(out, "no shedding threshold, capacity for all: %.0f first tries per second, from %d nodes\n",
+			digest.Demand, digest.Nodes)
+	}
+	table := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
+	fmt.Fprintln(table, "NODE\tZONE\tADDRESS\tSTATE\tFOR\tWEIGHT\tLIMIT\tPENALTY\tFOLLOWS\tWHY")
+	for _, node := range view.Nodes {
+		state := node.State
+		if node.Unproven {
 			state += " (unproven)"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.0fs\t%d\t%.0f\t%.1f\t%s\t%s\n", n.Name, n.Zone, n.Addr, state, n.SinceS, n.Weight, n.Limit, n.Penalty, cmp.Or(n.Follows, "-"), n.Why)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%.0fs\t%d\t%.0f\t%.1f\t%s\t%s\n",
+			node.Name, node.Zone, node.Addr, state, node.SinceS, node.Weight, node.Limit, node.Penalty,
+			cmp.Or(node.Follows, "-"), node.Why)
 	}
-	return w.Flush()
+	return table.Flush()
 }
 
-func printHistory(out io.Writer, text []byte) error {
-	var all []struct {
+// printHistory prints the answer to GET /history.
+func printHistory(out io.Writer, body []byte) error {
+	var changes []struct {
 		At                  time.Time
 		Name, From, To, Why string
 	}
-	if err := json.Unmarshal(text, &all); err != nil {
-		return fmt.Errorf("the service's answer: %w", err)
+	if err := json.Unmarshal(body, &changes); err != nil {
+		return fmt.Errorf("parse the control service's answer: %w", err)
 	}
-	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(w, "AT\tNODE\tFROM\tTO\tWHY")
-	for _, c := range all {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", c.At.Local().Format(time.DateTime), c.Name, cmp.Or(c.From, "-"), c.To, cmp.Or(c.Why, "-"))
+	table := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
+	fmt.Fprintln(table, "AT\tNODE\tFROM\tTO\tWHY")
+	for _, change := range changes {
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\n", change.At.Local().Format(time.DateTime), change.Name,
+			cmp.Or(change.From, "-"), change.To, cmp.Or(change.Why, "-"))
 	}
-	return w.Flush()
+	return table.Flush()
 }
 
-// eventView is one of GET /events of docs/recovery.md.
+// eventView is an event in the answer to GET /events (docs/recovery.md).
 type eventView struct {
 	Number, Lost, Of int
 	Began            time.Time
@@ -178,13 +189,14 @@
 	HowOver          string `json:"how_over"`
 }
 
-func printEvents(out io.Writer, text []byte) error {
-	var all []eventView
-	if err := json.Unmarshal(text, &all); err != nil {
-		return fmt.Errorf("the service's answer: %w", err)
+// printEvents prints the answer to GET /events.
+func printEvents(out io.Writer, body []byte) error {
+	var events []eventView
+	if err := json.Unmarshal(body, &events); err != nil {
+		return fmt.Errorf("parse the control service's answer: %w", err)
 	}
-	if len(all) == 0 {
-		fmt.Fprintln(out, "no event: at no time were over a fifth of the nodes lost within five seconds")
+	if len(events) == 0 {
+		fmt.Fprintln(out, "no events: over a fifth of the nodes were never lost within five seconds")
 		return nil
 	}
 	after := func(s float64) string {
@@ -193,20 +205,22 @@
 		}
 		return fmt.Sprintf("%.1fs", s)
 	}
-	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(w, "EVENT\tBEGAN\tLOST\tZONES\tLEAST ROOM\tHALF\t0.95\tFULL\tTRIES\tSTATE")
-	for _, e := range all {
+	table := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
+	fmt.Fprintln(table, "EVENT\tBEGAN\tLOST\tZONES\tLEAST ROOM\tHALF\t0.95\tFULL\tTRIES\tSTATE")
+	for _, event := range events {
 		state := "under way"
-		if e.Over {
-			state = e.HowOver
+		if event.Over {
+			state = event.HowOver
 		}
-		fmt.Fprintf(w, "%d\t%s\t%d of %d\t%s\t%.2f\t%s\t%s\t%s\t%.2f\t%s\n", e.Number, e.Began.Local().Format(time.DateTime), e.Lost, e.Of,
-			cmp.Or(strings.Join(e.Zones, ","), "-"), e.Least, after(e.HalfS), after(e.MostS), after(e.FullS), e.Tries, state)
+		fmt.Fprintf(table, "%d\t%s\t%d of %d\t%s\t%.2f\t%s\t%s\t%s\t%.2f\t%s\n",
+			event.Number, event.Began.Local().Format(time.DateTime), event.Lost, event.Of,
+			cmp.Or(strings.Join(event.Zones, ","), "-"), event.Least,
+			after(event.HalfS), after(event.MostS), after(event.FullS), event.Tries, state)
 	}
-	return w.Flush()
+	return table.Flush()
 }
 
-// proxyView is one of GET /proxies.
+// proxyView is a proxy in the answer to GET /proxies.
 type proxyView struct {
 	Node, Zone, Peer, Form string
 	Heard                  time.Time
@@ -218,26 +232,29 @@
 	Behind []string
 }
 
-func printProxies(out io.Writer, text []byte) error {
-	var all []proxyView
-	if err := json.Unmarshal(text, &all); err != nil {
-		return fmt.Errorf("the service's answer: %w", err)
-	}
-	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(w, "PROXY\tZONE\tPEER\tFORM\tHEARD\tENDPOINTS ACKED\tBEHIND\tNACKS\tLAST NACK")
-	for _, p := range all {
+// printProxies prints the answer to GET /proxies.
+func printProxies(out io.Writer, body []byte) error {
+	var proxies []proxyView
+	if err := json.Unmarshal(body, &proxies); err != nil {
+		return fmt.Errorf("parse the control service's answer: %w", err)
+	}
+	table := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
+	fmt.Fprintln(table, "PROXY\tZONE\tPEER\tFORM\tHEARD\tENDPOINTS ACKED\tBEHIND\tNACKS\tLAST NACK")
+	for _, proxy := range proxies {
 		nacks, last := 0, "-"
 		for _, name := range []string{"CDS", "EDS", "LDS", "RDS"} {
-			if t := p.Types[name]; t.Nacks > 0 {
+			if t := proxy.Types[name]; t.Nacks > 0 {
 				nacks += t.Nacks
 				last = name + ": " + t.LastNack
 			}
 		}
 		behind := "-"
-		if len(p.Behind) > 0 {
-			behind = strings.Join(p.Behind, ",")
+		if len(proxy.Behind) > 0 {
+			behind = strings.Join(proxy.Behind, ",")
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.0fs ago\t%s\t%s\t%d\t%s\n", p.Node, p.Zone, p.Peer, p.Form, time.Since(p.Heard).Seconds(), p.Types["EDS"].Acked, behind, nacks, last)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%.0fs ago\t%s\t%s\t%d\t%s\n",
+			proxy.Node, proxy.Zone, proxy.Peer, proxy.Form, time.Since(proxy.Heard).Seconds(),
+			proxy.Types["EDS"].Acked, behind, nacks, last)
 	}
-	return w.Flush()
+	return table.Flush()
 }
--- a/cmd/robinmastctl/main.go
+++ b/cmd/robinmastctl/main.go
@@ -1,6 +1,6 @@
-// Command robinmastctl is the operators' tool. This file owns its command line
-// and exit statuses. It must never be linked into the node, and never change
-// anything but what its command names.
+// Command robinmastctl is the operators' tool: it shows the state of a control service, works on
+// the directory of a node's store, and runs trials of nodes on loopback. It is a program of its own,
+// which the node does not contain, and each command changes only what its arguments name.
 package main
 
 import (
@@ -14,13 +14,13 @@
 
 // Exit statuses of the tool.
 const (
-	statusOK    = 0
-	statusFound = 1 // what was asked for was done, and something is wrong with what was looked at
-	statusError = 2 // arguments, or what was asked for could not be done
+	statusOK     = 0
+	statusFaults = 1 // the command ran and found faults
+	statusError  = 2 // invalid arguments, or the command failed
 )
 
-// errFound stands for statusFound: everything was told already.
-var errFound = errors.New("faults were found")
+// errFaults leads to statusFaults. The faults have been printed already.
+var errFaults = errors.New("faults were found")
 
 func main() { os.Exit(execute(os.Args[1:], os.Stdin, os.Stdout, os.Stderr)) }
 
@@ -28,11 +28,11 @@
 func execute(args []string, in io.Reader, out, errs io.Writer) int {
 	root := &cobra.Command{
 		Use:   "robinmastctl",
-		Short: "Look after robinmast's nodes and what they keep",
+		Short: "Inspect and test robinmast's nodes, stores and control services",
 		Long: `robinmastctl is the operators' tool.
 
-Exit statuses: 0 done and sound, 1 done and something is wrong with what was
-looked at (each fault is a line), 2 it could not be done.`,
+Exit statuses: 0 success and no faults, 1 success but faults were found (one
+line for each), 2 failure.`,
 		SilenceErrors: true,
 		SilenceUsage:  true,
 		Args:          cobra.NoArgs,
@@ -48,8 +48,8 @@
 	switch {
 	case err == nil:
 		return statusOK
-	case errors.Is(err, errFound):
-		return statusFound
+	case errors.Is(err, errFaults):
+		return statusFaults
 	}
 	fmt.Fprintf(errs, "robinmastctl: %v\n", err)
 	return statusError
--- a/cmd/robinmastctl/rehearse.go
+++ b/cmd/robinmastctl/rehearse.go
@@ -1,6 +1,3 @@
-// This file owns the command rehearse: the face of internal/standin/fleet. It must
-// never touch anything but loopback, folders of its own and the files it is told.
-
 package main
 
 import (
@@ -21,24 +18,26 @@
 type rehearseOptions struct {
 	json           bool
 	plot, logs     string
-	together       string
+	shedding       string
 	seed           uint64
 	nodes, seconds int
 	programs       string
 }
 
+// rehearseCommand returns the command rehearse, which runs a scenario with internal/standin/fleet.
+// It uses loopback, temporary directories and the files that its flags name only.
 func rehearseCommand() *cobra.Command {
 	var o rehearseOptions
 	c := &cobra.Command{
 		Use:   "rehearse FILE",
-		Short: "Play a bad night: a fleet of real nodes on loopback, with faults between them",
-		Long: `rehearse starts the fleet that a scenario describes: real nodes and control
-services, each node with a stand-in worker pool, callers as callers are, and a
-fault proxy on every link. It prints each second, then what became of everything
-as seen from outside. rehearsals/ has scenarios; docs/operators/overload.md has
-their form and how to read the table.
+		Short: "Run a scenario: a fleet of real nodes on loopback, with faults injected",
+		Long: `rehearse starts the fleet that a scenario file describes: real nodes and control
+services, a simulated worker pool for each node, simulated callers, and a fault
+proxy on every link. It prints a line for each second and then the outcomes as
+the callers observed them. rehearsals/ contains scenarios;
+docs/operators/overload.md describes their format and the table.
 
-Status 0 if no rule was broken, 1 if one was.`,
+Exit status 0 if no rule was broken, 1 if one was.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -48,16 +47,19 @@
 	}
 	f := c.Flags()
 	f.BoolVar(&o.json, "json", false, "print the report as one JSON object instead of the table")
-	f.StringVar(&o.plot, "plot", "", "write worth, tries and refusals by second to this file (.svg, .png or .pdf)")
-	f.StringVar(&o.logs, "logs", "", "copy the programs' logs into this folder")
-	f.StringVar(&o.together, "together", "", "off, alone or told, instead of what the scenario says")
-	f.Uint64Var(&o.seed, "seed", 0, "instead of the scenario's")
-	f.IntVar(&o.nodes, "nodes", 0, "instead of the scenario's")
-	f.IntVar(&o.seconds, "seconds", 0, "instead of the scenario's; its faults stay where they are")
-	f.StringVar(&o.programs, "programs", "", "folder of robinmast and robinmast-control; the one of this tool if left out")
+	f.StringVar(&o.plot, "plot", "",
+		"plot utility, tries and refusals per second to this file (.svg, .png or .pdf)")
+	f.StringVar(&o.logs, "logs", "", "copy the programs' logs into this directory")
+	f.StringVar(&o.shedding, "together", "", "off, alone or told; overrides the scenario")
+	f.Uint64Var(&o.seed, "seed", 0, "random seed; overrides the scenario")
+	f.IntVar(&o.nodes, "nodes", 0, "number of nodes; overrides the scenario")
+	f.IntVar(&o.seconds, "seconds", 0, "duration; overrides the scenario, whose faults keep their times")
+	f.StringVar(&o.programs, "programs", "",
+		"directory of robinmast and robinmast-control (default: that of this tool)")
 	return c
 }
 
+// run runs the scenario in the file path and returns errFaults if it broke a rule.
 func (o *rehearseOptions) run(ctx context.Context, path string, out io.Writer) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -81,9 +83,9 @@
 		set("seed", o.seed > 0, func() { s.Fleet.Seed = o.seed }),
 		set("nodes", o.nodes != 0, func() { s.Fleet.Nodes = o.nodes }),
 		set("seconds", o.seconds != 0, func() { s.Fleet.Seconds = o.seconds }),
-		set("together", o.together != "", func() {
-			s.Fleet.Together = o.together
-			if o.together == "told" {
+		set("together", o.shedding != "", func() {
+			s.Fleet.Together = o.shedding
+			if o.shedding == "told" {
 				s.Fleet.Control = max(s.Fleet.Control, 1)
 			}
 		}),
@@ -99,14 +101,18 @@
 		}
 		o.programs = filepath.Dir(self)
 	}
-	opt := fleet.Options{Node: filepath.Join(o.programs, "robinmast"), Control: filepath.Join(o.programs, "robinmast-control"), Keep: o.logs}
+	opt := fleet.Options{
+		Node: filepath.Join(o.programs, "robinmast"), Control: filepath.Join(o.programs, "robinmast-control"),
+		Keep: o.logs,
+	}
 	for _, program := range []string{opt.Node, opt.Control} {
 		if _, err := os.Stat(program); err != nil {
-			return fmt.Errorf("a program is missing (build it, or name its folder with --programs): %w", err)
+			return fmt.Errorf("find the programs: %w (build them, or name their directory with --programs)", err)
 		}
 	}
 	if !o.json {
-		fmt.Fprintf(out, "%s: %d nodes, %d control services, together %s; seed %d\n\n", path, s.Fleet.Nodes, s.Fleet.Control, s.Fleet.Together, s.Fleet.Seed)
+		fmt.Fprintf(out, "%s: %d nodes, %d control services, together %s; seed %d\n\n",
+			path, s.Fleet.Nodes, s.Fleet.Control, s.Fleet.Together, s.Fleet.Seed)
 		fleet.Head(out)
 		opt.Tell = func(s fleet.Second) { s.Line(out) }
 	}
@@ -125,7 +131,7 @@
 		r.Table(out)
 	}
 	if err == nil && len(r.Broken()) > 0 {
-		return errFound
+		return errFaults
 	}
 	return err
 }
--- a/cmd/robinmastctl/try.go
+++ b/cmd/robinmastctl/try.go
@@ -1,7 +1,3 @@
-// This file owns the command try: one node with stand-ins around it, played
-// through calm, overload and a crash. It must never touch anything but loopback
-// and a folder of its own.
-
 package main
 
 import (
@@ -25,17 +21,18 @@
 	"robinmast/internal/standin/platform"
 )
 
-// What is tried: a machine of four cores, two classes of work, patient callers.
+// The trial: a worker pool of four cores, two classes of work, callers with a long timeout.
 const (
-	tryCores   = 4
-	tryCrowd   = 0.15 // see platform.Pool
-	tryCallers = 8
-	tryLimit   = 1500 * time.Millisecond
-	tryCalm    = 0.5                    // load of the calm parts, share of what the cores can do
-	trySlack   = 250 * time.Millisecond // after its limit an answer is still waited for
-	tryTries   = 3                      // of a keyed request whose answer was lost
+	tryCores       = 4
+	tryContention  = 0.15 // slow-down by contention, see platform.Pool
+	tryConnections = 8
+	tryTimeout     = 1500 * time.Millisecond
+	tryCalmLoad    = 0.5                    // load of the calm phases, share of the capacity of the cores
+	tryAnswerSlack = 250 * time.Millisecond // an answer that comes this late after the timeout still counts
+	tryMaxTries    = 3                      // of a keyed request whose answer was lost, the first included
 )
 
+// tryClasses are the classes of work.
 var tryClasses = []struct {
 	name  string
 	keyed bool
@@ -43,6 +40,7 @@
 	ms    float64 // mean work
 }{{"step", false, 0.7, 20}, {"order", true, 0.3, 12}}
 
+// trySettings are the node's settings; the verbs are the cores and the connections.
 const trySettings = `{"tickMs":2,"groupSize":1,
  "lanes":[{"name":"step","aimMs":700,"deadlineMs":1500,"effect":"idempotent","worth":1},
   {"name":"order","aimMs":700,"deadlineMs":1500,"effect":"deduplicated","windowMs":60000,"worth":2}],
@@ -61,16 +59,17 @@
 	node    string
 }
 
+// tryCommand returns the command try, which uses loopback and a temporary directory only.
 func tryCommand() *cobra.Command {
 	var o tryOptions
 	c := &cobra.Command{
 		Use:   "try",
-		Short: "See one node work: calm traffic, then overload, then a crash",
-		Long: `try starts bin/robinmast on loopback between stand-ins for its worker pool, its
-membership service and its dispatchers. It plays calm traffic, then more than
-the cores can do, then kills the node outright and starts it again under calm
-traffic. Each second is a line; the accounting at the end says what became of
-every request. Status 0 if it adds up and no keyed request ran twice.`,
+		Short: "Run one node through calm traffic, overload and a crash",
+		Long: `try starts the node on loopback, with simulated dispatchers, a simulated worker
+pool and a simulated membership service. It sends calm traffic, then more than
+the cores can do, then kills the node and starts it again under calm traffic. It
+prints a line for each second and at the end the outcomes of all requests.
+Exit status 0 if these add up and no keyed request ran twice, else 1.`,
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -79,36 +78,37 @@
 		},
 	}
 	f := c.Flags()
-	f.IntVar(&o.seconds, "seconds", 12, "how long in all, 6 to 600")
-	f.Float64Var(&o.load, "load", 1.3, "load of the overload, 1 = what the cores can do; 0.1 to 10")
-	f.Uint64Var(&o.seed, "seed", 1, "of arrivals and work")
-	f.BoolVar(&o.json, "json", false, "print each second and the accounting as a JSON object")
-	f.StringVar(&o.node, "node", "", "the node's program; the one beside this tool if left out")
+	f.IntVar(&o.seconds, "seconds", 12, "total duration, 6 to 600")
+	f.Float64Var(&o.load, "load", 1.3, "load during the overload, 1 = the capacity of the cores; 0.1 to 10")
+	f.Uint64Var(&o.seed, "seed", 1, "random seed of arrivals and work")
+	f.BoolVar(&o.json, "json", false, "print each second and the final accounting as JSON objects")
+	f.StringVar(&o.node, "node", "", "the node's program (default: robinmast in the directory of this tool)")
 	return c
 }
 
-// trial is one play.
+// trial is one run of the command try.
 type trial struct {
 	tryOptions
 	dir  string
 	addr string
 	pool *platform.Pool
-	rate float64 // requests a second that fill the cores
+	rate float64 // requests per second that saturate the cores
 
-	mu     sync.Mutex
-	tally  tally
-	open   int
-	txn    uint64
-	rnd    *rand.Rand
-	runs   map[string]int // of keyed requests
-	result map[string]string
-	acc    accounting
-	conns  []*platform.Client
+	mu         sync.Mutex
+	outcomes   outcomes
+	open       int
+	txn        uint64
+	random     *rand.Rand
+	runs       map[string]int // of keyed requests
+	results    map[string]string
+	accounting accounting
+	conns      []*platform.Client
 
 	process *exec.Cmd
 	log     *os.File
 }
 
+// try runs a trial and prints it.
 func try(ctx context.Context, o tryOptions, out io.Writer) (err error) {
 	if o.seconds < 6 || o.seconds > 600 || o.load < 0.1 || o.load > 10 {
 		return errors.New("seconds must be 6 to 600 and load 0.1 to 10")
@@ -121,9 +121,12 @@
 		o.node = filepath.Join(filepath.Dir(self), "robinmast")
 	}
 	if _, err := os.Stat(o.node); err != nil {
-		return fmt.Errorf("the node's program: %w (build it, or name it with --node)", err)
+		return fmt.Errorf("find the node's program: %w (build it, or name it with --node)", err)
+	}
+	t := &trial{
+		tryOptions: o, random: rand.New(rand.NewPCG(o.seed, 1)), runs: map[string]int{},
+		results: map[string]string{}, conns: make([]*platform.Client, tryConnections),
 	}
-	t := &trial{tryOptions: o, rnd: rand.New(rand.NewPCG(o.seed, 1)), runs: map[string]int{}, result: map[string]string{}, conns: make([]*platform.Client, tryCallers)}
 	mean := 0.0
 	for _, c := range tryClasses {
 		mean += c.share * c.ms
@@ -134,7 +137,8 @@
 	}
 	defer func() { err = errors.Join(err, os.RemoveAll(t.dir)) }()
 	work := rand.New(rand.NewPCG(o.seed, 2))
-	t.pool, err = platform.StartPool(tryCores, tryCrowd, func(r platform.Run) (float64, string, []byte) { return t.work(work, r) })
+	t.pool, err = platform.StartPool(tryCores, tryContention,
+		func(r platform.Run) (float64, string, []byte) { return t.doWork(work, r) })
 	if err != nil {
 		return err
 	}
@@ -144,18 +148,19 @@
 		return err
 	}
 	defer members.Close()
-	if err := t.configure(members.Addr()); err != nil {
+	if err := t.writeConfig(members.Addr()); err != nil {
 		return err
 	}
-	if err := t.start(ctx); err != nil {
+	if err := t.startNode(ctx); err != nil {
 		return err
 	}
-	defer t.kill()
-	return t.play(ctx, out)
+	defer t.killNode()
+	return t.run(ctx, out)
 }
 
-// work says what a run takes, and counts those of keyed requests.
-func (t *trial) work(rnd *rand.Rand, r platform.Run) (float64, string, []byte) {
+// doWork returns the work of a run in milliseconds, its outcome and its result. It counts the runs
+// of keyed requests.
+func (t *trial) doWork(rnd *rand.Rand, r platform.Run) (float64, string, []byte) {
 	ms, err := strconv.ParseFloat(strings.SplitN(string(r.Body), " ", 2)[0], 64)
 	if err != nil {
 		return 0, "error", nil
--- a/cmd/robinmastctl/try_load.go
+++ b/cmd/robinmastctl/try_load.go
@@ -12,142 +12,143 @@
 	"robinmast/internal/standin/platform"
 )
 
-// play sends requests at random times, as many as the part asks for, and prints
-// the table.
-func (t *trial) play(ctx context.Context, out io.Writer) error {
-	calm, over := t.seconds*35/100, t.seconds*70/100
+// run sends requests at random times, at the rate of the current phase, and prints the table.
+func (t *trial) run(ctx context.Context, out io.Writer) error {
+	calmEnd, overloadEnd := t.seconds*35/100, t.seconds*70/100
 	if !t.json {
-		fmt.Fprintf(out, "one node, %d cores of work, %.0f requests a second fill them; seed %d\n\n", tryCores, t.rate, t.seed)
+		fmt.Fprintf(out, "one node, %d cores, saturated by %.0f requests per second; seed %d\n\n",
+			tryCores, t.rate, t.seed)
 		fmt.Fprintf(out, "%4s  %-9s %6s %6s %7s %7s %6s %5s %5s  %5s %5s %5s %7s\n",
 			"s", "part", "sent", "again", "served", "refused", "failed", "late", "cut", "cpu", "busy", "held", "running")
 	}
-	var wait sync.WaitGroup
-	began := time.Now()
-	next, at, crashed := began, 0, false
-	last, cpu := tally{}, t.cpu()
-	for ctx.Err() == nil && at < t.seconds {
-		phase, load := "calm", tryCalm
+	var inFlight sync.WaitGroup
+	start := time.Now()
+	nextArrival, elapsed, crashed := start, 0, false
+	previous, previousCPU := outcomes{}, t.nodeCPU()
+	for ctx.Err() == nil && elapsed < t.seconds {
+		phase, load := "calm", tryCalmLoad
 		switch {
-		case at >= over:
+		case elapsed >= overloadEnd:
 			phase = "crash"
 			if !crashed {
 				crashed = true
-				t.kill()
-				if err := t.start(ctx); err != nil {
+				t.killNode()
+				if err := t.startNode(ctx); err != nil {
 					return err
 				}
-				cpu = t.cpu()
+				previousCPU = t.nodeCPU()
 			}
-		case at >= calm:
+		case elapsed >= calmEnd:
 			phase, load = "overload", t.load
 		}
-		for time.Now().After(next) {
-			next = next.Add(time.Duration(t.rnd.ExpFloat64() / (t.rate * load) * float64(time.Second)))
-			q := t.request()
-			wait.Go(func() { t.ask(q) })
+		for time.Now().After(nextArrival) {
+			nextArrival = nextArrival.Add(time.Duration(t.random.ExpFloat64() / (t.rate * load) * float64(time.Second)))
+			request := t.newRequest()
+			inFlight.Go(func() { t.sendWithRetries(request) })
 		}
-		if now := int(time.Since(began) / time.Second); now > at {
-			is := t.cpu()
-			s := second{At: at + 1, Phase: phase, NodeCPU: max((is - cpu).Seconds(), 0)}
+		if now := int(time.Since(start) / time.Second); now > elapsed {
+			cpu := t.nodeCPU()
+			s := second{At: elapsed + 1, Phase: phase, NodeCPU: max((cpu - previousCPU).Seconds(), 0)}
 			running, _, busy := t.pool.State()
 			t.mu.Lock()
-			s.Tally, last = t.tally.minus(last), t.tally
-			s.Busy, s.Running, s.Held = busy, running, max(t.open-running, 0)
+			s.Outcomes, previous = t.outcomes.minus(previous), t.outcomes
+			s.Busy, s.Running, s.Queued = busy, running, max(t.open-running, 0)
 			t.mu.Unlock()
-			at, cpu = now, is
-			t.line(out, s)
+			elapsed, previousCPU = now, cpu
+			t.printSecond(out, s)
 		}
-		time.Sleep(min(max(time.Until(next), 0), 20*time.Millisecond))
+		time.Sleep(min(max(time.Until(nextArrival), 0), 20*time.Millisecond))
 	}
-	wait.Wait()
-	return t.account(out)
+	inFlight.Wait()
+	return t.printAccounting(out)
 }
 
-// request makes the next request.
-func (t *trial) request() platform.Request {
+// newRequest returns the next request and counts it.
+func (t *trial) newRequest() platform.Request {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.txn++
-	q := platform.Request{Txn: fmt.Sprintf("%016x", t.txn), Tenant: "acme", Limit: tryLimit}
-	pick := t.rnd.Float64()
+	request := platform.Request{Txn: fmt.Sprintf("%016x", t.txn), Tenant: "acme", Limit: tryTimeout}
+	pick := t.random.Float64()
 	for _, c := range tryClasses {
 		if pick -= c.share; pick > 0 {
 			continue
 		}
-		ms := c.ms * (0.5 + t.rnd.ExpFloat64()/2)
-		q.Class, q.HintMs = c.name, ms
-		q.Body = strconv.AppendFloat(nil, ms, 'f', 3, 64)
+		ms := c.ms * (0.5 + t.random.ExpFloat64()/2)
+		request.Class, request.HintMs = c.name, ms
+		request.Body = strconv.AppendFloat(nil, ms, 'f', 3, 64)
 		if c.keyed {
-			q.Unique = "k" + q.Txn
-			q.Body = append(append(q.Body, ' '), q.Unique...)
+			request.Unique = "k" + request.Txn
+			request.Body = append(append(request.Body, ' '), request.Unique...)
 		}
 		break
 	}
-	t.tally.Sent++
+	t.outcomes.Sent++
 	t.open++
-	return q
+	return request
 }
 
-// ask sends a request; a keyed one whose answer was lost is sent again.
-func (t *trial) ask(q platform.Request) {
-	for n := 1; ; n++ {
-		began := time.Now()
-		a, err := t.call(q)
+// sendWithRetries sends a request and counts its outcome. It sends a keyed request again if the
+// answer was lost.
+func (t *trial) sendWithRetries(request platform.Request) {
+	for tries := 1; ; tries++ {
+		start := time.Now()
+		answer, err := t.sendOnce(request)
 		lost := err != nil
 		t.mu.Lock()
-		was := t.runs[q.Unique]
+		runs := t.runs[request.Unique]
 		switch {
 		case errors.Is(err, platform.ErrGone):
-			t.tally.Cut++
+			t.outcomes.ConnectionLost++
 		case err != nil:
-			t.tally.Unsent++
-		case time.Since(began) > q.Limit+trySlack:
-			t.tally.Late++
-		case a.Word == "ACK":
-			t.tally.Served++
-			if q.Unique != "" {
-				if r, ok := t.result[q.Unique]; ok && r != string(a.Body) {
-					t.acc.Changed++
+			t.outcomes.NotConnected++
+		case time.Since(start) > request.Limit+tryAnswerSlack:
+			t.outcomes.Late++
+		case answer.Word == "ACK":
+			t.outcomes.Served++
+			if request.Unique != "" {
+				if earlier, ok := t.results[request.Unique]; ok && earlier != string(answer.Body) {
+					t.accounting.ResultChanged++
 				}
-				t.result[q.Unique] = string(a.Body)
-				if q.Retry && was == 1 {
-					t.acc.Remembered++
+				t.results[request.Unique] = string(answer.Body)
+				if request.Retry && runs == 1 {
+					t.accounting.AnsweredByCache++
 				}
 			}
-		case a.Word == "NAK":
-			t.tally.Refused++
+		case answer.Word == "NAK":
+			t.outcomes.Refused++
 		default:
-			t.tally.Failed++
+			t.outcomes.Failed++
 		}
-		again := lost && q.Unique != "" && n < tryTries
-		if again {
-			t.tally.Again++
+		retry := lost && request.Unique != "" && tries < tryMaxTries
+		if retry {
+			t.outcomes.FurtherTries++
 			t.txn++
-			q.Txn, q.Retry = fmt.Sprintf("%016x", t.txn), true
+			request.Txn, request.Retry = fmt.Sprintf("%016x", t.txn), true
 		} else {
 			t.open--
 		}
 		t.mu.Unlock()
-		if !again {
+		if !retry {
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// call sends a request on the connection of one of the callers.
-func (t *trial) call(q platform.Request) (platform.Answer, error) {
-	n := int(q.Txn[len(q.Txn)-1]) % tryCallers
+// sendOnce sends a request on one of the connections, which it opens if needed.
+func (t *trial) sendOnce(request platform.Request) (platform.Answer, error) {
+	n := int(request.Txn[len(request.Txn)-1]) % tryConnections
 	t.mu.Lock()
-	c := t.conns[n]
-	if c == nil || !c.Usable() {
+	client := t.conns[n]
+	if client == nil || !client.Usable() {
 		var err error
-		if c, err = platform.Dial(t.addr, n); err != nil {
+		if client, err = platform.Dial(t.addr, n); err != nil {
 			t.mu.Unlock()
 			return platform.Answer{}, err
 		}
-		t.conns[n] = c
+		t.conns[n] = client
 	}
 	t.mu.Unlock()
-	return c.Call(q)
+	return client.Call(request)
 }
--- a/cmd/robinmastctl/try_node.go
+++ b/cmd/robinmastctl/try_node.go
@@ -13,35 +13,37 @@
 	"time"
 )
 
-// configure writes the node's two files.
-func (t *trial) configure(members string) error {
-	hold, err := net.Listen("tcp", "127.0.0.1:0") // a free port, which the node takes over
+// writeConfig writes the two configuration files of the node.
+func (t *trial) writeConfig(members string) error {
+	listener, err := net.Listen("tcp", "127.0.0.1:0") // finds a free port for the node
 	if err != nil {
 		return err
 	}
-	t.addr = hold.Addr().String()
-	if err := hold.Close(); err != nil {
+	t.addr = listener.Addr().String()
+	if err := listener.Close(); err != nil {
 		return err
 	}
-	text, err := json.Marshal(map[string]any{
-		"name": "try", "listen": t.addr, "pool": t.pool.Addr(), "members": members, "seed": fmt.Sprintf("%016x", t.seed),
-		"stop_ms": 2000, "limits": map[string]any{"cores": 1, "memory_mb": 96, "sockets": 384},
-		"settings": json.RawMessage(fmt.Sprintf(trySettings, tryCores, tryCallers)),
+	config, err := json.Marshal(map[string]any{
+		"name": "try", "listen": t.addr, "pool": t.pool.Addr(), "members": members,
+		"seed": fmt.Sprintf("%016x", t.seed), "stop_ms": 2000,
+		"limits":   map[string]any{"cores": 1, "memory_mb": 96, "sockets": 384},
+		"settings": json.RawMessage(fmt.Sprintf(trySettings, tryCores, tryConnections)),
 	})
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(filepath.Join(t.dir, "config.json"), text, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(t.dir, "config.json"), config, 0o600); err != nil {
 		return err
 	}
 	ini := "[results]\nenabled = true\ndir = " + filepath.Join(t.dir, "results") + "\n"
 	return os.WriteFile(filepath.Join(t.dir, "robinmast.ini"), []byte(ini), 0o600)
 }
 
-// start starts the node and waits until it listens.
-func (t *trial) start(ctx context.Context) error {
+// startNode starts the node and waits until it listens.
+func (t *trial) startNode(ctx context.Context) error {
 	var err error
-	if t.log, err = os.OpenFile(filepath.Join(t.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600); err != nil {
+	t.log, err = os.OpenFile(filepath.Join(t.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	if err != nil {
 		return err
 	}
 	t.process = exec.Command(t.node, "run", "--config", filepath.Join(t.dir, "robinmast.ini"))
@@ -50,28 +52,30 @@
 	if err := t.process.Start(); err != nil {
 		return err
 	}
-	for end := time.Now().Add(10 * time.Second); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(5 * time.Millisecond) {
-		if c, err := net.DialTimeout("tcp", t.addr, time.Second); err == nil {
-			return c.Close()
+	deadline := time.Now().Add(10 * time.Second)
+	for ; time.Now().Before(deadline) && ctx.Err() == nil; time.Sleep(5 * time.Millisecond) {
+		if connection, err := net.DialTimeout("tcp", t.addr, time.Second); err == nil {
+			return connection.Close()
 		}
 	}
-	text, _ := os.ReadFile(t.log.Name()) // only to tell more
-	t.kill()
-	return fmt.Errorf("the node did not start: %s", strings.TrimSpace(string(text)))
+	logText, _ := os.ReadFile(t.log.Name()) // best effort: it only adds detail to the error
+	t.killNode()
+	return fmt.Errorf("the node did not start: %s", strings.TrimSpace(string(logText)))
 }
 
-func (t *trial) kill() {
+// killNode kills the node with SIGKILL, if it runs.
+func (t *trial) killNode() {
 	if t.process == nil {
 		return
 	}
 	_ = t.process.Process.Kill()
-	_ = t.process.Wait() // it was killed
+	_ = t.process.Wait() // the error says only that it was killed
 	_ = t.log.Close()
 	t.process = nil
 }
 
-// cpu is the processor time of the node.
-func (t *trial) cpu() time.Duration {
+// nodeCPU returns the CPU time that the node has used, 0 if unknown.
+func (t *trial) nodeCPU() time.Duration {
 	if t.process == nil {
 		return 0
 	}
--- a/cmd/robinmastctl/try_report.go
+++ b/cmd/robinmastctl/try_report.go
@@ -6,91 +6,101 @@
 	"io"
 )
 
-// tally is what became of requests.
-type tally struct {
-	Sent    int `json:"sent"`    // first tries
-	Again   int `json:"again"`   // further tries of keyed requests whose answer was lost
-	Served  int `json:"served"`  // answered with the result in time
-	Refused int `json:"refused"` // answered with when to return
-	Failed  int `json:"failed"`  // answered without a promise
-	Late    int `json:"late"`    // answered or not, their time was over
-	Cut     int `json:"cut"`     // their connection ended with the node
-	Unsent  int `json:"unsent"`  // no connection could be had
+// outcomes counts requests by outcome.
+type outcomes struct {
+	Sent           int `json:"sent"`    // first tries
+	FurtherTries   int `json:"again"`   // further tries of keyed requests whose answer was lost
+	Served         int `json:"served"`  // answered with the result in time
+	Refused        int `json:"refused"` // answered with a refusal
+	Failed         int `json:"failed"`  // answered with a failure
+	Late           int `json:"late"`    // answered after their timeout
+	ConnectionLost int `json:"cut"`     // the connection was lost before the answer
+	NotConnected   int `json:"unsent"`  // no connection to the node
 }
 
-func (t tally) ends() int { return t.Served + t.Refused + t.Failed + t.Late + t.Cut + t.Unsent }
+// ended returns the number of tries with an outcome.
+func (t outcomes) ended() int {
+	return t.Served + t.Refused + t.Failed + t.Late + t.ConnectionLost + t.NotConnected
+}
 
-func (t tally) minus(o tally) tally {
-	return tally{t.Sent - o.Sent, t.Again - o.Again, t.Served - o.Served, t.Refused - o.Refused,
-		t.Failed - o.Failed, t.Late - o.Late, t.Cut - o.Cut, t.Unsent - o.Unsent}
+// minus returns the difference of two counts.
+func (t outcomes) minus(o outcomes) outcomes {
+	return outcomes{t.Sent - o.Sent, t.FurtherTries - o.FurtherTries, t.Served - o.Served, t.Refused - o.Refused,
+		t.Failed - o.Failed, t.Late - o.Late, t.ConnectionLost - o.ConnectionLost, t.NotConnected - o.NotConnected}
 }
 
-// second is one line of the table.
+// second is a line of the table.
 type second struct {
-	At      int     `json:"at"`
-	Phase   string  `json:"phase"`
-	Tally   tally   `json:"tally"`
-	NodeCPU float64 `json:"node_cpu"` // cores
-	Busy    float64 `json:"busy"`     // share of the worker pool's cores
-	Held    int     `json:"held"`
-	Running int     `json:"running"`
+	At       int      `json:"at"`
+	Phase    string   `json:"phase"`
+	Outcomes outcomes `json:"tally"`
+	NodeCPU  float64  `json:"node_cpu"` // cores used
+	Busy     float64  `json:"busy"`     // share of the worker pool's cores in use
+	Queued   int      `json:"held"`
+	Running  int      `json:"running"`
 }
 
-// accounting is the end of the table.
+// accounting is the summary after the table.
 type accounting struct {
-	Seed       uint64 `json:"seed"`
-	Tally      tally  `json:"tally"`
-	Open       int    `json:"open"`       // requests without an end
-	Twice      int    `json:"twice"`      // keyed requests that ran more than once
-	Changed    int    `json:"changed"`    // keyed requests answered with two results
-	Remembered int    `json:"remembered"` // further tries answered without another run
-	AddsUp     bool   `json:"adds_up"`
+	Seed            uint64   `json:"seed"`
+	Outcomes        outcomes `json:"tally"`
+	Open            int      `json:"open"`       // requests without an outcome
+	RanTwice        int      `json:"twice"`      // keyed requests that ran more than once
+	ResultChanged   int      `json:"changed"`    // keyed requests answered with two results
+	AnsweredByCache int      `json:"remembered"` // further tries answered without another run
+	AddsUp          bool     `json:"adds_up"`
 }
 
-// line prints a second.
-func (t *trial) line(out io.Writer, s second) {
+// printSecond prints a line of the table.
+func (t *trial) printSecond(out io.Writer, s second) {
 	if t.json {
-		_ = json.NewEncoder(out).Encode(s) // a reader that went away misses lines, not the play
+		_ = json.NewEncoder(out).Encode(s) // if the reader is gone, the trial goes on
 		return
 	}
-	a := s.Tally
+	outcomes := s.Outcomes
 	fmt.Fprintf(out, "%4d  %-9s %6d %6d %7d %7d %6d %5d %5d  %4.0f%% %4.0f%% %5d %7d\n",
-		s.At, s.Phase, a.Sent, a.Again, a.Served, a.Refused, a.Failed, a.Late, a.Cut+a.Unsent, 100*s.NodeCPU, 100*s.Busy, s.Held, s.Running)
+		s.At, s.Phase, outcomes.Sent, outcomes.FurtherTries, outcomes.Served, outcomes.Refused, outcomes.Failed,
+		outcomes.Late, outcomes.ConnectionLost+outcomes.NotConnected, 100*s.NodeCPU, 100*s.Busy, s.Queued, s.Running)
 }
 
-// account prints what became of everything, and fails if it does not add up.
-func (t *trial) account(out io.Writer) error {
+// printAccounting prints the summary and returns errFaults if it does not add up.
+func (t *trial) printAccounting(out io.Writer) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	a := &t.acc
-	a.Seed, a.Tally, a.Open = t.seed, t.tally, t.open
+	accounting := &t.accounting
+	accounting.Seed, accounting.Outcomes, accounting.Open = t.seed, t.outcomes, t.open
 	for _, n := range t.runs {
 		if n > 1 {
-			a.Twice++
+			accounting.RanTwice++
 		}
 	}
-	a.AddsUp = a.Tally.Sent+a.Tally.Again == a.Tally.ends()+a.Open && a.Open == 0 && a.Twice == 0 && a.Changed == 0
+	tries := accounting.Outcomes.Sent + accounting.Outcomes.FurtherTries
+	accounting.AddsUp = tries == accounting.Outcomes.ended()+accounting.Open &&
+		accounting.Open == 0 && accounting.RanTwice == 0 && accounting.ResultChanged == 0
 	if t.json {
-		if err := json.NewEncoder(out).Encode(a); err != nil {
+		if err := json.NewEncoder(out).Encode(accounting); err != nil {
 			return err
 		}
 	} else {
-		s := a.Tally
-		fmt.Fprintf(out, "\n%d sent + %d sent again = %d served + %d refused + %d failed + %d late + %d cut off + %d unsent",
-			s.Sent, s.Again, s.Served, s.Refused, s.Failed, s.Late, s.Cut, s.Unsent)
-		if a.Open > 0 {
-			fmt.Fprintf(out, " + %d without an end", a.Open)
+		outcomes := accounting.Outcomes
+		fmt.Fprintf(out, "\n%d sent + %d sent again = "+
+			"%d served + %d refused + %d failed + %d late + %d cut off + %d unsent",
+			outcomes.Sent, outcomes.FurtherTries, outcomes.Served, outcomes.Refused, outcomes.Failed, outcomes.Late,
+			outcomes.ConnectionLost, outcomes.NotConnected)
+		if accounting.Open > 0 {
+			fmt.Fprintf(out, " + %d without an outcome", accounting.Open)
 		}
-		fmt.Fprintf(out, "\n%d keyed requests ran twice, %d were answered with two results; %d sent again were answered without another run\n",
-			a.Twice, a.Changed, a.Remembered)
-		if a.AddsUp {
+		fmt.Fprintf(out, "\n%d keyed requests ran twice, %d were answered with two results; "+
+			"%d sent again were answered without another run\n",
+			accounting.RanTwice, accounting.ResultChanged, accounting.AnsweredByCache)
+		if accounting.AddsUp {
 			fmt.Fprintln(out, "It adds up.")
 		} else {
 			fmt.Fprintln(out, "It does not add up.")
 		}
 	}
-	if !a.AddsUp {
-		return errFound
+	if !accounting.AddsUp {
+		return errFaults
 	}
 	return nil
 }
--- a/cmd/robinmastctl/try_test.go
+++ b/cmd/robinmastctl/try_test.go
@@ -20,12 +20,12 @@
 		t.Fatalf("status %d, %s\n%s", status, errs, out)
 	}
 	lines := bufio.NewScanner(strings.NewReader(out))
-	var parts []string
-	var sum tally
-	var acc accounting
+	var phases []string
+	var total outcomes
+	var accounting accounting
 	for lines.Scan() {
 		if strings.Contains(lines.Text(), `"adds_up"`) {
-			if err := json.Unmarshal(lines.Bytes(), &acc); err != nil {
+			if err := json.Unmarshal(lines.Bytes(), &accounting); err != nil {
 				t.Fatal(err)
 			}
 			continue
@@ -34,16 +34,16 @@
 		if err := json.Unmarshal(lines.Bytes(), &s); err != nil {
 			t.Fatal(err)
 		}
-		parts = append(parts, s.Phase)
-		sum.Sent += s.Tally.Sent
-		sum.Refused += s.Tally.Refused
+		phases = append(phases, s.Phase)
+		total.Sent += s.Outcomes.Sent
+		total.Refused += s.Outcomes.Refused
 	}
-	if strings.Join(parts, " ") != "calm calm overload overload crash crash" {
-		t.Errorf("parts: %v", parts)
+	if strings.Join(phases, " ") != "calm calm overload overload crash crash" {
+		t.Errorf("parts: %v", phases)
 	}
-	a := acc.Tally
-	if !acc.AddsUp || a.Sent < 500 || a.Sent < sum.Sent || a.Served == 0 || a.Cut == 0 || sum.Refused == 0 {
-		t.Errorf("accounting: %+v; by seconds %+v", acc, sum)
+	outcomes := accounting.Outcomes
+	if !accounting.AddsUp || outcomes.Sent < 500 || outcomes.Sent < total.Sent || outcomes.Served == 0 || outcomes.ConnectionLost == 0 || total.Refused == 0 {
+		t.Errorf("accounting: %+v; by seconds %+v", accounting, total)
 	}
 	if status, _, errs := run("", "try", "--seconds", "1"); status != 2 || strings.Count(errs, "\n") != 1 {
 		t.Errorf("one second: %d, %q", status, errs)
--- a/internal/control/ads.go
+++ b/internal/control/ads.go
@@ -9,61 +9,77 @@
 	"robinmast/decide/xds"
 )
 
-// StreamAggregatedResources is the state-of-the-world form.
-func (s *Streams) StreamAggregatedResources(g discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
-	x, err := s.open(g.Context(), xds.World)
+// StreamAggregatedResources serves a stream of the state-of-the-world variant.
+func (s *Streams) StreamAggregatedResources(
+	server discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesServer,
+) error {
+	x, err := s.register(server.Context(), xds.World)
 	if err != nil {
 		return err
 	}
-	defer s.close(x)
-	return x.run(g.Context(), func() error {
-		q, err := g.Recv()
+	defer s.unregister(x)
+	return x.run(server.Context(), func() error {
+		request, err := server.Recv()
 		if err != nil {
 			return err
 		}
-		t, known := typeOf(q.GetTypeUrl())
+		resourceType, known := typeForURL(request.GetTypeUrl())
 		if !known {
-			return nil // a type that is not published: it never will be answered
+			return nil // this type is not published, so the request gets no response
 		}
-		return x.take(q.GetNode(), xds.Request{
-			Type: t, Version: q.GetVersionInfo(), Nonce: q.GetResponseNonce(), Names: q.GetResourceNames(), Error: reason(q.GetErrorDetail().GetCode(), q.GetErrorDetail().GetMessage()),
+		return x.receive(request.GetNode(), xds.Request{
+			Type: resourceType, Version: request.GetVersionInfo(), Nonce: request.GetResponseNonce(),
+			Names: request.GetResourceNames(),
+			Error: nackReason(request.GetErrorDetail().GetCode(), request.GetErrorDetail().GetMessage()),
+		})
+	}, func(response *xds.Response, bodies []*anypb.Any) error {
+		return server.Send(&discoveryv3.DiscoveryResponse{
+			VersionInfo: response.Version, Resources: bodies, TypeUrl: typeURLs[response.Type], Nonce: response.Nonce,
 		})
-	}, func(r *xds.Response, bodies []*anypb.Any) error {
-		return g.Send(&discoveryv3.DiscoveryResponse{VersionInfo: r.Version, Resources: bodies, TypeUrl: typeURLs[r.Type], Nonce: r.Nonce})
 	})
 }
 
-// DeltaAggregatedResources is the incremental form.
-func (s *Streams) DeltaAggregatedResources(g discoveryv3.AggregatedDiscoveryService_DeltaAggregatedResourcesServer) error {
-	x, err := s.open(g.Context(), xds.Delta)
+// DeltaAggregatedResources serves a stream of the delta (incremental) variant.
+func (s *Streams) DeltaAggregatedResources(
+	server discoveryv3.AggregatedDiscoveryService_DeltaAggregatedResourcesServer,
+) error {
+	x, err := s.register(server.Context(), xds.Delta)
 	if err != nil {
 		return err
 	}
-	defer s.close(x)
-	return x.run(g.Context(), func() error {
-		q, err := g.Recv()
+	defer s.unregister(x)
+	return x.run(server.Context(), func() error {
+		request, err := server.Recv()
 		if err != nil {
 			return err
 		}
-		t, known := typeOf(q.GetTypeUrl())
+		resourceType, known := typeForURL(request.GetTypeUrl())
 		if !known {
 			return nil
 		}
-		return x.take(q.GetNode(), xds.Request{
-			Type: t, Nonce: q.GetResponseNonce(), Subscribe: q.GetResourceNamesSubscribe(), Unsubscribe: q.GetResourceNamesUnsubscribe(),
-			Initial: q.GetInitialResourceVersions(), Error: reason(q.GetErrorDetail().GetCode(), q.GetErrorDetail().GetMessage()),
+		return x.receive(request.GetNode(), xds.Request{
+			Type: resourceType, Nonce: request.GetResponseNonce(),
+			Subscribe: request.GetResourceNamesSubscribe(), Unsubscribe: request.GetResourceNamesUnsubscribe(),
+			Initial: request.GetInitialResourceVersions(),
+			Error:   nackReason(request.GetErrorDetail().GetCode(), request.GetErrorDetail().GetMessage()),
 		})
-	}, func(r *xds.Response, bodies []*anypb.Any) error {
-		out := &discoveryv3.DeltaDiscoveryResponse{SystemVersionInfo: r.Version, TypeUrl: typeURLs[r.Type], Nonce: r.Nonce, RemovedResources: r.Removed}
-		for i, b := range bodies {
-			out.Resources = append(out.Resources, &discoveryv3.Resource{Name: r.Names[i], Version: fmt.Sprintf("%016x", digest(b)), Resource: b})
+	}, func(response *xds.Response, bodies []*anypb.Any) error {
+		out := &discoveryv3.DeltaDiscoveryResponse{
+			SystemVersionInfo: response.Version, TypeUrl: typeURLs[response.Type], Nonce: response.Nonce,
+			RemovedResources: response.Removed,
+		}
+		for i, body := range bodies {
+			out.Resources = append(out.Resources, &discoveryv3.Resource{
+				Name: response.Names[i], Version: fmt.Sprintf("%016x", contentHash(body)), Resource: body,
+			})
 		}
-		return g.Send(out)
+		return server.Send(out)
 	})
 }
 
-// reason is why a response was rejected; a rejection without a reason is one too.
-func reason(code int32, message string) string {
+// nackReason returns why a proxy rejected a response, empty if it did not. A NACK may have only an
+// error code.
+func nackReason(code int32, message string) string {
 	if code == 0 && message == "" {
 		return ""
 	}
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -50,7 +50,7 @@
 						Name: fmt.Sprint("n", i), Addr: fmt.Sprintf("127.%d.%d.1:80", i>>8, i&255), Zone: fmt.Sprint("z", i%3),
 						Incarnation: 1, Seq: seq, Phase: phase, Healthy: true, Warm: 1, Limit: 8,
 					}
-					for !s.enqueue(event{report: &r}) {
+					for !s.enqueue(input{report: &r}) {
 						time.Sleep(time.Millisecond)
 					}
 				}
--- a/internal/control/certs.go
+++ b/internal/control/certs.go
@@ -1,8 +1,3 @@
-// This file owns the service's keys and certificates: they are reread when their
-// files change, without dropping a stream, and a pair that can't be used leaves
-// the old one in place. It must never serve without a client's certificate once
-// it is set up, nor with a protocol below TLS 1.3.
-
 package control
 
 import (
@@ -19,104 +14,109 @@
 	"time"
 )
 
-const rereadEvery = 500 * time.Millisecond
+// certPollInterval is the interval at which the files are checked for changes.
+const certPollInterval = 500 * time.Millisecond
 
-// Certs are a certificate, its key and the authority of the other side, as files.
+// Certs holds the service's certificate, its key and the CA of its clients, read from files. The
+// files are read again when they change, without closing a connection; if the new ones are
+// unusable, the old ones stay in use. Connections need TLS 1.3 and a verified client certificate.
 type Certs struct {
 	CertFile, KeyFile, CAFile string
 
 	log *slog.Logger
 
-	mu   sync.Mutex
-	pair *tls.Certificate
-	ca   *x509.CertPool
-	seen string // what the files looked like when they were last read
-	told string // the fault that was told last
+	mu          sync.Mutex
+	pair        *tls.Certificate
+	ca          *x509.CertPool
+	fingerprint string // fileFingerprint when the files were last loaded
+	lastError   string // last error that was logged; used by Watch only
 }
 
-// LoadCerts reads the files; they must be usable at the start.
+// LoadCerts reads the files. It returns an error if they are unusable.
 func LoadCerts(certFile, keyFile, caFile string, log *slog.Logger) (*Certs, error) {
 	c := &Certs{CertFile: certFile, KeyFile: keyFile, CAFile: caFile, log: log}
-	return c, c.read(c.look(), time.Now())
+	return c, c.reload(c.fileFingerprint(), time.Now())
 }
 
-// look is a text that changes when one of the files does.
-func (c *Certs) look() string {
+// fileFingerprint returns a string that changes when one of the files changes.
+func (c *Certs) fileFingerprint() string {
 	var b strings.Builder
 	for _, name := range []string{c.CertFile, c.KeyFile, c.CAFile} {
-		if st, err := os.Stat(name); err != nil {
+		if info, err := os.Stat(name); err != nil {
 			fmt.Fprintf(&b, "%s: %v;", name, err)
 		} else {
-			fmt.Fprintf(&b, "%s: %d %v;", name, st.Size(), st.ModTime().UnixNano())
+			fmt.Fprintf(&b, "%s: %d %v;", name, info.Size(), info.ModTime().UnixNano())
 		}
 	}
 	return b.String()
 }
 
-// read takes the files up, if they can be used.
-func (c *Certs) read(seen string, now time.Time) error {
-	pair, err := tls.LoadX509KeyPair(c.CertFile, c.KeyFile) // fails if they do not belong together
+// reload reads the files and puts them into use. It returns an error and keeps the old ones if the
+// new ones are unusable or the certificate is not valid at the time now.
+func (c *Certs) reload(fingerprint string, now time.Time) error {
+	pair, err := tls.LoadX509KeyPair(c.CertFile, c.KeyFile) // fails if key and certificate do not match
 	if err != nil {
-		return fmt.Errorf("certificate %s, key %s: %w", c.CertFile, c.KeyFile, err)
+		return fmt.Errorf("load certificate %s and key %s: %w", c.CertFile, c.KeyFile, err)
 	}
 	leaf, err := x509.ParseCertificate(pair.Certificate[0])
 	if err != nil {
-		return fmt.Errorf("certificate %s: %w", c.CertFile, err)
+		return fmt.Errorf("parse certificate %s: %w", c.CertFile, err)
 	}
 	switch {
 	case now.After(leaf.NotAfter):
 		return fmt.Errorf("certificate %s expired at %v", c.CertFile, leaf.NotAfter)
 	case now.Before(leaf.NotBefore):
-		return fmt.Errorf("certificate %s is valid from %v only", c.CertFile, leaf.NotBefore)
+		return fmt.Errorf("certificate %s is not valid before %v", c.CertFile, leaf.NotBefore)
 	}
-	text, err := os.ReadFile(c.CAFile)
+	authority, err := os.ReadFile(c.CAFile)
 	if err != nil {
-		return fmt.Errorf("authority: %w", err)
+		return fmt.Errorf("read CA file: %w", err)
 	}
 	ca := x509.NewCertPool()
-	if !ca.AppendCertsFromPEM(text) {
-		return fmt.Errorf("authority %s holds no certificate", c.CAFile)
+	if !ca.AppendCertsFromPEM(authority) {
+		return fmt.Errorf("CA file %s contains no certificate", c.CAFile)
 	}
 	pair.Leaf = leaf
 	c.mu.Lock()
-	c.pair, c.ca, c.seen = &pair, ca, seen
+	c.pair, c.ca, c.fingerprint = &pair, ca, fingerprint
 	c.mu.Unlock()
 	return nil
 }
 
-// Watch rereads the files when they change, until ctx ends.
+// Watch reloads the files when they change, until ctx is done.
 func (c *Certs) Watch(ctx context.Context) {
-	tick := time.NewTicker(rereadEvery)
-	defer tick.Stop()
+	ticker := time.NewTicker(certPollInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		seen := c.look()
+		fingerprint := c.fileFingerprint()
 		c.mu.Lock()
-		same := seen == c.seen
+		unchanged := fingerprint == c.fingerprint
 		c.mu.Unlock()
-		if same {
+		if unchanged {
 			continue
 		}
-		if err := c.read(seen, time.Now()); err != nil {
-			if err.Error() != c.told { // a file that is half written is tried again at once
-				c.told = err.Error()
-				c.log.Error("new certificate not taken, the old one is kept", "err", err)
+		if err := c.reload(fingerprint, time.Now()); err != nil {
+			if err.Error() != c.lastError { // an unfinished write is retried at each tick: log the error once
+				c.lastError = err.Error()
+				c.log.Error("new certificate rejected, the old one stays in use", "err", err)
 			}
 			continue
 		}
-		c.told = ""
+		c.lastError = ""
 		c.mu.Lock()
 		leaf := c.pair.Leaf
 		c.mu.Unlock()
-		c.log.Info("new certificate taken", "serial", leaf.SerialNumber.String(), "until", leaf.NotAfter)
+		c.log.Info("new certificate in use", "serial", leaf.SerialNumber.String(), "until", leaf.NotAfter)
 	}
 }
 
-// Server is the configuration of a listener; each connection gets what is current.
+// Server returns the TLS configuration of a listener with the given ALPN protocol. Each new
+// connection uses the certificates that are current.
 func (c *Certs) Server(protocol string) *tls.Config {
 	base := &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: []string{protocol}}
 	base.GetConfigForClient = func(*tls.ClientHelloInfo) (*tls.Config, error) {
@@ -130,24 +130,25 @@
 	return base
 }
 
-// Names are the names of the other side's certificate, verified already.
-func Names(s *tls.ConnectionState) []string {
-	if s == nil || len(s.VerifiedChains) == 0 {
+// Names returns the DNS names of the peer's verified certificate, nil if there is none.
+func Names(state *tls.ConnectionState) []string {
+	if state == nil || len(state.VerifiedChains) == 0 {
 		return nil
 	}
-	return s.PeerCertificates[0].DNSNames
+	return state.PeerCertificates[0].DNSNames
 }
 
-// MayReport says who may report for a name: whoever's certificate has the DNS name
-// that pattern makes of it, {name} standing for the name.
+// MayReport returns a check whether the client of a request may report for a node name: its
+// certificate must have the DNS name that results from pattern with the node's name in place of
+// {name}. It returns an error if pattern lacks {name}.
 func MayReport(pattern string) (func(*http.Request, string) bool, error) {
 	if !strings.Contains(pattern, "{name}") {
-		return nil, errors.New("a pattern for nodes needs {name}")
+		return nil, errors.New("the pattern lacks {name}")
 	}
 	return func(r *http.Request, name string) bool {
 		want := strings.ReplaceAll(pattern, "{name}", name)
-		for _, n := range Names(r.TLS) {
-			if strings.EqualFold(n, want) {
+		for _, dnsName := range Names(r.TLS) {
+			if strings.EqualFold(dnsName, want) {
 				return true
 			}
 		}
@@ -155,14 +156,15 @@
 	}, nil
 }
 
-// MaySubscribe says which proxies may: those of whose DNS names one is listed, or
-// lies right under a listed *.DOMAIN.
-func MaySubscribe(list []string) func(*tls.ConnectionState) bool {
-	return func(s *tls.ConnectionState) bool {
-		for _, n := range Names(s) {
-			for _, want := range list {
-				_, domain, _ := strings.Cut(n, ".")
-				if strings.EqualFold(n, want) || strings.HasPrefix(want, "*.") && domain != "" && strings.EqualFold(domain, want[2:]) {
+// MaySubscribe returns a check whether a proxy may subscribe: one of the DNS names of its
+// certificate must be in the list allowed or be directly below the domain of a *.DOMAIN in it.
+func MaySubscribe(allowed []string) func(*tls.ConnectionState) bool {
+	return func(state *tls.ConnectionState) bool {
+		for _, name := range Names(state) {
+			for _, allowedName := range allowed {
+				_, domain, _ := strings.Cut(name, ".")
+				if strings.EqualFold(name, allowedName) ||
+					strings.HasPrefix(allowedName, "*.") && domain != "" && strings.EqualFold(domain, allowedName[2:]) {
 					return true
 				}
 			}
--- a/internal/control/certs_test.go
+++ b/internal/control/certs_test.go
@@ -46,8 +46,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := New(Config{Log: slog.New(slog.NewTextHandler(io.Discard, nil)), May: may})
-	s.Streams.May = MaySubscribe([]string{"*.proxy"})
+	s := New(Config{Log: slog.New(slog.NewTextHandler(io.Discard, nil)), MayReport: may})
+	s.Streams.MaySubscribe = MaySubscribe([]string{"*.proxy"})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go s.Run(ctx)
@@ -121,7 +121,7 @@
 	for name, pair := range map[string][2][]byte{"half written": {next[:len(next)/2], nextKey}, "expired": {old, oldKey}, "mismatched": {next, oldKey}} {
 		file("cert", pair[0])
 		file("key", pair[1])
-		time.Sleep(2 * rereadEvery)
+		time.Sleep(2 * certPollInterval)
 		if got := serial(); got != first {
 			t.Errorf("%s: taken", name)
 		}
@@ -143,17 +143,17 @@
 
 // A node that says healthy while proxies report errors by LRS is degraded.
 func TestLoadReports(t *testing.T) {
-	g := newStage(t, nil)
+	g := newTestService(t, nil)
 	for i := range 3 {
-		g.set(i, 1000, nil)
+		g.setNode(i, 1000, nil)
 	}
-	loadv := &Loads{Service: g.s}
+	loadv := &Loads{Service: g.service}
 	ln := standin.Listen(t)
 	server := grpc.NewServer()
 	loadv3.RegisterLoadReportingServiceServer(server, loadv)
 	go func() { _ = server.Serve(ln) }()
 	defer server.Stop()
-	g.state(2, "healthy")
+	g.awaitState(2, "healthy")
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	conn, err := grpc.NewClient(ln.Addr().String(), grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -168,7 +168,7 @@
 	if err := st.Send(&loadv3.LoadStatsRequest{Node: &corev3.Node{Id: "p1"}}); err != nil {
 		t.Fatal(err)
 	}
-	if r, err := st.Recv(); err != nil || !r.ReportEndpointGranularity || r.LoadReportingInterval.AsDuration() != loadEvery {
+	if r, err := st.Recv(); err != nil || !r.ReportEndpointGranularity || r.LoadReportingInterval.AsDuration() != loadReportInterval {
 		t.Fatalf("%v, %v", r, err)
 	}
 	report := func(good, bad uint64) {
@@ -183,13 +183,13 @@
 			t.Fatal(err)
 		}
 	}
-	p := g.proxy("p1", true, nil)
+	p := g.startProxy("p1", true, nil)
 	report(2, 60)
-	g.state(0, "failing")
-	g.agree("a degraded node", p)
+	g.awaitState(0, "failing")
+	g.awaitView("a degraded node", p)
 	standin.Eventually(t, "better figures believed", func() bool {
 		report(200, 0)
 		time.Sleep(50 * time.Millisecond)
-		return g.s.View().Nodes[0].State.String() == "healthy"
+		return g.service.View().Nodes[0].State.String() == "healthy"
 	})
 }
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -28,55 +28,55 @@
 )
 
 // stage is a control service on loopback with nodes that report to it.
-type stage struct {
-	t      *testing.T
-	s      *Service
-	grpc   *grpc.Server
-	addr   string
-	cancel context.CancelFunc
-	done   sync.WaitGroup
+type testService struct {
+	t       *testing.T
+	service *Service
+	grpc    *grpc.Server
+	addr    string
+	cancel  context.CancelFunc
+	done    sync.WaitGroup
 
 	mu    sync.Mutex
-	nodes map[string]*message
-	mute  bool
+	nodes map[string]*nodeReport
+	muted bool
 }
 
-func newStage(t *testing.T, st *store.Store) *stage {
+func newTestService(t *testing.T, st *store.Store) *testService {
 	t.Helper()
-	g := &stage{t: t, nodes: map[string]*message{}}
-	g.s = New(Config{Store: st, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+	g := &testService{t: t, nodes: map[string]*nodeReport{}}
+	g.service = New(Config{Store: st, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	ctx, cancel := context.WithCancel(context.Background())
 	g.cancel = cancel
 	ln := standin.Listen(t)
 	g.addr = ln.Addr().String()
 	g.serve(ln)
-	g.done.Go(func() { g.s.Run(ctx) })
+	g.done.Go(func() { g.service.Run(ctx) })
 	g.done.Go(func() { g.report(ctx) })
 	t.Cleanup(g.stop)
 	return g
 }
 
-func (g *stage) serve(ln net.Listener) {
+func (g *testService) serve(ln net.Listener) {
 	g.grpc = grpc.NewServer()
-	discoveryv3.RegisterAggregatedDiscoveryServiceServer(g.grpc, g.s.Streams)
+	discoveryv3.RegisterAggregatedDiscoveryServiceServer(g.grpc, g.service.Streams)
 	server := g.grpc
 	g.done.Go(func() { _ = server.Serve(ln) }) // ends by Stop
 }
 
-func (g *stage) stop() {
+func (g *testService) stop() {
 	g.cancel()
 	g.grpc.Stop()
 	g.done.Wait()
 }
 
 // report lets every node speak each 300 ms.
-func (g *stage) report(ctx context.Context) {
+func (g *testService) report(ctx context.Context) {
 	for ctx.Err() == nil {
 		g.mu.Lock()
 		for name, m := range g.nodes {
 			m.Seq++
-			if !g.mute {
-				g.put("/nodes/"+name, m)
+			if !g.muted {
+				g.putReport("/nodes/"+name, m)
 			}
 		}
 		g.mu.Unlock()
@@ -87,31 +87,31 @@
 	}
 }
 
-func (g *stage) put(path string, body any) int {
+func (g *testService) putReport(path string, body any) int {
 	text, _ := json.Marshal(body)
 	w := httptest.NewRecorder()
-	g.s.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodPut, path, strings.NewReader(string(text))))
+	g.service.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodPut, path, strings.NewReader(string(text))))
 	return w.Code
 }
 
 // set makes or replaces a node; a new incarnation begins at sequence 1.
-func (g *stage) set(i int, inc uint64, change func(*message)) {
+func (g *testService) setNode(i int, incarnation uint64, change func(*nodeReport)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	m := &message{Addr: fmt.Sprintf("127.1.0.%d:8080", i), Zone: fmt.Sprint("z", i%3), Incarnation: inc, Phase: "up", Healthy: true, Warm: 1, Running: 1, Limit: 8}
+	m := &nodeReport{Addr: fmt.Sprintf("127.1.0.%d:8080", i), Zone: fmt.Sprint("z", i%3), Incarnation: incarnation, Phase: "up", Healthy: true, Warm: 1, Running: 1, Limit: 8}
 	if change != nil {
 		change(m)
 	}
 	g.nodes[fmt.Sprintf("n%02d", i)] = m
 }
 
-func (g *stage) drop(i int) {
+func (g *testService) remove(i int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.nodes, fmt.Sprintf("n%02d", i))
 }
 
-func (g *stage) proxy(id string, delta bool, change func(*proxy.Proxy)) *proxy.Proxy {
+func (g *testService) startProxy(id string, delta bool, change func(*proxy.Proxy)) *proxy.Proxy {
 	g.t.Helper()
 	conn, err := grpc.NewClient(g.addr, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
@@ -130,25 +130,25 @@
 
 // agree waits until the proxies hold exactly what the service believes, and
 // returns how long that took.
-func (g *stage) agree(what string, proxies ...*proxy.Proxy) time.Duration {
+func (g *testService) awaitView(what string, proxies ...*proxy.Proxy) time.Duration {
 	g.t.Helper()
 	began := time.Now()
 	standin.Eventually(g.t, what, func() bool {
-		v := g.s.View()
+		v := g.service.View()
 		for _, p := range proxies {
-			has, _ := p.Endpoints()
+			endpoints, _ := p.Endpoints()
 			n := 0
 			for _, node := range v.Nodes {
-				status, listed := health[node.State]
+				status, listed := healthStatus[node.State]
 				if !listed {
 					continue
 				}
 				n++
-				if e, ok := has[node.Addr]; !ok || e.Status != status {
+				if e, ok := endpoints[node.Addr]; !ok || e.Status != status {
 					return false
 				}
 			}
-			if n != len(has) {
+			if n != len(endpoints) {
 				return false
 			}
 		}
@@ -158,11 +158,11 @@
 }
 
 // state waits until the service believes a node to be in a state.
-func (g *stage) state(i int, want string) {
+func (g *testService) awaitState(i int, want string) {
 	g.t.Helper()
 	name := fmt.Sprintf("n%02d", i)
 	standin.Eventually(g.t, name+" "+want, func() bool {
-		for _, n := range g.s.View().Nodes {
+		for _, n := range g.service.View().Nodes {
 			if n.Name == name {
 				return n.State.String() == want
 			}
@@ -175,54 +175,54 @@
 // healthy while proxies see errors, one falls silent without a word. Both clients
 // hold the latest view within 2 s of each change, and no stale server.
 func TestRollingDeploy(t *testing.T) {
-	g := newStage(t, nil)
+	g := newTestService(t, nil)
 	for i := range 12 {
-		g.set(i, 1000, nil)
+		g.setNode(i, 1000, nil)
 	}
-	a, b := g.proxy("world", false, nil), g.proxy("delta", true, func(p *proxy.Proxy) { p.Zone = "z1" })
-	g.state(11, "healthy")
-	g.agree("the first view", a, b) // nothing is published before all had time to report
+	a, b := g.startProxy("world", false, nil), g.startProxy("delta", true, func(p *proxy.Proxy) { p.Zone = "z1" })
+	g.awaitState(11, "healthy")
+	g.awaitView("the first view", a, b) // nothing is published before all had time to report
 	worst := time.Duration(0)
 	for batch := range 3 { // half of the fleet, a sixth at a time
 		first := 2 * batch
 		for i := first; i < first+2; i++ {
-			g.set(i, 1000, func(m *message) { m.Phase = "draining"; m.Seq = 500 })
+			g.setNode(i, 1000, func(m *nodeReport) { m.Phase = "draining"; m.Seq = 500 })
 		}
-		g.state(first, "draining")
-		worst = max(worst, g.agree("drains", a, b))
+		g.awaitState(first, "draining")
+		worst = max(worst, g.awaitView("drains", a, b))
 		for i := first; i < first+2; i++ {
-			g.set(i, 2000, func(m *message) { m.Warm = 0.2 })
+			g.setNode(i, 2000, func(m *nodeReport) { m.Warm = 0.2 })
 		}
-		g.state(first+1, "warming")
-		worst = max(worst, g.agree("cold successors", a, b))
-		g.set(first, 2000, func(m *message) { m.Seq = 500 })
-		g.state(first, "healthy")
+		g.awaitState(first+1, "warming")
+		worst = max(worst, g.awaitView("cold successors", a, b))
+		g.setNode(first, 2000, func(m *nodeReport) { m.Seq = 500 })
+		g.awaitState(first, "healthy")
 	}
 	for i := range 5 { // one flaps
-		g.set(6, uint64(3000+i), nil)
+		g.setNode(6, uint64(3000+i), nil)
 		time.Sleep(320 * time.Millisecond)
 	}
-	g.state(6, "damped")
-	worst = max(worst, g.agree("a node that flaps", a, b))
-	g.drop(7) // one goes without a word
-	g.state(7, "gone")
-	worst = max(worst, g.agree("a node that is gone", a, b))
+	g.awaitState(6, "damped")
+	worst = max(worst, g.awaitView("a node that flaps", a, b))
+	g.remove(7) // one goes without a word
+	g.awaitState(7, "gone")
+	worst = max(worst, g.awaitView("a node that is gone", a, b))
 	if has, _ := a.Endpoints(); has["127.1.0.7:8080"].Status != corev3.HealthStatus_UNKNOWN {
 		t.Error("a stale server is kept")
 	}
 	for i, bad := range []float64{40, 8} { // one fails fast; one never answers, which its callers' time-outs tell
 		addr := fmt.Sprintf("n%02d", 8+i)
 		standin.Eventually(t, addr+" failing", func() bool {
-			g.s.Saw(fleet.ProxyLoad{Proxy: "world", Node: addr, Bad: bad})
+			g.service.ObserveLoad(fleet.ProxyLoad{Proxy: "world", Node: addr, Bad: bad})
 			time.Sleep(100 * time.Millisecond)
-			for _, n := range g.s.View().Nodes {
+			for _, n := range g.service.View().Nodes {
 				if n.Name == addr {
 					return n.State == fleet.Failing
 				}
 			}
 			return false
 		})
-		worst = max(worst, g.agree("a node that proxies see fail", a, b))
+		worst = max(worst, g.awaitView("a node that proxies see fail", a, b))
 	}
 	if worst > 2*time.Second {
 		t.Errorf("the clients agreed with the view after %v at worst", worst)
@@ -239,31 +239,31 @@
 // Proxies that misbehave hold up nobody: one never answers, one reads nothing for
 // long, one rejects endpoints, one cuts its stream after every message, one comes
 // back with a version and a nonce that never were.
-func TestBadProxies(t *testing.T) {
-	g := newStage(t, nil)
+func TestMisbehavingProxies(t *testing.T) {
+	g := newTestService(t, nil)
 	for i := range 6 {
-		g.set(i, 1000, nil)
+		g.setNode(i, 1000, nil)
 	}
 	eds := "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
-	for turn, delta := range []bool{false, true} {
-		inc := uint64(1001 + turn)
-		good := g.proxy(fmt.Sprint("good ", delta), delta, nil)
-		silent := g.proxy(fmt.Sprint("never answers ", delta), delta, func(p *proxy.Proxy) { p.Faults.NeverAnswers = true })
-		g.proxy(fmt.Sprint("reads nothing ", delta), delta, func(p *proxy.Proxy) {
+	for round, delta := range []bool{false, true} {
+		inc := uint64(1001 + round)
+		good := g.startProxy(fmt.Sprint("good ", delta), delta, nil)
+		silent := g.startProxy(fmt.Sprint("never answers ", delta), delta, func(p *proxy.Proxy) { p.Faults.NeverAnswers = true })
+		g.startProxy(fmt.Sprint("reads nothing ", delta), delta, func(p *proxy.Proxy) {
 			p.Faults.Gate = func(ctx context.Context) { <-ctx.Done() }
 		})
-		rejects := g.proxy(fmt.Sprint("rejects ", delta), delta, func(p *proxy.Proxy) { p.Faults.Rejects = eds })
-		cut := g.proxy(fmt.Sprint("cuts ", delta), delta, func(p *proxy.Proxy) { p.Faults.CutAfter = 1 })
-		forgets := g.proxy(fmt.Sprint("forgets ", delta), delta, func(p *proxy.Proxy) { p.Faults.Forget = true })
-		g.state(5, "healthy")
-		g.agree("the first view", good, silent, cut, forgets)
+		rejects := g.startProxy(fmt.Sprint("rejects ", delta), delta, func(p *proxy.Proxy) { p.Faults.Rejects = eds })
+		reconnects := g.startProxy(fmt.Sprint("cuts ", delta), delta, func(p *proxy.Proxy) { p.Faults.CutAfter = 1 })
+		forgets := g.startProxy(fmt.Sprint("forgets ", delta), delta, func(p *proxy.Proxy) { p.Faults.Forget = true })
+		g.awaitState(5, "healthy")
+		g.awaitView("the first view", good, silent, reconnects, forgets)
 		for i := range 50 {
-			g.set(0, inc, func(m *message) { m.Seq, m.Phase = uint64(1000*(i+1)), []string{"up", "out"}[i%2] })
+			g.setNode(0, inc, func(m *nodeReport) { m.Seq, m.Phase = uint64(1000*(i+1)), []string{"up", "out"}[i%2] })
 			time.Sleep(10 * time.Millisecond)
 		}
-		g.set(0, inc, func(m *message) { m.Seq, m.Phase = 100_000, "draining" })
-		g.state(0, "draining")
-		if d := g.agree("the last view", good, cut, forgets); d > 2*time.Second {
+		g.setNode(0, inc, func(m *nodeReport) { m.Seq, m.Phase = 100_000, "draining" })
+		g.awaitState(0, "draining")
+		if d := g.awaitView("the last view", good, reconnects, forgets); d > 2*time.Second {
 			t.Errorf("good proxies agreed after %v", d)
 		}
 		if _, n := silent.Endpoints(); n > 4 {
@@ -272,20 +272,20 @@
 		if has, _ := rejects.Endpoints(); len(has) != 0 {
 			t.Error("what was rejected was applied")
 		}
-		seen := 0
-		for _, p := range g.s.Streams.Proxies() {
+		streams := 0
+		for _, p := range g.service.Streams.Proxies() {
 			if p.Node == fmt.Sprint("rejects ", delta) {
-				seen++
+				streams++
 				if st := p.Types["EDS"]; st.Nacks == 0 || !strings.Contains(st.LastNack, "rejected by the stand-in") || p.Types["CDS"].Acked == "" {
 					t.Errorf("%+v", p)
 				}
 			}
 		}
-		if seen != 1 {
-			t.Errorf("%d streams of one proxy", seen)
+		if streams != 1 {
+			t.Errorf("%d streams of one proxy", streams)
 		}
-		g.set(0, inc, func(m *message) { m.Seq = 200_000 })
-		g.state(0, "healthy")
+		g.setNode(0, inc, func(m *nodeReport) { m.Seq = 200_000 })
+		g.awaitState(0, "healthy")
 	}
 }
 
@@ -298,22 +298,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := newStage(t, st)
+	g := newTestService(t, st)
 	for i := range 8 {
-		g.set(i, 1000, nil)
+		g.setNode(i, 1000, nil)
 	}
-	a := g.proxy("a", true, nil)
-	g.state(7, "healthy")
-	g.agree("the first view", a)
+	a := g.startProxy("a", true, nil)
+	g.awaitState(7, "healthy")
+	g.awaitView("the first view", a)
 	g.mu.Lock()
-	g.mute = true
+	g.muted = true
 	g.mu.Unlock()
-	standin.Eventually(t, "the frost", func() bool { return g.s.View().Frozen })
+	standin.Eventually(t, "the frost", func() bool { return g.service.View().Frozen })
 	time.Sleep(4 * time.Second)
 	if has, _ := a.Endpoints(); len(has) != 8 {
 		t.Errorf("%d endpoints are left", len(has))
 	}
-	was := g.s.View()
+	was := g.service.View()
 	g.stop()
 	if err := st.Close(); err != nil {
 		t.Fatal(err)
@@ -323,10 +323,10 @@
 		t.Fatal(err)
 	}
 	defer st.Close()
-	h := newStage(t, st)
-	b := h.proxy("b", false, nil)
-	h.agree("the last view, at once", b)
-	v := h.s.View()
+	h := newTestService(t, st)
+	b := h.startProxy("b", false, nil)
+	h.awaitView("the last view, at once", b)
+	v := h.service.View()
 	if v.Version <= was.Version || len(v.Nodes) != 8 || !v.Nodes[0].Unproven || !v.Nodes[0].State.Serves() {
 		t.Errorf("after the restart: %+v", v)
 	}
@@ -335,12 +335,12 @@
 
 // A thousand proxies connect at once; each has the view, and each is bounded.
 func TestManyProxies(t *testing.T) {
-	g := newStage(t, nil)
+	g := newTestService(t, nil)
 	for i := range 20 {
-		g.set(i, 1000, nil)
+		g.setNode(i, 1000, nil)
 	}
-	g.state(19, "healthy")
-	g.agree("the first view", g.proxy("first", true, nil))
+	g.awaitState(19, "healthy")
+	g.awaitView("the first view", g.startProxy("first", true, nil))
 	var conns []*grpc.ClientConn
 	for range 10 {
 		c, err := grpc.NewClient(g.addr, grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -357,7 +357,7 @@
 		all = append(all, p)
 		done.Go(func() { p.Run(ctx) })
 	}
-	took := g.agree("the view at a thousand proxies", all...)
+	took := g.awaitView("the view at a thousand proxies", all...)
 	cancel()
 	for _, c := range conns {
 		c.Close()
@@ -367,7 +367,7 @@
 }
 
 func TestReportsRejected(t *testing.T) {
-	s := New(Config{Log: slog.New(slog.NewTextHandler(io.Discard, nil)), May: func(_ *http.Request, name string) bool { return name != "other" }})
+	s := New(Config{Log: slog.New(slog.NewTextHandler(io.Discard, nil)), MayReport: func(_ *http.Request, name string) bool { return name != "other" }})
 	good := `{"addr":"127.0.0.1:1","incarnation":5,"seq":1,"phase":"up","warm":1}`
 	for _, c := range []struct {
 		path, body string
@@ -403,38 +403,38 @@
 		if err == nil && !(r.Warm >= 0 && r.Warm <= 1 && r.Limit >= 0 && r.Incarnation > 0) {
 			t.Errorf("taken: %+v", r)
 		}
-		if r, _, err := parsePlain("n", text); err == nil && !r.Plain {
+		if r, _, err := parsePlainReport("n", text); err == nil && !r.Plain {
 			t.Errorf("taken: %+v", r)
 		}
 	})
 }
 
 // crawl is a connection that reads well at first, and then a byte a second.
-type crawl struct {
+type slowConn struct {
 	net.Conn
-	left int
+	fastBytes int
 }
 
-func (c *crawl) Read(p []byte) (int, error) {
-	if c.left <= 0 {
+func (c *slowConn) Read(p []byte) (int, error) {
+	if c.fastBytes <= 0 {
 		time.Sleep(time.Second)
 		p = p[:min(len(p), 1)]
 	}
-	n, err := c.Conn.Read(p[:min(len(p), max(c.left, 1))])
-	c.left -= n
+	n, err := c.Conn.Read(p[:min(len(p), max(c.fastBytes, 1))])
+	c.fastBytes -= n
 	return n, err
 }
 
 // Proxies that read a byte a second, while a view of 100 nodes changes again and
 // again: whoever reads well has each at once.
-func TestCrawlingProxies(t *testing.T) {
-	g := newStage(t, nil)
+func TestSlowReadingProxies(t *testing.T) {
+	g := newTestService(t, nil)
 	for i := range 100 {
-		g.set(i, 1000, nil)
+		g.setNode(i, 1000, nil)
 	}
-	good := g.proxy("good", true, nil)
-	g.state(99, "healthy")
-	g.agree("the first view", good)
+	good := g.startProxy("good", true, nil)
+	g.awaitState(99, "healthy")
+	g.awaitView("the first view", good)
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
 	var mu sync.Mutex
@@ -449,7 +449,7 @@
 				mu.Lock()
 				raw = append(raw, c)
 				mu.Unlock()
-				return &crawl{Conn: c, left: 3000}, nil
+				return &slowConn{Conn: c, fastBytes: 3000}, nil
 			}))
 		if err != nil {
 			t.Fatal(err)
@@ -461,9 +461,9 @@
 	worst := time.Duration(0)
 	for i := range 6 {
 		phase := []string{"draining", "up"}[i%2]
-		g.set(0, 2000, func(m *message) { m.Phase, m.Seq = phase, uint64(1000*(i+1)) })
-		g.state(0, map[string]string{"draining": "draining", "up": "healthy"}[phase])
-		worst = max(worst, g.agree("a view beside crawling proxies", good))
+		g.setNode(0, 2000, func(m *nodeReport) { m.Phase, m.Seq = phase, uint64(1000*(i+1)) })
+		g.awaitState(0, map[string]string{"draining": "draining", "up": "healthy"}[phase])
+		worst = max(worst, g.awaitView("a view beside crawling proxies", good))
 	}
 	if worst > time.Second {
 		t.Errorf("agreed after %v", worst)
@@ -486,16 +486,16 @@
 		t.Fatal(err)
 	}
 	defer st.Close()
-	g := newStage(t, st)
-	g.set(0, 1000, nil)
-	g.state(0, "healthy")
+	g := newTestService(t, st)
+	g.setNode(0, 1000, nil)
+	g.awaitState(0, "healthy")
 	time.Sleep(3 * time.Second) // published, and its weight has settled
-	g.set(0, 1000, func(m *message) { m.Seq, m.Limit = 1000, 9 })
+	g.setNode(0, 1000, func(m *nodeReport) { m.Seq, m.Limit = 1000, 9 })
 	time.Sleep(500 * time.Millisecond)
-	g.set(0, 1000, func(m *message) { m.Seq, m.Phase = 2000, "draining" })
-	g.state(0, "draining")
+	g.setNode(0, 1000, func(m *nodeReport) { m.Seq, m.Phase = 2000, "draining" })
+	g.awaitState(0, "draining")
 	standin.Eventually(t, "the drain in the store", func() bool {
-		text, err := st.Get(savedKey)
+		text, err := st.Get(viewKey)
 		return err == nil && strings.Contains(string(text), `"State":6`)
 	})
 	g.stop()
@@ -504,12 +504,12 @@
 // Proxies of both forms are away for fifty updates and come back with what they
 // had: each has the latest within 2 s, and no server that went meanwhile.
 func TestMissedUpdates(t *testing.T) {
-	g := newStage(t, nil)
+	g := newTestService(t, nil)
 	for i := range 6 {
-		g.set(i, 1000, nil)
+		g.setNode(i, 1000, nil)
 	}
-	g.state(5, "healthy")
-	for turn, delta := range []bool{false, true} {
+	g.awaitState(5, "healthy")
+	for round, delta := range []bool{false, true} {
 		conn, err := grpc.NewClient(g.addr, grpc.WithTransportCredentials(insecure.NewCredentials()))
 		if err != nil {
 			t.Fatal(err)
@@ -517,48 +517,48 @@
 		defer conn.Close()
 		p := proxy.New(conn, fmt.Sprint("away ", delta), delta)
 		var done sync.WaitGroup
-		ctx, away := context.WithCancel(context.Background())
+		ctx, disconnect := context.WithCancel(context.Background())
 		done.Go(func() { p.Run(ctx) })
-		g.agree("the view before", p)
-		away()
+		g.awaitView("the view before", p)
+		disconnect()
 		done.Wait()
-		before := g.s.View().Version
-		for i := 0; g.s.View().Version < before+50; i++ {
-			g.set(turn, 1000, func(m *message) {
+		before := g.service.View().Version
+		for i := 0; g.service.View().Version < before+50; i++ {
+			g.setNode(round, 1000, func(m *nodeReport) {
 				m.Seq, m.Phase = uint64(10_000+100*i), []string{"out", "up"}[i%2]
-				g.put(fmt.Sprintf("/nodes/n%02d", turn), m)
+				g.putReport(fmt.Sprintf("/nodes/n%02d", round), m)
 			})
 			time.Sleep(120 * time.Millisecond)
 			if i > 150 {
 				t.Fatal("the view does not move")
 			}
 		}
-		g.drop(4 + turn)
-		g.state(4+turn, "gone")
-		ctx, back := context.WithCancel(context.Background())
+		g.remove(4 + round)
+		g.awaitState(4+round, "gone")
+		ctx, disconnectAgain := context.WithCancel(context.Background())
 		done.Go(func() { p.Run(ctx) })
-		if d := g.agree("the latest after fifty updates", p); d > 2*time.Second {
+		if d := g.awaitView("the latest after fifty updates", p); d > 2*time.Second {
 			t.Errorf("after %v", d)
 		}
-		if has, _ := p.Endpoints(); len(has) != 5-turn {
-			t.Errorf("%d servers, want %d", len(has), 5-turn)
+		if has, _ := p.Endpoints(); len(has) != 5-round {
+			t.Errorf("%d servers, want %d", len(has), 5-round)
 		}
-		back()
+		disconnectAgain()
 		done.Wait()
 	}
 }
 
 // A node that thinks of the fleet and asks gets its digest with the answer to its
 // report; one of the old kind, or one that does not ask, gets 204 as ever.
-func TestDigestForWhoAsks(t *testing.T) {
-	g := newStage(t, nil)
-	report := func(name string, seq uint64, w *word) *httptest.ResponseRecorder {
-		text, _ := json.Marshal(message{Addr: "127.0.0.1:1", Incarnation: 5, Seq: seq, Phase: "up", Healthy: true, Warm: 1, Limit: 8, Together: w})
+func TestDigestOnRequest(t *testing.T) {
+	g := newTestService(t, nil)
+	report := func(name string, seq uint64, w *sheddingReport) *httptest.ResponseRecorder {
+		text, _ := json.Marshal(nodeReport{Addr: "127.0.0.1:1", Incarnation: 5, Seq: seq, Phase: "up", Healthy: true, Warm: 1, Limit: 8, Shedding: w})
 		out := httptest.NewRecorder()
-		g.s.Handler().ServeHTTP(out, httptest.NewRequest(http.MethodPut, "/nodes/"+name, strings.NewReader(string(text))))
+		g.service.Handler().ServeHTTP(out, httptest.NewRequest(http.MethodPut, "/nodes/"+name, strings.NewReader(string(text))))
 		return out
 	}
-	full := &word{Drain: 100, Short: 1, Demand: map[string]float64{"70": 50, "60": 80, "50": 70, "-3": 9, "960": 9, "x": 9}, Ask: true}
+	full := &sheddingReport{DrainRate: 100, ShortageShare: 1, Demand: map[string]float64{"70": 50, "60": 80, "50": 70, "-3": 9, "960": 9, "x": 9}, WantsDigest: true}
 	var d shedding.Digest
 	seq := uint64(0)
 	standin.Eventually(t, "a digest with a cut", func() bool {
@@ -573,23 +573,23 @@
 	if out := report("c", 1, nil); out.Code != http.StatusNoContent || out.Body.Len() > 0 {
 		t.Errorf("a node of the old kind got %d %q", out.Code, out.Body)
 	}
-	quiet := *full
-	quiet.Ask = false
-	if out := report("d", 1, &quiet); out.Code != http.StatusNoContent {
+	noDigest := *full
+	noDigest.WantsDigest = false
+	if out := report("d", 1, &noDigest); out.Code != http.StatusNoContent {
 		t.Errorf("a node that did not ask got %d", out.Code)
 	}
 	seq++
-	full.Cut, full.Trust = d.Threshold, 1
+	full.Threshold, full.DigestTrust = d.Threshold, 1
 	report("a", seq, full)
 	out := httptest.NewRecorder()
-	g.s.Handler().ServeHTTP(out, httptest.NewRequest(http.MethodGet, "/fleet", nil))
+	g.service.Handler().ServeHTTP(out, httptest.NewRequest(http.MethodGet, "/fleet", nil))
 	var v Fleet
 	if err := json.Unmarshal(out.Body.Bytes(), &v); err != nil || v.Digest.Threshold != d.Threshold {
 		t.Fatalf("the fleet: %v, %+v", err, v.Digest)
 	}
 	standin.Eventually(t, "how nodes stand to the cut", func() bool {
 		out := httptest.NewRecorder()
-		g.s.Handler().ServeHTTP(out, httptest.NewRequest(http.MethodGet, "/fleet", nil))
+		g.service.Handler().ServeHTTP(out, httptest.NewRequest(http.MethodGet, "/fleet", nil))
 		_ = json.Unmarshal(out.Body.Bytes(), &v)
 		got := map[string]string{}
 		for _, n := range v.Nodes {
--- a/internal/control/events.go
+++ b/internal/control/events.go
@@ -1,7 +1,3 @@
-// This file owns the service's side of coming back: what nodes say of their way to
-// full service and of their stores, the fleet's events, and how both outlive the
-// service. It must never decide what an event is, nor what is in doubt.
-
 package control
 
 import (
@@ -15,144 +11,155 @@
 	"robinmast/internal/store"
 )
 
+// Keys in the store.
 const (
-	eventsKey = "events"
-	livesKey  = "lives"
-	pastKey   = "history"
+	eventsKey       = "events"
+	incarnationsKey = "lives"
+	historyKey      = "history"
 )
 
-// savedEvents is what is stored of the events.
+// savedEvents is the stored form of the events.
 type savedEvents struct {
-	Wall   int64            `json:"wall"` // Unix milliseconds at the service's zero
+	Wall   int64            `json:"wall"` // Unix milliseconds at time 0 of the service that saved it
 	Events []recovery.Event `json:"events"`
 }
 
-// savedHistory is what is stored of the nodes' changes.
+// savedHistory is the stored form of the nodes' state changes.
 type savedHistory struct {
-	Wall    int64          `json:"wall"`
+	Wall    int64          `json:"wall"` // as in savedEvents
 	Changes []fleet.Change `json:"changes"`
 }
 
-// restoreEvents begins the watch with what an earlier life of the service stored.
-func (s *Service) restoreEvents() (*recovery.EventDetector, *fleet.History) {
-	w, past := recovery.NewEventDetector(s.now(), 0), fleet.NewHistory()
+// restoreHistory returns the events and the history of state changes that a previous run of the
+// service stored, and restores the registry of incarnations.
+func (s *Service) restoreHistory() (*recovery.EventDetector, *fleet.History) {
+	detector, history := recovery.NewEventDetector(s.now(), 0), fleet.NewHistory()
 	if s.cfg.Store == nil {
-		return w, past
+		return detector, history
 	}
 	var events savedEvents
-	if s.get(eventsKey, &events) {
-		w.Restore(events.Events, time.Duration(events.Wall-s.began.UnixMilli())*time.Millisecond)
+	if s.load(eventsKey, &events) {
+		detector.Restore(events.Events, time.Duration(events.Wall-s.start.UnixMilli())*time.Millisecond)
 	}
-	var lives recovery.SavedRegistry
-	if s.get(livesKey, &lives) {
+	var incarnations recovery.SavedRegistry
+	if s.load(incarnationsKey, &incarnations) {
 		s.mu.Lock()
-		s.seen.Restore(lives)
+		s.incarnations.Restore(incarnations)
 		s.mu.Unlock()
 	}
-	var history savedHistory
-	if s.get(pastKey, &history) {
-		past.Restore(history.Changes, time.Duration(history.Wall-s.began.UnixMilli())*time.Millisecond)
+	var saved savedHistory
+	if s.load(historyKey, &saved) {
+		history.Restore(saved.Changes, time.Duration(saved.Wall-s.start.UnixMilli())*time.Millisecond)
 	}
-	return w, past
+	return detector, history
 }
 
-// get reads what was stored; what can't be read is as if never stored, and said.
-func (s *Service) get(key string, into any) bool {
-	text, err := s.cfg.Store.Get(key)
+// load reads the value of a key as JSON and reports whether there was a readable one. An
+// unreadable value is logged and treated as absent.
+func (s *Service) load(key string, into any) bool {
+	stored, err := s.cfg.Store.Get(key)
 	if errors.Is(err, store.ErrNotFound) {
 		return false
 	}
 	if err == nil {
-		err = json.Unmarshal(text, into)
+		err = json.Unmarshal(stored, into)
 	}
 	if err != nil {
-		s.cfg.Log.Error("stored "+key+" can't be read", "err", err)
+		s.cfg.Log.Error("stored "+key+" unreadable", "err", err)
 	}
 	return err == nil
 }
 
-// saveLives stores the events, and what was heard of nodes' stores.
-func (s *Service) saveLives() {
+// saveHistory stores the events, the registry of incarnations and the history of state changes
+// without waiting for the disk.
+func (s *Service) saveHistory() {
 	if s.cfg.Store == nil {
 		return
 	}
 	s.mu.Lock()
-	events, err := json.Marshal(savedEvents{Wall: s.began.UnixMilli(), Events: s.events})
-	lives, err2 := json.Marshal(s.seen.Save())
-	past := s.past
+	events, err := json.Marshal(savedEvents{Wall: s.start.UnixMilli(), Events: s.events})
+	incarnations, incarnationsErr := json.Marshal(s.incarnations.Save())
+	changes := s.history
 	s.mu.Unlock()
-	history, err3 := json.Marshal(savedHistory{Wall: s.began.UnixMilli(), Changes: past})
-	if err = errors.Join(err, err2, err3); err != nil {
+	history, historyErr := json.Marshal(savedHistory{Wall: s.start.UnixMilli(), Changes: changes})
+	if err = errors.Join(err, incarnationsErr, historyErr); err != nil {
 		s.cfg.Log.Error("events not saved", "err", err)
 		return
 	}
-	var b store.Batch
-	b.Put(eventsKey, events, 0)
-	b.Put(livesKey, lives, 0)
-	if n := len(past); n > 0 && past[n-1] != s.kept { // the largest of them, and seldom new
-		s.kept = past[n-1]
-		b.Put(pastKey, history, 0)
+	var batch store.Batch
+	batch.Put(eventsKey, events, 0)
+	batch.Put(incarnationsKey, incarnations, 0)
+	// The history is the largest of the three and seldom changes: it is written only if it did.
+	if n := len(changes); n > 0 && changes[n-1] != s.lastSavedChange {
+		s.lastSavedChange = changes[n-1]
+		batch.Put(historyKey, history, 0)
 	}
-	s.cfg.Store.ApplyAsync(&b, store.Soon, func(err error) {
+	s.cfg.Store.ApplyAsync(&batch, store.Soon, func(err error) {
 		if err != nil {
 			s.cfg.Log.Error("events not saved", "err", err)
 		}
 	})
 }
 
-// Change is one of GET /history.
+// Change is a state change of a node in the answer to GET /history.
 type Change struct {
 	At   time.Time `json:"at"`
 	Name string    `json:"name"`
-	From string    `json:"from,omitempty"` // none: it was not known
+	From string    `json:"from,omitempty"` // empty: the node was unknown
 	To   string    `json:"to"`
 	Why  string    `json:"why"`
 }
 
-// History tells the nodes' changes of state over the last day, oldest first.
+// History returns the nodes' state changes of the last day, oldest first.
 func (s *Service) History() []Change {
 	s.mu.Lock()
-	past := s.past
+	changes := s.history
 	s.mu.Unlock()
-	out := make([]Change, 0, len(past))
-	for _, c := range past {
-		o := Change{At: s.began.Add(c.At).Round(time.Millisecond), Name: c.Name, From: c.From.String(), To: c.To.String(), Why: c.Why}
-		if c.New {
-			o.From = ""
+	list := make([]Change, 0, len(changes))
+	for _, stored := range changes {
+		change := Change{At: s.start.Add(stored.At).Round(time.Millisecond), Name: stored.Name,
+			From: stored.From.String(), To: stored.To.String(), Why: stored.Why}
+		if stored.New {
+			change.From = ""
 		}
-		out = append(out, o)
+		list = append(list, change)
 	}
-	return out
+	return list
 }
 
-// Event is one of GET /events.
+// Event is an event in the answer to GET /events; recovery.Event describes the fields. Durations
+// are in seconds since it began.
 type Event struct {
 	Number  int       `json:"number"`
 	Began   time.Time `json:"began"`
 	Lost    int       `json:"lost"`
 	Of      int       `json:"of"`
 	Zones   []string  `json:"zones,omitempty"`
-	Least   float64   `json:"least_room"` // share of the usual
+	Least   float64   `json:"least_room"` // share of the usual capacity
 	LeastS  float64   `json:"least_after_s"`
 	HalfS   float64   `json:"half_after_s"` // 0 = not yet
-	MostS   float64   `json:"most_after_s"` // until 0.95
+	MostS   float64   `json:"most_after_s"` // until 0.95 of the usual capacity was back
 	FullS   float64   `json:"full_after_s"`
 	Tries   float64   `json:"tries_a_first_try"`
 	Over    bool      `json:"over"`
 	HowOver string    `json:"how_over,omitempty"`
 }
 
-// Events tells the fleet's events, oldest first.
+// Events returns the fleet's events, oldest first.
 func (s *Service) Events() []Event {
 	s.mu.Lock()
-	list := s.events
+	stored := s.events
 	s.mu.Unlock()
-	out := make([]Event, 0, len(list))
+	list := make([]Event, 0, len(stored))
 	seconds := func(d time.Duration) float64 { return math.Round(d.Seconds()*10) / 10 }
-	for _, o := range list {
-		out = append(out, Event{Number: o.Number, Began: s.began.Add(o.Began).Round(time.Millisecond), Lost: o.Lost, Of: o.Of, Zones: o.Zones,
-			Least: math.Round(o.Least*100) / 100, LeastS: seconds(o.LeastAt), HalfS: seconds(o.Half), MostS: seconds(o.Most), FullS: seconds(o.Full),
-			Tries: o.Tries, Over: o.Over, HowOver: o.Why})
+	for _, event := range stored {
+		list = append(list, Event{
+			Number: event.Number, Began: s.start.Add(event.Began).Round(time.Millisecond),
+			Lost: event.Lost, Of: event.Of, Zones: event.Zones,
+			Least: math.Round(event.Least*100) / 100, LeastS: seconds(event.LeastAt),
+			HalfS: seconds(event.Half), MostS: seconds(event.Most), FullS: seconds(event.Full),
+			Tries: event.Tries, Over: event.Over, HowOver: event.Why,
+		})
 	}
-	return out
+	return list
 }
--- a/internal/control/fullresponses.go
+++ b/internal/control/fullresponses.go
@@ -5,46 +5,48 @@
 	"time"
 )
 
-// step grants turns; turnMu must be held.
-func (s *Streams) step() {
-	granted, again := s.turns.Grant(time.Since(s.began))
-	for _, turn := range granted {
-		close(s.waiting[turn])
-		delete(s.waiting, turn)
+// grantTickets lets the next queued full responses start and sets the timer for those after them.
+// schedulerMu must be held.
+func (s *Streams) grantTickets() {
+	granted, next := s.scheduler.Grant(time.Since(s.start))
+	for _, ticket := range granted {
+		close(s.queued[ticket])
+		delete(s.queued, ticket)
 	}
-	if again == 0 {
+	if next == 0 {
 		return
 	}
-	if s.waker == nil {
-		s.waker = time.AfterFunc(again, func() {
-			s.turnMu.Lock()
-			defer s.turnMu.Unlock()
-			s.step()
+	if s.grantTimer == nil {
+		s.grantTimer = time.AfterFunc(next, func() {
+			s.schedulerMu.Lock()
+			defer s.schedulerMu.Unlock()
+			s.grantTickets()
 		})
 		return
 	}
-	s.waker.Reset(again)
+	s.grantTimer.Reset(next)
 }
 
-// whole waits for a turn to be given a whole answer; done gives it back.
-func (s *Streams) whole(ctx context.Context, name string) (done func(), err error) {
-	s.turnMu.Lock()
-	turn, granted := s.turns.Request(name), make(chan struct{})
-	s.waiting[turn] = granted
-	s.step()
-	s.turnMu.Unlock()
-	done = func() {
-		s.turnMu.Lock()
-		defer s.turnMu.Unlock()
-		s.turns.Release(turn)
-		delete(s.waiting, turn)
-		s.step()
+// acquireFullResponse waits for a slot to send a full response to the proxy name, or until ctx is
+// done. The caller must call release after the response was written.
+func (s *Streams) acquireFullResponse(ctx context.Context, name string) (release func(), err error) {
+	s.schedulerMu.Lock()
+	ticket, granted := s.scheduler.Request(name), make(chan struct{})
+	s.queued[ticket] = granted
+	s.grantTickets()
+	s.schedulerMu.Unlock()
+	release = func() {
+		s.schedulerMu.Lock()
+		defer s.schedulerMu.Unlock()
+		s.scheduler.Release(ticket)
+		delete(s.queued, ticket)
+		s.grantTickets()
 	}
 	select {
 	case <-granted:
-		return done, nil
+		return release, nil
 	case <-ctx.Done():
-		done()
+		release()
 		return nil, ctx.Err()
 	}
 }
--- a/internal/control/http.go
+++ b/internal/control/http.go
@@ -6,31 +6,32 @@
 	"maps"
 	"math"
 	"net/http"
+	"strings"
+	"time"
+
 	"robinmast/decide/fleet"
 	"robinmast/decide/recovery"
 	"robinmast/decide/shedding"
-	"strings"
-	"time"
 )
 
-// mostFollow bounds whose word is kept for that.
-const mostFollow = 20_000
+// maxSheddingStates limits the nodes whose sheddingState is kept.
+const maxSheddingStates = 20_000
 
-// followFor is how long a node's word on the cut it follows is shown.
-const followFor = 3 * time.Second
+// sheddingStateTTL is how long a sheddingState is shown after its report.
+const sheddingStateTTL = 3 * time.Second
 
-// Handler serves reports and what operators ask for:
+// Handler returns the HTTP handler for reports and for operators' queries:
 //
 //	PUT /nodes/NAME      a node's report
-//	PUT /members/NAME    the platform's plain one
-//	GET /fleet, /events, /history, /proxies JSON
+//	PUT /members/NAME    a report in the membership service's format
+//	GET /fleet, /events, /history, /proxies    state as JSON
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /nodes/{name}", func(w http.ResponseWriter, r *http.Request) {
-		s.take(w, r, parseReport)
+		s.handleReport(w, r, parseReport)
 	})
 	mux.HandleFunc("PUT /members/{name}", func(w http.ResponseWriter, r *http.Request) {
-		s.take(w, r, parsePlain)
+		s.handleReport(w, r, parsePlainReport)
 	})
 	mux.HandleFunc("GET /fleet", func(w http.ResponseWriter, _ *http.Request) {
 		v := s.View()
@@ -38,39 +39,44 @@
 		out := Fleet{Version: v.Version, Drop: v.Drop, Frozen: v.Frozen, Lost: v.Lost, Nodes: []FleetNode{}}
 		s.mu.Lock()
 		out.Digest = s.digest
-		follow := maps.Clone(s.follow)
+		followers := maps.Clone(s.followers)
 		s.mu.Unlock()
 		for _, n := range v.Nodes {
 			out.Nodes = append(out.Nodes, FleetNode{
-				Name: n.Name, Addr: n.Addr, Zone: n.Zone, State: n.State.String(), Why: n.Why, SinceS: math.Round((now-n.Since).Seconds()*10) / 10,
-				Weight: n.Weight, Limit: n.Limit, Penalty: n.Penalty, Unproven: n.Unproven, Follows: follows(follow, n.Name, out.Digest.Threshold),
+				Name: n.Name, Addr: n.Addr, Zone: n.Zone, State: n.State.String(), Why: n.Why,
+				SinceS: math.Round((now-n.Since).Seconds()*10) / 10,
+				Weight: n.Weight, Limit: n.Limit, Penalty: n.Penalty, Unproven: n.Unproven,
+				Follows: describeFollows(followers, n.Name, out.Digest.Threshold),
 			})
 		}
-		answer(w, out)
+		writeJSON(w, out)
+	})
+	mux.HandleFunc("GET /history", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.History()) })
+	mux.HandleFunc("GET /events", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Events()) })
+	mux.HandleFunc("GET /proxies", func(w http.ResponseWriter, _ *http.Request) {
+		writeJSON(w, s.Streams.Proxies())
 	})
-	mux.HandleFunc("GET /history", func(w http.ResponseWriter, _ *http.Request) { answer(w, s.History()) })
-	mux.HandleFunc("GET /events", func(w http.ResponseWriter, _ *http.Request) { answer(w, s.Events()) })
-	mux.HandleFunc("GET /proxies", func(w http.ResponseWriter, _ *http.Request) { answer(w, s.Streams.Proxies()) })
 	return mux
 }
 
-// follows says how a node stands to the fleet's cut.
-func follows(all map[string]follower, name string, cut float64) string {
-	o, known := all[name]
+// describeFollows returns whether a node applies the fleet's shedding threshold, in the words of
+// FleetNode.Follows.
+func describeFollows(states map[string]sheddingState, name string, threshold float64) string {
+	state, known := states[name]
 	switch {
 	case !known:
 		return ""
-	case !o.ask:
+	case !state.wantsDigest:
 		return "alone"
-	case o.trust <= 0:
+	case state.digestTrust <= 0:
 		return "hears no digest"
-	case (o.cut > 0) != (cut > 0):
+	case (state.threshold > 0) != (threshold > 0):
 		return "an older cut"
 	}
 	return "the cut"
 }
 
-// Fleet is the view as JSON.
+// Fleet is the answer to GET /fleet: the view and the digest.
 type Fleet struct {
 	Version uint64      `json:"version"`
 	Drop    float64     `json:"drop"`
@@ -81,40 +87,48 @@
 	Digest shedding.Digest `json:"digest"`
 }
 
-// FleetNode is one node of it.
+// FleetNode is one node in Fleet.
 type FleetNode struct {
 	Name     string  `json:"name"`
 	Addr     string  `json:"addr"`
 	Zone     string  `json:"zone"`
-	State    string  `json:"state"`
+	State    string  `json:"state"` // name of the fleet.State
 	Why      string  `json:"why"`
-	SinceS   float64 `json:"since_s"`
+	SinceS   float64 `json:"since_s"` // seconds in this state
 	Weight   int     `json:"weight"`
 	Limit    float64 `json:"limit"`
 	Penalty  float64 `json:"penalty"`
 	Unproven bool    `json:"unproven,omitempty"`
-	Follows  string  `json:"follows,omitempty"` // "the cut", "an older cut", "hears no digest", "alone"; none = not of that kind
+	// Follows says whether the node applies the fleet's shedding threshold: "the cut" (yes), "an
+	// older cut" (that of an older digest), "hears no digest", or "alone" (it asks for no digest).
+	// It is empty for a node without fleet-aware load shedding.
+	Follows string `json:"follows,omitempty"`
 }
 
-func answer(w http.ResponseWriter, v any) {
+// writeJSON answers with v as JSON.
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // whoever asked has gone
+	_ = json.NewEncoder(w).Encode(v) // fails only if the client is gone
 }
 
-// take reads a report and answers 204, 200 with the fleet's digest where it is asked for, 400 with what is wrong, 403 or 503.
-func (s *Service) take(w http.ResponseWriter, r *http.Request, parse func(string, []byte) (*fleet.Report, parts, error)) {
+// handleReport reads a report and queues it for Run. It answers 200 with a reportResponse, 204 if
+// that is empty, 400 with the reason if the report is malformed, 403 if the client may not report
+// for this name, 413 if the report is too large, and 503 if the queue is full.
+func (s *Service) handleReport(
+	w http.ResponseWriter, r *http.Request, parse func(string, []byte) (*fleet.Report, extensions, error),
+) {
 	name := r.PathValue("name")
-	if s.cfg.May != nil && !s.cfg.May(r, name) {
+	if s.cfg.MayReport != nil && !s.cfg.MayReport(r, name) {
 		s.Refused.Add(1)
 		http.Error(w, "not allowed to report for this name", http.StatusForbidden)
 		return
 	}
 	var text strings.Builder
-	body := http.MaxBytesReader(w, r.Body, mostBody)
-	buf := make([]byte, 1<<10)
+	body := http.MaxBytesReader(w, r.Body, maxReportBytes)
+	buffer := make([]byte, 1<<10)
 	for {
-		n, err := body.Read(buf)
-		text.Write(buf[:n])
+		n, err := body.Read(buffer)
+		text.Write(buffer[:n])
 		if err != nil {
 			var large *http.MaxBytesError
 			if errors.As(err, &large) {
@@ -125,7 +139,7 @@
 			break
 		}
 	}
-	report, more, err := parse(name, []byte(text.String()))
+	report, extensions, err := parse(name, []byte(text.String()))
 	if err == nil && (name == "" || len(name) > 128) {
 		err = errors.New("name is empty or longer than 128 bytes")
 	}
@@ -134,50 +148,54 @@
 		http.Error(w, "report: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	e := event{report: report, back: more.back.parse(report)}
-	said := more.word
-	if said != nil {
-		e.word = said.parse()
+	in := input{report: report, recovery: extensions.recovery.parse(report)}
+	loadReport := extensions.shedding
+	if loadReport != nil {
+		in.shedding = loadReport.parse()
 	}
-	if !s.enqueue(e) {
+	if !s.enqueue(in) {
 		http.Error(w, "too many reports wait", http.StatusServiceUnavailable)
 		return
 	}
-	var out told
+	var response reportResponse
 	s.mu.Lock()
-	if said != nil {
-		if said.Ask && s.digest.Epoch != 0 {
-			out.Digest = &s.digest
+	if loadReport != nil {
+		if loadReport.WantsDigest && s.digest.Epoch != 0 {
+			response.Digest = &s.digest
 		}
-		if len(s.follow) < mostFollow {
-			s.follow[name] = follower{cut: said.Cut, trust: said.Trust, ask: said.Ask, at: s.now()}
+		if len(s.followers) < maxSheddingStates {
+			s.followers[name] = sheddingState{threshold: loadReport.Threshold, digestTrust: loadReport.DigestTrust,
+				wantsDigest: loadReport.WantsDigest, reportedAt: s.now()}
 		}
 	}
-	if more.back != nil {
-		out.Room = math.Round(100*s.room) / 100
+	if extensions.recovery != nil {
+		response.Capacity = math.Round(100*s.capacity) / 100
 	}
-	if b := more.back; b != nil && b.Store != nil {
-		out.Heard = &heard{Before: s.seen.Observe(name, report.Incarnation, *b.Store)}
+	if recoveryPart := extensions.recovery; recoveryPart != nil && recoveryPart.Store != nil {
+		response.Previous = &previousIncarnation{
+			Store: s.incarnations.Observe(name, report.Incarnation, *recoveryPart.Store),
+		}
 	}
-	text2, err := json.Marshal(out) // while the digest stays as it is
+	encoded, err := json.Marshal(response) // under the lock: response points to s.digest
 	s.mu.Unlock()
-	if out == (told{}) || err != nil {
+	if response == (reportResponse{}) || err != nil {
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(text2) // whoever asked has gone
+	_, _ = w.Write(encoded) // fails only if the client is gone
 }
 
-// told is the answer to a report: the fleet's digest, and what was heard of the
-// node's earlier lives.
-type told struct {
+// reportResponse is the answer to a report: the fleet's digest for a node that asks for it, and
+// for a node that reports its recovery the fleet's capacity and what the node's previous
+// incarnation reported.
+type reportResponse struct {
 	*shedding.Digest
-	Heard *heard  `json:"heard,omitempty"`
-	Room  float64 `json:"room,omitempty"` // share of the fleet's usual room that is there
+	Previous *previousIncarnation `json:"heard,omitempty"`
+	Capacity float64              `json:"room,omitempty"` // share of the fleet's usual capacity that is available
 }
 
-// heard is nil in Before where nothing was heard of an earlier life.
-type heard struct {
-	Before *recovery.PreviousStore `json:"before,omitempty"`
+// previousIncarnation has a nil Store if no earlier incarnation reported one.
+type previousIncarnation struct {
+	Store *recovery.PreviousStore `json:"before,omitempty"`
 }
--- a/internal/control/loads.go
+++ b/internal/control/loads.go
@@ -1,7 +1,3 @@
-// This file owns what proxies report of load (LRS): it asks for it and hands it
-// to the loop as evidence. It must never believe more than counts of the nodes
-// that are in the view.
-
 package control
 
 import (
@@ -18,59 +14,62 @@
 	"robinmast/decide/fleet"
 )
 
-// loadEvery is how often proxies are asked to report.
-const loadEvery = 2 * time.Second
+// loadReportInterval is the interval at which proxies are asked to report load.
+const loadReportInterval = 2 * time.Second
 
-// Loads serves the load reporting service.
+// Loads implements the load reporting service (LRS) of Envoy. It passes the request counts that
+// proxies report to Service, for nodes in its view only.
 type Loads struct {
 	loadv3.UnimplementedLoadReportingServiceServer
 
 	Service *Service
 
-	open atomic.Int64
+	open atomic.Int64 // streams
 }
 
-// StreamLoadStats takes a proxy's reports; endpoints are told by address.
-func (l *Loads) StreamLoadStats(g loadv3.LoadReportingService_StreamLoadStatsServer) error {
-	if !l.Service.Streams.allowed(g.Context()) {
+// StreamLoadStats receives the load reports of a proxy. Endpoints are mapped to nodes by address.
+func (l *Loads) StreamLoadStats(server loadv3.LoadReportingService_StreamLoadStatsServer) error {
+	if !l.Service.Streams.allowed(server.Context()) {
 		return status.Error(codes.PermissionDenied, "this proxy may not subscribe")
 	}
-	if l.open.Add(1) > mostStreams {
+	if l.open.Add(1) > maxStreams {
 		l.open.Add(-1)
 		return status.Error(codes.ResourceExhausted, "too many load reports")
 	}
 	defer l.open.Add(-1)
-	who := ""
-	if p, ok := peer.FromContext(g.Context()); ok {
-		who = p.Addr.String()
+	proxy := ""
+	if client, ok := peer.FromContext(server.Context()); ok {
+		proxy = client.Addr.String()
 	}
 	for first := true; ; first = false {
-		q, err := g.Recv()
+		request, err := server.Recv()
 		if err != nil {
-			return nil // the proxy went; it comes back by itself
+			return nil // the proxy disconnected; it will reconnect
 		}
-		if id := q.GetNode().GetId(); id != "" {
-			who = clip(id)
+		if id := request.GetNode().GetId(); id != "" {
+			proxy = truncate(id)
 		}
 		if first {
-			err := g.Send(&loadv3.LoadStatsResponse{
-				SendAllClusters: true, Clusters: []string{Name}, LoadReportingInterval: durationpb.New(loadEvery), ReportEndpointGranularity: true,
+			err := server.Send(&loadv3.LoadStatsResponse{
+				SendAllClusters: true, Clusters: []string{Name},
+				LoadReportingInterval: durationpb.New(loadReportInterval), ReportEndpointGranularity: true,
 			})
 			if err != nil {
 				return fmt.Errorf("load reports: %w", err)
 			}
 		}
-		names := map[string]string{}
+		nodeNames := map[string]string{}
 		for _, n := range l.Service.View().Nodes {
-			names[n.Addr] = n.Name
+			nodeNames[n.Addr] = n.Name
 		}
-		for _, c := range q.GetClusterStats() {
-			for _, z := range c.GetUpstreamLocalityStats() {
-				for _, e := range z.GetUpstreamEndpointStats() {
-					a := e.GetAddress().GetSocketAddress()
-					if node, ok := names[fmt.Sprintf("%s:%d", a.GetAddress(), a.GetPortValue())]; ok {
-						l.Service.Saw(fleet.ProxyLoad{
-							Proxy: who, Node: node, Good: float64(e.GetTotalSuccessfulRequests()), Bad: float64(e.GetTotalErrorRequests()),
+		for _, cluster := range request.GetClusterStats() {
+			for _, locality := range cluster.GetUpstreamLocalityStats() {
+				for _, endpoint := range locality.GetUpstreamEndpointStats() {
+					address := endpoint.GetAddress().GetSocketAddress()
+					if node, ok := nodeNames[fmt.Sprintf("%s:%d", address.GetAddress(), address.GetPortValue())]; ok {
+						l.Service.ObserveLoad(fleet.ProxyLoad{
+							Proxy: proxy, Node: node,
+							Good: float64(endpoint.GetTotalSuccessfulRequests()), Bad: float64(endpoint.GetTotalErrorRequests()),
 						})
 					}
 				}
--- a/internal/control/proxies.go
+++ b/internal/control/proxies.go
@@ -8,15 +8,18 @@
 	"robinmast/decide/xds"
 )
 
-// Proxy is how a proxy stands.
+// Proxy is the state of a connected proxy, as GET /proxies returns it under the Go field names.
 type Proxy struct {
-	Node, Zone, Peer, Form string
-	Since, Heard           time.Time
-	Types                  map[string]xds.Status
-	Behind                 []string // types of which it has not accepted the latest
+	Node, Zone string    // as the proxy names itself
+	Peer       string    // remote address
+	Form       string    // protocol variant, "world" or "delta"
+	Since      time.Time // it connected
+	Heard      time.Time // of its last request
+	Types      map[string]xds.Status
+	Behind     []string // types of which it has not accepted the latest version
 }
 
-// Proxies lists who is connected.
+// Proxies returns the connected proxies, sorted by name and address.
 func (s *Streams) Proxies() []Proxy {
 	s.mu.Lock()
 	all := make([]*stream, 0, len(s.streams))
@@ -27,15 +30,18 @@
 	list := make([]Proxy, 0, len(all))
 	for _, x := range all {
 		x.mu.Lock()
-		p := Proxy{Node: x.node, Zone: x.zone, Peer: x.peer, Form: [...]string{"world", "delta"}[x.form], Since: x.since, Heard: x.last, Types: map[string]xds.Status{}}
-		latest, err := s.latest(x.zone)
+		p := Proxy{
+			Node: x.node, Zone: x.zone, Peer: x.peer, Form: [...]string{"world", "delta"}[x.form],
+			Since: x.connected, Heard: x.lastRequest, Types: map[string]xds.Status{},
+		}
+		latest, err := s.latestResources(x.zone)
 		for t := xds.Type(0); t < xds.NumTypes; t++ {
 			st := x.state.Status(t)
 			if !st.Subscribed {
 				continue
 			}
 			p.Types[t.String()] = st
-			if err == nil && latest != nil && st.Acked != latest.snaps[t].Version {
+			if err == nil && latest != nil && st.Acked != latest.snapshots[t].Version {
 				p.Behind = append(p.Behind, t.String())
 			}
 		}
--- a/internal/control/reports.go
+++ b/internal/control/reports.go
@@ -6,16 +6,17 @@
 	"fmt"
 	"math"
 	"net"
+	"strconv"
+	"time"
+
 	"robinmast/decide/fleet"
 	"robinmast/decide/recovery"
 	"robinmast/decide/shedding"
-	"strconv"
-	"time"
 )
 
-// message is a node's report on the wire: PUT /nodes/NAME, a JSON object. Shares
-// are of 1, times milliseconds.
-type message struct {
+// nodeReport is the body of PUT /nodes/NAME, a JSON object. Shares are from 0 to 1, durations in
+// milliseconds; fleet.Report describes the fields.
+type nodeReport struct {
 	Addr        string  `json:"addr"`
 	Zone        string  `json:"zone"`
 	Incarnation uint64  `json:"incarnation"`
@@ -30,110 +31,118 @@
 	Refused     float64 `json:"refused"`
 	Flips       uint64  `json:"flips"`
 
-	Together *word `json:"together"`
-	Comeback *back `json:"comeback"`
+	Shedding *sheddingReport `json:"together"`
+	Recovery *recoveryReport `json:"comeback"`
 }
 
-// word is the part of a report of a node that thinks of the fleet (docs/shedding.md).
-type word struct {
-	Drain  float64            `json:"drain"`
-	Short  float64            `json:"short"`
-	Demand map[string]float64 `json:"demand"`
-	Ask    bool               `json:"ask"`
-	Cut    float64            `json:"cut"`
-	Trust  float64            `json:"trust"`
+// sheddingReport is the part of a report that a node with fleet-aware load shedding adds
+// (docs/shedding.md). Rates are per second.
+type sheddingReport struct {
+	DrainRate     float64            `json:"drain"`
+	ShortageShare float64            `json:"short"`
+	Demand        map[string]float64 `json:"demand"`
+	WantsDigest   bool               `json:"ask"`
+	Threshold     float64            `json:"cut"`
+	DigestTrust   float64            `json:"trust"`
 }
 
-// parse reads a word; figures that are none count as 0, bands that do not exist as none.
-func (w *word) parse() *shedding.LoadReport {
-	out := &shedding.LoadReport{DrainRate: w.Drain, ShortageShare: w.Short}
-	for name, x := range w.Demand {
-		if b, err := strconv.Atoi(name); err == nil && b >= 0 && b < shedding.PriorityBands {
-			out.Demand[b] = x
+// parse converts the report. Entries of Demand whose key is not the number of a priority band are
+// ignored.
+func (r *sheddingReport) parse() *shedding.LoadReport {
+	report := &shedding.LoadReport{DrainRate: r.DrainRate, ShortageShare: r.ShortageShare}
+	for name, rate := range r.Demand {
+		if band, err := strconv.Atoi(name); err == nil && band >= 0 && band < shedding.PriorityBands {
+			report.Demand[band] = rate
 		}
 	}
-	return out
+	return report
 }
 
 var phases = map[string]fleet.Phase{"up": fleet.Up, "draining": fleet.Draining, "out": fleet.OutOfService}
 
-// parseReport reads a node's report.
-func parseReport(name string, text []byte) (*fleet.Report, parts, error) {
-	var m message
+// parseReport parses the body of PUT /nodes/NAME.
+func parseReport(name string, text []byte) (*fleet.Report, extensions, error) {
+	var m nodeReport
 	if err := json.Unmarshal(text, &m); err != nil {
-		return nil, parts{}, err
+		return nil, extensions{}, err
 	}
-	r, err := m.report(name)
-	return r, parts{m.Together, m.Comeback}, err
+	report, err := m.report(name)
+	return report, extensions{m.Shedding, m.Recovery}, err
 }
 
-// parts are what only some nodes' reports have.
-type parts struct {
-	word *word
-	back *back
+// extensions are the optional parts of a report, nil if absent.
+type extensions struct {
+	shedding *sheddingReport
+	recovery *recoveryReport
 }
 
-func (m *message) report(name string) (*fleet.Report, error) {
+// report checks the values and converts them.
+func (m *nodeReport) report(name string) (*fleet.Report, error) {
 	phase, known := phases[m.Phase]
 	host, _, err := net.SplitHostPort(m.Addr)
 	switch {
 	case !known:
-		return nil, fmt.Errorf("phase %q is none of up, draining, out", clip(m.Phase))
+		return nil, fmt.Errorf("phase %q is none of up, draining, out", truncate(m.Phase))
 	case err != nil || net.ParseIP(host) == nil:
-		return nil, fmt.Errorf("addr %q is no IP address and port", clip(m.Addr))
+		return nil, fmt.Errorf("addr %q is no IP address and port", truncate(m.Addr))
 	case m.Incarnation == 0 || m.Seq == 0:
 		return nil, errors.New("incarnation and seq begin at 1")
 	case len(m.Zone) > 128:
 		return nil, errors.New("zone is longer than 128 bytes")
 	}
-	for what, v := range map[string]float64{"warm": m.Warm, "pressure": m.Pressure, "refused": m.Refused} {
-		if !(v >= 0 && v <= 1) {
-			return nil, fmt.Errorf("%s is no share of 1", what)
+	for field, value := range map[string]float64{"warm": m.Warm, "pressure": m.Pressure, "refused": m.Refused} {
+		if !(value >= 0 && value <= 1) {
+			return nil, fmt.Errorf("%s is no share of 1", field)
 		}
 	}
-	for what, v := range map[string]float64{"running": m.Running, "limit": m.Limit, "drain_left_ms": m.DrainLeftMs} {
-		if !(v >= 0 && v <= 1e9) || math.IsNaN(v) {
-			return nil, fmt.Errorf("%s is out of bounds", what)
+	for field, value := range map[string]float64{
+		"running": m.Running, "limit": m.Limit, "drain_left_ms": m.DrainLeftMs,
+	} {
+		if !(value >= 0 && value <= 1e9) || math.IsNaN(value) {
+			return nil, fmt.Errorf("%s is out of bounds", field)
 		}
 	}
 	return &fleet.Report{
-		Name: name, Addr: m.Addr, Zone: m.Zone, Incarnation: m.Incarnation, Seq: m.Seq, Phase: phase, Healthy: m.Healthy, Warm: m.Warm,
+		Name: name, Addr: m.Addr, Zone: m.Zone, Incarnation: m.Incarnation, Seq: m.Seq, Phase: phase,
+		Healthy: m.Healthy, Warm: m.Warm,
 		DrainLeft: time.Duration(m.DrainLeftMs * float64(time.Millisecond)), Running: m.Running, Limit: m.Limit,
 		Pressure: m.Pressure, Refused: m.Refused, Flips: m.Flips,
 	}, nil
 }
 
-// parsePlain reads the platform's report.
-func parsePlain(name string, text []byte) (*fleet.Report, parts, error) {
+// parsePlainReport parses the body of PUT /members/NAME, which has the membership service's format.
+func parsePlainReport(name string, text []byte) (*fleet.Report, extensions, error) {
 	var m struct{ Phase, Addr, Zone string }
 	if err := json.Unmarshal(text, &m); err != nil {
-		return nil, parts{}, err
+		return nil, extensions{}, err
 	}
-	r := &fleet.Report{Name: name, Plain: true, Addr: m.Addr, Zone: clip(m.Zone)}
+	report := &fleet.Report{Name: name, Plain: true, Addr: m.Addr, Zone: truncate(m.Zone)}
 	switch m.Phase {
 	case "UP":
 	case "OUT":
-		r.Phase = fleet.OutOfService
+		report.Phase = fleet.OutOfService
 	default:
-		return nil, parts{}, fmt.Errorf("phase %q is neither UP nor OUT", clip(m.Phase))
+		return nil, extensions{}, fmt.Errorf("phase %q is neither UP nor OUT", truncate(m.Phase))
 	}
-	return r, parts{}, nil
+	return report, extensions{}, nil
 }
 
-// back is the part of a report of a node that watches its way to full service.
-type back struct {
-	State  string                  `json:"state"`
-	Memory string                  `json:"memory"`
-	Store  *recovery.PreviousStore `json:"store"`
-	Reads  float64                 `json:"reads"`
-	Again  float64                 `json:"again"`
+// recoveryReport is the part of a report that a node adds if it tracks its recovery after a start.
+type recoveryReport struct {
+	State           string                  `json:"state"`
+	Integrity       string                  `json:"memory"`
+	Store           *recovery.PreviousStore `json:"store"`
+	ArrivalRate     float64                 `json:"reads"`
+	FurtherTryShare float64                 `json:"again"`
 }
 
-// parse makes a word of it, nil if there is none.
-func (b *back) parse(r *fleet.Report) *recovery.NodeReport {
-	if b == nil || r == nil {
+// parse combines the part with the report that it belongs to. It returns nil if either is nil.
+func (r *recoveryReport) parse(report *fleet.Report) *recovery.NodeReport {
+	if r == nil || report == nil {
 		return nil
 	}
-	return &recovery.NodeReport{Name: r.Name, Zone: r.Zone, Incarnation: r.Incarnation, Leaving: r.Phase != fleet.Up,
-		Warm: r.Warm, Limit: r.Limit, ArrivalRate: b.Reads, FurtherTryShare: b.Again}
+	return &recovery.NodeReport{
+		Name: report.Name, Zone: report.Zone, Incarnation: report.Incarnation, Leaving: report.Phase != fleet.Up,
+		Warm: report.Warm, Limit: report.Limit, ArrivalRate: r.ArrivalRate, FurtherTryShare: r.FurtherTryShare,
+	}
 }
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -1,6 +1,13 @@
-// This file owns the service's one loop: it feeds decide/fleet, publishes its
-// views and saves them. It must never wait for a proxy or for whoever reports.
-
+// Package control implements the control service. It receives the reports of the nodes over
+// HTTP and the load reports of the proxies over LRS, passes them to decide/fleet, which keeps a
+// view of the fleet, and publishes that view to proxies over xDS. It also aggregates the nodes'
+// load into a digest (decide/shedding) and detects the loss of many nodes (decide/recovery).
+//
+// The package decides no node state, weight, digest or event itself, and not what a stream is
+// sent either: decide/xds does that. One goroutine, Service.Run, owns the decision modules and
+// receives its inputs from a bounded queue. It never waits for a proxy or for a node: an input
+// is dropped if the queue is full, and each stream has goroutines of its own, one that reads and
+// one that writes, so that a proxy that stops reading delays no other.
 package control
 
 import (
@@ -22,151 +29,169 @@
 )
 
 const (
-	tick      = 100 * time.Millisecond
-	saveEvery = time.Second
-	savedKey  = "fleet"
-	queueSize = 8192    // reports that may wait for the loop; more are dropped and counted
-	mostBody  = 4 << 10 // bytes of a report
+	stepInterval    = 100 * time.Millisecond
+	saveInterval    = time.Second
+	viewKey         = "fleet" // of the saved view in the store
+	maxQueuedInputs = 8192    // inputs queued for Run; further ones are dropped and counted
+	maxReportBytes  = 4 << 10 // size of the body of a report
 )
 
-// Config is what a Service needs.
+// Config configures a Service.
 type Config struct {
-	Store *store.Store // nil = nothing outlives the service
+	Store *store.Store // nil = no state survives a restart of the service
 	Log   *slog.Logger
-	// May says whether the caller of an HTTP request may report for a name; nil = anybody.
-	May func(r *http.Request, name string) bool
+	// MayReport reports whether the client of an HTTP request may report for a node name; nil
+	// allows every client.
+	MayReport func(r *http.Request, name string) bool
 }
 
-// Service is the control service without its listeners.
+// Service is the control service without its listeners. Its methods are safe for concurrent use.
 type Service struct {
 	Streams *Streams
 
-	Reports, Ignored, Refused, Dropped atomic.Int64 // taken, without effect, not understood or not allowed, for want of room
-
-	cfg   Config
-	began time.Time
-	queue chan event
-
-	mu     sync.Mutex
-	view   fleet.View
-	digest shedding.Digest
-	events []recovery.Event
-	past   []fleet.Change
-	kept   fleet.Change                  // the last that was stored
-	room   float64                       // share of the fleet's usual that is there, 0 = not known
-	seen   *recovery.IncarnationRegistry // guarded by mu: answers are given while reports wait for the loop
-	follow map[string]follower
+	Reports atomic.Int64 // processed
+	Ignored atomic.Int64 // processed without effect, such as those older than the last one
+	Refused atomic.Int64 // malformed or not allowed
+	Dropped atomic.Int64 // inputs dropped because the queue was full
+
+	cfg    Config
+	start  time.Time
+	inputs chan input
+
+	mu              sync.Mutex
+	view            fleet.View
+	digest          shedding.Digest
+	events          []recovery.Event
+	history         []fleet.Change
+	lastSavedChange fleet.Change                  // the newest change that is in the store; used by Run only
+	capacity        float64                       // share of the usual capacity that is available, 0 = unknown
+	incarnations    *recovery.IncarnationRegistry // guarded by mu: a report is answered before Run processes it
+	followers       map[string]sheddingState
 }
 
-// follower is what a node that thinks of the fleet said last.
-type follower struct {
-	cut, trust float64
-	ask        bool
-	at         time.Duration
+// sheddingState is what a node with fleet-aware load shedding last reported about the digest it
+// uses.
+type sheddingState struct {
+	threshold, digestTrust float64
+	wantsDigest            bool
+	reportedAt             time.Duration
 }
 
-type event struct {
-	report *fleet.Report
-	word   *shedding.LoadReport // of the node that reports
-	back   *recovery.NodeReport // the same, of its way to full service
-	load   *fleet.ProxyLoad
+// input is an input of Run: a report of a node, with its optional parts, or a load report of a
+// proxy.
+type input struct {
+	report    *fleet.Report
+	shedding  *shedding.LoadReport // nil = the node sent none
+	recovery  *recovery.NodeReport // nil = the node sent none
+	proxyLoad *fleet.ProxyLoad
 }
 
-// New returns a service; Run runs it.
+// New returns a service that does nothing until Run is called.
 func New(cfg Config) *Service {
-	return &Service{Streams: NewStreams(), cfg: cfg, began: time.Now(), queue: make(chan event, queueSize), follow: map[string]follower{}, seen: recovery.NewIncarnationRegistry()}
+	return &Service{
+		Streams: NewStreams(), cfg: cfg, start: time.Now(), inputs: make(chan input, maxQueuedInputs),
+		followers: map[string]sheddingState{}, incarnations: recovery.NewIncarnationRegistry(),
+	}
 }
 
-// View is the latest view; its times count from the service's start.
+// View returns the latest view. Its times count from the start of the service.
 func (s *Service) View() fleet.View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.view
 }
 
-func (s *Service) now() time.Duration { return time.Since(s.began) }
+// now returns the time since the start of the service.
+func (s *Service) now() time.Duration { return time.Since(s.start) }
 
-// restore begins with what an earlier life saved.
+// restore returns the fleet as a previous run of the service saved it, an empty one if there is
+// none or if it is unreadable.
 func (s *Service) restore() *fleet.Fleet {
 	if s.cfg.Store == nil {
 		return fleet.New(s.now())
 	}
-	text, err := s.cfg.Store.Get(savedKey)
+	saved, err := s.cfg.Store.Get(viewKey)
 	if errors.Is(err, store.ErrNotFound) {
 		return fleet.New(s.now())
 	}
-	var saved fleet.Saved
+	var view fleet.Saved
 	if err == nil {
-		err = json.Unmarshal(text, &saved)
+		err = json.Unmarshal(saved, &view)
 	}
 	if err == nil {
-		var f *fleet.Fleet
-		if f, err = fleet.Restore(s.now(), saved); err == nil {
-			s.cfg.Log.Info("the last view is served, unproven", "nodes", len(saved.Nodes), "version", saved.Version)
-			return f
+		var restored *fleet.Fleet
+		if restored, err = fleet.Restore(s.now(), view); err == nil {
+			s.cfg.Log.Info("saved view restored, not confirmed by nodes yet",
+				"nodes", len(view.Nodes), "version", view.Version)
+			return restored
 		}
 	}
-	s.cfg.Log.Error("the last view can't be read: proxies wait until nodes report", "err", err)
+	s.cfg.Log.Error("saved view is unreadable: nothing is published until nodes report", "err", err)
 	return fleet.New(s.now())
 }
 
-// Run serves until ctx ends. Nothing is published before the view is proven; proxies
-// keep what they have.
+// Run processes inputs and publishes the view until ctx is done. It publishes nothing until the
+// fleet is ready (fleet.Fleet.Ready); until then proxies keep the resources that they have.
 func (s *Service) Run(ctx context.Context) {
-	f := s.restore()
-	w, past := s.restoreEvents()
-	g := shedding.NewAggregator(uint64(time.Now().UnixMicro()))
-	ticker := time.NewTicker(tick)
+	nodes := s.restore()
+	detector, history := s.restoreHistory()
+	aggregator := shedding.NewAggregator(uint64(time.Now().UnixMicro()))
+	ticker := time.NewTicker(stepInterval)
 	defer ticker.Stop()
-	published, noted, saved, unsaved := uint64(0), uint64(0), time.Time{}, false
+	publishedVersion, recordedVersion, lastSave, dirty := uint64(0), uint64(0), time.Time{}, false
 	step := func() {
-		v, lines := f.Step(s.now())
-		for _, line := range lines {
+		view, logLines := nodes.Step(s.now())
+		for _, line := range logLines {
 			s.cfg.Log.Info("fleet", "line", line)
 		}
-		was := g.Last().Threshold
-		d := g.Digest(s.now())
-		if (was > 0) != (d.Threshold > 0) {
-			s.cfg.Log.Info("fleet", "line", fmt.Sprintf("the fleet's cut is %.1f: %.0f first tries a second, %.0f drain, by %d nodes", d.Threshold, d.Demand, d.DrainRate, d.Nodes))
+		previousThreshold := aggregator.Last().Threshold
+		digest := aggregator.Digest(s.now())
+		if (previousThreshold > 0) != (digest.Threshold > 0) {
+			s.cfg.Log.Info("fleet", "line", fmt.Sprintf(
+				"the fleet's shedding threshold is %.1f: %.0f first tries per second, drain rate %.0f, from %d nodes",
+				digest.Threshold, digest.Demand, digest.DrainRate, digest.Nodes))
 		}
-		for _, line := range w.Step(s.now()) {
+		for _, line := range detector.Step(s.now()) {
 			s.cfg.Log.Info("fleet", "line", line)
-			unsaved = true
+			dirty = true
 		}
-		changes := s.past // of this goroutine's making: nobody else writes it
-		if v.Version != noted {
-			noted = v.Version
-			past.Record(s.now(), &v)
-			changes = past.List()
+		changes := s.history // read without the lock: only this goroutine writes it
+		if view.Version != recordedVersion {
+			recordedVersion = view.Version
+			history.Record(s.now(), &view)
+			changes = history.List()
 		}
 		s.mu.Lock()
-		s.view, s.digest, s.events, s.room, s.past = v, d, w.List(), w.Capacity(), changes
-		maps.DeleteFunc(s.follow, func(_ string, o follower) bool { return s.now()-o.at > followFor })
+		s.view, s.digest, s.history = view, digest, changes
+		s.events, s.capacity = detector.List(), detector.Capacity()
+		maps.DeleteFunc(s.followers, func(_ string, state sheddingState) bool {
+			return s.now()-state.reportedAt > sheddingStateTTL
+		})
 		s.mu.Unlock()
-		if v.Version != published && f.Ready(s.now()) {
-			published = v.Version
-			s.Streams.Publish(&v)
-			unsaved = true
+		if view.Version != publishedVersion && nodes.Ready(s.now()) {
+			publishedVersion = view.Version
+			s.Streams.Publish(&view)
+			dirty = true
 		}
-		if unsaved && time.Since(saved) > saveEvery { // the last of several changes too
-			saved, unsaved = time.Now(), false
-			s.save(f)
-			s.saveLives()
+		if dirty && time.Since(lastSave) > saveInterval { // a change within the interval is saved at its end
+			lastSave, dirty = time.Now(), false
+			s.saveView(nodes)
+			s.saveHistory()
 		}
 	}
 	step()
 	for {
 		select {
 		case <-ctx.Done():
-			s.save(f)
-			s.saveLives()
+			s.saveView(nodes)
+			s.saveHistory()
 			return
-		case e := <-s.queue:
-			s.feed(f, g, w, e)
+		case in := <-s.inputs:
+			s.handle(nodes, aggregator, detector, in)
 			for more := true; more; {
 				select {
-				case e := <-s.queue:
-					s.feed(f, g, w, e)
+				case in := <-s.inputs:
+					s.handle(nodes, aggregator, detector, in)
 				default:
 					more = false
 				}
@@ -177,48 +202,51 @@
 	}
 }
 
-func (s *Service) feed(f *fleet.Fleet, g *shedding.Aggregator, w *recovery.EventDetector, e event) {
+// handle passes one input to the decision modules.
+func (s *Service) handle(
+	nodes *fleet.Fleet, aggregator *shedding.Aggregator, detector *recovery.EventDetector, in input,
+) {
 	switch {
-	case e.report != nil:
+	case in.report != nil:
 		s.Reports.Add(1)
-		if !f.Report(s.now(), *e.report) {
+		if !nodes.Report(s.now(), *in.report) {
 			s.Ignored.Add(1)
 		}
-		if e.back != nil {
-			w.Observe(s.now(), *e.back)
+		if in.recovery != nil {
+			detector.Observe(s.now(), *in.recovery)
 		}
-		if e.word != nil {
-			g.Observe(s.now(), e.report.Name, e.report.Incarnation, e.report.Seq, *e.word)
+		if in.shedding != nil {
+			aggregator.Observe(s.now(), in.report.Name, in.report.Incarnation, in.report.Seq, *in.shedding)
 		}
-	case e.load != nil:
-		f.ObserveLoad(s.now(), *e.load)
+	case in.proxyLoad != nil:
+		nodes.ObserveLoad(s.now(), *in.proxyLoad)
 	}
 }
 
-// save stores the view, at a pace: what was published since is published anew
-// under a higher version.
-func (s *Service) save(f *fleet.Fleet) {
+// saveView stores the view without waiting for the disk. Views published after the last save are
+// lost with the process; the restored view is published under a higher version than they had.
+func (s *Service) saveView(nodes *fleet.Fleet) {
 	if s.cfg.Store == nil {
 		return
 	}
-	text, err := json.Marshal(f.Save(s.now()))
+	view, err := json.Marshal(nodes.Save(s.now()))
 	if err != nil {
 		s.cfg.Log.Error("view not saved", "err", err)
 		return
 	}
-	var b store.Batch
-	b.Put(savedKey, text, 0)
-	s.cfg.Store.ApplyAsync(&b, store.Soon, func(err error) {
+	var batch store.Batch
+	batch.Put(viewKey, view, 0)
+	s.cfg.Store.ApplyAsync(&batch, store.Soon, func(err error) {
 		if err != nil {
 			s.cfg.Log.Error("view not saved", "err", err)
 		}
 	})
 }
 
-// enqueue hands an event to the loop, and drops it rather than wait.
-func (s *Service) enqueue(e event) bool {
+// enqueue queues an input for Run. It drops the input and returns false if the queue is full.
+func (s *Service) enqueue(in input) bool {
 	select {
-	case s.queue <- e:
+	case s.inputs <- in:
 		return true
 	default:
 		s.Dropped.Add(1)
@@ -226,5 +254,5 @@
 	}
 }
 
-// Saw takes what a proxy saw of a node.
-func (s *Service) Saw(l fleet.ProxyLoad) { s.enqueue(event{load: &l}) }
+// ObserveLoad takes what a proxy observed of a node.
+func (s *Service) ObserveLoad(load fleet.ProxyLoad) { s.enqueue(input{proxyLoad: &load}) }
--- a/internal/control/streams.go
+++ b/internal/control/streams.go
@@ -1,8 +1,3 @@
-// Package control owns the control service: it takes reports, keeps the view that
-// decide/fleet makes of them, and hands it to proxies through xDS. This file owns
-// the streams: one state machine each, one goroutine that reads and one that
-// writes, so that a proxy that takes nothing holds up nobody. It must never
-// decide what is sent; decide/xds does.
 package control
 
 import (
@@ -30,230 +25,250 @@
 	"robinmast/decide/xds"
 )
 
-// Whole answers, which every proxy wants when all come back at once, are given to so
-// many proxies at a time, whoever was served longest ago first: their bytes are the
-// service's memory until they are taken. A proxy that takes nothing keeps its turn for
-// no longer.
+// The first response of a type on a stream holds the full set of resources. Its bytes take up
+// memory of the service until the proxy reads them, and when all proxies reconnect at once each
+// needs one. Therefore at most maxFullResponses are written at a time, first to the proxies that
+// were served longest ago. A proxy that does not read blocks its slot for fullResponseTimeout at
+// most.
 const (
-	wholeAtOnce = 64
-	wholeFor    = 250 * time.Millisecond
+	maxFullResponses    = 64
+	fullResponseTimeout = 250 * time.Millisecond
 )
 
-// mostStreams bounds the proxies; further ones are turned away with a reason.
-const mostStreams = 5000
+// maxStreams limits the connected proxies; further streams are rejected with an error.
+const maxStreams = 5000
 
-// Streams serves the aggregated discovery service.
+// Streams implements the aggregated discovery service of xDS. Its methods are safe for concurrent
+// use.
 type Streams struct {
 	discoveryv3.UnimplementedAggregatedDiscoveryServiceServer
 
-	Sent, Nacks, TurnedAway atomic.Int64
+	Sent     atomic.Int64 // responses
+	Nacks    atomic.Int64 // received
+	Rejected atomic.Int64 // streams that were not accepted
 
-	// May says which proxies may subscribe, by their connection; nil = all. It is
-	// set before the first stream.
-	May func(*tls.ConnectionState) bool
+	// MaySubscribe reports whether the proxy on a TLS connection may subscribe; nil allows all.
+	// It must be set before the first stream.
+	MaySubscribe func(*tls.ConnectionState) bool
 
-	mu      sync.Mutex
-	view    *fleet.View
-	zones   map[string]*published // of view, by zone, made when first asked for
-	streams map[*stream]struct{}
-	empty   bool // nothing was published yet: proxies wait
+	mu          sync.Mutex
+	view        *fleet.View
+	resources   map[string]*resources // built from view, by zone, on the first request of the zone
+	streams     map[*stream]struct{}
+	unpublished bool // Publish was not called yet, so proxies wait
 
-	began   time.Time
-	turnMu  sync.Mutex // guards the next group
-	turns   *recovery.FairScheduler
-	waiting map[uint64]chan struct{} // closed when a turn is granted
-	waker   *time.Timer
+	start       time.Time
+	schedulerMu sync.Mutex // guards the fields below
+	scheduler   *recovery.FairScheduler
+	queued      map[uint64]chan struct{} // by ticket, closed when it is granted
+	grantTimer  *time.Timer
 }
 
 // NewStreams returns a server that has published nothing.
 func NewStreams() *Streams {
-	return &Streams{streams: map[*stream]struct{}{}, zones: map[string]*published{}, empty: true, began: time.Now(),
-		turns: recovery.NewFairScheduler(wholeAtOnce, wholeFor), waiting: map[uint64]chan struct{}{}}
+	return &Streams{
+		streams: map[*stream]struct{}{}, resources: map[string]*resources{}, unpublished: true, start: time.Now(),
+		scheduler: recovery.NewFairScheduler(maxFullResponses, fullResponseTimeout),
+		queued:    map[uint64]chan struct{}{},
+	}
 }
 
-// Publish makes a view the latest. Whoever is behind goes straight to it.
-func (s *Streams) Publish(v *fleet.View) {
+// Publish makes a view the latest and notifies all streams. A proxy that is several views behind
+// is sent the latest one only.
+func (s *Streams) Publish(view *fleet.View) {
 	s.mu.Lock()
-	s.view, s.empty = v, false
-	clear(s.zones)
+	s.view, s.unpublished = view, false
+	clear(s.resources)
 	for x := range s.streams {
-		x.wake()
+		x.notify()
 	}
 	s.mu.Unlock()
 }
 
-// latest is what a zone's proxies are given now, nil before the first Publish.
-func (s *Streams) latest(zone string) (*published, error) {
+// latestResources returns the resources of the latest view for proxies of a zone, nil before the
+// first Publish.
+func (s *Streams) latestResources(zone string) (*resources, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.empty {
+	if s.unpublished {
 		return nil, nil
 	}
 	known := zone == "" || slices.ContainsFunc(s.view.Nodes, func(n fleet.Node) bool { return n.Zone == zone })
-	if !known { // any name may be told: only zones that exist have a form of their own
+	if !known { // zone names come from proxies: only existing zones get an entry in the map
 		zone = ""
 	}
-	if p := s.zones[zone]; p != nil {
-		return p, nil
+	if resources := s.resources[zone]; resources != nil {
+		return resources, nil
 	}
-	p, err := publish(s.view, zone)
+	resources, err := buildResources(s.view, zone)
 	if err == nil {
-		s.zones[zone] = p
+		s.resources[zone] = resources
 	}
-	return p, err
+	return resources, err
 }
 
-// stream is one proxy's.
+// stream is the xDS stream of one proxy.
 type stream struct {
-	s    *Streams
-	poke chan struct{}
+	streams *Streams
+	wakeup  chan struct{}
 
-	mu    sync.Mutex
-	state *xds.Stream
-	form  xds.Form
-	node  string
-	zone  string
-	peer  string
-	given [xds.NumTypes]bool // a whole answer, by type; the writing goroutine's own
-	since time.Time
-	last  time.Time // it was heard
+	mu          sync.Mutex
+	state       *xds.Stream
+	form        xds.Form
+	node        string
+	zone        string
+	peer        string
+	fullSent    [xds.NumTypes]bool // by type, whether a full response was sent; used by the writing goroutine only
+	connected   time.Time
+	lastRequest time.Time // time of the last request
 }
 
-func (x *stream) wake() {
+// notify wakes up the writing goroutine without waiting for it.
+func (x *stream) notify() {
 	select {
-	case x.poke <- struct{}{}:
+	case x.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-func salt() string {
+// newSalt returns a random string that tells the nonces of this stream from those of others.
+func newSalt() string {
 	b := make([]byte, 6)
 	_, _ = rand.Read(b) // never fails
 	return hex.EncodeToString(b)
 }
 
-// allowed reports whether whoever is behind ctx may subscribe.
+// allowed reports whether the client of the call with context ctx may subscribe.
 func (s *Streams) allowed(ctx context.Context) bool {
-	if s.May == nil {
+	if s.MaySubscribe == nil {
 		return true
 	}
-	p, ok := peer.FromContext(ctx)
+	client, ok := peer.FromContext(ctx)
 	if !ok {
 		return false
 	}
-	info, ok := p.AuthInfo.(credentials.TLSInfo)
-	return ok && s.May(&info.State)
+	security, ok := client.AuthInfo.(credentials.TLSInfo)
+	return ok && s.MaySubscribe(&security.State)
 }
 
-// open notes a stream.
-func (s *Streams) open(ctx context.Context, form xds.Form) (*stream, error) {
+// register adds a stream. It returns a gRPC status error if the proxy may not subscribe or if there
+// are too many streams.
+func (s *Streams) register(ctx context.Context, form xds.Form) (*stream, error) {
 	if !s.allowed(ctx) {
-		s.TurnedAway.Add(1)
+		s.Rejected.Add(1)
 		return nil, status.Error(codes.PermissionDenied, "this proxy may not subscribe")
 	}
-	x := &stream{s: s, poke: make(chan struct{}, 1), state: xds.New(form, salt()), form: form, since: time.Now(), last: time.Now()}
-	if p, ok := peer.FromContext(ctx); ok {
-		x.peer = p.Addr.String()
+	x := &stream{streams: s, wakeup: make(chan struct{}, 1), state: xds.New(form, newSalt()), form: form,
+		connected: time.Now(), lastRequest: time.Now()}
+	if client, ok := peer.FromContext(ctx); ok {
+		x.peer = client.Addr.String()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.streams) >= mostStreams {
-		s.TurnedAway.Add(1)
+	if len(s.streams) >= maxStreams {
+		s.Rejected.Add(1)
 		return nil, status.Errorf(codes.ResourceExhausted, "%d proxies are connected", len(s.streams))
 	}
 	s.streams[x] = struct{}{}
 	return x, nil
 }
 
-func (s *Streams) close(x *stream) {
+// unregister removes a stream.
+func (s *Streams) unregister(x *stream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.streams, x)
 }
 
-// clip bounds what a proxy says of itself.
-func clip(s string) string { return s[:min(len(s), 128)] }
+// truncate cuts a string from outside to 128 bytes.
+func truncate(s string) string { return s[:min(len(s), 128)] }
 
-// take hands a request to the stream's state machine.
-func (x *stream) take(n *corev3.Node, r xds.Request) error {
+// receive passes a request to the stream's state machine.
+func (x *stream) receive(node *corev3.Node, request xds.Request) error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.last = time.Now()
-	if n != nil && x.node == "" {
-		x.node, x.zone = clip(n.GetId()), clip(n.GetLocality().GetZone())
+	x.lastRequest = time.Now()
+	if node != nil && x.node == "" {
+		x.node, x.zone = truncate(node.GetId()), truncate(node.GetLocality().GetZone())
 	}
-	if r.Error != "" {
-		x.s.Nacks.Add(1)
+	if request.Error != "" {
+		x.streams.Nacks.Add(1)
 	}
-	if !x.state.Request(r) {
+	if !x.state.Request(request) {
 		return status.Error(codes.InvalidArgument, "more names than one stream may subscribe to")
 	}
-	x.wake()
+	x.notify()
 	return nil
 }
 
-// next is what to send now, with the bodies, nil for nothing.
-func (x *stream) next() (*xds.Response, []*anypb.Any, error) {
+// nextResponse returns the response to send now and its resources, nil if there is none.
+func (x *stream) nextResponse() (*xds.Response, []*anypb.Any, error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	p, err := x.s.latest(x.zone)
-	if p == nil || err != nil {
+	resources, err := x.streams.latestResources(x.zone)
+	if resources == nil || err != nil {
 		return nil, nil, err
 	}
-	x.state.Update(p.snaps)
-	r := x.state.Next()
-	if r == nil {
+	x.state.Update(resources.snapshots)
+	response := x.state.Next()
+	if response == nil {
 		return nil, nil, nil
 	}
 	var bodies []*anypb.Any
-	for _, name := range r.Names {
-		bodies = append(bodies, p.bodies[r.Type][name])
+	for _, name := range response.Names {
+		bodies = append(bodies, resources.bodies[response.Type][name])
 	}
-	return r, bodies, nil
+	return response, bodies, nil
 }
 
-// send writes a response. The first of a type is a whole answer, which takes a turn.
-func (x *stream) send(ctx context.Context, r *xds.Response, bodies []*anypb.Any, write func(*xds.Response, []*anypb.Any) error) error {
-	if !x.given[r.Type] {
-		x.given[r.Type] = true
+// send writes a response. The first one of a type is a full response, which needs a slot.
+func (x *stream) send(
+	ctx context.Context, response *xds.Response, bodies []*anypb.Any,
+	write func(*xds.Response, []*anypb.Any) error,
+) error {
+	if !x.fullSent[response.Type] {
+		x.fullSent[response.Type] = true
 		x.mu.Lock()
 		name := x.node
 		x.mu.Unlock()
-		done, err := x.s.whole(ctx, name)
+		release, err := x.streams.acquireFullResponse(ctx, name)
 		if err != nil {
 			return err
 		}
-		defer done()
+		defer release()
 	}
-	return write(r, bodies)
+	return write(response, bodies)
 }
 
-// run reads by one goroutine and writes by this one until the stream ends.
-func (x *stream) run(ctx context.Context, read func() error, write func(*xds.Response, []*anypb.Any) error) error {
-	ended := make(chan error, 1)
+// run reads requests in a goroutine of its own and writes responses in the calling one until the
+// stream ends.
+func (x *stream) run(
+	ctx context.Context, read func() error, write func(*xds.Response, []*anypb.Any) error,
+) error {
+	readErr := make(chan error, 1)
 	go func() {
 		for {
 			if err := read(); err != nil {
-				ended <- err
+				readErr <- err
 				return
 			}
 		}
 	}()
 	for {
-		r, bodies, err := x.next()
+		response, bodies, err := x.nextResponse()
 		if err != nil {
 			return status.Error(codes.Internal, err.Error())
 		}
-		if r != nil {
-			if err := x.send(ctx, r, bodies, write); err != nil {
+		if response != nil {
+			if err := x.send(ctx, response, bodies, write); err != nil {
 				return err
 			}
-			x.s.Sent.Add(1)
+			x.streams.Sent.Add(1)
 			continue
 		}
 		select {
-		case <-x.poke:
-		case err := <-ended:
+		case <-x.wakeup:
+		case err := <-readErr:
 			if errors.Is(err, io.EOF) {
 				return nil
 			}
