--- a/cmd/robinmast-control/main_test.go
+++ b/cmd/robinmast-control/main_test.go
@@ -26,6 +26,7 @@
 	"robinmast/internal/standin/proxy"
 )
 
+// build compiles the program name of cmd/ and returns its path.
 func build(t *testing.T, name string) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), name)
@@ -35,7 +36,7 @@
 	return binary
 }
 
-// free is an address on loopback at which nobody listens just now.
+// freeAddress returns a loopback address on which nothing listens at the moment.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -46,9 +47,10 @@
 	return ln.Addr().String()
 }
 
-// fetchFleet is what the service believes.
+// fetchFleet returns the answer to GET /fleet, zero on failure.
 func fetchFleet(addr string, secure *tls.Config) (f control.Fleet) {
-	c, url := &http.Client{Transport: &http.Transport{TLSClientConfig: secure, DisableKeepAlives: true}}, "http://"+addr+"/fleet"
+	c := &http.Client{Transport: &http.Transport{TLSClientConfig: secure, DisableKeepAlives: true}}
+	url := "http://" + addr + "/fleet"
 	if secure != nil {
 		url = "https://" + addr + "/fleet"
 	}
@@ -57,17 +59,18 @@
 		return f
 	}
 	defer r.Body.Close()
-	_ = json.NewDecoder(r.Body).Decode(&f) // zero, should it fail
+	_ = json.NewDecoder(r.Body).Decode(&f) // on failure f stays zero
 	return f
 }
 
-// The real node reports to the real service, which is killed outright and comes
-// back with its last view; a proxy follows the node from its start to its drain.
+// The node's program reports to the service's program. The service is killed and must restart with
+// its last view; a proxy must see the node from its start to its drain.
 func TestNodeToProxy(t *testing.T) {
 	t.Run("plain", func(t *testing.T) { nodeToProxy(t, false) })
 	t.Run("TLS", func(t *testing.T) { nodeToProxy(t, true) })
 }
 
+// nodeToProxy is the test with plain text or TLS.
 func nodeToProxy(t *testing.T, secure bool) {
 	service, node := build(t, "robinmast-control"), build(t, "robinmast")
 	dir := t.TempDir()
@@ -117,7 +120,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	config := strings.NewReplacer("127.0.0.1:8080", listen, "127.0.0.1:4400", pool.Addr(), "127.0.0.1:2379", members.Addr(), `"stopSendingWithinMs":200`, `"stopSendingWithinMs":1500`).Replace(string(text))
+	config := strings.NewReplacer(
+		"127.0.0.1:8080", listen, "127.0.0.1:4400", pool.Addr(), "127.0.0.1:2379", members.Addr(),
+		`"stopSendingWithinMs":200`, `"stopSendingWithinMs":1500`,
+	).Replace(string(text))
 	for name, text := range map[string]string{"config.json": config, "robinmast.ini": ini} {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -156,13 +162,18 @@
 	_ = serviceProcess.Process.Kill()
 	_ = serviceProcess.Wait()
 	serviceProcess = startService()
-	standin.Eventually(t, "the last view after kill -9", func() bool { return len(fetchFleet(reports, operator).Nodes) == 1 })
+	standin.Eventually(t, "the last view after kill -9", func() bool {
+		return len(fetchFleet(reports, operator).Nodes) == 1
+	})
 	if after := fetchFleet(reports, operator); after.Version <= f.Version {
 		t.Errorf("version %d after %d", after.Version, f.Version)
 	}
-	standin.Eventually(t, "the node heard again", func() bool { f := fetchFleet(reports, operator); return len(f.Nodes) == 1 && !f.Nodes[0].Unproven })
+	standin.Eventually(t, "a new report of the node", func() bool {
+		f := fetchFleet(reports, operator)
+		return len(f.Nodes) == 1 && !f.Nodes[0].Unproven
+	})
 	if status() != "HEALTHY" {
-		t.Errorf("the proxy holds %s", status())
+		t.Errorf("the proxy has the node as %s", status())
 	}
 	if err := nodeProcess.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -171,9 +182,10 @@
 	if err := <-nodeExit; err != nil {
 		t.Error(err)
 	}
-	standin.Eventually(t, "the node gone from the proxy", func() bool { return status() == "none" })
+	standin.Eventually(t, "no such node at the proxy", func() bool { return status() == "none" })
 }
 
+// Invalid arguments must end the program with a message and the right status.
 func TestArguments(t *testing.T) {
 	for name, c := range map[string]struct {
 		args   []string
@@ -183,7 +195,7 @@
 		"beyond loopback": {[]string{"--xds", "0.0.0.0:1"}, 2, "0.0.0.0:1 is not loopback"},
 		"no address":      {[]string{"--reports", "here"}, 2, "--reports: address here: missing port"},
 		"unknown flag":    {[]string{"--what"}, 2, "unknown flag"},
-		"folder":          {[]string{"--xds", "127.0.0.1:0", "--reports", "127.0.0.1:0", "--dir", "/dev/null/x"}, 1, "open store"},
+		"directory":       {[]string{"--xds", "127.0.0.1:0", "--reports", "127.0.0.1:0", "--dir", "/dev/null/x"}, 1, "open store"},
 	} {
 		var errs bytes.Buffer
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -194,8 +206,8 @@
 	}
 }
 
-// BenchmarkProxyMemory measures what one more proxy costs the real program, with
-// 300 nodes in its view.
+// BenchmarkProxyMemory measures the memory that the program needs for each further proxy, with 300
+// nodes in its view.
 //
 //	go test ./cmd/robinmast-control -run - -bench ProxyMemory -benchtime 1x
 func BenchmarkProxyMemory(b *testing.B) {
@@ -239,6 +251,6 @@
 		b.ReportMetric(float64(before)/1024, "MB-before")
 		cancel()
 		_ = s.Process.Kill()
-		_ = s.Wait() // it was killed
+		_ = s.Wait() // the error says only that it was killed
 	}
 }
--- a/cmd/robinmastctl/fleet.go
+++ b/cmd/robinmastctl/fleet.go
@@ -114,8 +114,10 @@
 		Follows                      string
 	}
 	Digest struct {
-		Nodes              int
-		Drain, Demand, Cut float64
+		Nodes     int
+		DrainRate float64 `json:"drain"`
+		Demand    float64
+		Threshold float64 `json:"cut"`
 	}
 }
 
@@ -136,9 +138,9 @@
 		fmt.Fprintf(out, ", proxies drop %.0f%%", 100*view.Drop)
 	}
 	fmt.Fprintln(out)
-	if digest := view.Digest; digest.Nodes > 0 && digest.Cut > 0 {
+	if digest := view.Digest; digest.Nodes > 0 && digest.Threshold > 0 {
 		fmt.Fprintf(out, "shedding threshold %.1f: %.0f first tries per second, drain rate %.0f, from %d nodes\n",
-			digest.Cut, digest.Demand, digest.Drain, digest.Nodes)
+			digest.Threshold, digest.Demand, digest.DrainRate, digest.Nodes)
 	} else if digest.Nodes > 0 {
 		fmt.Fprintf(out, "no shedding threshold, capacity for all: %.0f first tries per second, from %d nodes\n",
 			digest.Demand, digest.Nodes)
--- a/cmd/robinmastctl/rehearse.go
+++ b/cmd/robinmastctl/rehearse.go
@@ -69,6 +69,7 @@
 	if err != nil {
 		return err
 	}
+	// set applies a flag that was given and checks the scenario again.
 	set := func(key string, given bool, apply func()) error {
 		if !given {
 			return nil
--- a/cmd/robinmastctl/store.go
+++ b/cmd/robinmastctl/store.go
@@ -124,7 +124,7 @@
 	if entry.TTL != "" {
 		ttl, err := time.ParseDuration(entry.TTL)
 		if err != nil || ttl <= 0 {
-			return "", nil, 0, fmt.Errorf("ttl %q is no duration above 0 such as 30s", entry.TTL)
+			return "", nil, 0, fmt.Errorf("ttl %q is not a positive duration such as 30s", entry.TTL)
 		}
 		expiry = now.Add(ttl).UnixMilli()
 	}
--- a/cmd/robinmastctl/store_test.go
+++ b/cmd/robinmastctl/store_test.go
@@ -15,6 +15,8 @@
 	return status, o.String(), e.String()
 }
 
+// The commands must load, dump, verify, describe and compact a store; verify must find a damaged
+// byte.
 func TestStoreCommands(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "s")
 	in := `{"key":"b","value":"Mg=="}
@@ -57,12 +59,13 @@
 	if err := os.WriteFile(names[0], b, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if st, out, _ := run("", "store", "verify", dir); st != 1 || !strings.HasPrefix(out, filepath.Base(names[0])+": offset ") || strings.Count(out, "\n") != 1 {
+	st, out, _ = run("", "store", "verify", dir)
+	if st != 1 || !strings.HasPrefix(out, filepath.Base(names[0])+": offset ") || strings.Count(out, "\n") != 1 {
 		t.Errorf("verify of damage: %d, %q", st, out)
 	}
 }
 
-// What can't be used is told in one line, with status 2.
+// Invalid input and a missing directory must lead to one line and status 2.
 func TestStoreCommandsReject(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "s")
 	for in, want := range map[string]string{
@@ -71,7 +74,7 @@
 		`{"value":"MQ=="}`:                                        "line 1: no key",
 		`{"key":"a","key64":"AA==","value":"MQ=="}`:               "line 1: both key and key64",
 		`{"key":"a","value":"!"}`:                                 "line 1: illegal base64 data at input byte 0",
-		`{"key":"a","value":"MQ==","ttl":"soon"}`:                 `line 1: ttl "soon" is no duration above 0 such as 30s`,
+		`{"key":"a","value":"MQ==","ttl":"soon"}`:                 `line 1: ttl "soon" is not a positive duration such as 30s`,
 		`{"key":"a","value":"MQ==","tll":"1s"}`:                   `line 1: json: unknown field "tll"`,
 		`{"key":"a","value":"MQ=="}{"key":"b"}`:                   "line 1: more than one value",
 		`{"key":"` + strings.Repeat("k", 70000) + `","value":""}`: "line 1: key of 70000 bytes with a value of 0: larger than the store takes",
@@ -83,7 +86,7 @@
 	}
 	for _, c := range []string{"dump", "verify", "info", "compact"} {
 		if st, out, errs := run("", "store", c, filepath.Join(dir, "nowhere")); st != 2 || out != "" || strings.Count(errs, "\n") != 1 {
-			t.Errorf("%s of nothing: %d, %q, %q", c, st, out, errs)
+			t.Errorf("%s without a directory: %d, %q, %q", c, st, out, errs)
 		}
 	}
 }
--- a/cmd/robinmastctl/try.go
+++ b/cmd/robinmastctl/try.go
@@ -96,7 +96,7 @@
 
 	mu         sync.Mutex
 	outcomes   outcomes
-	open       int
+	open       int // requests without an outcome
 	txn        uint64
 	random     *rand.Rand
 	runs       map[string]int // of keyed requests
--- a/cmd/robinmastctl/try_test.go
+++ b/cmd/robinmastctl/try_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// The play of try, in its shortest form, with the real node.
+// The command try must work in its shortest form with the node's program.
 func TestTry(t *testing.T) {
 	node := filepath.Join(t.TempDir(), "robinmast")
 	if out, err := exec.Command("go", "build", "-o", node, "../robinmast").CombinedOutput(); err != nil {
@@ -39,16 +39,17 @@
 		total.Refused += s.Outcomes.Refused
 	}
 	if strings.Join(phases, " ") != "calm calm overload overload crash crash" {
-		t.Errorf("parts: %v", phases)
+		t.Errorf("phases: %v", phases)
 	}
 	outcomes := accounting.Outcomes
-	if !accounting.AddsUp || outcomes.Sent < 500 || outcomes.Sent < total.Sent || outcomes.Served == 0 || outcomes.ConnectionLost == 0 || total.Refused == 0 {
-		t.Errorf("accounting: %+v; by seconds %+v", accounting, total)
+	if !accounting.AddsUp || outcomes.Sent < 500 || outcomes.Sent < total.Sent || outcomes.Served == 0 ||
+		outcomes.ConnectionLost == 0 || total.Refused == 0 {
+		t.Errorf("accounting: %+v; sum of the seconds %+v", accounting, total)
 	}
 	if status, _, errs := run("", "try", "--seconds", "1"); status != 2 || strings.Count(errs, "\n") != 1 {
-		t.Errorf("one second: %d, %q", status, errs)
+		t.Errorf("duration of one second: status %d, %q", status, errs)
 	}
 	if status, _, errs := run("", "try", "--node", "/nowhere/robinmast"); status != 2 || strings.Count(errs, "\n") != 1 {
-		t.Errorf("no node: %d, %q", status, errs)
+		t.Errorf("missing program: status %d, %q", status, errs)
 	}
 }
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -20,9 +20,8 @@
 	"robinmast/internal/standin/proxy"
 )
 
-// BenchmarkPropagation measures the time from a node's report (a drain, its end)
-// to the view of every proxy, half of them of each form, over transports within
-// the process.
+// BenchmarkPropagation measures the time from a node's report (start and end of a drain) until every
+// proxy has it. Half of the proxies use each variant; the connections are within the process.
 //
 //	go test ./internal/control -run - -bench Propagation -benchtime 10x
 func BenchmarkPropagation(b *testing.B) {
@@ -72,7 +71,7 @@
 				for _, p := range all {
 					for end := time.Now().Add(time.Minute); p.Status(addr) != want; time.Sleep(200 * time.Microsecond) {
 						if time.Now().After(end) {
-							b.Fatalf("%s is not %v in time", addr, want)
+							b.Fatalf("%s did not become %v within a minute", addr, want)
 						}
 					}
 				}
@@ -94,7 +93,7 @@
 					began := time.Now()
 					report(node, change.phase)
 					wait(fmt.Sprintf("127.%d.%d.1:80", node>>8, node&255), change.want)
-					_ = h.RecordValue(int64(time.Since(began))) // beyond a minute it is clipped
+					_ = h.RecordValue(int64(time.Since(began))) // more than a minute is recorded as a minute
 				}
 			}
 			b.StopTimer()
--- a/internal/control/certs_test.go
+++ b/internal/control/certs_test.go
@@ -23,10 +23,10 @@
 	"robinmast/internal/standin"
 )
 
-// The service's pair is replaced while a stream is open: half written, expired,
-// without its key, then right. The stream lives through all of it, new
-// connections get the new certificate only when it is right; who reports and who
-// subscribes goes by certificate.
+// The service's certificate is replaced while a stream is open: by a half written one, an expired
+// one, one that does not match the key, and a valid one. The stream must stay open, and new
+// connections must get only the valid one. Who may report and subscribe depends on the client's
+// certificate.
 func TestCertificates(t *testing.T) {
 	a := standin.NewAuthority(t)
 	dir := t.TempDir()
@@ -38,7 +38,8 @@
 		return path
 	}
 	cert, key := a.Sign("control", time.Now().Add(time.Hour))
-	certs, err := LoadCerts(file("cert", cert), file("key", key), file("ca", a.PEM), slog.New(slog.NewTextHandler(io.Discard, nil)))
+	certs, err := LoadCerts(file("cert", cert), file("key", key), file("ca", a.PEM),
+		slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,7 +64,8 @@
 
 	put := func(as, name string) int {
 		c := &http.Client{Transport: &http.Transport{TLSClientConfig: a.Client(as, "control"), DisableKeepAlives: true}}
-		q, _ := http.NewRequest(http.MethodPut, "https://"+reports.Addr().String()+"/members/"+name, strings.NewReader(`{"phase":"UP"}`))
+		url := "https://" + reports.Addr().String() + "/members/" + name
+		q, _ := http.NewRequest(http.MethodPut, url, strings.NewReader(`{"phase":"UP"}`))
 		r, err := c.Do(q)
 		if err != nil {
 			return 0
@@ -80,7 +82,8 @@
 		}
 	}
 	subscribe := func(as string) (discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesClient, error) {
-		conn, err := grpc.NewClient(xds.Addr().String(), grpc.WithTransportCredentials(credentials.NewTLS(a.Client(as, "control"))))
+		creds := credentials.NewTLS(a.Client(as, "control"))
+		conn, err := grpc.NewClient(xds.Addr().String(), grpc.WithTransportCredentials(creds))
 		if err != nil {
 			return nil, err
 		}
@@ -118,12 +121,14 @@
 	next, nextKey := a.Sign("control", time.Now().Add(time.Hour))
 	want := a.Serial
 	old, oldKey := a.Sign("control", time.Now().Add(-time.Minute))
-	for name, pair := range map[string][2][]byte{"half written": {next[:len(next)/2], nextKey}, "expired": {old, oldKey}, "mismatched": {next, oldKey}} {
+	for name, pair := range map[string][2][]byte{
+		"half written": {next[:len(next)/2], nextKey}, "expired": {old, oldKey}, "mismatched": {next, oldKey},
+	} {
 		file("cert", pair[0])
 		file("key", pair[1])
 		time.Sleep(2 * certPollInterval)
 		if got := serial(); got != first {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s certificate: in use", name)
 		}
 	}
 	file("cert", next)
@@ -133,15 +138,17 @@
 		t.Fatal(err)
 	}
 	if _, err := stream.Recv(); err != nil {
-		t.Errorf("the stream did not outlive the rotation: %v", err)
+		t.Errorf("the stream did not survive the rotation: %v", err)
 	}
-	if c, err := tls.Dial("tcp", reports.Addr().String(), &tls.Config{RootCAs: a.Client("", "").RootCAs, ServerName: "control", MaxVersion: tls.VersionTLS12}); err == nil {
+	if c, err := tls.Dial("tcp", reports.Addr().String(), &tls.Config{
+		RootCAs: a.Client("", "").RootCAs, ServerName: "control", MaxVersion: tls.VersionTLS12,
+	}); err == nil {
 		c.Close()
-		t.Error("TLS 1.2 is spoken")
+		t.Error("TLS 1.2 is accepted")
 	}
 }
 
-// A node that says healthy while proxies report errors by LRS is degraded.
+// A node that reports that it is healthy while proxies report errors over LRS must be degraded.
 func TestLoadReports(t *testing.T) {
 	g := newTestService(t, nil)
 	for i := range 3 {
@@ -168,17 +175,21 @@
 	if err := st.Send(&loadv3.LoadStatsRequest{Node: &corev3.Node{Id: "p1"}}); err != nil {
 		t.Fatal(err)
 	}
-	if r, err := st.Recv(); err != nil || !r.ReportEndpointGranularity || r.LoadReportingInterval.AsDuration() != loadReportInterval {
+	if r, err := st.Recv(); err != nil || !r.ReportEndpointGranularity ||
+		r.LoadReportingInterval.AsDuration() != loadReportInterval {
 		t.Fatalf("%v, %v", r, err)
 	}
 	report := func(good, bad uint64) {
-		err := st.Send(&loadv3.LoadStatsRequest{ClusterStats: []*endpointv3.ClusterStats{{ClusterName: Name, UpstreamLocalityStats: []*endpointv3.UpstreamLocalityStats{{
+		locality := &endpointv3.UpstreamLocalityStats{
 			UpstreamEndpointStats: []*endpointv3.UpstreamEndpointStats{{
 				Address: &corev3.Address{Address: &corev3.Address_SocketAddress{SocketAddress: &corev3.SocketAddress{
 					Address: "127.1.0.0", PortSpecifier: &corev3.SocketAddress_PortValue{PortValue: 8080}}}},
 				TotalSuccessfulRequests: good, TotalErrorRequests: bad,
 			}},
-		}}}}})
+		}
+		err := st.Send(&loadv3.LoadStatsRequest{ClusterStats: []*endpointv3.ClusterStats{
+			{ClusterName: Name, UpstreamLocalityStats: []*endpointv3.UpstreamLocalityStats{locality}},
+		}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -187,7 +198,7 @@
 	report(2, 60)
 	g.awaitState(0, "failing")
 	g.awaitView("a degraded node", p)
-	standin.Eventually(t, "better figures believed", func() bool {
+	standin.Eventually(t, "a healthy node after successful requests", func() bool {
 		report(200, 0)
 		time.Sleep(50 * time.Millisecond)
 		return g.service.View().Nodes[0].State.String() == "healthy"
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -27,7 +27,7 @@
 	"robinmast/internal/store"
 )
 
-// stage is a control service on loopback with nodes that report to it.
+// testService is a control service on loopback with simulated nodes that report to it.
 type testService struct {
 	t       *testing.T
 	service *Service
@@ -37,10 +37,11 @@
 	done    sync.WaitGroup
 
 	mu    sync.Mutex
-	nodes map[string]*nodeReport
-	muted bool
+	nodes map[string]*nodeReport // what each node reports next
+	muted bool                   // no node reports
 }
 
+// newTestService starts a service; a nil store means none.
 func newTestService(t *testing.T, st *store.Store) *testService {
 	t.Helper()
 	g := &testService{t: t, nodes: map[string]*nodeReport{}}
@@ -60,7 +61,7 @@
 	g.grpc = grpc.NewServer()
 	discoveryv3.RegisterAggregatedDiscoveryServiceServer(g.grpc, g.service.Streams)
 	server := g.grpc
-	g.done.Go(func() { _ = server.Serve(ln) }) // ends by Stop
+	g.done.Go(func() { _ = server.Serve(ln) }) // returns after Stop
 }
 
 func (g *testService) stop() {
@@ -69,7 +70,7 @@
 	g.done.Wait()
 }
 
-// report lets every node speak each 300 ms.
+// report sends a report for each node every 300 ms until ctx is done.
 func (g *testService) report(ctx context.Context) {
 	for ctx.Err() == nil {
 		g.mu.Lock()
@@ -87,6 +88,7 @@
 	}
 }
 
+// putReport sends a report and returns the status code.
 func (g *testService) putReport(path string, body any) int {
 	text, _ := json.Marshal(body)
 	w := httptest.NewRecorder()
@@ -94,23 +96,28 @@
 	return w.Code
 }
 
-// set makes or replaces a node; a new incarnation begins at sequence 1.
+// setNode adds or replaces a node. A new incarnation starts at sequence number 1.
 func (g *testService) setNode(i int, incarnation uint64, change func(*nodeReport)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	m := &nodeReport{Addr: fmt.Sprintf("127.1.0.%d:8080", i), Zone: fmt.Sprint("z", i%3), Incarnation: incarnation, Phase: "up", Healthy: true, Warm: 1, Running: 1, Limit: 8}
+	m := &nodeReport{
+		Addr: fmt.Sprintf("127.1.0.%d:8080", i), Zone: fmt.Sprint("z", i%3), Incarnation: incarnation,
+		Phase: "up", Healthy: true, Warm: 1, Running: 1, Limit: 8,
+	}
 	if change != nil {
 		change(m)
 	}
 	g.nodes[fmt.Sprintf("n%02d", i)] = m
 }
 
+// remove stops the reports of a node.
 func (g *testService) remove(i int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.nodes, fmt.Sprintf("n%02d", i))
 }
 
+// startProxy connects a simulated proxy until the end of the test.
 func (g *testService) startProxy(id string, delta bool, change func(*proxy.Proxy)) *proxy.Proxy {
 	g.t.Helper()
 	conn, err := grpc.NewClient(g.addr, grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -128,8 +135,8 @@
 	return p
 }
 
-// agree waits until the proxies hold exactly what the service believes, and
-// returns how long that took.
+// awaitView waits until the proxies have exactly the endpoints of the service's view, and returns
+// how long that took.
 func (g *testService) awaitView(what string, proxies ...*proxy.Proxy) time.Duration {
 	g.t.Helper()
 	began := time.Now()
@@ -157,7 +164,7 @@
 	return time.Since(began)
 }
 
-// state waits until the service believes a node to be in a state.
+// awaitState waits until a node has a state in the view.
 func (g *testService) awaitState(i int, want string) {
 	g.t.Helper()
 	name := fmt.Sprintf("n%02d", i)
@@ -171,9 +178,9 @@
 	})
 }
 
-// A rolling deploy: servers are replaced a sixth at a time, some flap, one says
-// healthy while proxies see errors, one falls silent without a word. Both clients
-// hold the latest view within 2 s of each change, and no stale server.
+// Nodes are replaced a sixth at a time; one flaps, one falls silent without draining, two report
+// that they are healthy while proxies observe errors. Proxies of both variants must have the
+// latest view within 2 s of each change, without a stale node.
 func TestRollingDeploy(t *testing.T) {
 	g := newTestService(t, nil)
 	for i := range 12 {
@@ -181,7 +188,7 @@
 	}
 	a, b := g.startProxy("world", false, nil), g.startProxy("delta", true, func(p *proxy.Proxy) { p.Zone = "z1" })
 	g.awaitState(11, "healthy")
-	g.awaitView("the first view", a, b) // nothing is published before all had time to report
+	g.awaitView("the first view", a, b) // nothing is published until all nodes had time to report
 	worst := time.Duration(0)
 	for batch := range 3 { // half of the fleet, a sixth at a time
 		first := 2 * batch
@@ -198,19 +205,19 @@
 		g.setNode(first, 2000, func(m *nodeReport) { m.Seq = 500 })
 		g.awaitState(first, "healthy")
 	}
-	for i := range 5 { // one flaps
+	for i := range 5 { // a node that flaps
 		g.setNode(6, uint64(3000+i), nil)
 		time.Sleep(320 * time.Millisecond)
 	}
 	g.awaitState(6, "damped")
 	worst = max(worst, g.awaitView("a node that flaps", a, b))
-	g.remove(7) // one goes without a word
+	g.remove(7) // a node that stops without draining
 	g.awaitState(7, "gone")
 	worst = max(worst, g.awaitView("a node that is gone", a, b))
 	if has, _ := a.Endpoints(); has["127.1.0.7:8080"].Status != corev3.HealthStatus_UNKNOWN {
-		t.Error("a stale server is kept")
+		t.Error("the proxy still has a stale node")
 	}
-	for i, bad := range []float64{40, 8} { // one fails fast; one never answers, which its callers' time-outs tell
+	for i, bad := range []float64{40, 8} { // one fails fast, one only lets its callers time out
 		addr := fmt.Sprintf("n%02d", 8+i)
 		standin.Eventually(t, addr+" failing", func() bool {
 			g.service.ObserveLoad(fleet.ProxyLoad{Proxy: "world", Node: addr, Bad: bad})
@@ -225,7 +232,7 @@
 		worst = max(worst, g.awaitView("a node that proxies see fail", a, b))
 	}
 	if worst > 2*time.Second {
-		t.Errorf("the clients agreed with the view after %v at worst", worst)
+		t.Errorf("a proxy had the view only after %v", worst)
 	}
 	has, _ := b.Endpoints()
 	for addr, e := range has {
@@ -233,13 +240,13 @@
 			t.Errorf("%s of zone %s has priority %d for a proxy of z1", addr, e.Zone, e.Priority)
 		}
 	}
-	t.Logf("agreed within %v at worst", worst)
+	t.Logf("proxies had the view within %v", worst)
 }
 
-// Proxies that misbehave hold up nobody: one never answers, one reads nothing for
-// long, one rejects endpoints, one cuts its stream after every message, one comes
-// back with a version and a nonce that never were.
-func TestMisbehavingProxies(t *testing.T) {
+// Misbehaving proxies must not delay others: one never sends an ACK or NACK, one reads nothing, one
+// rejects endpoints, one closes its stream after each message, one reconnects with a version and a
+// nonce that were never sent.
+func TestBadProxies(t *testing.T) {
 	g := newTestService(t, nil)
 	for i := range 6 {
 		g.setNode(i, 1000, nil)
@@ -248,7 +255,9 @@
 	for round, delta := range []bool{false, true} {
 		inc := uint64(1001 + round)
 		good := g.startProxy(fmt.Sprint("good ", delta), delta, nil)
-		silent := g.startProxy(fmt.Sprint("never answers ", delta), delta, func(p *proxy.Proxy) { p.Faults.NeverAnswers = true })
+		silent := g.startProxy(fmt.Sprint("never answers ", delta), delta, func(p *proxy.Proxy) {
+			p.Faults.NeverAnswers = true
+		})
 		g.startProxy(fmt.Sprint("reads nothing ", delta), delta, func(p *proxy.Proxy) {
 			p.Faults.Gate = func(ctx context.Context) { <-ctx.Done() }
 		})
@@ -264,34 +273,35 @@
 		g.setNode(0, inc, func(m *nodeReport) { m.Seq, m.Phase = 100_000, "draining" })
 		g.awaitState(0, "draining")
 		if d := g.awaitView("the last view", good, reconnects, forgets); d > 2*time.Second {
-			t.Errorf("good proxies agreed after %v", d)
+			t.Errorf("the other proxies had the view only after %v", d)
 		}
 		if _, n := silent.Endpoints(); n > 4 {
-			t.Errorf("a proxy that never answers was sent %d messages", n)
+			t.Errorf("a proxy that never sends an ACK was sent %d messages", n)
 		}
 		if has, _ := rejects.Endpoints(); len(has) != 0 {
-			t.Error("what was rejected was applied")
+			t.Error("a rejected response was applied")
 		}
 		streams := 0
 		for _, p := range g.service.Streams.Proxies() {
 			if p.Node == fmt.Sprint("rejects ", delta) {
 				streams++
-				if st := p.Types["EDS"]; st.Nacks == 0 || !strings.Contains(st.LastNack, "rejected by the stand-in") || p.Types["CDS"].Acked == "" {
+				st := p.Types["EDS"]
+				if st.Nacks == 0 || !strings.Contains(st.LastNack, "rejected by the stand-in") || p.Types["CDS"].Acked == "" {
 					t.Errorf("%+v", p)
 				}
 			}
 		}
 		if streams != 1 {
-			t.Errorf("%d streams of one proxy", streams)
+			t.Errorf("%d streams of the proxy that rejects, want 1", streams)
 		}
 		g.setNode(0, inc, func(m *nodeReport) { m.Seq = 200_000 })
 		g.awaitState(0, "healthy")
 	}
 }
 
-// All reports stop at once: the view is frozen, not emptied. The service ends
-// and begins again from its store: the same view at once, unproven, under a
-// higher version; proxies that are up to date are sent nothing new.
+// When all reports stop at once, the fault is probably not the nodes': the view must be frozen, not
+// emptied. After a restart the service must publish the saved view at once, marked unproven, under
+// a higher version.
 func TestSilenceAndRestart(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "view")
 	st, _, err := store.Open(dir, store.Options{})
@@ -308,10 +318,10 @@
 	g.mu.Lock()
 	g.muted = true
 	g.mu.Unlock()
-	standin.Eventually(t, "the frost", func() bool { return g.service.View().Frozen })
+	standin.Eventually(t, "a frozen view", func() bool { return g.service.View().Frozen })
 	time.Sleep(4 * time.Second)
 	if has, _ := a.Endpoints(); len(has) != 8 {
-		t.Errorf("%d endpoints are left", len(has))
+		t.Errorf("%d endpoints are left, want 8", len(has))
 	}
 	was := g.service.View()
 	g.stop()
@@ -325,7 +335,7 @@
 	defer st.Close()
 	h := newTestService(t, st)
 	b := h.startProxy("b", false, nil)
-	h.awaitView("the last view, at once", b)
+	h.awaitView("the saved view at once", b)
 	v := h.service.View()
 	if v.Version <= was.Version || len(v.Nodes) != 8 || !v.Nodes[0].Unproven || !v.Nodes[0].State.Serves() {
 		t.Errorf("after the restart: %+v", v)
@@ -333,7 +343,7 @@
 	h.stop()
 }
 
-// A thousand proxies connect at once; each has the view, and each is bounded.
+// A thousand proxies connect at once, and each must get the view.
 func TestManyProxies(t *testing.T) {
 	g := newTestService(t, nil)
 	for i := range 20 {
@@ -357,17 +367,21 @@
 		all = append(all, p)
 		done.Go(func() { p.Run(ctx) })
 	}
-	took := g.awaitView("the view at a thousand proxies", all...)
+	took := g.awaitView("the view at 1000 proxies", all...)
 	cancel()
 	for _, c := range conns {
 		c.Close()
 	}
 	done.Wait()
-	t.Logf("a thousand agree after %v", took)
+	t.Logf("1000 proxies had the view after %v", took)
 }
 
+// Malformed reports must be rejected with a reason of one line, those for a foreign name with 403.
 func TestReportsRejected(t *testing.T) {
-	s := New(Config{Log: slog.New(slog.NewTextHandler(io.Discard, nil)), MayReport: func(_ *http.Request, name string) bool { return name != "other" }})
+	s := New(Config{
+		Log:       slog.New(slog.NewTextHandler(io.Discard, nil)),
+		MayReport: func(_ *http.Request, name string) bool { return name != "other" },
+	})
 	good := `{"addr":"127.0.0.1:1","incarnation":5,"seq":1,"phase":"up","warm":1}`
 	for _, c := range []struct {
 		path, body string
@@ -394,22 +408,22 @@
 	}
 }
 
-// Whatever a report's bytes, it is read or told wrong, and its figures are sane.
+// Any bytes must be rejected or parsed into a report with valid values.
 func FuzzReport(f *testing.F) {
 	f.Add([]byte(`{"addr":"127.0.0.1:1","incarnation":5,"seq":1,"phase":"up","warm":1,"limit":8}`))
 	f.Add([]byte(`{"addr":"[::1]:65535","incarnation":18446744073709551615,"seq":1,"phase":"draining","running":1e309}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		r, _, err := parseReport("n", text)
 		if err == nil && !(r.Warm >= 0 && r.Warm <= 1 && r.Limit >= 0 && r.Incarnation > 0) {
-			t.Errorf("taken: %+v", r)
+			t.Errorf("accepted: %+v", r)
 		}
 		if r, _, err := parsePlainReport("n", text); err == nil && !r.Plain {
-			t.Errorf("taken: %+v", r)
+			t.Errorf("accepted: %+v", r)
 		}
 	})
 }
 
-// crawl is a connection that reads well at first, and then a byte a second.
+// slowConn is a connection that reads normally at first and then one byte per second.
 type slowConn struct {
 	net.Conn
 	fastBytes int
@@ -425,8 +439,8 @@
 	return n, err
 }
 
-// Proxies that read a byte a second, while a view of 100 nodes changes again and
-// again: whoever reads well has each at once.
+// While a view of 100 nodes changes repeatedly, proxies that read one byte per second must not delay
+// a proxy that reads normally.
 func TestSlowReadingProxies(t *testing.T) {
 	g := newTestService(t, nil)
 	for i := range 100 {
@@ -463,23 +477,23 @@
 		phase := []string{"draining", "up"}[i%2]
 		g.setNode(0, 2000, func(m *nodeReport) { m.Phase, m.Seq = phase, uint64(1000*(i+1)) })
 		g.awaitState(0, map[string]string{"draining": "draining", "up": "healthy"}[phase])
-		worst = max(worst, g.awaitView("a view beside crawling proxies", good))
+		worst = max(worst, g.awaitView("a view beside slow proxies", good))
 	}
 	if worst > time.Second {
-		t.Errorf("agreed after %v", worst)
+		t.Errorf("the proxy had the view only after %v", worst)
 	}
-	t.Logf("agreed within %v at worst", worst)
+	t.Logf("the proxy had the view within %v", worst)
 	cancel()
 	mu.Lock()
-	for _, c := range raw { // else they would be read to their end, a byte a second
+	for _, c := range raw { // else the rest would be read at one byte per second
 		c.Close()
 	}
 	mu.Unlock()
 	done.Wait()
 }
 
-// Of changes that follow each other quickly the last one is saved too: a service
-// killed outright later on must not come back with the one before.
+// Saving is rate limited. The last of several changes in quick succession must be saved all the
+// same: else a service that is killed later would restart with the change before it.
 func TestLastChangeIsSaved(t *testing.T) {
 	st, _, err := store.Open(filepath.Join(t.TempDir(), "view"), store.Options{})
 	if err != nil {
@@ -489,7 +503,7 @@
 	g := newTestService(t, st)
 	g.setNode(0, 1000, nil)
 	g.awaitState(0, "healthy")
-	time.Sleep(3 * time.Second) // published, and its weight has settled
+	time.Sleep(3 * time.Second) // published, and its weight is stable
 	g.setNode(0, 1000, func(m *nodeReport) { m.Seq, m.Limit = 1000, 9 })
 	time.Sleep(500 * time.Millisecond)
 	g.setNode(0, 1000, func(m *nodeReport) { m.Seq, m.Phase = 2000, "draining" })
@@ -501,8 +515,8 @@
 	g.stop()
 }
 
-// Proxies of both forms are away for fifty updates and come back with what they
-// had: each has the latest within 2 s, and no server that went meanwhile.
+// Proxies of both variants miss fifty updates and reconnect with their old resources. Each must have
+// the latest view within 2 s, without the nodes that left meanwhile.
 func TestMissedUpdates(t *testing.T) {
 	g := newTestService(t, nil)
 	for i := range 6 {
@@ -519,7 +533,7 @@
 		var done sync.WaitGroup
 		ctx, disconnect := context.WithCancel(context.Background())
 		done.Go(func() { p.Run(ctx) })
-		g.awaitView("the view before", p)
+		g.awaitView("the view before the updates", p)
 		disconnect()
 		done.Wait()
 		before := g.service.View().Version
@@ -530,7 +544,7 @@
 			})
 			time.Sleep(120 * time.Millisecond)
 			if i > 150 {
-				t.Fatal("the view does not move")
+				t.Fatal("the view does not change")
 			}
 		}
 		g.remove(4 + round)
@@ -538,30 +552,33 @@
 		ctx, disconnectAgain := context.WithCancel(context.Background())
 		done.Go(func() { p.Run(ctx) })
 		if d := g.awaitView("the latest after fifty updates", p); d > 2*time.Second {
-			t.Errorf("after %v", d)
+			t.Errorf("the proxy had the view only after %v", d)
 		}
 		if has, _ := p.Endpoints(); len(has) != 5-round {
-			t.Errorf("%d servers, want %d", len(has), 5-round)
+			t.Errorf("%d nodes, want %d", len(has), 5-round)
 		}
 		disconnectAgain()
 		done.Wait()
 	}
 }
 
-// A node that thinks of the fleet and asks gets its digest with the answer to its
-// report; one of the old kind, or one that does not ask, gets 204 as ever.
+// A node that asks for the fleet's digest must get it in the answer to its report. A node without
+// fleet-aware load shedding, and one that does not ask, must get 204 without a body.
 func TestDigestOnRequest(t *testing.T) {
 	g := newTestService(t, nil)
 	report := func(name string, seq uint64, w *sheddingReport) *httptest.ResponseRecorder {
-		text, _ := json.Marshal(nodeReport{Addr: "127.0.0.1:1", Incarnation: 5, Seq: seq, Phase: "up", Healthy: true, Warm: 1, Limit: 8, Shedding: w})
+		text, _ := json.Marshal(nodeReport{Addr: "127.0.0.1:1", Incarnation: 5, Seq: seq, Phase: "up", Healthy: true,
+			Warm: 1, Limit: 8, Shedding: w})
 		out := httptest.NewRecorder()
-		g.service.Handler().ServeHTTP(out, httptest.NewRequest(http.MethodPut, "/nodes/"+name, strings.NewReader(string(text))))
+		put := httptest.NewRequest(http.MethodPut, "/nodes/"+name, strings.NewReader(string(text)))
+		g.service.Handler().ServeHTTP(out, put)
 		return out
 	}
-	full := &sheddingReport{DrainRate: 100, ShortageShare: 1, Demand: map[string]float64{"70": 50, "60": 80, "50": 70, "-3": 9, "960": 9, "x": 9}, WantsDigest: true}
+	demand := map[string]float64{"70": 50, "60": 80, "50": 70, "-3": 9, "960": 9, "x": 9}
+	full := &sheddingReport{DrainRate: 100, ShortageShare: 1, Demand: demand, WantsDigest: true}
 	var d shedding.Digest
 	seq := uint64(0)
-	standin.Eventually(t, "a digest with a cut", func() bool {
+	standin.Eventually(t, "a digest with a threshold", func() bool {
 		seq++
 		report("a", seq, full)
 		out := report("b", seq, full)
@@ -571,7 +588,7 @@
 		t.Errorf("digest %+v", d)
 	}
 	if out := report("c", 1, nil); out.Code != http.StatusNoContent || out.Body.Len() > 0 {
-		t.Errorf("a node of the old kind got %d %q", out.Code, out.Body)
+		t.Errorf("a node without load shedding got %d %q", out.Code, out.Body)
 	}
 	noDigest := *full
 	noDigest.WantsDigest = false
@@ -585,9 +602,9 @@
 	g.service.Handler().ServeHTTP(out, httptest.NewRequest(http.MethodGet, "/fleet", nil))
 	var v Fleet
 	if err := json.Unmarshal(out.Body.Bytes(), &v); err != nil || v.Digest.Threshold != d.Threshold {
-		t.Fatalf("the fleet: %v, %+v", err, v.Digest)
+		t.Fatalf("GET /fleet: %v, %+v", err, v.Digest)
 	}
-	standin.Eventually(t, "how nodes stand to the cut", func() bool {
+	standin.Eventually(t, "whether nodes follow the threshold", func() bool {
 		out := httptest.NewRecorder()
 		g.service.Handler().ServeHTTP(out, httptest.NewRequest(http.MethodGet, "/fleet", nil))
 		_ = json.Unmarshal(out.Body.Bytes(), &v)
--- a/internal/control/http.go
+++ b/internal/control/http.go
@@ -14,7 +14,7 @@
 	"robinmast/decide/shedding"
 )
 
-// maxSheddingStates limits the nodes whose sheddingState is kept.
+// maxSheddingStates limits the nodes whose sheddingState is stored.
 const maxSheddingStates = 20_000
 
 // sheddingStateTTL is how long a sheddingState is shown after its report.
@@ -39,14 +39,14 @@
 		out := Fleet{Version: v.Version, Drop: v.Drop, Frozen: v.Frozen, Lost: v.Lost, Nodes: []FleetNode{}}
 		s.mu.Lock()
 		out.Digest = s.digest
-		followers := maps.Clone(s.followers)
+		states := maps.Clone(s.sheddingStates)
 		s.mu.Unlock()
 		for _, n := range v.Nodes {
 			out.Nodes = append(out.Nodes, FleetNode{
 				Name: n.Name, Addr: n.Addr, Zone: n.Zone, State: n.State.String(), Why: n.Why,
 				SinceS: math.Round((now-n.Since).Seconds()*10) / 10,
 				Weight: n.Weight, Limit: n.Limit, Penalty: n.Penalty, Unproven: n.Unproven,
-				Follows: describeFollows(followers, n.Name, out.Digest.Threshold),
+				Follows: describeFollows(states, n.Name, out.Digest.Threshold),
 			})
 		}
 		writeJSON(w, out)
@@ -163,8 +163,8 @@
 		if loadReport.WantsDigest && s.digest.Epoch != 0 {
 			response.Digest = &s.digest
 		}
-		if len(s.followers) < maxSheddingStates {
-			s.followers[name] = sheddingState{threshold: loadReport.Threshold, digestTrust: loadReport.DigestTrust,
+		if len(s.sheddingStates) < maxSheddingStates {
+			s.sheddingStates[name] = sheddingState{threshold: loadReport.Threshold, digestTrust: loadReport.DigestTrust,
 				wantsDigest: loadReport.WantsDigest, reportedAt: s.now()}
 		}
 	}
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -66,7 +66,7 @@
 	lastSavedChange fleet.Change                  // the newest change that is in the store; used by Run only
 	capacity        float64                       // share of the usual capacity that is available, 0 = unknown
 	incarnations    *recovery.IncarnationRegistry // guarded by mu: a report is answered before Run processes it
-	followers       map[string]sheddingState
+	sheddingStates  map[string]sheddingState
 }
 
 // sheddingState is what a node with fleet-aware load shedding last reported about the digest it
@@ -90,7 +90,7 @@
 func New(cfg Config) *Service {
 	return &Service{
 		Streams: NewStreams(), cfg: cfg, start: time.Now(), inputs: make(chan input, maxQueuedInputs),
-		followers: map[string]sheddingState{}, incarnations: recovery.NewIncarnationRegistry(),
+		sheddingStates: map[string]sheddingState{}, incarnations: recovery.NewIncarnationRegistry(),
 	}
 }
 
@@ -164,7 +164,7 @@
 		s.mu.Lock()
 		s.view, s.digest, s.history = view, digest, changes
 		s.events, s.capacity = detector.List(), detector.Capacity()
-		maps.DeleteFunc(s.followers, func(_ string, state sheddingState) bool {
+		maps.DeleteFunc(s.sheddingStates, func(_ string, state sheddingState) bool {
 			return s.now()-state.reportedAt > sheddingStateTTL
 		})
 		s.mu.Unlock()
