--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -13,75 +13,75 @@
 
 // Told takes the fleet's digest of one of the services, as of the moment since.
 func (n *Node) ReceiveDigest(since time.Time, src int, d shedding.Digest) {
-	n.post(event{kind: told, digest: &d, src: src, took: time.Since(since)})
+	n.post(event{kind: digestReceived, digest: &d, service: src, took: time.Since(since)})
 }
 
 // kind is the kind of an event.
-type kind uint8
+type eventKind uint8
 
 const (
-	arrived kind = iota
-	gone
-	finished
-	bound
-	drain
-	blocked  // a run stands at a call below
-	called   // a call below is over
-	intended // the intent of a run is durable, or could not be written
-	stray    // a run ended that this life did not ask for
-	inspect  // somebody wants to see the pools, or how the fleet is thought of
-	told     // the fleet's digest came
-	lives    // what a control service heard of earlier lives came
-	roomed   // the fleet's room came
+	requestArrived eventKind = iota
+	callerGone
+	runEnded
+	workerPoolUp
+	drainNotice
+	callNeeded            // a run stands at a call below
+	callEnded             // a call below is over
+	intentHandled         // the intent of a run is durable, or could not be written
+	unknownRunEnded       // a run ended that this life did not ask for
+	inspectionAsked       // somebody wants to see the pools, or how the fleet is thought of
+	digestReceived        // the fleet's digest came
+	previousObserved      // what a control service heard of earlier lives came
+	fleetCapacityReceived // the fleet's room came
 )
 
 type event struct {
-	kind kind
-	x    *exchange.Exchange
-	end  pool.Outcome
-	took time.Duration
-	body []byte
-	cold bool
-	kept bool              // finished: the memory was told
-	has  bool              // finished: the memory has the result
-	told bool              // finished: the answer is out
-	err  error             // intended
-	run  string            // stray
-	show chan []pools.View // inspect
-	out  rules.Outcome     // called
-	call uint64            // called: which one
-
-	seen   chan shedding.View      // inspect
-	digest *shedding.Digest        // told, took ago
-	src    int                     // told, by which service
-	life   *recovery.PreviousStore // lives, nil = of none
-	share  float64                 // roomed, took ago
+	kind        eventKind
+	x           *exchange.Exchange
+	outcome     pool.Outcome
+	took        time.Duration
+	body        []byte
+	cold        bool
+	recorded    bool              // finished: the memory was told
+	stored      bool              // finished: the memory has the result
+	answered    bool              // finished: the answer is out
+	err         error             // intended
+	runID       string            // stray
+	poolViews   chan []pools.View // inspect
+	callOutcome rules.Outcome     // called
+	callNumber  uint64            // called: which one
+
+	sheddingView  chan shedding.View      // inspect
+	digest        *shedding.Digest        // told, took ago
+	service       int                     // told, by which service
+	previous      *recovery.PreviousStore // lives, nil = of none
+	capacityShare float64                 // roomed, took ago
 }
 
 func (n *Node) post(e event) {
 	n.mu.Lock()
-	n.queue = append(n.queue, e)
+	n.events = append(n.events, e)
 	n.mu.Unlock()
 	select {
-	case n.poke <- struct{}{}:
+	case n.wake <- struct{}{}:
 	default:
 	}
 }
 
 // Arrived takes a request that was read.
-func (n *Node) Arrived(x *exchange.Exchange) { n.post(event{kind: arrived, x: x}) }
+func (n *Node) Arrived(x *exchange.Exchange) { n.post(event{kind: requestArrived, x: x}) }
 
 // Gone takes the word that nobody waits for a request.
-func (n *Node) CallerGone(x *exchange.Exchange) { n.post(event{kind: gone, x: x}) }
+func (n *Node) CallerGone(x *exchange.Exchange) { n.post(event{kind: callerGone, x: x}) }
 
 // Finished takes the end of a run.
 func (n *Node) RunEnded(x *exchange.Exchange, end pool.Outcome, took time.Duration, result []byte) {
-	n.post(event{kind: finished, x: x, end: end, took: took, body: result})
+	n.post(event{kind: runEnded, x: x, outcome: end, took: took, body: result})
 }
 
 // Bound takes the word that the worker pool is up.
 func (n *Node) WorkerPoolUp(cold bool, since time.Duration) {
-	n.post(event{kind: bound, cold: cold, took: since})
+	n.post(event{kind: workerPoolUp, cold: cold, took: since})
 }
 
 // Polled takes the gauges; the next timer brings them to the module.
@@ -93,88 +93,88 @@
 
 // Blocked takes the word that a run stands at a call below.
 func (n *Node) CallNeeded(x *exchange.Exchange, statement []byte) {
-	n.post(event{kind: blocked, x: x, body: statement})
+	n.post(event{kind: callNeeded, x: x, body: statement})
 }
 
 // Drain gives the notice to leave: the process stops after left.
-func (n *Node) Drain(left time.Duration) { n.post(event{kind: drain, took: left}) }
+func (n *Node) Drain(left time.Duration) { n.post(event{kind: drainNotice, took: left}) }
 
 // feed hands one event to the module.
-func (n *Node) feed(e event) {
+func (n *Node) handleEvent(e event) {
 	switch e.kind {
-	case arrived:
-		n.arrive(e.x)
-	case gone:
-		if it := n.byX[e.x]; it != nil {
-			n.module.CallerGone(n.now, it.id)
-			n.leave(it)
+	case requestArrived:
+		n.handleArrival(e.x)
+	case callerGone:
+		if req := n.byExchange[e.x]; req != nil {
+			n.module.CallerGone(n.now, req.id)
+			n.releaseIfDone(req)
 		}
-	case finished:
-		n.finish(e)
-	case bound:
-		n.bind(e)
-	case drain:
-		if !n.leaving {
-			n.leaving, n.notice, n.left = true, n.now, e.took
+	case runEnded:
+		n.handleRunEnd(e)
+	case workerPoolUp:
+		n.handleWorkerPoolUp(e)
+	case drainNotice:
+		if !n.draining {
+			n.draining, n.drainSince, n.drainTime = true, n.now, e.took
 		}
-		n.drain()
-	case blocked:
-		if it := n.byX[e.x]; it != nil && it.running {
-			it.statement = e.body
-			n.module.CallNeeded(n.now, it.id)
+		n.notifyDrain()
+	case callNeeded:
+		if req := n.byExchange[e.x]; req != nil && req.running {
+			req.statement = e.body
+			n.module.CallNeeded(n.now, req.id)
 		}
-	case called:
-		n.called(e)
-	case intended:
-		n.intended(e)
-	case stray:
-		n.stray(e)
-	case inspect:
-		n.inspect(e)
-	case told:
-		if t := n.together(); t != nil {
-			t.ReceiveDigestFrom(n.now, n.now-e.took, e.src, *e.digest)
+	case callEnded:
+		n.handleCallEnd(e)
+	case intentHandled:
+		n.handleIntent(e)
+	case unknownRunEnded:
+		n.handleUnknownRun(e)
+	case inspectionAsked:
+		n.answerInspection(e)
+	case digestReceived:
+		if t := n.shedder(); t != nil {
+			t.ReceiveDigestFrom(n.now, n.now-e.took, e.service, *e.digest)
 		}
-	case roomed:
+	case fleetCapacityReceived:
 		if n.cfg.Recovery != nil {
-			n.cfg.Recovery.FleetCapacity(n.now-e.took, e.share)
+			n.cfg.Recovery.FleetCapacity(n.now-e.took, e.capacityShare)
 		}
-	case lives:
+	case previousObserved:
 		if n.cfg.Recovery != nil {
-			n.cfg.Recovery.ObservePrevious(n.now, e.life)
+			n.cfg.Recovery.ObservePrevious(n.now, e.previous)
 		}
 	}
 }
 
 // drain tells the module of the notice, if there was one, as of when it came: a
 // module made anew must not begin a grace of its own.
-func (n *Node) drain() {
-	if n.leaving {
-		n.module.Drain(n.notice, n.left)
+func (n *Node) notifyDrain() {
+	if n.draining {
+		n.module.Drain(n.drainSince, n.drainTime)
 	}
 }
 
 // bind makes the module anew when the worker pool comes up for the first time,
 // since only then is known how long it has been warming. Nothing can have run
 // before; what came too early is read again.
-func (n *Node) bind(e event) {
-	if n.isBound {
+func (n *Node) handleWorkerPoolUp(e event) {
+	if n.isPoolUp {
 		return
 	}
-	n.isBound = true
-	waiting := n.ordered()
+	n.isPoolUp = true
+	waiting := n.inArrivalOrder()
 	up := min(e.took, n.cfg.Settings.WarmUpTime+n.cfg.Settings.OverloadWindow) // longer ago makes no difference
-	if err := n.build(n.now-up, e.cold); err != nil {
+	if err := n.buildModule(n.now-up, e.cold); err != nil {
 		panic(err) // it was made before from the same settings
 	}
-	n.bindLife(e)
-	n.drain()
-	n.table = newTable(n.cfg.ResultBytes)
-	n.relink(n.now - e.took)
-	for _, it := range waiting {
-		n.forget(it)
-		if it.x.FinalState() == exchange.Open {
-			n.arrive(it.x)
+	n.warmStartModule(e)
+	n.notifyDrain()
+	n.records = newRecordTable(n.cfg.ResultBytes)
+	n.linkRestored(n.now - e.took)
+	for _, req := range waiting {
+		n.release(req)
+		if req.x.FinalState() == exchange.Open {
+			n.handleArrival(req.x)
 		}
 	}
 }
--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -20,23 +20,23 @@
 // Run asks the worker pool for a run. Before it has come up nothing is asked
 // for: what is held then is read again once it has.
 func (h host) Run(id rules.RequestID) {
-	if it := h.items[id]; it != nil && !it.running {
-		it.running = true
-		if h.isBound {
-			h.spawn(it)
+	if req := h.requests[id]; req != nil && !req.running {
+		req.running = true
+		if h.isPoolUp {
+			h.startRun(req)
 		}
 	}
 }
 
 // Halt stops a run.
 func (h host) Preempt(id rules.RequestID) {
-	it := h.items[id]
+	req := h.requests[id]
 	switch {
-	case it == nil || !it.running:
-	case h.isBound:
-		h.suspend(it)
+	case req == nil || !req.running:
+	case h.isPoolUp:
+		h.stopRun(req)
 	default:
-		h.late = append(h.late, event{kind: finished, x: it.x, end: pool.Cancelled})
+		h.followUps = append(h.followUps, event{kind: runEnded, x: req.x, outcome: pool.Cancelled})
 	}
 }
 
@@ -49,72 +49,72 @@
 func (h host) Fail(id rules.RequestID) { h.answer(id, exchange.Answer{Kind: exchange.Failed}) }
 
 func (h host) answer(id rules.RequestID, a exchange.Answer) {
-	if it := h.items[id]; it != nil {
-		it.x.Answer(a)
-		h.leave(it)
+	if req := h.requests[id]; req != nil {
+		req.x.Answer(a)
+		h.releaseIfDone(req)
 	}
 }
 
 // Call makes the call that a run stands at. The configuration admits settings with
 // calls only where there is something to call.
 func (h host) Call(id rules.RequestID, timeout time.Duration) {
-	it := h.items[id]
-	if it == nil || h.cfg.Calls == nil {
+	req := h.requests[id]
+	if req == nil || h.cfg.Calls == nil {
 		return
 	}
-	it.giveUpCall()
-	h.calls++
-	call := h.calls
-	it.call = call
-	it.hangUp = h.cfg.Calls.Call(it.x.Txn, it.statement, timeout, func(o rules.Outcome, result []byte, took time.Duration) {
-		h.post(event{kind: called, x: it.x, out: o, body: result, took: took, call: call})
+	req.cancelOpenCall()
+	h.lastCall++
+	call := h.lastCall
+	req.callNumber = call
+	req.cancelCall = h.cfg.Calls.Call(req.x.Txn, req.statement, timeout, func(o rules.Outcome, result []byte, took time.Duration) {
+		h.post(event{kind: callEnded, x: req.x, callOutcome: o, body: result, took: took, callNumber: call})
 	})
 }
 
 // Skip lets a run go on without the call it stands at.
 func (h host) SkipCall(id rules.RequestID) {
-	if it := h.items[id]; it != nil {
-		h.pool.ContinueWithout(it.x)
+	if req := h.requests[id]; req != nil {
+		h.pool.ContinueWithout(req.x)
 	}
 }
 
 // Keep makes or renews a request's entry in the table.
 func (h host) KeepRecord(id rules.RequestID, span time.Duration) {
-	it := h.items[id]
-	if it == nil {
+	req := h.requests[id]
+	if req == nil {
 		return
 	}
-	if key := keyOf(it.x, h.cfg.Settings); key != "" {
-		h.table.keep(it, key, h.now+span)
+	if key := recordKey(req.x, h.cfg.Settings); key != "" {
+		h.records.keepRecord(req, key, h.now+span)
 	}
 }
 
 // Forget takes a request's entry out of the table.
 func (h host) ForgetRecord(id rules.RequestID) {
-	if it := h.items[id]; it != nil && it.kept != nil {
-		h.settleKept(it, false, nil)
-		h.table.drop(it.kept)
+	if req := h.requests[id]; req != nil && req.record != nil {
+		h.endRecord(req, false, nil)
+		h.records.remove(req.record)
 	}
 }
 
 // Reuse serves a request from the result of the one it repeats.
 func (h host) JoinEarlier(id rules.RequestID) {
-	it := h.items[id]
-	if it == nil {
+	req := h.requests[id]
+	if req == nil {
 		return
 	}
-	it.reusing = true
-	e := h.table.byKey[keyOf(it.x, h.cfg.Settings)]
+	req.joined = true
+	rec := h.records.byKey[recordKey(req.x, h.cfg.Settings)]
 	switch {
-	case e == nil:
-		h.reused(it, false, nil)
-	case e.over && e.good && e.body == nil && e.stored:
-		h.fetch(it, e)
-	case e.over:
-		h.toldEarlier(e, e.good)
-		h.reused(it, e.good, e.body)
+	case rec == nil:
+		h.endJoined(req, false, nil)
+	case rec.ended && rec.succeeded && rec.result == nil && rec.stored:
+		h.fetchResult(req, rec)
+	case rec.ended:
+		h.countFailedRepeat(rec, rec.succeeded)
+		h.endJoined(req, rec.succeeded, rec.result)
 	default:
-		e.waiting = append(e.waiting, it)
+		rec.waiting = append(rec.waiting, req)
 	}
 }
 
@@ -128,8 +128,8 @@
 
 // Say sets the free value.
 func (h host) PublishLoad(value float64) {
-	h.value = value
-	h.front.PublishLoad(h.asked(value))
+	h.feedback = value
+	h.front.PublishLoad(h.scaleFeedback(value))
 }
 
 // CloseIdle sets the idle limit of connections.
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -22,23 +22,23 @@
 
 // Run runs the loop until ctx ends.
 func (n *Node) Run(ctx context.Context) error {
-	n.tick()
+	n.readClock()
 	if err := n.restore(); err != nil {
 		return err
 	}
 	if n.cfg.Recovery != nil {
 		n.cfg.Recovery.Begin(n.now)
-		n.ask, n.warm = 1, 1
+		n.loadShare, n.speed = 1, 1
 	}
-	if err := n.build(n.now, n.cfg.Settings.ColdStart); err != nil {
+	if err := n.buildModule(n.now, n.cfg.Settings.ColdStart); err != nil {
 		return err
 	}
 	n.loop(ctx)
-	n.endLife()
+	n.closeRecovery()
 	if n.cfg.ResultCache == nil {
 		return nil
 	}
-	n.tick()
+	n.readClock()
 	if err := n.cfg.ResultCache.Close(n.now); err != nil { // the next start finds what a crash would leave
 		n.cfg.Log.Error("remembered results were not closed in order", "err", err)
 	}
@@ -50,14 +50,14 @@
 	wait := time.NewTimer(0)
 	defer wait.Stop()
 	for {
-		wait.Reset(n.untilTimer())
+		wait.Reset(n.untilNextTimer())
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.poke:
+		case <-n.wake:
 		case <-wait.C:
 		}
-		n.batch()
+		n.runBatch()
 		// The module's batches come at most once a tick; what arrives meanwhile
 		// makes the next one.
 		if pause := n.now + n.cfg.Settings.BatchInterval - n.clock(); pause > 0 {
@@ -66,61 +66,61 @@
 	}
 }
 
-func (n *Node) tick() { n.now = n.clock() }
+func (n *Node) readClock() { n.now = n.clock() }
 
 // untilTimer is the time to the next thing the loop does by itself.
-func (n *Node) untilTimer() time.Duration {
-	if len(n.late) > 0 {
+func (n *Node) untilNextTimer() time.Duration {
+	if len(n.followUps) > 0 {
 		return 0
 	}
 	if len(n.timers) == 0 {
 		return time.Hour
 	}
 	at := n.timers[0].at
-	if !n.polled {
+	if !n.gaugesPolled {
 		at -= pollLead
 	}
 	return max(at-n.clock(), 0)
 }
 
 // batch feeds what waits and lets the module settle.
-func (n *Node) batch() {
+func (n *Node) runBatch() {
 	n.mu.Lock()
-	queue := n.queue
-	n.queue = nil
+	events := n.events
+	n.events = nil
 	gauges := n.gauges
 	n.mu.Unlock()
-	n.tick()
-	late := n.late
-	n.late = nil
-	for _, e := range append(late, queue...) { // each by itself: a defect costs one event
-		n.guard(func() { n.feed(e) })
+	n.readClock()
+	followUps := n.followUps
+	n.followUps = nil
+	for _, e := range append(followUps, events...) { // each by itself: a defect costs one event
+		n.guard(func() { n.handleEvent(e) })
 	}
 	n.guard(func() {
 		for len(n.timers) > 0 && n.timers[0].at <= n.now {
 			t := n.timers[0]
 			n.timers = slices.Delete(n.timers, 0, 1)
-			n.polled = false
+			n.gaugesPolled = false
 			n.module.TimerFired(n.now, t.token, gauges)
-			n.stepLife()
-			n.load()
+			n.stepRecovery()
+			n.reportLoad()
 		}
 	})
 	n.guard(func() { n.module.FinishBatch(n.now) })
-	n.table.expire(n.now)
+	n.records.removeExpired(n.now)
 	if n.cfg.ResultCache != nil {
-		n.endWaits()
+		n.failOverdueRepeats()
 		n.cfg.ResultCache.Flush(n.now)
 	}
-	if !n.polled && len(n.timers) > 0 && n.timers[0].at-pollLead <= n.now {
-		n.polled = true
+	if !n.gaugesPolled && len(n.timers) > 0 && n.timers[0].at-pollLead <= n.now {
+		n.gaugesPolled = true
 		n.pool.PollGauges()
 	}
 }
 
 // guard answers everything and makes the module anew should its code fail: a
 // defect in a decision must not take the node down with all it has read.
-func (n *Node) guard(run func()) {
+func (n *Node) guard(step func()) {
 	defer func() {
 		p := recover()
 		if p == nil {
@@ -130,37 +130,37 @@
 			n.cfg.Log.Error("the module failed and is made anew", "panic", fmt.Sprint(p),
 				"resets", resets, "stack", string(debug.Stack()))
 		}
-		for _, it := range n.ordered() {
-			it.x.Answer(exchange.Answer{Kind: exchange.Failed})
-			n.settleKept(it, false, nil)
+		for _, req := range n.inArrivalOrder() {
+			req.x.Answer(exchange.Answer{Kind: exchange.Failed})
+			n.endRecord(req, false, nil)
 			switch {
-			case !it.running:
-				n.forget(it)
-			case it.x.Safe && n.cfg.Settings.Preemption == rules.PreemptDrop:
-				n.suspend(it) // the new module does not count it on the cores
+			case !req.running:
+				n.release(req)
+			case req.x.Safe && n.cfg.Settings.Preemption == rules.PreemptDrop:
+				n.stopRun(req) // the new module does not count it on the cores
 			}
 		}
-		if err := n.build(n.born, n.cfg.Settings.ColdStart); err != nil {
+		if err := n.buildModule(n.poolUpSince, n.cfg.Settings.ColdStart); err != nil {
 			panic(err) // it was made before from the same settings
 		}
-		n.drain()
+		n.notifyDrain()
 	}()
-	run()
+	step()
 }
 
 // build makes the module, as of when the worker pool came up.
-func (n *Node) build(born time.Duration, cold bool) error {
-	n.timers, n.polled, n.born = nil, false, born
+func (n *Node) buildModule(poolUpSince time.Duration, cold bool) error {
+	n.timers, n.gaugesPolled, n.poolUpSince = nil, false, poolUpSince
 	n.cfg.Settings.ColdStart = cold
 	now := n.now
-	n.now = born
-	m, err := rules.New(born, n.cfg.Settings, n.cfg.Seed, host{n})
+	n.now = poolUpSince
+	m, err := rules.New(poolUpSince, n.cfg.Settings, n.cfg.Seed, host{n})
 	n.now = now
 	if err != nil {
 		return fmt.Errorf("module: %w", err)
 	}
 	n.module = m
-	for _, r := range n.earlier {
+	for _, r := range n.restored {
 		if left := r.Expires - n.now; left > 0 {
 			m.RestoreRecord(n.now, r.id, left)
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -53,7 +53,7 @@
 }
 
 // decisions is what the loop needs of the module.
-type decisions interface {
+type decisionModule interface {
 	Arrive(now time.Duration, q rules.Request)
 	RunEnded(now time.Duration, id rules.RequestID, o rules.Outcome, took time.Duration)
 	CallerGone(now time.Duration, id rules.RequestID)
@@ -70,49 +70,49 @@
 	ModuleResets atomic.Int64 // times that the module failed and was made anew
 	KeyConflicts atomic.Int64 // requests under a key that stood for another one
 
-	cfg   Config
-	front Front
-	pool  Pool
-	clock func() time.Duration // monotonic; what came before this process lies below zero
-	unix  func() float64       // milliseconds
+	cfg        Config
+	front      Front
+	pool       Pool
+	clock      func() time.Duration // monotonic; what came before this process lies below zero
+	unixMillis func() float64       // milliseconds
 
 	mu     sync.Mutex
-	queue  []event
+	events []event
 	gauges []float64
-	poke   chan struct{}
+	wake   chan struct{}
 
 	// The rest belongs to the loop.
-	module  decisions
-	isBound bool
-	born    time.Duration
-	now     time.Duration
-	nextID  rules.RequestID
-	calls   uint64 // made below so far
-	items   map[rules.RequestID]*item
-	byX     map[*exchange.Exchange]*item
-	byTxn   map[string]struct{}
-	timers  []timer // by time
-	polled  bool    // the gauges were asked for the first timer
-	table   table
-	late    []event // made by the loop itself, for its next batch
-	earlier []*earlier
-	byRun   map[string]*earlier // of them, those whose run may still end
-	leaving bool
-	notice  time.Duration // to leave
-	left    time.Duration // until the stop, from then
+	module        decisionModule
+	isPoolUp      bool
+	poolUpSince   time.Duration
+	now           time.Duration
+	nextID        rules.RequestID
+	lastCall      uint64 // made below so far
+	requests      map[rules.RequestID]*openRequest
+	byExchange    map[*exchange.Exchange]*openRequest
+	byTxn         map[string]struct{}
+	timers        []timer // by time
+	gaugesPolled  bool    // the gauges were asked for the first timer
+	records       recordTable
+	followUps     []event // made by the loop itself, for its next batch
+	restored      []*restoredRequest
+	restoredByRun map[string]*restoredRequest // of them, those whose run may still end
+	draining      bool
+	drainSince    time.Duration // to leave
+	drainTime     time.Duration // until the stop, from then
 
-	ask, warm, value float64 // comeback: what is asked for, the speed reached, the free value before that
+	loadShare, speed, feedback float64 // comeback: what is asked for, the speed reached, the free value before that
 }
 
 // New returns a node; Attach gives it its two sides and Run runs it.
 func New(cfg Config) *Node {
 	began := time.Now()
 	return &Node{
-		cfg: cfg, poke: make(chan struct{}, 1),
-		clock: func() time.Duration { return time.Since(began) },
-		unix:  func() float64 { return float64(time.Now().UnixMicro()) / 1000 },
-		items: map[rules.RequestID]*item{}, byX: map[*exchange.Exchange]*item{},
-		byTxn: map[string]struct{}{}, table: newTable(cfg.ResultBytes),
+		cfg: cfg, wake: make(chan struct{}, 1),
+		clock:      func() time.Duration { return time.Since(began) },
+		unixMillis: func() float64 { return float64(time.Now().UnixMicro()) / 1000 },
+		requests:   map[rules.RequestID]*openRequest{}, byExchange: map[*exchange.Exchange]*openRequest{},
+		byTxn: map[string]struct{}{}, records: newRecordTable(cfg.ResultBytes),
 	}
 }
 
--- a/internal/node/recovery.go
+++ b/internal/node/recovery.go
@@ -38,16 +38,18 @@
 
 // Heard takes what a control service has heard of this name's earlier lives, nil =
 // of none.
-func (n *Node) ObservePrevious(h *recovery.PreviousStore) { n.post(event{kind: lives, life: h}) }
+func (n *Node) ObservePrevious(h *recovery.PreviousStore) {
+	n.post(event{kind: previousObserved, previous: h})
+}
 
 // Room takes the share of the fleet's usual room that is there, as of the moment since.
 func (n *Node) FleetCapacity(since time.Time, share float64) {
-	n.post(event{kind: roomed, took: time.Since(since), share: share})
+	n.post(event{kind: fleetCapacityReceived, took: time.Since(since), capacityShare: share})
 }
 
 // bindLife tells that the worker pool is up, and gives the new module what an
 // earlier life had learned.
-func (n *Node) bindLife(e event) {
+func (n *Node) warmStartModule(e event) {
 	if n.cfg.Recovery == nil {
 		return
 	}
@@ -58,20 +60,20 @@
 }
 
 // stepLife moves the way on, and says anew what the node asks for.
-func (n *Node) stepLife() {
+func (n *Node) stepRecovery() {
 	if n.cfg.Recovery == nil {
 		return
 	}
 	short := false
-	if t := n.together(); t != nil {
+	if t := n.shedder(); t != nil {
 		short = t.View(n.now).Shortage > 0.5
 	}
-	ask, warm := n.cfg.Recovery.Step(n.now, short, n.learned)
-	n.warm = warm
-	if ask != n.ask {
-		n.ask = ask
+	loadShare, speed := n.cfg.Recovery.Step(n.now, short, n.learned)
+	n.speed = speed
+	if loadShare != n.loadShare {
+		n.loadShare = loadShare
 		if n.cfg.Settings.LoadFeedback != rules.FeedbackNone {
-			n.front.PublishLoad(n.asked(n.value))
+			n.front.PublishLoad(n.scaleFeedback(n.feedback))
 		}
 	}
 }
@@ -83,37 +85,37 @@
 	return l
 }
 
-func (n *Node) endLife() {
+func (n *Node) closeRecovery() {
 	if n.cfg.Recovery != nil {
 		n.cfg.Recovery.Close(n.learned())
 	}
 }
 
 // asked is a free value with what the node asks for on its way in it.
-func (n *Node) asked(value float64) float64 {
-	if n.cfg.Recovery == nil || n.ask >= 1 {
+func (n *Node) scaleFeedback(value float64) float64 {
+	if n.cfg.Recovery == nil || n.loadShare >= 1 {
 		return value
 	}
 	switch n.cfg.Settings.LoadFeedback {
 	case rules.FeedbackLevel: // nothing ranked under it is sent
-		return 1 - (1-value)*max(n.ask, leastAsked)
+		return 1 - (1-value)*max(n.loadShare, minLoadShare)
 	case rules.FeedbackCredit:
-		return max(value*n.ask, 1)
+		return max(value*n.loadShare, 1)
 	default:
-		return value * max(n.ask, leastAsked)
+		return value * max(n.loadShare, minLoadShare)
 	}
 }
 
 // leastAsked keeps a node that nobody sends anything from never proving itself.
-const leastAsked = 0.05
+const minLoadShare = 0.05
 
 // ranLife tells of a run that went well.
-func (n *Node) ranLife(it *item, e event, reused bool) {
+func (n *Node) observeRun(req *openRequest, e event, reused bool) {
 	if n.cfg.Recovery == nil || reused || e.took <= 0 {
 		return
 	}
-	hint := time.Duration(it.x.HintMs * float64(time.Millisecond))
-	if n.cfg.Recovery.RunSucceeded(n.now, it.x.Class, e.took, hint) {
+	hint := time.Duration(req.x.HintMs * float64(time.Millisecond))
+	if n.cfg.Recovery.RunSucceeded(n.now, req.x.Class, e.took, hint) {
 		if m, ok := n.module.(learner); ok {
 			m.DiscardWarmStart()
 		}
@@ -123,9 +125,9 @@
 // doubted takes an arrival; it reports whether that may have run in a life that is
 // not remembered and was answered for it. Keyed work is the module's to fail: it is
 // given an earlier request of which the module knows nothing, which counts as run.
-func (n *Node) doubted(it *item, q *rules.Request) bool {
+func (n *Node) checkInDoubt(req *openRequest, q *rules.Request) bool {
 	n.cfg.Recovery.Arrived(n.now, q.Retry)
-	if q.RepeatOf != 0 || !n.cfg.Recovery.InDoubt(n.now, q.Class, hash(keyOf(it.x, n.cfg.Settings)), q.Retry, q.Age) {
+	if q.RepeatOf != 0 || !n.cfg.Recovery.InDoubt(n.now, q.Class, hashKey(recordKey(req.x, n.cfg.Settings)), q.Retry, q.Age) {
 		return false
 	}
 	if n.cfg.Settings.Classes[q.Class].Effect == rules.Keyed {
@@ -133,7 +135,7 @@
 		q.RepeatOf = n.nextID
 		return false
 	}
-	it.x.Answer(exchange.Answer{Kind: exchange.Failed})
-	n.forget(it)
+	req.x.Answer(exchange.Answer{Kind: exchange.Failed})
+	n.release(req)
 	return true
 }
--- a/internal/node/resultcache.go
+++ b/internal/node/resultcache.go
@@ -42,14 +42,14 @@
 	noGate uint32 = iota
 	gateWaiting
 	gateOpen
-	gateShut
+	gateStopped
 )
 
 // earlier is an entry of an earlier life of the node.
-type earlier struct {
+type restoredRequest struct {
 	memory.RestoredRecord
-	id   rules.RequestID // stands for the request that made it
-	kept *kept
+	id     rules.RequestID // stands for the request that made it
+	record *record
 }
 
 // restore takes over what earlier lives left.
@@ -61,52 +61,52 @@
 	if err != nil {
 		return err
 	}
-	n.byRun = map[string]*earlier{}
+	n.restoredByRun = map[string]*restoredRequest{}
 	for _, r := range list {
 		n.nextID++
-		e := &earlier{RestoredRecord: r, id: n.nextID}
-		n.earlier = append(n.earlier, e)
+		e := &restoredRequest{RestoredRecord: r, id: n.nextID}
+		n.restored = append(n.restored, e)
 		if r.Record.Kind == resultcache.Intent {
-			n.byRun[r.Record.Run] = e
+			n.restoredByRun[r.Record.Run] = e
 		}
 	}
-	n.relink(-longest) // until the worker pool says since when it is up, it may have outlived us
+	n.linkRestored(-maxClockSpan) // until the worker pool says since when it is up, it may have outlived us
 	return nil
 }
 
 // relink puts the entries of earlier lives into the table; pool is when the
 // worker pool came up.
-func (n *Node) relink(pool time.Duration) {
-	for _, r := range n.earlier {
-		if n.now > r.Expires+lateRead || r.kept != nil && r.kept.over {
-			if r.kept != nil { // its run's end came meanwhile
-				n.table.byKey[r.kept.key] = r.kept
+func (n *Node) linkRestored(poolUpSince time.Duration) {
+	for _, r := range n.restored {
+		if n.now > r.Expires+lateReadGrace || r.record != nil && r.record.ended {
+			if r.record != nil { // its run's end came meanwhile
+				n.records.byKey[r.record.key] = r.record
 			}
 			continue
 		}
-		e := &kept{key: "u" + r.Key, holder: r.id, expires: r.Expires, ref: r.Key}
+		rec := &record{key: "u" + r.Key, holder: r.id, expires: r.Expires, storeKey: r.Key}
 		if r.Record.Effect == rules.Safe {
-			e.key = "i" + r.Key
+			rec.key = "i" + r.Key
 		}
-		switch n.cfg.ResultCache.DecideRepeat(r.RestoredRecord, pool) {
+		switch n.cfg.ResultCache.DecideRepeat(r.RestoredRecord, poolUpSince) {
 		case resultcache.RunAgain:
 			continue
 		case resultcache.WaitForRun:
-			if n.isBound && r.Class >= 0 {
-				e.awaited = n.now + resultcache.InFlightTimeout(n.usualRun(r.Class), n.cfg.Settings.Classes[r.Class].Deadline)
+			if n.isPoolUp && r.Class >= 0 {
+				rec.waitUntil = n.now + resultcache.InFlightTimeout(n.meanRunTime(r.Class), n.cfg.Settings.Classes[r.Class].Deadline)
 			}
 		case resultcache.AnswerEarlier:
-			e.over, e.good, e.stored = true, true, true
+			rec.ended, rec.succeeded, rec.stored = true, true, true
 		case resultcache.FailRepeat:
-			e.over, e.barred = true, true
+			rec.ended, rec.failRepeats = true, true
 		}
-		r.kept = e
-		n.table.byKey[e.key] = e
+		r.record = rec
+		n.records.byKey[rec.key] = rec
 	}
 }
 
 // usualRun is how long a run of a class usually takes, 0 where nothing is known.
-func (n *Node) usualRun(class int) time.Duration {
+func (n *Node) meanRunTime(class int) time.Duration {
 	l := n.learned()
 	if class < 0 || class >= len(l.Classes) {
 		return 0
@@ -116,145 +116,145 @@
 
 // endWaits fails the repeats of runs of earlier lives whose end was awaited for long
 // enough: whether they began can't be known.
-func (n *Node) endWaits() {
-	unheard := 0
-	for _, r := range n.byRun {
-		if r.kept == nil || r.kept.over || r.kept.awaited == 0 || n.now < r.kept.awaited {
+func (n *Node) failOverdueRepeats() {
+	overdue := 0
+	for _, r := range n.restoredByRun {
+		if r.record == nil || r.record.ended || r.record.waitUntil == 0 || n.now < r.record.waitUntil {
 			continue
 		}
-		r.kept.barred, r.kept.awaited = true, 0
-		unheard++
-		for _, w := range n.table.settle(r.kept, false, nil, n.now, 0) {
+		r.record.failRepeats, r.record.waitUntil = true, 0
+		overdue++
+		for _, w := range n.records.endRun(r.record, false, nil, n.now, 0) {
 			n.cfg.ResultCache.CountRepeat(false)
-			n.reused(w, false, nil)
+			n.endJoined(w, false, nil)
 		}
 	}
-	if unheard > 0 {
-		n.cfg.Log.Warn("runs of an earlier life were not heard to end: their repeats fail, since nothing tells whether they began", "runs", unheard)
+	if overdue > 0 {
+		n.cfg.Log.Warn("runs of an earlier life were not heard to end: their repeats fail, since nothing tells whether they began", "runs", overdue)
 	}
 }
 
 // spawn asks for a run, once its intent is durable if it needs one: then it
 // begins at once and does not wait for the loop's next batch.
-func (n *Node) spawn(it *item) {
+func (n *Node) startRun(req *openRequest) {
 	if n.cfg.ResultCache != nil {
-		if _, intent := n.cfg.ResultCache.Wants(it.x); intent {
-			it.gate.Store(gateWaiting)
-			n.cfg.ResultCache.StoreIntent(n.now, it.x, n.expires(it), func(err error) {
-				if err == nil && it.gate.CompareAndSwap(gateWaiting, gateOpen) {
-					n.pool.StartRun(it.x)
+		if _, intent := n.cfg.ResultCache.Wants(req.x); intent {
+			req.intentGate.Store(gateWaiting)
+			n.cfg.ResultCache.StoreIntent(n.now, req.x, n.recordExpiry(req), func(err error) {
+				if err == nil && req.intentGate.CompareAndSwap(gateWaiting, gateOpen) {
+					n.pool.StartRun(req.x)
 					return
 				}
-				n.post(event{kind: intended, x: it.x, err: err})
+				n.post(event{kind: intentHandled, x: req.x, err: err})
 			})
 			return
 		}
 	}
-	n.pool.StartRun(it.x)
+	n.pool.StartRun(req.x)
 }
 
 // suspend stops a run, or keeps one that waits for its intent from beginning.
-func (n *Node) suspend(it *item) {
-	if it.gate.CompareAndSwap(gateWaiting, gateShut) {
+func (n *Node) stopRun(req *openRequest) {
+	if req.intentGate.CompareAndSwap(gateWaiting, gateStopped) {
 		return
 	}
-	n.pool.StopRun(it.x)
+	n.pool.StopRun(req.x)
 }
 
 // expires is until when a repeat of the request may come.
-func (n *Node) expires(it *item) time.Duration {
-	if it.kept != nil {
-		return it.kept.expires
+func (n *Node) recordExpiry(req *openRequest) time.Duration {
+	if req.record != nil {
+		return req.record.expires
 	}
-	return n.now + n.cfg.Settings.Classes[it.x.Class].Deadline
+	return n.now + n.cfg.Settings.Classes[req.x.Class].Deadline
 }
 
 // intended takes the word of an intent after which the run did not begin. One
 // that could not be written fails its request, which may come again: nothing ran.
-func (n *Node) intended(e event) {
-	it := n.byX[e.x]
-	if it == nil {
+func (n *Node) handleIntent(e event) {
+	req := n.byExchange[e.x]
+	if req == nil {
 		return
 	}
 	switch {
-	case it.gate.Swap(noGate) == gateShut:
-		n.cfg.ResultCache.Withdraw(it.x)
-		n.finish(event{x: it.x, end: pool.Cancelled, kept: true})
+	case req.intentGate.Swap(noGate) == gateStopped:
+		n.cfg.ResultCache.Withdraw(req.x)
+		n.handleRunEnd(event{x: req.x, outcome: pool.Cancelled, recorded: true})
 	case e.err != nil && n.cfg.ResultCache.RunsUnrecorded(e.err):
-		n.pool.StartRun(it.x)
+		n.pool.StartRun(req.x)
 	default:
-		if it.kept != nil {
-			n.table.drop(it.kept)
+		if req.record != nil {
+			n.records.remove(req.record)
 		}
-		n.finish(event{x: it.x, end: pool.NeverStarted, kept: true})
+		n.handleRunEnd(event{x: req.x, outcome: pool.NeverStarted, recorded: true})
 	}
 }
 
 // store notes how a run ended. It reports whether the answer has to wait for
 // that: finish comes again then.
-func (n *Node) store(it *item, e event) bool {
+func (n *Node) storeOutcome(req *openRequest, e event) bool {
 	if n.cfg.ResultCache == nil {
 		return false
 	}
-	remember, _ := n.cfg.ResultCache.Wants(it.x)
-	if !remember {
+	record, _ := n.cfg.ResultCache.Wants(req.x)
+	if !record {
 		return false
 	}
-	switch e.end {
+	switch e.outcome {
 	case pool.Complete:
-		n.cfg.ResultCache.RunEnded(n.now, it.x, n.expires(it), true, e.body, func(has bool) {
-			again := e
-			again.kept, again.has, again.told = true, has, true
+		n.cfg.ResultCache.RunEnded(n.now, req.x, n.recordExpiry(req), true, e.body, func(has bool) {
+			stored := e
+			stored.recorded, stored.stored, stored.answered = true, has, true
 			e.x.Answer(exchange.Answer{Kind: exchange.Served, Body: e.body})
-			n.post(again)
+			n.post(stored)
 		})
 		return true
 	case pool.Error:
-		n.cfg.ResultCache.RunEnded(n.now, it.x, n.expires(it), false, nil, nil)
+		n.cfg.ResultCache.RunEnded(n.now, req.x, n.recordExpiry(req), false, nil, nil)
 	default:
-		n.cfg.ResultCache.Withdraw(it.x)
+		n.cfg.ResultCache.Withdraw(req.x)
 	}
 	return false
 }
 
 // stray takes the end of a run of an earlier life, from a worker pool that
 // outlived it: whoever waits gets its result, and so do later repeats.
-func (n *Node) stray(e event) {
-	r := n.byRun[e.run]
-	if r == nil || r.kept == nil || r.kept.over && r.kept.good {
+func (n *Node) handleUnknownRun(e event) {
+	r := n.restoredByRun[e.runID]
+	if r == nil || r.record == nil || r.record.ended && r.record.succeeded {
 		return
 	}
-	delete(n.byRun, e.run)
-	good := e.end == pool.Complete
-	n.cfg.ResultCache.LateRunEnded(n.now, r.RestoredRecord, good, e.body)
-	r.kept.barred = !good
-	for _, w := range n.table.settle(r.kept, good, e.body, n.now, 0) {
-		n.cfg.ResultCache.CountRepeat(good)
-		n.reused(w, good, e.body)
+	delete(n.restoredByRun, e.runID)
+	succeeded := e.outcome == pool.Complete
+	n.cfg.ResultCache.LateRunEnded(n.now, r.RestoredRecord, succeeded, e.body)
+	r.record.failRepeats = !succeeded
+	for _, w := range n.records.endRun(r.record, succeeded, e.body, n.now, 0) {
+		n.cfg.ResultCache.CountRepeat(succeeded)
+		n.endJoined(w, succeeded, e.body)
 	}
 }
 
 // Stray takes the end of a run that this life did not ask for.
 func (n *Node) UnknownRunEnded(run string, end pool.Outcome, result []byte) {
-	n.post(event{kind: stray, run: run, end: end, body: result})
+	n.post(event{kind: unknownRunEnded, runID: run, outcome: end, body: result})
 }
 
 // fetch serves a request from a result that is only on the disk.
-func (n *Node) fetch(it *item, e *kept) {
-	x := it.x
-	n.cfg.ResultCache.Fetch(e.ref, func(body []byte, err error) {
+func (n *Node) fetchResult(req *openRequest, rec *record) {
+	x := req.x
+	n.cfg.ResultCache.Fetch(rec.storeKey, func(body []byte, err error) {
 		end := pool.Complete
 		if err != nil {
 			end = pool.Error
 		}
 		n.cfg.ResultCache.CountRepeat(err == nil)
-		n.post(event{kind: finished, x: x, end: end, took: n.cfg.Settings.BatchInterval, body: body})
+		n.post(event{kind: runEnded, x: x, outcome: end, took: n.cfg.Settings.BatchInterval, body: body})
 	})
 }
 
 // toldEarlier counts a repeat of an earlier life's request that fails at once.
-func (n *Node) toldEarlier(e *kept, good bool) {
-	if e.barred && !good {
+func (n *Node) countFailedRepeat(rec *record, succeeded bool) {
+	if rec.failRepeats && !succeeded {
 		n.cfg.ResultCache.CountRepeat(false)
 	}
 }
--- a/internal/node/views.go
+++ b/internal/node/views.go
@@ -18,32 +18,32 @@
 }
 
 // load tells how the node stands, if somebody wants to know.
-func (n *Node) load() {
+func (n *Node) reportLoad() {
 	m, ok := n.module.(interface {
 		Load() (int, float64, float64)
 	})
 	if n.cfg.Load == nil || !ok {
 		return
 	}
-	l := Load{Warm: 1}
-	l.Running, l.Limit, l.Pressure = m.Load()
+	load := Load{Warm: 1}
+	load.Running, load.Limit, load.Pressure = m.Load()
 	if s := n.cfg.Settings; s.ColdStart && s.WarmUpTime > 0 {
-		l.Warm = min(1, s.ColdSpeed+(1-s.ColdSpeed)*float64(n.now-n.born)/float64(s.WarmUpTime))
+		load.Warm = min(1, s.ColdSpeed+(1-s.ColdSpeed)*float64(n.now-n.poolUpSince)/float64(s.WarmUpTime))
 	}
 	if n.cfg.Recovery != nil {
-		l.Warm = n.warm
+		load.Warm = n.speed
 	}
-	n.cfg.Load(l)
+	n.cfg.Load(load)
 	if n.cfg.LoadReport == nil {
 		return
 	}
-	if t := n.together(); t != nil {
+	if t := n.shedder(); t != nil {
 		n.cfg.LoadReport(t.LoadReport(), t.View(n.now))
 	}
 }
 
 // together is the module's part that thinks of the fleet, nil if it is off.
-func (n *Node) together() *shedding.Shedder {
+func (n *Node) shedder() *shedding.Shedder {
 	m, ok := n.module.(interface {
 		Inspect() (rules.Pools, []rules.QueuedRequest, rules.Shedder)
 	})
@@ -57,52 +57,52 @@
 
 // Together shows how the module thinks of the fleet, if it does and the loop
 // answers in time.
-func (n *Node) Shedding(most time.Duration) (shedding.View, bool) {
-	show := make(chan shedding.View, 1)
-	n.post(event{kind: inspect, seen: show})
+func (n *Node) Shedding(timeout time.Duration) (shedding.View, bool) {
+	reply := make(chan shedding.View, 1)
+	n.post(event{kind: inspectionAsked, sheddingView: reply})
 	select {
-	case v, ok := <-show:
+	case v, ok := <-reply:
 		return v, ok
-	case <-time.After(most):
+	case <-time.After(timeout):
 		return shedding.View{}, false
 	}
 }
 
 // Pools shows what the pools by class do, nil if there are none or the loop does
 // not answer in time.
-func (n *Node) Pools(most time.Duration) []pools.View {
-	show := make(chan []pools.View, 1)
-	n.post(event{kind: inspect, show: show})
+func (n *Node) Pools(timeout time.Duration) []pools.View {
+	reply := make(chan []pools.View, 1)
+	n.post(event{kind: inspectionAsked, poolViews: reply})
 	select {
-	case v := <-show:
+	case v := <-reply:
 		return v
-	case <-time.After(most):
+	case <-time.After(timeout):
 		return nil
 	}
 }
 
-func (n *Node) inspect(e event) {
-	if e.show != nil {
-		e.show <- n.views()
+func (n *Node) answerInspection(e event) {
+	if e.poolViews != nil {
+		e.poolViews <- n.poolViews()
 	}
-	if e.seen != nil {
-		if t := n.together(); t != nil {
-			e.seen <- t.View(n.now)
+	if e.sheddingView != nil {
+		if t := n.shedder(); t != nil {
+			e.sheddingView <- t.View(n.now)
 		}
-		close(e.seen)
+		close(e.sheddingView)
 	}
 }
 
-func (n *Node) views() []pools.View {
+func (n *Node) poolViews() []pools.View {
 	m, ok := n.module.(interface {
 		Inspect() (rules.Pools, []rules.QueuedRequest, rules.Shedder)
 	})
 	if !ok {
 		return nil
 	}
-	p, line, _ := m.Inspect()
+	p, queued, _ := m.Inspect()
 	if p, ok := p.(*pools.Pools); ok {
-		return p.Views(line)
+		return p.Views(queued)
 	}
 	return nil
 }
