--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -11,12 +11,13 @@
 	"robinmast/rules"
 )
 
-// Told takes the fleet's digest of one of the services, as of the moment since.
+// ReceiveDigest delivers the fleet digest of control service src. since is when the
+// report that it answers was made.
 func (n *Node) ReceiveDigest(since time.Time, src int, d shedding.Digest) {
-	n.post(event{kind: digestReceived, digest: &d, service: src, took: time.Since(since)})
+	n.post(event{kind: digestReceived, digest: &d, service: src, duration: time.Since(since)})
 }
 
-// kind is the kind of an event.
+// eventKind is the kind of an event.
 type eventKind uint8
 
 const (
@@ -25,39 +26,42 @@
 	runEnded
 	workerPoolUp
 	drainNotice
-	callNeeded            // a run stands at a call below
-	callEnded             // a call below is over
-	intentHandled         // the intent of a run is durable, or could not be written
-	unknownRunEnded       // a run ended that this life did not ask for
-	inspectionAsked       // somebody wants to see the pools, or how the fleet is thought of
-	digestReceived        // the fleet's digest came
-	previousObserved      // what a control service heard of earlier lives came
-	fleetCapacityReceived // the fleet's room came
+	callNeeded            // a run waits for a downstream call
+	callEnded             // a downstream call ended
+	intentCompleted       // the intent was written or failed, and its run was not started
+	unknownRunEnded       // a run ended that this incarnation did not start
+	viewRequested         // a view of the pools or of the load shedding is requested
+	digestReceived        // a fleet digest
+	previousObserved      // what a control service observed of previous incarnations
+	fleetCapacityReceived // the fleet's present capacity
 )
 
+// event is one input of the loop. Fields that belong to some kinds only name them;
+// duration is how long the run or the call took, or how long ago the event happened.
 type event struct {
 	kind        eventKind
 	x           *exchange.Exchange
 	outcome     pool.Outcome
-	took        time.Duration
+	duration    time.Duration
 	body        []byte
 	cold        bool
-	recorded    bool              // finished: the memory was told
-	stored      bool              // finished: the memory has the result
-	answered    bool              // finished: the answer is out
-	err         error             // intended
-	runID       string            // stray
-	poolViews   chan []pools.View // inspect
-	callOutcome rules.Outcome     // called
-	callNumber  uint64            // called: which one
-
-	sheddingView  chan shedding.View      // inspect
-	digest        *shedding.Digest        // told, took ago
-	service       int                     // told, by which service
-	previous      *recovery.PreviousStore // lives, nil = of none
-	capacityShare float64                 // roomed, took ago
+	recorded    bool              // runEnded: the result cache was notified
+	stored      bool              // runEnded: the result cache holds the result
+	answered    bool              // runEnded: the answer was sent
+	err         error             // intentCompleted
+	runID       string            // unknownRunEnded
+	poolViews   chan []pools.View // viewRequested
+	callOutcome rules.Outcome     // callEnded
+	callNumber  uint64            // callEnded: which one
+
+	sheddingView  chan shedding.View      // viewRequested
+	digest        *shedding.Digest        // digestReceived
+	service       int                     // digestReceived: number of the control service
+	previous      *recovery.PreviousStore // previousObserved, nil = no previous incarnation
+	capacityShare float64                 // fleetCapacityReceived
 }
 
+// post queues an event for the loop's next batch.
 func (n *Node) post(e event) {
 	n.mu.Lock()
 	n.events = append(n.events, e)
@@ -68,38 +72,39 @@
 	}
 }
 
-// Arrived takes a request that was read.
+// Arrived delivers a request that was read.
 func (n *Node) Arrived(x *exchange.Exchange) { n.post(event{kind: requestArrived, x: x}) }
 
-// Gone takes the word that nobody waits for a request.
+// CallerGone notifies the node that nobody waits for a request any more.
 func (n *Node) CallerGone(x *exchange.Exchange) { n.post(event{kind: callerGone, x: x}) }
 
-// Finished takes the end of a run.
+// RunEnded delivers the end of a run; result is set if it is complete.
 func (n *Node) RunEnded(x *exchange.Exchange, end pool.Outcome, took time.Duration, result []byte) {
-	n.post(event{kind: runEnded, x: x, outcome: end, took: took, body: result})
+	n.post(event{kind: runEnded, x: x, outcome: end, duration: took, body: result})
 }
 
-// Bound takes the word that the worker pool is up.
+// WorkerPoolUp notifies the node that the worker pool has been up for since, and
+// whether it started cold.
 func (n *Node) WorkerPoolUp(cold bool, since time.Duration) {
-	n.post(event{kind: workerPoolUp, cold: cold, took: since})
+	n.post(event{kind: workerPoolUp, cold: cold, duration: since})
 }
 
-// Polled takes the gauges; the next timer brings them to the module.
+// GaugesRead delivers the worker pool's gauges; the next timer passes them to the module.
 func (n *Node) GaugesRead(values []float64) {
 	n.mu.Lock()
 	n.gauges = values
 	n.mu.Unlock()
 }
 
-// Blocked takes the word that a run stands at a call below.
+// CallNeeded notifies the node that a run waits for a downstream call with this statement.
 func (n *Node) CallNeeded(x *exchange.Exchange, statement []byte) {
 	n.post(event{kind: callNeeded, x: x, body: statement})
 }
 
-// Drain gives the notice to leave: the process stops after left.
-func (n *Node) Drain(left time.Duration) { n.post(event{kind: drainNotice, took: left}) }
+// Drain gives the drain notice: the process stops after left. Later notices have no effect.
+func (n *Node) Drain(left time.Duration) { n.post(event{kind: drainNotice, duration: left}) }
 
-// feed hands one event to the module.
+// handleEvent applies one event.
 func (n *Node) handleEvent(e event) {
 	switch e.kind {
 	case requestArrived:
@@ -115,7 +120,7 @@
 		n.handleWorkerPoolUp(e)
 	case drainNotice:
 		if !n.draining {
-			n.draining, n.drainSince, n.drainTime = true, n.now, e.took
+			n.draining, n.drainSince, n.drainTime = true, n.now, e.duration
 		}
 		n.notifyDrain()
 	case callNeeded:
@@ -125,19 +130,19 @@
 		}
 	case callEnded:
 		n.handleCallEnd(e)
-	case intentHandled:
+	case intentCompleted:
 		n.handleIntent(e)
 	case unknownRunEnded:
 		n.handleUnknownRun(e)
-	case inspectionAsked:
-		n.answerInspection(e)
+	case viewRequested:
+		n.sendView(e)
 	case digestReceived:
 		if t := n.shedder(); t != nil {
-			t.ReceiveDigestFrom(n.now, n.now-e.took, e.service, *e.digest)
+			t.ReceiveDigestFrom(n.now, n.now-e.duration, e.service, *e.digest)
 		}
 	case fleetCapacityReceived:
 		if n.cfg.Recovery != nil {
-			n.cfg.Recovery.FleetCapacity(n.now-e.took, e.capacityShare)
+			n.cfg.Recovery.FleetCapacity(n.now-e.duration, e.capacityShare)
 		}
 	case previousObserved:
 		if n.cfg.Recovery != nil {
@@ -146,31 +151,31 @@
 	}
 }
 
-// drain tells the module of the notice, if there was one, as of when it came: a
-// module made anew must not begin a grace of its own.
+// notifyDrain passes the drain notice to the module, if there was one, as of when it
+// came: a replaced module must not start a grace of its own.
 func (n *Node) notifyDrain() {
 	if n.draining {
 		n.module.Drain(n.drainSince, n.drainTime)
 	}
 }
 
-// bind makes the module anew when the worker pool comes up for the first time,
-// since only then is known how long it has been warming. Nothing can have run
-// before; what came too early is read again.
+// handleWorkerPoolUp replaces the module when the worker pool comes up for the first
+// time, since only then it is known how long the pool has been warming up. Nothing can
+// have run before; requests that arrived earlier are passed to the new module.
 func (n *Node) handleWorkerPoolUp(e event) {
 	if n.isPoolUp {
 		return
 	}
 	n.isPoolUp = true
 	waiting := n.inArrivalOrder()
-	up := min(e.took, n.cfg.Settings.WarmUpTime+n.cfg.Settings.OverloadWindow) // longer ago makes no difference
+	up := min(e.duration, n.cfg.Settings.WarmUpTime+n.cfg.Settings.OverloadWindow) // an earlier start makes no difference
 	if err := n.buildModule(n.now-up, e.cold); err != nil {
-		panic(err) // it was made before from the same settings
+		panic(err) // the same settings were accepted before
 	}
 	n.warmStartModule(e)
 	n.notifyDrain()
 	n.records = newRecordTable(n.cfg.ResultBytes)
-	n.linkRestored(n.now - e.took)
+	n.linkRestored(n.now - e.duration)
 	for _, req := range waiting {
 		n.release(req)
 		if req.x.FinalState() == exchange.Open {
--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -1,7 +1,3 @@
-// This file owns the module's Host: it carries out what the module says, within
-// the loop. It must never weigh a request, and never call the module back: what
-// follows from an action is fed in the next batch.
-
 package node
 
 import (
@@ -12,13 +8,16 @@
 	"robinmast/rules"
 )
 
-// host is unexported, so that only the module can reach it.
+// host implements rules.Host: it carries out the module's actions, within the loop. It
+// never calls the module back; an event that follows from an action is passed to the
+// module in the next batch. host is a type of its own to keep these methods out of
+// Node's exported ones.
 type host struct{ *Node }
 
 var _ rules.Host = host{}
 
-// Run asks the worker pool for a run. Before it has come up nothing is asked
-// for: what is held then is read again once it has.
+// Run starts a run. Before the worker pool is up nothing is started: the requests that
+// wait then are passed to a new module once it is.
 func (h host) Run(id rules.RequestID) {
 	if req := h.requests[id]; req != nil && !req.running {
 		req.running = true
@@ -28,7 +27,7 @@
 	}
 }
 
-// Halt stops a run.
+// Preempt stops a run.
 func (h host) Preempt(id rules.RequestID) {
 	req := h.requests[id]
 	switch {
@@ -40,14 +39,15 @@
 	}
 }
 
-// Refuse answers that a request never ran.
+// Refuse answers that the request never ran.
 func (h host) Refuse(id rules.RequestID, retryAfter time.Duration, last bool) {
 	h.answer(id, exchange.Answer{Kind: exchange.Refused, RetryAfter: retryAfter, Last: last})
 }
 
-// Fail answers without a promise.
+// Fail answers without a promise whether the request ran.
 func (h host) Fail(id rules.RequestID) { h.answer(id, exchange.Answer{Kind: exchange.Failed}) }
 
+// answer gives a request its final answer.
 func (h host) answer(id rules.RequestID, a exchange.Answer) {
 	if req := h.requests[id]; req != nil {
 		req.x.Answer(a)
@@ -55,8 +55,8 @@
 	}
 }
 
-// Call makes the call that a run stands at. The configuration admits settings with
-// calls only where there is something to call.
+// Call makes the downstream call that a run waits for. The configuration accepts
+// settings with calls only if there is a dependency to call.
 func (h host) Call(id rules.RequestID, timeout time.Duration) {
 	req := h.requests[id]
 	if req == nil || h.cfg.Calls == nil {
@@ -67,18 +67,18 @@
 	call := h.lastCall
 	req.callNumber = call
 	req.cancelCall = h.cfg.Calls.Call(req.x.Txn, req.statement, timeout, func(o rules.Outcome, result []byte, took time.Duration) {
-		h.post(event{kind: callEnded, x: req.x, callOutcome: o, body: result, took: took, callNumber: call})
+		h.post(event{kind: callEnded, x: req.x, callOutcome: o, body: result, duration: took, callNumber: call})
 	})
 }
 
-// Skip lets a run go on without the call it stands at.
+// SkipCall lets a run continue without the call that it waits for.
 func (h host) SkipCall(id rules.RequestID) {
 	if req := h.requests[id]; req != nil {
 		h.pool.ContinueWithout(req.x)
 	}
 }
 
-// Keep makes or renews a request's entry in the table.
+// KeepRecord creates or renews the idempotency record of a request.
 func (h host) KeepRecord(id rules.RequestID, span time.Duration) {
 	req := h.requests[id]
 	if req == nil {
@@ -89,7 +89,7 @@
 	}
 }
 
-// Forget takes a request's entry out of the table.
+// ForgetRecord removes the idempotency record of a request.
 func (h host) ForgetRecord(id rules.RequestID) {
 	if req := h.requests[id]; req != nil && req.record != nil {
 		h.endRecord(req, false, nil)
@@ -97,7 +97,7 @@
 	}
 }
 
-// Reuse serves a request from the result of the one it repeats.
+// JoinEarlier serves a request from the result of the earlier one that it repeats.
 func (h host) JoinEarlier(id rules.RequestID) {
 	req := h.requests[id]
 	if req == nil {
@@ -118,7 +118,7 @@
 	}
 }
 
-// SetHealth sets what health checks and the membership service are told.
+// SetHealth sets the state that health checks and the membership service see.
 func (h host) SetHealth(_, good bool) {
 	h.front.SetHealth(good)
 	if h.cfg.Health != nil {
@@ -126,16 +126,16 @@
 	}
 }
 
-// Say sets the free value.
+// PublishLoad publishes the load feedback.
 func (h host) PublishLoad(value float64) {
 	h.feedback = value
 	h.front.PublishLoad(h.scaleFeedback(value))
 }
 
-// CloseIdle sets the idle limit of connections.
+// SetIdleTimeout sets the idle timeout of connections.
 func (h host) SetIdleTimeout(after time.Duration) { h.front.SetIdleTimeout(after) }
 
-// Wake sets a timer.
+// StartTimer starts a timer.
 func (h host) StartTimer(token uint64, in time.Duration) {
 	at := h.now + in
 	i := len(h.timers)
@@ -147,5 +147,5 @@
 	h.timers[i] = timer{at: at, token: token}
 }
 
-// Log passes a line of the module on.
+// Log writes a line of the module to the node's log.
 func (h host) Log(line string) { h.cfg.Log.Info("module", "line", line) }
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -11,16 +11,19 @@
 	"robinmast/rules"
 )
 
-// pollLead is how long before a timer of the module is due the gauges are
-// asked for: two ticks of the worker pool.
+// pollLead is how long before a timer of the module fires the gauges are polled:
+// two ticks of the worker pool.
 const pollLead = 5 * time.Millisecond
 
+// timer is a timer of the module.
 type timer struct {
 	at    time.Duration
 	token uint64
 }
 
-// Run runs the loop until ctx ends.
+// Run restores the idempotency records of previous incarnations and runs the loop until
+// ctx ends. It returns an error if the result cache cannot be restored or the module
+// rejects the settings.
 func (n *Node) Run(ctx context.Context) error {
 	n.readClock()
 	if err := n.restore(); err != nil {
@@ -39,13 +42,13 @@
 		return nil
 	}
 	n.readClock()
-	if err := n.cfg.ResultCache.Close(n.now); err != nil { // the next start finds what a crash would leave
-		n.cfg.Log.Error("remembered results were not closed in order", "err", err)
+	if err := n.cfg.ResultCache.Close(n.now); err != nil { // the next start restores the state that a crash would leave
+		n.cfg.Log.Error("result cache was not closed cleanly", "err", err)
 	}
 	return nil
 }
 
-// loop takes batches until ctx ends.
+// loop runs batches until ctx ends.
 func (n *Node) loop(ctx context.Context) {
 	wait := time.NewTimer(0)
 	defer wait.Stop()
@@ -58,17 +61,17 @@
 		case <-wait.C:
 		}
 		n.runBatch()
-		// The module's batches come at most once a tick; what arrives meanwhile
-		// makes the next one.
+		// At most one batch per interval; events that arrive meanwhile form the next one.
 		if pause := n.now + n.cfg.Settings.BatchInterval - n.clock(); pause > 0 {
 			time.Sleep(pause)
 		}
 	}
 }
 
+// readClock sets the time that the loop and the module use for the present batch.
 func (n *Node) readClock() { n.now = n.clock() }
 
-// untilTimer is the time to the next thing the loop does by itself.
+// untilNextTimer returns the time until the next timer, gauge poll or follow-up event.
 func (n *Node) untilNextTimer() time.Duration {
 	if len(n.followUps) > 0 {
 		return 0
@@ -83,7 +86,7 @@
 	return max(at-n.clock(), 0)
 }
 
-// batch feeds what waits and lets the module settle.
+// runBatch passes the waiting events and the due timers to the module and finishes the batch.
 func (n *Node) runBatch() {
 	n.mu.Lock()
 	events := n.events
@@ -93,7 +96,7 @@
 	n.readClock()
 	followUps := n.followUps
 	n.followUps = nil
-	for _, e := range append(followUps, events...) { // each by itself: a defect costs one event
+	for _, e := range append(followUps, events...) { // guarded one by one: a panic loses one event only
 		n.guard(func() { n.handleEvent(e) })
 	}
 	n.guard(func() {
@@ -118,8 +121,9 @@
 	}
 }
 
-// guard answers everything and makes the module anew should its code fail: a
-// defect in a decision must not take the node down with all it has read.
+// guard runs step. If the module's code panics, guard fails all open requests and
+// replaces the module: a defect in a decision must not end the process and lose every
+// request that was read.
 func (n *Node) guard(step func()) {
 	defer func() {
 		p := recover()
@@ -127,7 +131,7 @@
 			return
 		}
 		if resets := n.ModuleResets.Add(1); resets&(resets-1) == 0 { // the 1st, 2nd, 4th, 8th ...
-			n.cfg.Log.Error("the module failed and is made anew", "panic", fmt.Sprint(p),
+			n.cfg.Log.Error("decision module panicked and was replaced", "panic", fmt.Sprint(p),
 				"resets", resets, "stack", string(debug.Stack()))
 		}
 		for _, req := range n.inArrivalOrder() {
@@ -137,18 +141,18 @@
 			case !req.running:
 				n.release(req)
 			case req.x.Safe && n.cfg.Settings.Preemption == rules.PreemptDrop:
-				n.stopRun(req) // the new module does not count it on the cores
+				n.stopRun(req) // the new module does not count it as using a core
 			}
 		}
 		if err := n.buildModule(n.poolUpSince, n.cfg.Settings.ColdStart); err != nil {
-			panic(err) // it was made before from the same settings
+			panic(err) // the same settings were accepted before
 		}
 		n.notifyDrain()
 	}()
 	step()
 }
 
-// build makes the module, as of when the worker pool came up.
+// buildModule creates the module as of the time when the worker pool came up.
 func (n *Node) buildModule(poolUpSince time.Duration, cold bool) error {
 	n.timers, n.gaugesPolled, n.poolUpSince = nil, false, poolUpSince
 	n.cfg.Settings.ColdStart = cold
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,8 +1,10 @@
-// Package node owns the one loop that owns the decision module, the exchanges
-// in hand, the kept keys and the timers. It takes whatever events wait, at most
-// once a settings tick, feeds them to the module, lets it settle once, and
-// carries out what it says. It must never decide about a request, and never
-// wait for a socket.
+// Package node connects the decision module to the dispatchers' connections, the
+// worker pool, the result cache and the control service. One goroutine, started by
+// Node.Run, owns the module, the open requests, the idempotency records and the
+// timers. It takes all waiting events in batches, at most one batch per
+// Settings.BatchInterval, passes them to the module, calls the module's FinishBatch
+// once, and carries out the actions that the module calls for. The loop makes no
+// decision about a request and never waits for a socket or the disk.
 package node
 
 import (
@@ -16,14 +18,14 @@
 	"robinmast/rules"
 )
 
-// Front is what the loop needs of the side towards dispatchers.
+// Front is the server side towards dispatchers. Its methods must not block.
 type Front interface {
 	SetHealth(good bool)
 	PublishLoad(value float64)
 	SetIdleTimeout(after time.Duration)
 }
 
-// Pool is what the loop needs of the worker pool.
+// Pool is the link to the worker pool. Its methods must not block.
 type Pool interface {
 	StartRun(*exchange.Exchange)
 	StopRun(*exchange.Exchange)
@@ -32,27 +34,27 @@
 	PollGauges()
 }
 
-// Calls is what the loop needs of what lies below. done is told once, unless the
-// call was given up before.
+// Calls makes calls to the downstream dependency. done is called once, from any
+// goroutine, unless the call was cancelled before.
 type Calls interface {
 	Call(ref string, statement []byte, timeout time.Duration, done func(o rules.Outcome, result []byte, took time.Duration)) (cancel func())
 }
 
-// Config is what a Node needs.
+// Config configures a Node.
 type Config struct {
 	Settings    rules.Settings
 	Seed        uint64
-	ResultBytes int // memory for kept results
+	ResultBytes int // bound for results held in memory, bytes
 	Health      func(good bool)
-	Load        func(Load)                               // told with each timer, nil = nobody wants to know
-	LoadReport  func(shedding.LoadReport, shedding.View) // the same, where the module thinks of the fleet
-	Calls       Calls                                    // what lies below, nil = nothing
-	ResultCache ResultCache                              // what outlives the node, nil = nothing
-	Recovery    Recovery                                 // the way back to full service, nil = it is not looked at
+	Load        func(Load)                               // called at each timer, nil = not reported
+	LoadReport  func(shedding.LoadReport, shedding.View) // the same, with fleet-aware load shedding
+	Calls       Calls                                    // downstream dependency, nil = none
+	ResultCache ResultCache                              // persistent result cache, nil = none
+	Recovery    Recovery                                 // recovery to full service, nil = not tracked
 	Log         *slog.Logger
 }
 
-// decisions is what the loop needs of the module.
+// decisionModule is the part of rules.Module that the loop calls.
 type decisionModule interface {
 	Arrive(now time.Duration, q rules.Request)
 	RunEnded(now time.Duration, id rules.RequestID, o rules.Outcome, took time.Duration)
@@ -67,44 +69,46 @@
 
 // Node is one node's loop. Its exported methods may be called by any goroutine.
 type Node struct {
-	ModuleResets atomic.Int64 // times that the module failed and was made anew
-	KeyConflicts atomic.Int64 // requests under a key that stood for another one
+	ModuleResets atomic.Int64 // times that the module panicked and was replaced
+	KeyConflicts atomic.Int64 // requests whose idempotency key belongs to another request
 
 	cfg        Config
 	front      Front
 	pool       Pool
-	clock      func() time.Duration // monotonic; what came before this process lies below zero
-	unixMillis func() float64       // milliseconds
+	clock      func() time.Duration // monotonic; negative before the start of this process
+	unixMillis func() float64       // Unix time, milliseconds
 
 	mu     sync.Mutex
 	events []event
 	gauges []float64
 	wake   chan struct{}
 
-	// The rest belongs to the loop.
+	// The fields below are used by the loop's goroutine only.
 	module        decisionModule
 	isPoolUp      bool
 	poolUpSince   time.Duration
 	now           time.Duration
 	nextID        rules.RequestID
-	lastCall      uint64 // made below so far
+	lastCall      uint64 // number of the last downstream call
 	requests      map[rules.RequestID]*openRequest
 	byExchange    map[*exchange.Exchange]*openRequest
 	byTxn         map[string]struct{}
 	timers        []timer // by time
-	gaugesPolled  bool    // the gauges were asked for the first timer
+	gaugesPolled  bool    // the gauges were polled for the first timer
 	records       recordTable
-	followUps     []event // made by the loop itself, for its next batch
+	followUps     []event // produced by the loop itself, for its next batch
 	restored      []*restoredRequest
-	restoredByRun map[string]*restoredRequest // of them, those whose run may still end
+	restoredByRun map[string]*restoredRequest // the restored requests whose run may still end
 	draining      bool
-	drainSince    time.Duration // to leave
-	drainTime     time.Duration // until the stop, from then
+	drainSince    time.Duration // when the drain notice came
+	drainTime     time.Duration // from then until the process stops
 
-	loadShare, speed, feedback float64 // comeback: what is asked for, the speed reached, the free value before that
+	// Recovery: the share of its full load that the node asks for, the share of its
+	// speed that it has reached, and the load feedback before scaling by loadShare.
+	loadShare, speed, feedback float64
 }
 
-// New returns a node; Attach gives it its two sides and Run runs it.
+// New returns a node. Attach must be called before Run.
 func New(cfg Config) *Node {
 	began := time.Now()
 	return &Node{
@@ -116,5 +120,5 @@
 	}
 }
 
-// Attach sets the two sides; it must be called before Run.
+// Attach sets the server and the worker pool; it must be called before Run.
 func (n *Node) Attach(f Front, p Pool) { n.front, n.pool = f, p }
--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -1,7 +1,3 @@
-// This file owns what links the tries of a request: keys, and the results that
-// repeats are served from. It must never decide what is kept or for how long;
-// the module says so.
-
 package node
 
 import (
@@ -15,43 +11,45 @@
 	"robinmast/rules"
 )
 
-// lateRead is how long an entry is still found after it expired, for a repeat
-// that came in time and was read late.
+// lateReadGrace is how long a record is still found after it expired, for a repeat
+// that arrived in time and was read late.
 const lateReadGrace = 10 * time.Second
 
-// kept is one entry. The newest try that the module kept holds it.
+// record is one idempotency record. The newest try for which the module called
+// KeepRecord holds it.
 type record struct {
 	key          string
-	bodyHash     uint64 // of the body of the request that made it, 0 = not known
+	bodyHash     uint64 // of the body of the request that created it, 0 = not known
 	holder       rules.RequestID
 	expires      time.Duration
-	ended        bool // the run it stands for has ended
+	ended        bool // its run has ended
 	succeeded    bool // with a result
-	neverStarted bool // nothing was started: no try of it has run
-	stored       bool // the result can be read from the memory, under ref
-	failRepeats  bool // of an earlier life: a repeat must not run, though it is safe
+	neverStarted bool // no try of the request has run
+	stored       bool // the result can be fetched from the result cache, under storeKey
+	failRepeats  bool // of a previous incarnation: a repeat must not run, even if it is safe
 	storeKey     string
-	waitUntil    time.Duration // 0, or until when the end of a run of an earlier life is
+	waitUntil    time.Duration // how long to wait for the end of a previous incarnation's run, 0 = not waiting
 	result       []byte
 	waiting      []*openRequest
 }
 
-// table is the table of kept keys.
+// recordTable holds the idempotency records, and their results within a bound.
 type recordTable struct {
 	byKey       map[string]*record
-	results     []*record // that hold a result, oldest first
+	results     []*record // records that hold a result, oldest first
 	resultBytes int
 	resultLimit int
 	lastSweep   time.Duration
 }
 
+// newRecordTable returns an empty table whose results take up to limit bytes.
 func newRecordTable(limit int) recordTable {
 	return recordTable{byKey: map[string]*record{}, resultLimit: limit}
 }
 
 var hashSeed = maphash.MakeSeed()
 
-// hash turns an item's name into the module's key; 0 means none.
+// hashKey converts an item's name to the module's key; 0 means none.
 func hashKey(item string) uint64 {
 	if item == "" {
 		return 0
@@ -59,9 +57,9 @@
 	return maphash.String(hashSeed, item) | 1
 }
 
-// keyOf names what a request's tries have in common, "" for one that has none.
-// Two tenants may meet under one name: nothing in the protocol keeps them apart,
-// so their names are part of it and no result crosses tenants.
+// recordKey returns the key that all tries of a request share, "" if there is none.
+// Nothing in the protocol keeps two tenants from using one key, so the tenant's name is
+// part of it and no result crosses tenants.
 func recordKey(x *exchange.Exchange, settings rules.Settings) string {
 	switch {
 	case settings.Classes[x.Class].Effect == rules.Keyed:
@@ -72,13 +70,14 @@
 	return ""
 }
 
-// fingerprint tells the bodies of requests under one key apart, never 0.
+// hashBody distinguishes the bodies of requests under one key; it is never 0.
 func hashBody(body []byte) uint64 { return maphash.Bytes(hashSeed, body) | 1 }
 
-// earlier is the kept request that x repeats, 0 for none. An entry counts for
-// whatever reached the machine while it lived, however late it is read. A keyed
-// request of another body repeats nothing, it only uses its key: whoever sent it must
-// not be told the other's result, and to run it would be a second run of the key.
+// find returns the earlier request that x repeats, 0 for none. A record applies to
+// every request that reached the host before the record expired, however late it is
+// read. A keyed request with another body repeats nothing and is reported as a conflict:
+// its sender must not receive the other request's result, and to run it would be a
+// second run under the key.
 func (t *recordTable) find(x *exchange.Exchange, q rules.Request, now time.Duration, settings rules.Settings) (id rules.RequestID, conflict bool) {
 	rec := t.byKey[recordKey(x, settings)]
 	if rec == nil || rec.neverStarted || now-q.Age > rec.expires || x.Safe && rec.ended && !rec.succeeded && !rec.failRepeats {
@@ -87,7 +86,7 @@
 	return rec.holder, !x.Safe && rec.bodyHash != 0 && rec.bodyHash != hashBody(x.Body)
 }
 
-// keep makes or renews the entry of a request.
+// keepRecord creates or renews the record of a request.
 func (t *recordTable) keepRecord(req *openRequest, key string, expires time.Duration) {
 	if req.record != nil && req.record.holder == req.id {
 		req.record.expires = expires
@@ -98,7 +97,7 @@
 	t.byKey[key] = req.record
 }
 
-// drop takes an entry out; whoever waits for it is settled by its holder's end.
+// remove removes a record. Requests that wait for it are answered when its holder ends.
 func (t *recordTable) remove(rec *record) {
 	if rec == nil {
 		return
@@ -110,17 +109,18 @@
 	rec.result = nil
 }
 
-// settle notes how an entry's run ended, and returns who waited for it.
+// endRun records how the run of a record ended, and returns the requests that waited
+// for it.
 func (t *recordTable) endRun(rec *record, succeeded bool, result []byte, now time.Duration, freshness time.Duration) []*openRequest {
 	rec.ended, rec.succeeded = true, succeeded
 	if succeeded && t.byKey[rec.key] == rec {
 		rec.result = result
 		t.resultBytes += len(result)
 		t.results = append(t.results, rec)
-		if freshness > 0 { // a read's answer is shared for so long from its end
+		if freshness > 0 { // a read's result is shared for that long from its end
 			rec.expires = now + freshness
 		}
-		for t.resultBytes > t.resultLimit && len(t.results) > 0 { // its repeats will fail; none runs again
+		for t.resultBytes > t.resultLimit && len(t.results) > 0 { // repeats of an evicted result fail; none runs again
 			oldest := t.results[0]
 			t.results = t.results[1:]
 			t.resultBytes -= len(oldest.result)
@@ -132,7 +132,7 @@
 	return joined
 }
 
-// expire takes out what has run out, now and then.
+// removeExpired removes expired records, at most once a second.
 func (t *recordTable) removeExpired(now time.Duration) {
 	if now-t.lastSweep < time.Second {
 		return
@@ -154,7 +154,7 @@
 	t.results = live
 }
 
-// settleKept ends the entry that a request holds, once, and answers its repeats.
+// endRecord ends the record that a request holds, once, and answers its repeats.
 func (n *Node) endRecord(req *openRequest, succeeded bool, result []byte) {
 	rec := req.record
 	if rec == nil || rec.ended {
@@ -169,11 +169,11 @@
 	}
 }
 
-// reused ends a reuse, in the loop's next batch.
+// endJoined ends a request that joined an earlier one, in the loop's next batch.
 func (n *Node) endJoined(req *openRequest, succeeded bool, result []byte) {
 	end := pool.Error
 	if succeeded {
 		end = pool.Complete
 	}
-	n.followUps = append(n.followUps, event{kind: runEnded, x: req.x, outcome: end, took: n.cfg.Settings.BatchInterval, body: result})
+	n.followUps = append(n.followUps, event{kind: runEnded, x: req.x, outcome: end, duration: n.cfg.Settings.BatchInterval, body: result})
 }
--- a/internal/node/recovery.go
+++ b/internal/node/recovery.go
@@ -1,7 +1,3 @@
-// This file owns the loop's side of coming back: what it feeds to whoever watches
-// the way to full service, and what it does with what that says. It must never
-// decide what a node asks for, nor what is in doubt.
-
 package node
 
 import (
@@ -12,54 +8,67 @@
 	"robinmast/rules"
 )
 
-// Comeback is what the loop needs of the way back to full service. All of it
-// belongs to the loop, and none of it waits.
+// Recovery tracks the recovery to full service after a start: how much load the node
+// asks for, which requests are in doubt, and the learned state for a warm start. Its
+// methods are called by the loop's goroutine only and must not block.
 type Recovery interface {
+	// Begin notes the start of the node.
 	Begin(now time.Duration)
-	// Bound returns what the module may take as known, nil = nothing.
+	// WorkerPoolUp returns the learned state for a warm start of the module, nil = none,
+	// with its weight and the speed reached.
 	WorkerPoolUp(now, since time.Duration, cold bool) (l *rules.Learned, weight, speed float64)
-	// InDoubt reports whether a request of which nothing is remembered may have run.
+	// InDoubt reports whether a request without an idempotency record may have run. again
+	// marks a further try.
 	InDoubt(now time.Duration, class int, key uint64, again bool, age time.Duration) bool
+	// Arrived counts a request; again marks a further try.
 	Arrived(now time.Duration, again bool)
-	// Ran reports whether what the module took as known is to be forgotten.
+	// RunSucceeded observes a run; it reports whether the module's warm start is to be
+	// discarded.
 	RunSucceeded(now time.Duration, class int, took, hint time.Duration) (forget bool)
+	// Step runs at each timer of the module. short means that the fleet is short of
+	// capacity. It returns the share of its full load that the node asks for, and the share
+	// of its full speed that it has reached.
 	Step(now time.Duration, short bool, learned func() rules.Learned) (ask, warm float64)
+	// ObservePrevious takes what a control service observed of previous incarnations.
 	ObservePrevious(now time.Duration, h *recovery.PreviousStore)
+	// FleetCapacity takes the present share of the fleet's usual capacity.
 	FleetCapacity(since time.Duration, share float64)
+	// Close stores the learned state for the next start.
 	Close(l rules.Learned)
 }
 
-// learner is a module that tells and takes what was learned.
+// learner is a module with a learned state that can be saved and restored.
 type learner interface {
 	Learned() rules.Learned
 	WarmStart(l rules.Learned, weight, speed float64)
 	DiscardWarmStart()
 }
 
-// Heard takes what a control service has heard of this name's earlier lives, nil =
-// of none.
+// ObservePrevious delivers what a control service observed of previous incarnations of
+// this node's name, nil = of none.
 func (n *Node) ObservePrevious(h *recovery.PreviousStore) {
 	n.post(event{kind: previousObserved, previous: h})
 }
 
-// Room takes the share of the fleet's usual room that is there, as of the moment since.
+// FleetCapacity delivers the present share of the fleet's usual capacity, as of since.
 func (n *Node) FleetCapacity(since time.Time, share float64) {
-	n.post(event{kind: fleetCapacityReceived, took: time.Since(since), capacityShare: share})
+	n.post(event{kind: fleetCapacityReceived, duration: time.Since(since), capacityShare: share})
 }
 
-// bindLife tells that the worker pool is up, and gives the new module what an
-// earlier life had learned.
+// warmStartModule reports that the worker pool is up, and gives the new module what a
+// previous incarnation learned.
 func (n *Node) warmStartModule(e event) {
 	if n.cfg.Recovery == nil {
 		return
 	}
-	l, weight, speed := n.cfg.Recovery.WorkerPoolUp(n.now, n.now-e.took, e.cold)
+	l, weight, speed := n.cfg.Recovery.WorkerPoolUp(n.now, n.now-e.duration, e.cold)
 	if m, ok := n.module.(learner); ok && l != nil {
 		m.WarmStart(*l, weight, speed)
 	}
 }
 
-// stepLife moves the way on, and says anew what the node asks for.
+// stepRecovery advances the recovery, and publishes the load feedback again if the share
+// of load that the node asks for has changed.
 func (n *Node) stepRecovery() {
 	if n.cfg.Recovery == nil {
 		return
@@ -78,6 +87,7 @@
 	}
 }
 
+// learned returns the module's learned state, empty if it has none.
 func (n *Node) learned() (l rules.Learned) {
 	if m, ok := n.module.(learner); ok {
 		l = m.Learned()
@@ -85,19 +95,20 @@
 	return l
 }
 
+// closeRecovery stores the learned state.
 func (n *Node) closeRecovery() {
 	if n.cfg.Recovery != nil {
 		n.cfg.Recovery.Close(n.learned())
 	}
 }
 
-// asked is a free value with what the node asks for on its way in it.
+// scaleFeedback scales a load feedback value by the share of load that the node asks for.
 func (n *Node) scaleFeedback(value float64) float64 {
 	if n.cfg.Recovery == nil || n.loadShare >= 1 {
 		return value
 	}
 	switch n.cfg.Settings.LoadFeedback {
-	case rules.FeedbackLevel: // nothing ranked under it is sent
+	case rules.FeedbackLevel: // requests ranked below the value are not sent
 		return 1 - (1-value)*max(n.loadShare, minLoadShare)
 	case rules.FeedbackCredit:
 		return max(value*n.loadShare, 1)
@@ -106,25 +117,27 @@
 	}
 }
 
-// leastAsked keeps a node that nobody sends anything from never proving itself.
+// minLoadShare keeps the feedback high enough that some requests are sent: without any,
+// a recovering node could never show that it is healthy.
 const minLoadShare = 0.05
 
-// ranLife tells of a run that went well.
+// observeRun passes a successful run to the recovery.
 func (n *Node) observeRun(req *openRequest, e event, reused bool) {
-	if n.cfg.Recovery == nil || reused || e.took <= 0 {
+	if n.cfg.Recovery == nil || reused || e.duration <= 0 {
 		return
 	}
 	hint := time.Duration(req.x.HintMs * float64(time.Millisecond))
-	if n.cfg.Recovery.RunSucceeded(n.now, req.x.Class, e.took, hint) {
+	if n.cfg.Recovery.RunSucceeded(n.now, req.x.Class, e.duration, hint) {
 		if m, ok := n.module.(learner); ok {
 			m.DiscardWarmStart()
 		}
 	}
 }
 
-// doubted takes an arrival; it reports whether that may have run in a life that is
-// not remembered and was answered for it. Keyed work is the module's to fail: it is
-// given an earlier request of which the module knows nothing, which counts as run.
+// checkInDoubt observes an arrival. A request that may have run in a previous
+// incarnation without leaving a record is failed, and checkInDoubt returns true. Keyed
+// requests are left to the module to fail: they are marked as repeats of an earlier
+// request that the module does not know, which it treats as run.
 func (n *Node) checkInDoubt(req *openRequest, q *rules.Request) bool {
 	n.cfg.Recovery.Arrived(n.now, q.Retry)
 	if q.RepeatOf != 0 || !n.cfg.Recovery.InDoubt(n.now, q.Class, hashKey(recordKey(req.x, n.cfg.Settings)), q.Retry, q.Age) {
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -10,22 +10,22 @@
 	"robinmast/rules"
 )
 
-// item is a request in hand: what the module calls it, and what is left of it.
+// openRequest is a request that has no final answer yet, or whose run is not over.
 type openRequest struct {
-	id      rules.RequestID
+	id      rules.RequestID // the module's name for it
 	x       *exchange.Exchange
-	running bool    // a run was asked for and is not over
-	joined  bool    // waits for the result of the request it repeats
-	record  *record // the entry it holds
+	running bool    // a run was started and is not over
+	joined  bool    // waits for the result of the earlier request that it repeats
+	record  *record // the idempotency record that it holds
 
-	statement  []byte // of the call it stands at
-	callNumber uint64 // the number of the call that is out, 0 = none is
-	cancelCall func() // gives it up
+	statement  []byte // of the downstream call that its run waits for
+	callNumber uint64 // the number of the call in flight, 0 = none
+	cancelCall func() // cancels the call in flight
 
-	intentGate atomic.Uint32 // of a run that waits for its intent
+	intentGate atomic.Uint32 // state of a run that waits for its intent
 }
 
-// ordered lists the items in order of arrival.
+// inArrivalOrder lists the open requests in order of arrival.
 func (n *Node) inArrivalOrder() []*openRequest {
 	list := make([]*openRequest, 0, len(n.requests))
 	for _, req := range n.requests {
@@ -35,13 +35,13 @@
 	return list
 }
 
-// arrive gives a request to the module. Its age counts from the machine's door,
-// by the Unix clock; both clocks are read now.
+// handleArrival passes a request to the module. Its age counts from its arrival at the
+// host, by the Unix clock; both clocks are read now.
 func (n *Node) handleArrival(x *exchange.Exchange) {
-	if x.FinalState() != exchange.Open { // its caller left before it was taken up
+	if x.FinalState() != exchange.Open { // its caller left before this batch
 		return
 	}
-	if _, twice := n.byTxn[x.Txn]; twice { // the worker pool could not tell them apart
+	if _, twice := n.byTxn[x.Txn]; twice { // the worker pool could not distinguish them
 		x.Answer(exchange.Answer{Kind: exchange.Failed})
 		return
 	}
@@ -55,7 +55,7 @@
 	case repeatOf == req.id:
 	case conflict:
 		if c := n.KeyConflicts.Add(1); c&(c-1) == 0 { // the 1st, 2nd, 4th, 8th ...
-			n.cfg.Log.Warn("a key that stands for another request", "class", x.ClassName, "caller", x.Caller, "so_far", c)
+			n.cfg.Log.Warn("idempotency key belongs to another request", "class", x.ClassName, "caller", x.Caller, "so_far", c)
 		}
 		x.Answer(exchange.Answer{Kind: exchange.Failed})
 		n.release(req)
@@ -69,10 +69,10 @@
 	n.module.Arrive(n.now, q)
 }
 
-// Bounds for what the clocks of two programs may say.
+// maxClockSpan bounds the spans computed from the clocks of two programs.
 const maxClockSpan = time.Hour
 
-// request turns a call into the module's terms; unix is the time in milliseconds.
+// moduleRequest converts a request to the module's form; unix is the Unix time in milliseconds.
 func moduleRequest(x *exchange.Exchange, id rules.RequestID, unix float64) rules.Request {
 	clamp := func(ms float64, shortest time.Duration) time.Duration {
 		return min(max(time.Duration(min(ms, float64(maxClockSpan/time.Millisecond))*float64(time.Millisecond)), shortest), maxClockSpan)
@@ -81,13 +81,14 @@
 		ID: id, Rank: x.Rank, WorkHint: clamp(x.HintMs, 0), Tenant: x.Tenant, Caller: x.Caller,
 		Age: clamp(max(unix-x.ArrivedUnixMs, 0), 0), MemoryKB: x.MemoryKB, Class: x.Class, Retry: x.Retry, Key: hashKey(x.Item),
 	}
-	if x.TimeoutMs > 0 { // a time already past is still told: 0 would mean that nothing is known
+	if x.TimeoutMs > 0 { // a deadline already past is passed on too: 0 would mean that none is known
 		q.CallerTimeout = min(clamp(max(x.ArrivedUnixMs+x.TimeoutMs-unix, 0), time.Microsecond), clamp(x.TimeoutMs, time.Microsecond))
 	}
 	return q
 }
 
-// called takes the end of a call. The run goes on with its result, if there is one.
+// handleCallEnd handles the end of a downstream call. The run continues with its result,
+// if there is one.
 func (n *Node) handleCallEnd(e event) {
 	req := n.byExchange[e.x]
 	if req == nil || req.callNumber != e.callNumber { // its run ended meanwhile
@@ -97,10 +98,10 @@
 	if e.callOutcome == rules.OK {
 		n.pool.ContinueWithResult(req.x, e.body)
 	}
-	n.module.CallEnded(n.now, req.id, e.callOutcome, e.took)
+	n.module.CallEnded(n.now, req.id, e.callOutcome, e.duration)
 }
 
-// giveUpCall ends the call of a request that is over, if one is out.
+// cancelOpenCall cancels the request's call in flight, if there is one.
 func (req *openRequest) cancelOpenCall() {
 	if req.callNumber != 0 {
 		req.cancelCall()
@@ -108,8 +109,9 @@
 	}
 }
 
-// finish takes the end of a run or a reuse. A result goes out by itself, as
-// does a failure; a run that was stopped without an answer is the module's again.
+// handleRunEnd handles the end of a run, or of the wait for an earlier request's
+// result. Results and failures are answered here; a run that was stopped without an
+// answer goes back to the module.
 func (n *Node) handleRunEnd(e event) {
 	req := n.byExchange[e.x]
 	if req == nil || !req.running && !req.joined {
@@ -130,10 +132,10 @@
 			req.x.Answer(exchange.Answer{Kind: exchange.Served, Body: e.body})
 		}
 		n.endRecord(req, true, e.body)
-		n.module.RunEnded(n.now, req.id, rules.OK, e.took)
+		n.module.RunEnded(n.now, req.id, rules.OK, e.duration)
 		n.observeRun(req, e, joined)
 	case pool.Cancelled:
-		n.module.RunEnded(n.now, req.id, rules.Cancelled, e.took)
+		n.module.RunEnded(n.now, req.id, rules.Cancelled, e.duration)
 		n.releaseIfDone(req)
 		return
 	default:
@@ -146,12 +148,12 @@
 				req.record.neverStarted = true
 			}
 		}
-		n.module.RunEnded(n.now, req.id, o, e.took)
+		n.module.RunEnded(n.now, req.id, o, e.duration)
 	}
 	n.releaseIfDone(req)
 }
 
-// leave forgets a request of which nothing is left.
+// releaseIfDone releases a request that was answered and whose run is over.
 func (n *Node) releaseIfDone(req *openRequest) {
 	if req.running || req.x.FinalState() == exchange.Open {
 		return
@@ -160,6 +162,7 @@
 	n.release(req)
 }
 
+// release removes a request from the tables and cancels its call in flight.
 func (n *Node) release(req *openRequest) {
 	req.cancelOpenCall()
 	delete(n.requests, req.id)
--- a/internal/node/resultcache.go
+++ b/internal/node/resultcache.go
@@ -1,8 +1,3 @@
-// This file owns the loop's side of what outlives the node: a run that waits for
-// its intent, a result that is stored before it goes out, and what repeats of an
-// earlier life's requests are told. It must never wait for the disk, and never
-// decide what is remembered.
-
 package node
 
 import (
@@ -15,29 +10,42 @@
 	"robinmast/rules"
 )
 
-// Memory is what the loop needs of what outlives the node. Callbacks come from
-// any goroutine, or at once.
+// ResultCache stores idempotency records and results that outlive the node's process.
+// Its methods must not block; callbacks come from any goroutine, or from within the call.
 type ResultCache interface {
-	// Restore takes over what earlier lives left; it is called once, before all else.
+	// Restore returns the records of previous incarnations; it is called once, before
+	// anything else.
 	Restore(now time.Duration) ([]memory.RestoredRecord, error)
-	// Wants reports whether a request is remembered, and whether its run must wait for Intend.
+	// Wants reports whether a request is recorded, and whether its run must wait until
+	// its intent is durable.
 	Wants(x *exchange.Exchange) (remember, intent bool)
+	// StoreIntent writes that the request is about to run; done is called once that is
+	// durable, or with the error.
 	StoreIntent(now time.Duration, x *exchange.Exchange, expires time.Duration, done func(error))
-	// Refused reports whether a run whose intent could not be written goes on.
+	// RunsUnrecorded reports whether a run whose intent could not be written starts all
+	// the same.
 	RunsUnrecorded(err error) bool
+	// RunEnded stores how a run ended; done receives whether the result is stored.
 	RunEnded(now time.Duration, x *exchange.Exchange, expires time.Duration, good bool, body []byte, done func(kept bool))
+	// Withdraw removes the intent of a request that did not run.
 	Withdraw(x *exchange.Exchange)
+	// LateRunEnded stores how a run of a previous incarnation ended.
 	LateRunEnded(now time.Duration, r memory.RestoredRecord, good bool, body []byte)
+	// DecideRepeat decides how repeats of a restored request are treated; pool is when
+	// the worker pool came up.
 	DecideRepeat(r memory.RestoredRecord, pool time.Duration) resultcache.RepeatAction
+	// CountRepeat counts a repeat of a restored request, answered with a result or failed.
 	CountRepeat(good bool)
+	// Fetch reads a stored result.
 	Fetch(key string, done func(body []byte, err error))
-	// Flush ends a batch.
+	// Flush is called at the end of each batch.
 	Flush(now time.Duration)
+	// Close writes what is left and closes the store.
 	Close(now time.Duration) error
 }
 
-// The gate of a run that waits for its intent: whoever moves it from waiting has
-// the word, the store that lets it begin or the loop that stops it.
+// States of openRequest.intentGate. The one that moves it out of gateWaiting decides: the
+// store, which starts the run, or the loop, which stops it.
 const (
 	noGate uint32 = iota
 	gateWaiting
@@ -45,14 +53,14 @@
 	gateStopped
 )
 
-// earlier is an entry of an earlier life of the node.
+// restoredRequest is a request of a previous incarnation, from its stored record.
 type restoredRequest struct {
 	memory.RestoredRecord
-	id     rules.RequestID // stands for the request that made it
+	id     rules.RequestID // the module's name for the request that created it
 	record *record
 }
 
-// restore takes over what earlier lives left.
+// restore loads the records of previous incarnations.
 func (n *Node) restore() error {
 	if n.cfg.ResultCache == nil {
 		return nil
@@ -70,16 +78,16 @@
 			n.restoredByRun[r.Record.Run] = e
 		}
 	}
-	n.linkRestored(-maxClockSpan) // until the worker pool says since when it is up, it may have outlived us
+	n.linkRestored(-maxClockSpan) // until the worker pool reports its start, it may have outlived the previous incarnation
 	return nil
 }
 
-// relink puts the entries of earlier lives into the table; pool is when the
-// worker pool came up.
+// linkRestored puts the records of previous incarnations into the table; poolUpSince is
+// when the worker pool came up.
 func (n *Node) linkRestored(poolUpSince time.Duration) {
 	for _, r := range n.restored {
 		if n.now > r.Expires+lateReadGrace || r.record != nil && r.record.ended {
-			if r.record != nil { // its run's end came meanwhile
+			if r.record != nil { // the end of its run was received meanwhile
 				n.records.byKey[r.record.key] = r.record
 			}
 			continue
@@ -105,7 +113,7 @@
 	}
 }
 
-// usualRun is how long a run of a class usually takes, 0 where nothing is known.
+// meanRunTime returns the mean run time of a class, 0 if nothing was learned.
 func (n *Node) meanRunTime(class int) time.Duration {
 	l := n.learned()
 	if class < 0 || class >= len(l.Classes) {
@@ -114,8 +122,8 @@
 	return time.Duration(l.Classes[class].Mean * float64(time.Second))
 }
 
-// endWaits fails the repeats of runs of earlier lives whose end was awaited for long
-// enough: whether they began can't be known.
+// failOverdueRepeats fails the repeats of previous incarnations' runs whose end did not
+// come in time: whether these runs started cannot be known.
 func (n *Node) failOverdueRepeats() {
 	overdue := 0
 	for _, r := range n.restoredByRun {
@@ -130,12 +138,12 @@
 		}
 	}
 	if overdue > 0 {
-		n.cfg.Log.Warn("runs of an earlier life were not heard to end: their repeats fail, since nothing tells whether they began", "runs", overdue)
+		n.cfg.Log.Warn("runs of a previous incarnation did not end in time: their repeats fail, since it is unknown whether they started", "runs", overdue)
 	}
 }
 
-// spawn asks for a run, once its intent is durable if it needs one: then it
-// begins at once and does not wait for the loop's next batch.
+// startRun starts a run, once its intent is durable if it needs one. The store's
+// callback starts it directly, without waiting for the loop's next batch.
 func (n *Node) startRun(req *openRequest) {
 	if n.cfg.ResultCache != nil {
 		if _, intent := n.cfg.ResultCache.Wants(req.x); intent {
@@ -145,7 +153,7 @@
 					n.pool.StartRun(req.x)
 					return
 				}
-				n.post(event{kind: intentHandled, x: req.x, err: err})
+				n.post(event{kind: intentCompleted, x: req.x, err: err})
 			})
 			return
 		}
@@ -153,7 +161,7 @@
 	n.pool.StartRun(req.x)
 }
 
-// suspend stops a run, or keeps one that waits for its intent from beginning.
+// stopRun stops a run, or keeps one that waits for its intent from starting.
 func (n *Node) stopRun(req *openRequest) {
 	if req.intentGate.CompareAndSwap(gateWaiting, gateStopped) {
 		return
@@ -161,7 +169,7 @@
 	n.pool.StopRun(req.x)
 }
 
-// expires is until when a repeat of the request may come.
+// recordExpiry returns until when repeats of the request may come.
 func (n *Node) recordExpiry(req *openRequest) time.Duration {
 	if req.record != nil {
 		return req.record.expires
@@ -169,8 +177,8 @@
 	return n.now + n.cfg.Settings.Classes[req.x.Class].Deadline
 }
 
-// intended takes the word of an intent after which the run did not begin. One
-// that could not be written fails its request, which may come again: nothing ran.
+// handleIntent handles an intent whose run was not started. A request whose intent could
+// not be written fails, and may be tried again: nothing ran.
 func (n *Node) handleIntent(e event) {
 	req := n.byExchange[e.x]
 	if req == nil {
@@ -190,8 +198,8 @@
 	}
 }
 
-// store notes how a run ended. It reports whether the answer has to wait for
-// that: finish comes again then.
+// storeOutcome stores how a run ended. It reports whether the answer waits for that: if
+// so, the callback answers and posts the event again for handleRunEnd.
 func (n *Node) storeOutcome(req *openRequest, e event) bool {
 	if n.cfg.ResultCache == nil {
 		return false
@@ -217,8 +225,8 @@
 	return false
 }
 
-// stray takes the end of a run of an earlier life, from a worker pool that
-// outlived it: whoever waits gets its result, and so do later repeats.
+// handleUnknownRun handles the end of a previous incarnation's run, from a worker pool
+// that outlived it: waiting requests and later repeats get its result.
 func (n *Node) handleUnknownRun(e event) {
 	r := n.restoredByRun[e.runID]
 	if r == nil || r.record == nil || r.record.ended && r.record.succeeded {
@@ -234,12 +242,12 @@
 	}
 }
 
-// Stray takes the end of a run that this life did not ask for.
+// UnknownRunEnded delivers the end of a run that this incarnation did not start.
 func (n *Node) UnknownRunEnded(run string, end pool.Outcome, result []byte) {
 	n.post(event{kind: unknownRunEnded, runID: run, outcome: end, body: result})
 }
 
-// fetch serves a request from a result that is only on the disk.
+// fetchResult serves a request from a result that is only on the disk.
 func (n *Node) fetchResult(req *openRequest, rec *record) {
 	x := req.x
 	n.cfg.ResultCache.Fetch(rec.storeKey, func(body []byte, err error) {
@@ -248,11 +256,11 @@
 			end = pool.Error
 		}
 		n.cfg.ResultCache.CountRepeat(err == nil)
-		n.post(event{kind: runEnded, x: x, outcome: end, took: n.cfg.Settings.BatchInterval, body: body})
+		n.post(event{kind: runEnded, x: x, outcome: end, duration: n.cfg.Settings.BatchInterval, body: body})
 	})
 }
 
-// toldEarlier counts a repeat of an earlier life's request that fails at once.
+// countFailedRepeat counts a repeat of a previous incarnation's request that fails at once.
 func (n *Node) countFailedRepeat(rec *record, succeeded bool) {
 	if rec.failRepeats && !succeeded {
 		n.cfg.ResultCache.CountRepeat(false)
--- a/internal/node/views.go
+++ b/internal/node/views.go
@@ -8,16 +8,16 @@
 	"robinmast/rules"
 )
 
-// Load is how the node stands.
+// Load is the node's present load, for the reports to the control service.
 type Load struct {
 	Running  int
-	Limit    float64
+	Limit    float64 // concurrency limit, runs
 	Pressure float64
-	Warm     float64 // share of its speed that a cold node has reached
-	State    string  // on its way to full service, "" = it is not looked at
+	Warm     float64 // share of its full speed that a cold node has reached
+	State    string  // recovery state, "" = not tracked
 }
 
-// load tells how the node stands, if somebody wants to know.
+// reportLoad calls Config.Load and Config.LoadReport, if set.
 func (n *Node) reportLoad() {
 	m, ok := n.module.(interface {
 		Load() (int, float64, float64)
@@ -42,7 +42,7 @@
 	}
 }
 
-// together is the module's part that thinks of the fleet, nil if it is off.
+// shedder returns the module's fleet-aware load shedder, nil if it is off.
 func (n *Node) shedder() *shedding.Shedder {
 	m, ok := n.module.(interface {
 		Inspect() (rules.Pools, []rules.QueuedRequest, rules.Shedder)
@@ -55,11 +55,11 @@
 	return together
 }
 
-// Together shows how the module thinks of the fleet, if it does and the loop
-// answers in time.
+// Shedding returns the state of fleet-aware load shedding; false if it is off or the
+// loop does not answer within timeout.
 func (n *Node) Shedding(timeout time.Duration) (shedding.View, bool) {
 	reply := make(chan shedding.View, 1)
-	n.post(event{kind: inspectionAsked, sheddingView: reply})
+	n.post(event{kind: viewRequested, sheddingView: reply})
 	select {
 	case v, ok := <-reply:
 		return v, ok
@@ -68,11 +68,11 @@
 	}
 }
 
-// Pools shows what the pools by class do, nil if there are none or the loop does
-// not answer in time.
+// Pools returns the state of the pools by class, nil if there are none or the loop does
+// not answer within timeout.
 func (n *Node) Pools(timeout time.Duration) []pools.View {
 	reply := make(chan []pools.View, 1)
-	n.post(event{kind: inspectionAsked, poolViews: reply})
+	n.post(event{kind: viewRequested, poolViews: reply})
 	select {
 	case v := <-reply:
 		return v
@@ -81,7 +81,8 @@
 	}
 }
 
-func (n *Node) answerInspection(e event) {
+// sendView answers a viewRequested event.
+func (n *Node) sendView(e event) {
 	if e.poolViews != nil {
 		e.poolViews <- n.poolViews()
 	}
@@ -93,6 +94,7 @@
 	}
 }
 
+// poolViews returns the views of the pools by class, nil if there are none.
 func (n *Node) poolViews() []pools.View {
 	m, ok := n.module.(interface {
 		Inspect() (rules.Pools, []rules.QueuedRequest, rules.Shedder)
