--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -14,9 +14,9 @@
 	"robinmast/rules"
 )
 
-// side stands in for both sides of the loop and for the dispatchers.
+// sides stands in for the server, the worker pool and the dispatchers.
 type sides struct {
-	mu                 sync.Mutex // a memory lets runs begin and answers out by itself
+	mu                 sync.Mutex // the result cache starts runs and answers from goroutines of its own
 	started, stopped   []string
 	continued, skipped []string
 	polls              int
@@ -45,39 +45,39 @@
 	s.answers[tag] = append(s.answers[tag], a)
 }
 
-// rig is a node whose loop the test turns by hand.
+// rig is a node whose batches the test runs itself.
 type rig struct {
 	*Node
 	*sides
 	t        *testing.T
 	counters exchange.Counters
 	tag      uint64
-	elapsed  time.Duration // what both clocks say
+	elapsed  time.Duration // what both clocks show
 }
 
-// pass lets time go by on both clocks; nothing here waits for a real one.
+// advance moves both clocks on; no test with a rig waits for real time.
 func (r *rig) advance(d time.Duration) { r.elapsed += d }
 
 func (r *rig) unixMs() float64 { return 1764576000000 + float64(r.elapsed)/float64(time.Millisecond) }
 
 func defaultSettings() rules.Settings {
 	class := rules.Class{LatencyTarget: 2 * time.Second, Deadline: 6 * time.Second, Utility: 1, IdempotencyWindow: 300 * time.Millisecond}
-	safe, once, never := class, class, class
-	once.Effect, never.Effect = rules.Keyed, rules.Unsafe
+	safe, keyed, unsafe := class, class, class
+	keyed.Effect, unsafe.Effect = rules.Keyed, rules.Unsafe
 	return rules.Settings{
-		BatchInterval: 2 * time.Millisecond, Cores: 2, Nodes: 1, Callers: 1, Classes: []rules.Class{safe, once, never},
+		BatchInterval: 2 * time.Millisecond, Cores: 2, Nodes: 1, Callers: 1, Classes: []rules.Class{safe, keyed, unsafe},
 		MemoryKB: 1e6, RunningMemoryFactor: 4, RecordKB: 1, Preemption: rules.PreemptDrop, OverloadRunsPerCore: 8,
 		OverloadWindow: time.Second, DrainGrace: 100 * time.Millisecond, TimeoutsPassed: true, DisconnectsReported: true,
 		Gauges: []string{"cpu_busy", "runnable"}, HonoursRetryAfter: true, MaxRetryAfter: time.Second,
 	}
 }
 
-func newRig(t *testing.T, set rules.Settings, bindNow bool) *rig {
+func newRig(t *testing.T, set rules.Settings, poolUp bool) *rig {
 	t.Helper()
-	return newRigWith(t, Config{Settings: set}, bindNow)
+	return newRigWith(t, Config{Settings: set}, poolUp)
 }
 
-func newRigWith(t *testing.T, cfg Config, bindNow bool) *rig {
+func newRigWith(t *testing.T, cfg Config, poolUp bool) *rig {
 	t.Helper()
 	r := &rig{t: t, sides: &sides{answers: map[uint64][]exchange.Answer{}}}
 	cfg.ResultBytes, cfg.Log = 1<<10, slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -92,14 +92,14 @@
 	if err := r.buildModule(r.now, false); err != nil {
 		t.Fatal(err)
 	}
-	if bindNow {
+	if poolUp {
 		r.WorkerPoolUp(false, time.Hour)
 	}
 	r.runBatches()
 	return r
 }
 
-// turn lets the loop take what waits, and what it made of that.
+// runBatches runs a batch for the waiting events, and further ones for its follow-ups.
 func (r *rig) runBatches() {
 	r.runBatch()
 	for len(r.followUps) > 0 {
@@ -107,7 +107,7 @@
 	}
 }
 
-// send makes a request arrive and turns the loop.
+// send makes a request arrive and runs the batches.
 func (r *rig) send(class int, more func(*exchange.Request)) *exchange.Exchange {
 	r.tag++
 	c := exchange.Request{
@@ -128,7 +128,7 @@
 	r.runBatches()
 }
 
-// only checks that a request has just this one answer.
+// wantAnswer checks that a request has exactly this one answer.
 func (r *rig) wantAnswer(x *exchange.Exchange, kind exchange.Kind, body string) {
 	r.t.Helper()
 	if a := r.answers[x.Tag]; len(a) != 1 || a[0].Kind != kind || string(a[0].Body) != body {
@@ -136,6 +136,7 @@
 	}
 }
 
+// wantNoAnswer checks that a request has no answer.
 func (r *rig) wantNoAnswer(x *exchange.Exchange) {
 	r.t.Helper()
 	if a := r.answers[x.Tag]; len(a) != 0 {
@@ -143,64 +144,64 @@
 	}
 }
 
-// empty checks that nothing is left of any request.
+// wantEmpty checks that no request is left in the node's tables.
 func (r *rig) wantEmpty() {
 	r.t.Helper()
 	if len(r.requests) != 0 || len(r.byExchange) != 0 || len(r.byTxn) != 0 || r.counters.OpenRequests() != 0 {
-		r.t.Errorf("left over: %d items, %d requests in hand", len(r.requests), r.counters.OpenRequests())
+		r.t.Errorf("left over: %d requests in the node, %d open", len(r.requests), r.counters.OpenRequests())
 	}
 }
 
 func withKey(k string) func(*exchange.Request)  { return func(c *exchange.Request) { c.Unique = k } }
 func withItem(k string) func(*exchange.Request) { return func(c *exchange.Request) { c.Item = k } }
 
-// Every way in which a run can end is answered once, and nothing stays behind.
+// Every outcome of a run is answered once, and no request stays in the node's tables.
 func TestRunEnds(t *testing.T) {
 	r := newRig(t, defaultSettings(), true)
 	a, b, c := r.send(0, nil), r.send(0, nil), r.send(1, withKey("k"))
 	if len(r.started) != 2 { // two cores to start with
-		t.Fatalf("spawned %v", r.started)
+		t.Fatalf("started %v", r.started)
 	}
 	r.endRun(a, pool.Complete, "result")
 	r.wantAnswer(a, exchange.Served, "result")
 	r.endRun(a, pool.Complete, "again") // harmless
 	r.endRun(b, pool.Error, "")
 	r.wantAnswer(b, exchange.Failed, "")
-	r.endRun(c, pool.NeverStarted, "") // odd, as it was not over: it is answered all the same
+	r.endRun(c, pool.NeverStarted, "") // unexpected, as the request is still open: it is answered all the same
 	r.wantAnswer(a, exchange.Served, "result")
 	r.wantAnswer(c, exchange.Failed, "")
 	r.wantEmpty()
 }
 
-// A stopped run without an answer is the module's again: safe work runs anew.
+// A stopped run without an answer goes back to the module: safe work runs again.
 func TestStoppedSafeRunStartsAgain(t *testing.T) {
 	r := newRig(t, defaultSettings(), true)
 	a := r.send(0, nil)
 	r.endRun(a, pool.Cancelled, "")
 	r.wantNoAnswer(a)
 	if len(r.started) != 2 || r.started[0] != r.started[1] {
-		t.Fatalf("spawned %v", r.started)
+		t.Fatalf("started %v", r.started)
 	}
 	r.endRun(a, pool.Complete, "r")
 	r.wantAnswer(a, exchange.Served, "r")
 	r.wantEmpty()
 }
 
-// Unsafe work that was stopped may have had its effect: it fails, and neither is
-// refused nor runs again.
+// Unsafe work that was stopped may have had its effect: it fails, and is neither
+// refused nor run again.
 func TestStoppedUnsafeRunFails(t *testing.T) {
 	r := newRig(t, defaultSettings(), true)
 	a := r.send(2, nil)
 	r.endRun(a, pool.Cancelled, "")
 	r.wantAnswer(a, exchange.Failed, "")
 	if len(r.started) != 1 {
-		t.Errorf("spawned %v", r.started)
+		t.Errorf("started %v", r.started)
 	}
 	r.wantEmpty()
 }
 
-// A caller that leaves gets no answer; its safe run is stopped, and whichever
-// way the run then ends, nothing stays behind.
+// A caller that disconnects gets no answer. Its safe run is stopped, and however the
+// run then ends, no request stays in the node's tables.
 func TestCallerGone(t *testing.T) {
 	for _, end := range []pool.Outcome{pool.Complete, pool.Error, pool.Cancelled, pool.NeverStarted} {
 		r := newRig(t, defaultSettings(), true)
@@ -211,7 +212,7 @@
 		}
 		r.runBatches()
 		if len(r.started) != 2 || len(r.stopped) != 2 {
-			t.Fatalf("spawned %v, stopped %v", r.started, r.stopped)
+			t.Fatalf("started %v, stopped %v", r.started, r.stopped)
 		}
 		for _, x := range queued {
 			r.endRun(x, end, "late")
@@ -221,7 +222,7 @@
 	}
 }
 
-// A cancel may come before the loop has even taken the request up.
+// A request that is cancelled before the loop handles its arrival does not run.
 func TestCallerGoneBeforeArrival(t *testing.T) {
 	r := newRig(t, defaultSettings(), true)
 	x := exchange.New(&r.counters, r.sides, 1, exchange.Request{Txn: "x", ArrivedUnixMs: r.unixMs(), MemoryKB: 1, Safe: true})
@@ -235,8 +236,8 @@
 	r.wantEmpty()
 }
 
-// What the worker pool never answers still gets its answer before it is due,
-// and the run's own end, much later, gives no second one.
+// A request whose run does not end is answered before its timeout, and the late end
+// of the run gives no second answer.
 func TestUnansweredRunFailsBeforeTimeout(t *testing.T) {
 	r := newRig(t, defaultSettings(), true)
 	x := r.send(1, func(c *exchange.Request) { c.Unique, c.TimeoutMs = "k", 300 })
@@ -245,7 +246,7 @@
 		r.runBatches()
 	}
 	if r.elapsed >= 300*time.Millisecond {
-		t.Errorf("answered after %v, due after 300 ms", r.elapsed)
+		t.Errorf("answered after %v, timeout 300 ms", r.elapsed)
 	}
 	r.wantAnswer(x, exchange.Failed, "")
 	r.endRun(x, pool.Complete, "late")
@@ -256,7 +257,8 @@
 	r.wantEmpty()
 }
 
-// A keyed request runs once in its window, however often and whenever it comes.
+// A keyed request runs once in its idempotency window, however many tries arrive before
+// and after its run ends.
 func TestKeyedRequestRunsOnce(t *testing.T) {
 	r := newRig(t, defaultSettings(), true)
 	first := r.send(1, withKey("k"))
@@ -274,7 +276,7 @@
 	if len(r.started) != 2 {
 		t.Fatalf("%d runs of two keys", len(r.started))
 	}
-	// A repeat that came within the window and is read after it still counts.
+	// A repeat that arrived within the window and is read after it gets the result.
 	r.advance(320 * time.Millisecond)
 	late := r.send(1, func(c *exchange.Request) { c.Unique, c.ArrivedUnixMs = "k", c.ArrivedUnixMs-200 })
 	r.wantAnswer(late, exchange.Served, "result")
@@ -282,14 +284,14 @@
 	r.advance(320 * time.Millisecond)
 	fresh := r.send(1, withKey("k"))
 	if len(r.started) != 3 {
-		t.Error("not run after its window")
+		t.Error("it did not run after its window")
 	}
 	r.endRun(fresh, pool.Complete, "new")
 	r.wantAnswer(fresh, exchange.Served, "new")
 	r.wantEmpty()
 }
 
-// A caller that leaves does not end keyed work; its repeats get the result.
+// A caller that disconnects does not stop its keyed run; repeats get the result.
 func TestKeyedRunContinuesWithoutItsCaller(t *testing.T) {
 	r := newRig(t, defaultSettings(), true)
 	first := r.send(1, withKey("k"))
@@ -304,27 +306,27 @@
 	r.wantNoAnswer(second)
 	r.wantAnswer(third, exchange.Served, "result")
 	if len(r.started) != 1 || len(r.stopped) != 0 {
-		t.Errorf("spawned %v, stopped %v", r.started, r.stopped)
+		t.Errorf("started %v, stopped %v", r.started, r.stopped)
 	}
 	r.wantEmpty()
 }
 
-// Work that was turned away before it ran leaves its key free.
+// A request that was refused before it ran releases its key.
 func TestRefusedRequestReleasesItsKey(t *testing.T) {
 	r := newRig(t, defaultSettings(), true)
-	first := r.send(1, func(c *exchange.Request) { c.Unique, c.TimeoutMs = "k", 1 }) // too late when it comes
+	first := r.send(1, func(c *exchange.Request) { c.Unique, c.TimeoutMs = "k", 1 }) // it cannot meet its deadline
 	r.wantAnswer(first, exchange.Refused, "")
 	second := r.send(1, withKey("k"))
 	if len(r.started) != 1 {
-		t.Fatalf("spawned %v", r.started)
+		t.Fatalf("started %v", r.started)
 	}
 	r.endRun(second, pool.Complete, "r")
 	r.wantAnswer(second, exchange.Served, "r")
 	r.wantEmpty()
 }
 
-// Kept results have a bound of their own. A repeat whose result had to go
-// fails: the work ran.
+// Stored results have a bound of their own. A repeat whose result was evicted fails,
+// since the request ran.
 func TestStoredResultsAreBounded(t *testing.T) {
 	r := newRig(t, defaultSettings(), true)
 	big := string(make([]byte, 700))
@@ -332,24 +334,24 @@
 		r.endRun(r.send(1, withKey(k)), pool.Complete, big)
 	}
 	if r.records.resultBytes > 1<<10 {
-		t.Errorf("%d bytes kept", r.records.resultBytes)
+		t.Errorf("%d bytes stored", r.records.resultBytes)
 	}
 	r.wantAnswer(r.send(1, withKey("a")), exchange.Failed, "")
 	r.wantAnswer(r.send(1, withKey("b")), exchange.Served, big)
 	if len(r.started) != 2 {
-		t.Errorf("spawned %v", r.started)
+		t.Errorf("started %v", r.started)
 	}
 	r.advance(320 * time.Millisecond)
 	r.readClock()
 	r.records.lastSweep = 0
 	r.records.removeExpired(r.now + lateReadGrace)
 	if len(r.records.byKey) != 0 || r.records.resultBytes != 0 || len(r.records.results) != 0 {
-		t.Errorf("%d entries and %d bytes left", len(r.records.byKey), r.records.resultBytes)
+		t.Errorf("%d records and %d bytes left", len(r.records.byKey), r.records.resultBytes)
 	}
 }
 
-// Reads of one item share a run, and its answer while it is fresh; a failure is
-// not shared once it is known.
+// Reads of one item share a run, and its result while it is fresh; a failure is not
+// shared with requests that arrive after it.
 func TestReadsShareAFreshResult(t *testing.T) {
 	set := defaultSettings()
 	set.ReadFreshness = 100 * time.Millisecond
@@ -365,22 +367,22 @@
 	r.endRun(other, pool.Error, "")
 	d := r.send(0, withItem("j"))
 	if len(r.started) != 4 {
-		t.Errorf("spawned %v", r.started)
+		t.Errorf("started %v", r.started)
 	}
 	r.endRun(d, pool.Complete, "ok now")
 	r.wantAnswer(d, exchange.Served, "ok now")
 	r.advance(120 * time.Millisecond)
 	e := r.send(0, withItem("i"))
 	if len(r.started) != 5 {
-		t.Error("a stale answer was shared")
+		t.Error("a stale result was shared")
 	}
 	r.endRun(e, pool.Complete, "r2")
 	r.wantAnswer(e, exchange.Served, "r2")
 	r.wantEmpty()
 }
 
-// Nothing runs before the worker pool is up; then the module begins with its
-// age, and what came too early is read again.
+// Nothing runs before the worker pool is up. Then the module starts with the pool's
+// age, and requests that arrived earlier are passed to it.
 func TestWorkerPoolComesUpLate(t *testing.T) {
 	set := defaultSettings()
 	set.ColdStart, set.ColdSpeed, set.WarmUpTime = false, 0.2, 10*time.Second
@@ -390,7 +392,7 @@
 	r.CallerGone(left)
 	r.runBatches()
 	if len(r.started) != 0 || len(r.stopped) != 0 {
-		t.Fatalf("said to a worker pool that is not up: %v %v", r.started, r.stopped)
+		t.Fatalf("commands to a worker pool that is not up: %v %v", r.started, r.stopped)
 	}
 	r.WorkerPoolUp(true, 4*time.Second)
 	r.runBatches()
@@ -398,19 +400,19 @@
 		t.Errorf("cold %v since %v", r.cfg.Settings.ColdStart, r.now-r.poolUpSince)
 	}
 	if len(r.started) != 1 || r.started[0] != early.Txn {
-		t.Errorf("spawned %v", r.started)
+		t.Errorf("started %v", r.started)
 	}
-	r.WorkerPoolUp(false, time.Hour) // a new link is no new worker pool
+	r.WorkerPoolUp(false, time.Hour) // a new pool link does not mean a new worker pool
 	r.runBatches()
 	if !r.cfg.Settings.ColdStart {
-		t.Error("a new link changed what is known")
+		t.Error("a new pool link changed the cold start")
 	}
 	r.endRun(early, pool.Complete, "r")
 	r.wantAnswer(early, exchange.Served, "r")
 	r.wantEmpty()
 }
 
-// After the notice nothing runs that came past the grace; it is refused at once.
+// After the drain notice and its grace, requests are refused at once.
 func TestDrain(t *testing.T) {
 	r := newRig(t, defaultSettings(), true)
 	before := r.send(0, nil)
@@ -420,22 +422,22 @@
 	past := r.send(0, nil)
 	r.wantAnswer(past, exchange.Refused, "")
 	if a := r.answers[past.Tag]; len(a) == 1 && a[0].RetryAfter != time.Second {
-		t.Errorf("advice %v", a[0].RetryAfter)
+		t.Errorf("retry-after %v", a[0].RetryAfter)
 	}
 	r.endRun(before, pool.Complete, "r")
 	r.wantAnswer(before, exchange.Served, "r")
 	r.wantEmpty()
 }
 
-// A module made anew while the node leaves keeps to the grace and the stop that
-// count from the notice: with a grace of its own it would run what came too late.
+// A module that is replaced while the node drains keeps the grace and the stop time that
+// count from the notice: with a grace of its own it would run requests that came too late.
 func TestDrainSurvivesModuleReset(t *testing.T) {
 	for name, rebuild := range map[string]func(*rig){
 		"after a defect": func(r *rig) { r.guard(func() { panic("defect") }) },
-		"bound late":     func(r *rig) { r.WorkerPoolUp(false, time.Hour); r.runBatches() },
+		"pool up late":   func(r *rig) { r.WorkerPoolUp(false, time.Hour); r.runBatches() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, defaultSettings(), name != "bound late")
+			r := newRig(t, defaultSettings(), name != "pool up late")
 			r.Drain(400 * time.Millisecond)
 			r.runBatches()
 			r.advance(120 * time.Millisecond)
@@ -443,14 +445,15 @@
 			past := r.send(0, nil)
 			r.wantAnswer(past, exchange.Refused, "")
 			if len(r.started) != 0 {
-				t.Errorf("spawned %v", r.started)
+				t.Errorf("started %v", r.started)
 			}
 			r.wantEmpty()
 		})
 	}
 }
 
-// A request in hand under the same name can't be told apart by the worker pool.
+// Two open requests with one transaction name cannot be distinguished by the worker
+// pool: the second fails.
 func TestDuplicateTransactionFails(t *testing.T) {
 	r := newRig(t, defaultSettings(), true)
 	a := r.send(0, nil)
@@ -462,8 +465,8 @@
 	r.wantEmpty()
 }
 
-// Should the module's code fail, all that was read is answered and the node
-// goes on with a new module; runs that go on end without a trace.
+// If the module panics, all open requests are answered and the node continues with a new
+// module; the runs that continue end without a second answer.
 func TestModulePanic(t *testing.T) {
 	r := newRig(t, defaultSettings(), true)
 	running, queued := r.send(0, nil), []*exchange.Exchange{}
@@ -489,13 +492,13 @@
 	r.wantEmpty()
 }
 
-// faulty is a module with a defect in one of its methods.
+// faultyModule panics in one of its methods.
 type faultyModule struct{ decisionModule }
 
 func (faultyModule) CallerGone(time.Duration, rules.RequestID) { panic("defect") }
 
-// A defect costs what it was fed, not what waited behind it in the same batch:
-// those requests were read and are owed an answer.
+// A panic loses the event that caused it, not those that follow in the same batch: their
+// requests were read and must be answered.
 func TestModulePanicWithinABatch(t *testing.T) {
 	r := newRig(t, defaultSettings(), true)
 	first := r.send(0, nil)
@@ -515,13 +518,13 @@
 	r.wantEmpty()
 }
 
-// The module's timer brings the gauges, which are asked for a little earlier.
+// The gauges are polled a little before each timer of the module.
 func TestGaugesArePolledBeforeTheTimer(t *testing.T) {
 	r := newRig(t, defaultSettings(), true)
 	r.GaugesRead([]float64{0.5, 3})
 	for r.polls < 3 {
 		if r.elapsed > 2*time.Second {
-			t.Fatal("gauges not asked for")
+			t.Fatal("gauges not polled")
 		}
 		r.advance(r.untilNextTimer())
 		r.runBatches()
@@ -531,7 +534,7 @@
 	}
 }
 
-// spy notes what reaches the module.
+// recordingModule records what reaches the module.
 type recordingModule struct {
 	decisionModule
 	gauges   []float64
@@ -554,6 +557,7 @@
 	s.decisionModule.FinishBatch(now)
 }
 
+// The module's timer receives the gauges that were read last.
 func TestGaugesReachTheModule(t *testing.T) {
 	r := newRig(t, defaultSettings(), true)
 	s := &recordingModule{decisionModule: r.module}
@@ -568,15 +572,15 @@
 	}
 }
 
-// However fast events come, the module settles once for all that waited, and at
-// most once a tick.
+// However fast events arrive, the module finishes one batch for all that waited, and at
+// most one per batch interval.
 func TestOneBatchPerInterval(t *testing.T) {
 	set := defaultSettings()
 	set.BatchInterval = 5 * time.Millisecond
 	r := newRig(t, set, true)
 	s := &recordingModule{decisionModule: r.module}
 	r.module = s
-	began := time.Now() // the one test on a real clock: it is about how fast the loop turns
+	began := time.Now() // the one test on a real clock, as it measures the loop's rate
 	r.clock = func() time.Duration { return r.elapsed + time.Since(began) }
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -594,72 +598,72 @@
 	}
 	for i := 1; i < len(s.finished); i++ {
 		if gap := s.finished[i] - s.finished[i-1]; gap < set.BatchInterval {
-			t.Fatalf("settled again after %v", gap)
+			t.Fatalf("next batch after %v", gap)
 		}
 	}
 }
 
-// The clocks of two programs may say anything; the module gets sane times.
+// The clocks of two programs may differ by any amount; the module gets bounded times.
 func TestRequestTimes(t *testing.T) {
 	const now = 1764576000500.0
 	for _, c := range []struct {
-		door, limit   float64
-		age, patience time.Duration
+		arrived, timeout   float64
+		age, callerTimeout time.Duration
 	}{
 		{now - 100, 480, 100 * time.Millisecond, 380 * time.Millisecond},
-		{now - 100, 0, 100 * time.Millisecond, 0}, // not told
+		{now - 100, 0, 100 * time.Millisecond, 0}, // not known
 		{now - 500, 480, 500 * time.Millisecond, time.Microsecond},
-		{now + 300, 480, 0, 480 * time.Millisecond}, // from the future
+		{now + 300, 480, 0, 480 * time.Millisecond}, // in the future
 		{0, 480, maxClockSpan, time.Microsecond},
 		{now, 1e300, 0, maxClockSpan},
 		{1e18, 1e-9, 0, time.Microsecond},
 	} {
-		x := exchange.New(&exchange.Counters{}, nil, 1, exchange.Request{ArrivedUnixMs: c.door, TimeoutMs: c.limit, HintMs: 12.5})
+		x := exchange.New(&exchange.Counters{}, nil, 1, exchange.Request{ArrivedUnixMs: c.arrived, TimeoutMs: c.timeout, HintMs: 12.5})
 		q := moduleRequest(x, 1, now)
-		if q.Age != c.age || q.CallerTimeout != c.patience || q.WorkHint != 12500*time.Microsecond {
-			t.Errorf("door %v, limit %v: age %v, patience %v", c.door, c.limit, q.Age, q.CallerTimeout)
+		if q.Age != c.age || q.CallerTimeout != c.callerTimeout || q.WorkHint != 12500*time.Microsecond {
+			t.Errorf("arrived %v, timeout %v: age %v, caller timeout %v", c.arrived, c.timeout, q.Age, q.CallerTimeout)
 		}
 	}
 }
 
-// A stranger uses the key of somebody else's request for one of its own: it is told
-// nothing of the other's result, at no point of the other's life, its request does
-// not run, and the other is served as if it had not come.
+// A caller uses the idempotency key of another caller's request with another body. Its
+// request fails without running, at whatever stage the other is: it never gets the other's
+// result, and the other is served as if it had not come.
 func TestKeyConflict(t *testing.T) {
 	body := func(k, b string) func(*exchange.Request) {
 		return func(c *exchange.Request) { c.Unique, c.Body = k, []byte(b) }
 	}
-	conflicting := func(r *rig) { r.t.Helper(); r.wantAnswer(r.send(1, body("k", "theirs")), exchange.Failed, "") }
-	t.Run("held", func(t *testing.T) {
-		r := newRig(t, defaultSettings(), false) // before the worker pool is bound nothing is run
+	wantConflict := func(r *rig) { r.t.Helper(); r.wantAnswer(r.send(1, body("k", "theirs")), exchange.Failed, "") }
+	t.Run("queued", func(t *testing.T) {
+		r := newRig(t, defaultSettings(), false) // nothing runs before the worker pool is up
 		x := r.send(1, body("k", "mine"))
-		conflicting(r)
+		wantConflict(r)
 		r.WorkerPoolUp(false, time.Hour)
 		r.runBatches()
-		conflicting(r)
+		wantConflict(r)
 		r.endRun(x, pool.Complete, "result")
 		r.wantAnswer(x, exchange.Served, "result")
 		r.wantEmpty()
 	})
-	t.Run("running and over", func(t *testing.T) {
+	t.Run("running and ended", func(t *testing.T) {
 		r := newRig(t, defaultSettings(), true)
 		x := r.send(1, body("k", "mine"))
-		conflicting(r)
-		same := r.send(1, body("k", "mine"))
+		wantConflict(r)
+		repeat := r.send(1, body("k", "mine"))
 		r.endRun(x, pool.Complete, "result")
-		conflicting(r)
+		wantConflict(r)
 		r.wantAnswer(x, exchange.Served, "result")
-		r.wantAnswer(same, exchange.Served, "result")
+		r.wantAnswer(repeat, exchange.Served, "result")
 		r.wantAnswer(r.send(1, body("k", "mine")), exchange.Served, "result")
 		if len(r.started) != 1 || r.KeyConflicts.Load() != 2 {
-			t.Errorf("%d runs, %d told of", len(r.started), r.KeyConflicts.Load())
+			t.Errorf("%d runs, %d conflicts counted", len(r.started), r.KeyConflicts.Load())
 		}
 		r.wantEmpty()
 	})
-	t.Run("the stranger first", func(t *testing.T) {
+	t.Run("the conflicting request first", func(t *testing.T) {
 		r := newRig(t, defaultSettings(), true)
 		x := r.send(1, body("k", "theirs"))
-		r.endRun(x, pool.NeverStarted, "") // the worker pool knows no such request
+		r.endRun(x, pool.NeverStarted, "") // rejected by the worker pool
 		r.wantAnswer(x, exchange.Failed, "")
 		x = r.send(1, body("k", "mine"))
 		r.endRun(x, pool.Complete, "result")
@@ -668,7 +672,7 @@
 	})
 }
 
-// calls stands in for what lies below.
+// stubCalls stands in for the downstream dependency.
 type stubCalls struct {
 	refs      []string
 	done      []func(rules.Outcome, []byte, time.Duration)
@@ -681,9 +685,9 @@
 	return func() { c.cancelled++ }
 }
 
-// A run that stands at a call is let go on with the call's result; a call that failed is
-// made again only where that is safe; one whose request is over is given up, and what it
-// brings later goes nowhere.
+// A run that waits for a downstream call continues with its result. A failed call is
+// retried only for safe work. A call whose request has ended is cancelled, and its late
+// result is discarded.
 func TestDependencyCalls(t *testing.T) {
 	set := defaultSettings()
 	set.Dependency, set.CallShare, set.CallWindow = rules.DependencyShared, 10, 5*time.Second
@@ -696,12 +700,12 @@
 		dependency.done[i](o, []byte(text), time.Millisecond)
 		r.runBatches()
 	}
-	blocked := func(x *exchange.Exchange, statement string) { r.CallNeeded(x, []byte(statement)); r.runBatches() }
+	callNeeded := func(x *exchange.Exchange, statement string) { r.CallNeeded(x, []byte(statement)); r.runBatches() }
 	x := r.send(0, nil)
-	blocked(x, "q1")
+	callNeeded(x, "q1")
 	answer(0, rules.OK, "rows")
-	blocked(x, "q2")
-	answer(1, rules.ConnectionReset, "") // safe work: made again
+	callNeeded(x, "q2")
+	answer(1, rules.ConnectionReset, "") // safe work: retried
 	if len(dependency.refs) != 3 || dependency.refs[2] != x.Txn+" q2" {
 		t.Fatalf("calls %v", dependency.refs)
 	}
@@ -709,31 +713,31 @@
 	r.endRun(x, pool.Complete, "result")
 	r.wantAnswer(x, exchange.Served, "result")
 	if len(r.continued) != 2 || r.continued[0] != x.Txn+" rows" || r.continued[1] != x.Txn+" more" {
-		t.Errorf("supplied %v", r.continued)
+		t.Errorf("continued %v", r.continued)
 	}
 
 	unsafe := r.send(2, nil) // unsafe
-	blocked(unsafe, "q")
+	callNeeded(unsafe, "q")
 	answer(3, rules.TimedOut, "") // it may have had its effect
 	r.wantAnswer(unsafe, exchange.Failed, "")
 	r.endRun(unsafe, pool.Cancelled, "") // as its request is over
 	if len(dependency.refs) != 4 || len(r.continued) != 2 {
-		t.Errorf("calls %v, supplied %v", dependency.refs, r.continued)
+		t.Errorf("calls %v, continued %v", dependency.refs, r.continued)
 	}
 
 	gone := r.send(0, nil)
-	blocked(gone, "q")
+	callNeeded(gone, "q")
 	gone.Abandon(exchange.EndedCallerGone)
 	r.CallerGone(gone)
 	r.runBatches()
 	r.endRun(gone, pool.Cancelled, "")
 	if dependency.cancelled != 1 {
-		t.Errorf("%d calls given up", dependency.cancelled)
+		t.Errorf("%d calls cancelled", dependency.cancelled)
 	}
 	answer(4, rules.OK, "late")
-	blocked(gone, "q")
+	callNeeded(gone, "q")
 	if len(r.continued) != 2 || len(dependency.refs) != 5 {
-		t.Errorf("after its end: calls %v, supplied %v", dependency.refs, r.continued)
+		t.Errorf("after its end: calls %v, continued %v", dependency.refs, r.continued)
 	}
 	r.wantEmpty()
 }
--- a/internal/node/resultcache.go
+++ b/internal/node/resultcache.go
@@ -18,7 +18,7 @@
 	Restore(now time.Duration) ([]memory.RestoredRecord, error)
 	// Wants reports whether a request is recorded, and whether its run must wait until
 	// its intent is durable.
-	Wants(x *exchange.Exchange) (remember, intent bool)
+	Wants(x *exchange.Exchange) (record, intent bool)
 	// StoreIntent writes that the request is about to run; done is called once that is
 	// durable, or with the error.
 	StoreIntent(now time.Duration, x *exchange.Exchange, expires time.Duration, done func(error))
@@ -26,7 +26,7 @@
 	// the same.
 	RunsUnrecorded(err error) bool
 	// RunEnded stores how a run ended; done receives whether the result is stored.
-	RunEnded(now time.Duration, x *exchange.Exchange, expires time.Duration, good bool, body []byte, done func(kept bool))
+	RunEnded(now time.Duration, x *exchange.Exchange, expires time.Duration, good bool, body []byte, done func(stored bool))
 	// Withdraw removes the intent of a request that did not run.
 	Withdraw(x *exchange.Exchange)
 	// LateRunEnded stores how a run of a previous incarnation ended.
@@ -35,7 +35,7 @@
 	// the worker pool came up.
 	DecideRepeat(r memory.RestoredRecord, pool time.Duration) resultcache.RepeatAction
 	// CountRepeat counts a repeat of a restored request, answered with a result or failed.
-	CountRepeat(good bool)
+	CountRepeat(served bool)
 	// Fetch reads a stored result.
 	Fetch(key string, done func(body []byte, err error))
 	// Flush is called at the end of each batch.
--- a/internal/node/resultcache_test.go
+++ b/internal/node/resultcache_test.go
@@ -21,8 +21,8 @@
 	"robinmast/rules"
 )
 
-// life is one life of a node with a memory, on a disk that outlives it. up is
-// the machine's own clock, in milliseconds; lives follow each other by it.
+// incarnation is one incarnation of a node with a result cache, on a disk that outlives
+// it. bootMs is the host's clock at its start, milliseconds since boot.
 type incarnation struct {
 	*rig
 	disk   *vfs.Mem
@@ -30,10 +30,10 @@
 	bootMs int64
 }
 
-// lifeLog takes what memories say.
+// cacheLog is the log of the result caches.
 var cacheLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// live begins a life on a disk, the worker pool being up for poolUp.
+// startIncarnation starts a node on a disk; its worker pool has been up for poolUpFor.
 func startIncarnation(t *testing.T, disk *vfs.Mem, bootMs int64, poolUpFor time.Duration, change func(*config.Results, *rules.Settings)) *incarnation {
 	t.Helper()
 	l := &incarnation{disk: disk, bootMs: bootMs}
@@ -63,14 +63,14 @@
 		t.Fatal(err)
 	}
 	l.rig = newRigWith(t, Config{Settings: set, ResultCache: l.cache}, false)
-	l.tag = uint64(bootMs) << 16 // a run's name is never used again
+	l.tag = uint64(bootMs) << 16 // a transaction name is used once only
 	l.WorkerPoolUp(false, poolUpFor)
 	l.runBatches()
 	t.Cleanup(func() { _ = l.cache.Close(l.now) })
 	return l
 }
 
-// until turns the loop until ok: the store answers in its own time.
+// eventually runs batches until ok; the store calls back from its own goroutine.
 func (l *incarnation) eventually(what string, ok func() bool) {
 	l.t.Helper()
 	standin.Eventually(l.t, what, func() bool { l.runBatches(); return ok() })
@@ -93,17 +93,17 @@
 	return len(l.answers[x.Tag]) > 0
 }
 
-// hold lets no operation on the disk begin until the function it returns is called.
+// blockDisk blocks all operations on the disk until the returned function is called.
 func blockDisk(disk *vfs.Mem) (release func()) {
 	unblocked := make(chan struct{})
 	disk.Fail(func(vfs.Op) error { <-unblocked; return nil })
 	return func() { close(unblocked); disk.Fail(nil) }
 }
 
-// The node is cut off at every operation on its disk, and inside each write at
-// every byte, while a keyed request runs and is answered. Whatever the next life
-// finds, the request never runs again once it may have, and once it was answered
-// the repeat gets the same bytes.
+// The node crashes at every operation on its disk, and at every byte of each write,
+// while a keyed request runs and is answered. Whatever the next incarnation finds, the
+// request does not run again once it may have run, and once it was answered a repeat gets
+// the same bytes.
 func TestCrashAtEveryDiskOperation(t *testing.T) {
 	disk := vfs.NewMem(true)
 	a := startIncarnation(t, disk, 1000, time.Hour, nil)
@@ -132,7 +132,7 @@
 			}
 		}
 		for i, cut := range cuts {
-			b := startIncarnation(t, disk.After(n, cut), 1050, 10*time.Millisecond, nil) // the pool went down too
+			b := startIncarnation(t, disk.After(n, cut), 1050, 10*time.Millisecond, nil) // the worker pool restarted too
 			y := b.send(1, withKey("k"))
 			b.eventually("a run or an answer", func() bool { return b.hasRun(y) || b.hasAnswer(y) })
 			switch {
@@ -147,8 +147,8 @@
 	}
 }
 
-// The worker pool outlived the node: repeats wait for the run that goes on, get
-// its result, and so do those of a third life. Three at once run nothing.
+// The worker pool outlives the node: repeats wait for the run that continues and get its
+// result, and so do those of a third incarnation. Three concurrent repeats start no run.
 func TestWorkerPoolOutlivesTheNode(t *testing.T) {
 	disk := vfs.NewMem(false)
 	a := startIncarnation(t, disk, 1000, time.Hour, nil)
@@ -161,13 +161,13 @@
 	}
 	other := b.send(1, func(c *exchange.Request) { c.Unique, c.TenantName = "k", "other" })
 	b.eventually("another tenant's run", func() bool { return b.hasRun(other) })
-	b.UnknownRunEnded("ffffffffffffffff", pool.Complete, []byte("not asked for by anybody"))
+	b.UnknownRunEnded("ffffffffffffffff", pool.Complete, []byte("of a run that nobody started"))
 	b.UnknownRunEnded(x.Txn, pool.Complete, []byte("result"))
 	for _, y := range all {
 		b.eventually("the answer", func() bool { return b.hasAnswer(y) })
 		b.wantAnswer(y, exchange.Served, "result")
 	}
-	b.UnknownRunEnded(x.Txn, pool.Complete, []byte("told twice"))
+	b.UnknownRunEnded(x.Txn, pool.Complete, []byte("delivered twice"))
 	if len(b.started) != 1 {
 		t.Errorf("ran %v", b.started)
 	}
@@ -183,10 +183,9 @@
 	}
 }
 
-// The node was cut off between a run's intent and its begin, and the worker pool
-// outlived it: nobody ever tells the run's end. Repeats fail once it was awaited for
-// long enough, before their own time is over; should its end be told after all, later
-// repeats get it.
+// The node crashes between a run's intent and its start, and the worker pool outlives it:
+// the end of the run is never received. Repeats fail after InFlightTimeout, before their
+// own deadline; if the end is received after all, later repeats get the result.
 func TestEndThatNobodyTells(t *testing.T) {
 	long := func(_ *config.Results, set *rules.Settings) { set.Classes[1].IdempotencyWindow = 10 * time.Second }
 	disk := vfs.NewMem(false)
@@ -203,7 +202,7 @@
 	b.eventually("the answer", func() bool { return b.hasAnswer(y) })
 	b.wantAnswer(y, exchange.Failed, "")
 	if len(b.started) != 0 || decide.InFlightTimeout(0, deadline) >= deadline || decide.InFlightTimeout(10*time.Millisecond, deadline) > deadline/2 {
-		t.Errorf("ran %v, awaited for %v of %v", b.started, decide.InFlightTimeout(0, deadline), deadline)
+		t.Errorf("ran %v, waited for %v of %v", b.started, decide.InFlightTimeout(0, deadline), deadline)
 	}
 	b.UnknownRunEnded(x.Txn, pool.Complete, []byte("result"))
 	b.runBatches()
@@ -212,8 +211,8 @@
 	b.wantAnswer(z, exchange.Served, "result")
 }
 
-// A key that returns 1 ms before its result aged out gets it, 1 ms after it runs;
-// the time the node was away counts.
+// A repeat that arrives 1 ms before its result expires gets it; 1 ms after, it runs. The
+// time during which the node was down counts.
 func TestAgedOut(t *testing.T) {
 	for _, late := range []time.Duration{-time.Millisecond, time.Millisecond} {
 		disk := vfs.NewMem(false)
@@ -223,17 +222,17 @@
 		a.RunEnded(x, pool.Complete, time.Millisecond, []byte("result"))
 		a.eventually("the answer", func() bool { return a.hasAnswer(x) })
 		b := startIncarnation(t, disk.Clone(), 1200, time.Hour, nil)
-		b.advance(304*time.Millisecond - 200*time.Millisecond + late) // the window, and two ticks
+		b.advance(304*time.Millisecond - 200*time.Millisecond + late) // the window, and two batch intervals
 		y := b.send(1, withKey("k"))
 		b.eventually("a run or an answer", func() bool { return b.hasRun(y) || b.hasAnswer(y) })
 		if b.hasRun(y) != (late > 0) {
-			t.Errorf("%v after it aged out: ran %v", late, b.hasRun(y))
+			t.Errorf("%v after it expired: ran %v", late, b.hasRun(y))
 		}
 	}
 }
 
-// A run stopped before its intent is durable never begins, and its key is free;
-// one whose intent can't be written fails, or runs unremembered, as set.
+// A request whose intent cannot be written fails and releases its key, or runs without
+// a record, as configured.
 func TestIntentWriteFails(t *testing.T) {
 	for _, run := range []bool{false, true} {
 		disk := vfs.NewMem(false)
@@ -247,7 +246,7 @@
 		x := a.send(1, withKey("k"))
 		a.eventually("a run or an answer", func() bool { return a.hasRun(x) || a.hasAnswer(x) })
 		if a.hasRun(x) != run {
-			t.Errorf("unwritable, run set to %v: ran %v", run, a.hasRun(x))
+			t.Errorf("disk full, RunUnwritten %v: ran %v", run, a.hasRun(x))
 		}
 		if !run {
 			a.wantAnswer(x, exchange.Failed, "")
@@ -255,13 +254,13 @@
 		}
 		disk.Fail(nil)
 		if y := a.send(1, withKey("k")); !run {
-			a.eventually("a run with room again", func() bool { return a.hasRun(y) })
+			a.eventually("a run once the disk has room", func() bool { return a.hasRun(y) })
 		}
 	}
 }
 
-// Reads are remembered within their freshness, apart by tenant; one cut off by a
-// crash runs again, or fails where that is set.
+// Results of reads survive a restart while they are fresh, separately for each tenant. A
+// read that was running at the crash runs again, or fails if configured so.
 func TestReadsSurviveRestart(t *testing.T) {
 	for _, fail := range []bool{false, true} {
 		set := func(r *config.Results, _ *rules.Settings) { r.FailUnknown = fail }
@@ -280,9 +279,9 @@
 		z := b.send(0, withItem("cut"))
 		b.eventually("a run or an answer", func() bool { return b.hasRun(z) || b.hasAnswer(z) })
 		if b.hasRun(z) == fail {
-			t.Errorf("cut off, to fail: %v, ran: %v", fail, b.hasRun(z))
+			t.Errorf("running at the crash, FailUnknown %v: ran %v", fail, b.hasRun(z))
 		}
-		for _, running := range []*exchange.Exchange{other, z} { // else they would pass for a stall
+		for _, running := range []*exchange.Exchange{other, z} { // otherwise they would look like a stalled worker pool
 			b.RunEnded(running, pool.Error, time.Millisecond, nil)
 		}
 		b.runBatches()
@@ -292,13 +291,13 @@
 	}
 }
 
-// Results that found no room in memory are read from the disk, and what was
-// remembered counts in the module's memory of keys.
+// Results that were evicted from memory are read from the disk, before and after a
+// restart.
 func TestResultsReadFromDisk(t *testing.T) {
 	disk := vfs.NewMem(false)
 	a := startIncarnation(t, disk, 1000, time.Hour, nil)
 	body := func(i int) string { return fmt.Sprintf("%0400d", i) }
-	for i := range 6 { // KeyBytes holds two
+	for i := range 6 { // ResultBytes holds two
 		x := a.send(1, withKey(fmt.Sprint(i)))
 		a.eventually("the run", func() bool { return a.hasRun(x) })
 		a.RunEnded(x, pool.Complete, time.Millisecond, []byte(body(i)))
@@ -317,7 +316,8 @@
 	}
 }
 
-// Restored entries count in the module's memory of keys, however often it is made.
+// Restored records count against the module's memory for records, also in a module that
+// replaces another.
 func TestRestoredRecordsCountAgainstMemory(t *testing.T) {
 	large := func(_ *config.Results, set *rules.Settings) { set.RecordKB = 0.3 * set.MemoryKB }
 	disk := vfs.NewMem(false)
@@ -333,11 +333,11 @@
 	b.advance(400 * time.Millisecond)
 	b.runBatches()
 	y := b.send(1, withKey("other"))
-	b.eventually("a run once the entry aged out", func() bool { return b.hasRun(y) })
+	b.eventually("a run once the record expired", func() bool { return b.hasRun(y) })
 }
 
-// Unsafe work waits for its intent where that is set, and the next life neither
-// keeps the entry nor forgets to name it.
+// Unsafe work waits for its intent if configured so. The next incarnation logs the
+// requests that may have run, and keeps no record of them.
 func TestUnsafeIntent(t *testing.T) {
 	set := func(r *config.Results, _ *rules.Settings) { r.Unsafe = true }
 	disk := vfs.NewMem(false)
@@ -366,7 +366,7 @@
 		b := startIncarnation(t, c.disk, 1010, time.Hour, set)
 		cacheLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 		if named := strings.Contains(log.String(), "unsafe work that may have run") && strings.Contains(log.String(), x.Txn); named != c.named || len(b.restored) != 0 {
-			t.Errorf("cut off %v: named %v, %d entries: %s", c.named, named, len(b.restored), log.String())
+			t.Errorf("running at the crash %v: logged %v, %d records: %s", c.named, named, len(b.restored), log.String())
 		}
 	}
 }
