--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,7 +1,7 @@
-// Package exchange owns one request's life between the dispatcher that sent it
-// and the worker pool that runs it; it is the only thing those two sides share.
-// It enforces that a request ends once: answered by one final answer, cancelled,
-// or gone with its connection. It must never decide which.
+// Package exchange represents one request between the dispatcher that sent it and the
+// worker pool that runs it. An Exchange ends once, however many goroutines try to end it:
+// with a final answer, by cancellation, or with the loss of its connection. The package
+// decides nothing about requests. Exchange and Counters are safe for concurrent use.
 package exchange
 
 import (
@@ -14,127 +14,128 @@
 
 // The kinds of final answers.
 const (
-	Served  Kind = iota // the result of its run
-	Refused             // it never ran
-	Failed              // no promises
+	Served  Kind = iota // with the result of its run
+	Refused             // with the promise that nothing ran
+	Failed              // without a promise
 )
 
 // Answer is a final answer.
 type Answer struct {
 	Kind       Kind
 	Body       []byte        // Served: the result, unchanged
-	RetryAfter time.Duration // Refused: how long to stay away, 0 = no advice
-	Last       bool          // Refused: no other node should be tried
+	RetryAfter time.Duration // Refused: when to try again, 0 = no advice
+	Last       bool          // Refused: stop retrying across the node list
 }
 
-// Fate is how a request ended.
+// FinalState is how a request ended.
 type FinalState uint32
 
-// The fates of a request.
+// The final states of a request.
 const (
-	Open        FinalState = iota
-	EndedServed            // answered with its result
+	Open        FinalState = iota // it has not ended
+	EndedServed                   // answered with its result
 	EndedRefused
 	EndedFailed
 	EndedCancelled  // its dispatcher stopped waiting
 	EndedCallerGone // its connection ended before its answer
-	numFates
+	numFinalStates
 )
 
-// Ledger counts requests by fate; Read is always the sum of the others and of
-// what is open.
+// Counters counts requests by final state. Read is always the sum of the requests in all
+// final states and of the open ones.
 type Counters struct {
 	Read         atomic.Int64
-	FurtherTries atomic.Int64 // of them, marked as further tries
-	fates        [numFates]atomic.Int64
-	Late         atomic.Int64 // answers that came after the request had ended
+	FurtherTries atomic.Int64 // requests marked as further tries
+	byState      [numFinalStates]atomic.Int64
+	Late         atomic.Int64 // answers given after the request had ended
 }
 
-// Count is the number of requests that ended so.
-func (l *Counters) Count(f FinalState) int64 { return l.fates[f].Load() }
+// Count returns the number of requests that ended in state f.
+func (l *Counters) Count(f FinalState) int64 { return l.byState[f].Load() }
 
-// InHand is the number of requests without an end.
+// OpenRequests returns the number of requests that have not ended.
 func (l *Counters) OpenRequests() int64 {
-	n := l.Read.Load()
-	for f := EndedServed; f < numFates; f++ {
-		n -= l.fates[f].Load()
+	open := l.Read.Load()
+	for state := EndedServed; state < numFinalStates; state++ {
+		open -= l.byState[state].Load()
 	}
-	return n
+	return open
 }
 
-// Replier is the side that a request came from.
+// Replier is the connection that a request came from.
 type Replier interface {
 	// Reply sends the final answer of the request with this tag. It must not block.
 	Reply(tag uint64, a Answer)
 }
 
-// Call is a request as it came; it never changes.
+// Request is a request as it was received; it is immutable.
 type Request struct {
-	Txn           string // its name for the worker pool
+	Txn           string // transaction name, its name for the worker pool
 	ClassName     string
-	TenantName    string // "" where the site has no tenants
+	TenantName    string // "" if the configuration has no tenants
 	Body          []byte
 	Class         int
 	Tenant        int
 	Caller        uint32
-	ArrivedUnixMs float64 // when it reached the machine, Unix milliseconds
-	TimeoutMs     float64 // how long its dispatcher waits from then, milliseconds, 0 = not told
-	HintMs        float64 // expected work, 0 = not told
+	ArrivedUnixMs float64 // when it reached the host, Unix milliseconds
+	TimeoutMs     float64 // how long its dispatcher waits from then, milliseconds, 0 = not known
+	HintMs        float64 // expected work, milliseconds, 0 = not known
 	MemoryKB      float64
 	Rank          float64
 	Retry         bool
-	Item          string // what a read is about, "" = not told
-	Unique        string // links the tries of a keyed request, "" = none
+	Item          string // the item that a read is about, "" = not known
+	Unique        string // idempotency key shared by the tries of a keyed request, "" = none
 	Safe          bool   // may run any number of times
 }
 
-// Exchange is one request.
+// Exchange is one request and its final state.
 type Exchange struct {
 	Request
-	Tag    uint64
-	to     Replier
-	ledger *Counters
-	fate   atomic.Uint32
+	Tag      uint64
+	replier  Replier
+	counters *Counters
+	state    atomic.Uint32
 }
 
-// New notes a request that was read.
-func New(l *Counters, to Replier, tag uint64, c Request) *Exchange {
-	l.Read.Add(1)
-	if c.Retry {
-		l.FurtherTries.Add(1)
+// New counts a request that was read and returns its exchange; tag names it to replier.
+func New(counters *Counters, replier Replier, tag uint64, req Request) *Exchange {
+	counters.Read.Add(1)
+	if req.Retry {
+		counters.FurtherTries.Add(1)
 	}
-	return &Exchange{Request: c, Tag: tag, to: to, ledger: l}
+	return &Exchange{Request: req, Tag: tag, replier: replier, counters: counters}
 }
 
-// Fate is how it ended, Open while it has not.
-func (x *Exchange) FinalState() FinalState { return FinalState(x.fate.Load()) }
+// FinalState returns how the request ended, Open if it has not.
+func (x *Exchange) FinalState() FinalState { return FinalState(x.state.Load()) }
 
-func (x *Exchange) close(f FinalState) bool {
-	if !x.fate.CompareAndSwap(uint32(Open), uint32(f)) {
+// setFinalState ends the request, unless it has ended before.
+func (x *Exchange) setFinalState(state FinalState) bool {
+	if !x.state.CompareAndSwap(uint32(Open), uint32(state)) {
 		return false
 	}
-	x.ledger.fates[f].Add(1)
+	x.counters.byState[state].Add(1)
 	return true
 }
 
-// Answer gives the final answer, unless the request has ended before. It
-// reports whether this was the answer.
+// Answer gives the final answer, unless the request has ended before. It reports whether
+// the answer was given.
 func (x *Exchange) Answer(a Answer) bool {
-	f := EndedFailed
+	state := EndedFailed
 	switch a.Kind {
 	case Served:
-		f = EndedServed
+		state = EndedServed
 	case Refused:
-		f = EndedRefused
+		state = EndedRefused
 	}
-	if !x.close(f) {
-		x.ledger.Late.Add(1)
+	if !x.setFinalState(state) {
+		x.counters.Late.Add(1)
 		return false
 	}
-	x.to.Reply(x.Tag, a)
+	x.replier.Reply(x.Tag, a)
 	return true
 }
 
-// Abandon ends the request without an answer, as nobody waits for one: f is
-// WasCancelled or WasGone. It reports whether that was its end.
-func (x *Exchange) Abandon(f FinalState) bool { return x.close(f) }
+// Abandon ends the request without an answer, as nobody waits for one: state is
+// EndedCancelled or EndedCallerGone. It reports whether the request was open.
+func (x *Exchange) Abandon(state FinalState) bool { return x.setFinalState(state) }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,7 +1,7 @@
-// Package pool owns the link to the worker pool: it keeps the link up, sends
-// commands, reads notices, and remembers which runs were asked for, so that a
-// new link neither loses nor repeats one. It must never decide what runs, and
-// never touch an exchange but to read the request.
+// Package pool implements the pool link, the connection to the worker pool. It keeps the
+// link up, sends commands, reads notices, and keeps track of the runs that were started,
+// so that a new link neither loses nor repeats one. It does not decide what runs, and only
+// reads the request of an exchange. A Link is safe for concurrent use.
 package pool
 
 import (
@@ -25,120 +25,122 @@
 	"robinmast/internal/stream"
 )
 
-// Mechanics of the link.
+// Limits and times of the link.
 const (
-	longestLine = 24 << 10               // a result of 4 KiB in base64, and room
-	inLimit     = longestLine + 8<<10    // in ring
-	outLimit    = 2 << 20                // out ring: commands of five hundred requests
-	dialTimeout = time.Second            // per try
-	backoffMin  = 10 * time.Millisecond  // between tries to connect
-	backoffMax  = 500 * time.Millisecond // the same after many
-	quietLimit  = 2 * time.Second        // without a line while polls are out, the link is replaced
-	boundLimit  = 15 * time.Second       // the same while the worker pool is awaited
-	complainGap = 2 * time.Second        // between log lines about bad input
-	downGap     = 5 * time.Second        // between log lines while the worker pool is away
-	lingerTime  = 100 * time.Millisecond // for the worker pool to close its side of a link that was let go
-	lostTail    = 100 * time.Millisecond // commands sent so shortly before a break may not have been read
+	maxLineBytes       = 24 << 10               // a result of 4 KiB in base64, with a margin
+	readBufferBytes    = maxLineBytes + 8<<10   // read buffer
+	writeBufferBytes   = 2 << 20                // write buffer: commands of five hundred requests
+	dialTimeout        = time.Second            // per attempt
+	backoffMin         = 10 * time.Millisecond  // between attempts to connect
+	backoffMax         = 500 * time.Millisecond // the same after many
+	silenceTimeout     = 2 * time.Second        // without a line, while polls are outstanding, the link is replaced
+	bindTimeout        = 15 * time.Second       // the same before the worker pool is bound
+	badLineLogInterval = 2 * time.Second        // between log lines about malformed input
+	downLogInterval    = 5 * time.Second        // between log lines while the worker pool is unreachable
+	lingerTimeout      = 100 * time.Millisecond // for the worker pool to close its side of an abandoned link
+	unreadWindow       = 100 * time.Millisecond // commands sent this shortly before a link ended may not have been read
 )
 
-// End is how a run ended.
+// Outcome is how a run ended.
 type Outcome uint8
 
-// The ends of a run.
+// The outcomes of a run.
 const (
 	Complete     Outcome = iota // with its result
 	Error                       // it failed
 	Cancelled                   // it was stopped
-	NeverStarted                // nothing was started, as the request is over
+	NeverStarted                // nothing was started, as the request had ended
 )
 
-var ends = map[string]Outcome{"complete": Complete, "error": Error, "cancelled": Cancelled, "unknown": NeverStarted}
+// outcomeByWord maps the words of the worker pool's protocol.
+var outcomeByWord = map[string]Outcome{"complete": Complete, "error": Error, "cancelled": Cancelled, "unknown": NeverStarted}
 
-// Sink takes what the worker pool tells. Its methods must not block.
+// Sink receives the worker pool's notices. Its methods must not block.
 type Sink interface {
-	// Bound tells that the worker pool is up, since how long, and whether it began cold.
+	// WorkerPoolUp notifies that the worker pool has been up for since, and whether it
+	// started cold. It is called for each link.
 	WorkerPoolUp(cold bool, since time.Duration)
-	// Finished tells that a run is over; result is set if it is Complete.
+	// RunEnded notifies that a run is over; result is set if it is Complete.
 	RunEnded(x *exchange.Exchange, end Outcome, took time.Duration, result []byte)
-	// Blocked tells that a run stands at a call below, with this statement, until
-	// Supply or Pass.
+	// CallNeeded notifies that a run waits for a downstream call with this statement,
+	// until ContinueWithResult or ContinueWithout.
 	CallNeeded(x *exchange.Exchange, statement []byte)
-	// Polled brings the gauges.
+	// GaugesRead delivers the gauges.
 	GaugesRead(values []float64)
-	// Stray tells of the end of a run that this process did not ask for: one of
-	// an earlier life, if the worker pool outlived it.
+	// UnknownRunEnded notifies of the end of a run that this process did not start: one
+	// of a previous incarnation, if the worker pool outlived it.
 	UnknownRunEnded(run string, end Outcome, result []byte)
 }
 
-// Counters are what the link counts besides its traffic.
+// Counters are the link's counters besides its traffic.
 type Counters struct {
-	Links           atomic.Int64 // links that were bound
-	Started         atomic.Int64 // runs asked for
-	Restarted       atomic.Int64 // of those, asked for again on a new link
-	Stopped         atomic.Int64
-	Finished        [4]atomic.Int64 // by End
-	Rejected        atomic.Int64    // spawns that were not carried out
-	BadLines        atomic.Int64    // lines that made no sense
+	Links           atomic.Int64    // links that the worker pool bound
+	Started         atomic.Int64    // runs started
+	Restarted       atomic.Int64    // of those, started again on a new link
+	Stopped         atomic.Int64    // runs stopped
+	Finished        [4]atomic.Int64 // runs by Outcome
+	Rejected        atomic.Int64    // runs that the worker pool did not start
+	BadLines        atomic.Int64    // malformed or unexpected lines
 	LostNotices     atomic.Int64    // notices that were lost
-	RepeatedNotices atomic.Int64    // notices that came again
+	RepeatedNotices atomic.Int64    // notices received again
 }
 
-// run is a run that was asked for and is not known to be over.
+// run is a run that was started and is not known to be over.
 type run struct {
 	x       *exchange.Exchange
 	order   uint64
-	sent    bool      // it may have reached the worker pool
-	at      time.Time // when it was sent last
+	sent    bool      // the command may have reached the worker pool
+	sentAt  time.Time // when it was sent last
 	stopped bool
 
-	word   *command  // what it was told at its last call, nil = nothing yet
-	wordAt time.Time // when that was sent last, zero = never
+	continuation       *command  // the command after its last call, nil = none yet
+	continuationSentAt time.Time // when that was sent last, zero = never
 }
 
-// Link is the link to the worker pool.
+// Link is the connection to the worker pool, replaced when it ends.
 type Link struct {
 	Counters Counters
 	Traffic  stream.Traffic
 
-	sink  Sink
-	log   *slog.Logger
-	moved chan struct{} // poked when addr has changed
+	sink           Sink
+	log            *slog.Logger
+	addressChanged chan struct{} // signalled when addr has changed
 
-	quiet, await time.Duration    // quietLimit and boundLimit, but in tests
-	again        *backoff.Backoff // of tries to connect, nil = doubling waits
+	silenceTimeout, bindTimeout time.Duration    // the constants, shorter in tests
+	retryBackoff                *backoff.Backoff // of attempts to connect, nil = doubling waits
 
-	mu    sync.Mutex
-	addr  string
-	next  net.Conn     // open to a new addr, for the next link
-	conn  *stream.Conn // nil while there is no link
-	ready bool         // the replay was taken: commands may go out
-	runs  map[string]*run
-	order uint64
-	heard uint64    // runs up to this order were read by the worker pool
-	broke time.Time // when the last link ended
-	last  int64     // number of the last notice read
-	tries int       // links so far, names the replay's end
+	mu        sync.Mutex
+	addr      string
+	nextConn  net.Conn     // connected to a new addr, for the next link
+	conn      *stream.Conn // nil while there is no link
+	ready     bool         // the replay has ended: commands may be sent
+	runs      map[string]*run
+	lastOrder uint64
+	readOrder uint64    // the worker pool has read the commands of runs up to this order
+	linkEnded time.Time // when the last link ended
+	lastSeq   int64     // number of the last notice read
+	links     int       // links so far, part of the replay's tag
 
-	complained time.Time
-	muted      int
+	lastBadLineLog time.Time
+	mutedLines     int
 }
 
 // New returns a link to the worker pool at addr; Run brings it up.
 func New(addr string, sink Sink, log *slog.Logger) *Link {
 	return &Link{
-		addr: addr, sink: sink, log: log, moved: make(chan struct{}, 1),
-		quiet: quietLimit, await: boundLimit, runs: map[string]*run{},
+		addr: addr, sink: sink, log: log, addressChanged: make(chan struct{}, 1),
+		silenceTimeout: silenceTimeout, bindTimeout: bindTimeout, runs: map[string]*run{},
 	}
 }
 
-// Spread lets tries to connect wait random times within a budget, as many nodes that
-// lose what their pools share should; it must be called before Run.
+// UseBackoff makes attempts to connect wait for random times within a budget, since many
+// nodes may lose their worker pools at one moment. It must be called before Run.
 func (l *Link) UseBackoff(rnd *rand.Rand) {
-	l.again = backoff.New(backoff.Settings{MinWait: backoffMin, InitialSpan: 4 * backoffMin, MaxSpan: backoffMax, Window: 10 * time.Second, Budget: 60}, rnd)
+	l.retryBackoff = backoff.New(backoff.Settings{MinWait: backoffMin, InitialSpan: 4 * backoffMin, MaxSpan: backoffMax, Window: 10 * time.Second, Budget: 60}, rnd)
 }
 
-// Move takes the link to another address. The present link serves until a
-// connection to the new one is open; runs and the count of notices go on.
+// ChangeAddress moves the link to another address. The present link is used until a
+// connection to the new address is open; runs and the numbering of notices continue.
 func (l *Link) ChangeAddress(addr string) {
 	l.mu.Lock()
 	same := l.addr == addr
@@ -148,12 +150,12 @@
 		return
 	}
 	select {
-	case l.moved <- struct{}{}:
+	case l.addressChanged <- struct{}{}:
 	default:
 	}
 }
 
-// command is what the node sends.
+// command is a message to the worker pool.
 type command struct {
 	Op    string  `json:"op"`
 	Seq   *int64  `json:"seq,omitempty"`
@@ -163,7 +165,7 @@
 	Tag   string  `json:"tag,omitempty"`
 }
 
-// notice is what the worker pool sends.
+// notice is a message from the worker pool.
 type notice struct {
 	Op     string    `json:"op"`
 	End    string    `json:"end"`
@@ -175,39 +177,40 @@
 	Values []float64 `json:"values"`
 }
 
-// send queues a command; the lock must be held. It may fail: then the link ends
-// and the next one says it again.
-func send(c *stream.Conn, cmd command) {
+// sendCommand queues a command; the lock must be held. If that fails, the link ends and
+// the command is sent again on the next one.
+func sendCommand(c *stream.Conn, cmd command) {
 	line, err := json.Marshal(cmd)
-	if err != nil { // the type has nothing that can't be encoded
+	if err != nil { // every value of the type can be encoded
 		panic(err)
 	}
 	c.Send(append(line, '\n'))
 }
 
-// Spawn asks for a run.
+// StartRun starts a run.
 func (l *Link) StartRun(x *exchange.Exchange) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.Counters.Started.Add(1)
-	l.order++
-	r := &run{x: x, order: l.order}
+	l.lastOrder++
+	r := &run{x: x, order: l.lastOrder}
 	l.runs[x.Txn] = r
 	if l.ready {
-		l.spawn(r)
+		l.sendSpawn(r)
 	}
 }
 
-func (l *Link) spawn(r *run) {
-	r.sent, r.at = true, time.Now()
+// sendSpawn sends the command that starts a run; the lock must be held.
+func (l *Link) sendSpawn(r *run) {
+	r.sent, r.sentAt = true, time.Now()
 	body := r.x.Body
 	if body == nil {
 		body = []byte{}
 	}
-	send(l.conn, command{Op: "spawn", ID: r.x.Txn, Class: r.x.ClassName, Body: &body})
+	sendCommand(l.conn, command{Op: "spawn", ID: r.x.Txn, Class: r.x.ClassName, Body: &body})
 }
 
-// Suspend stops a run. One that was never sent ends here.
+// StopRun stops a run. One whose command was never sent ends here.
 func (l *Link) StopRun(x *exchange.Exchange) {
 	l.mu.Lock()
 	r := l.runs[x.Txn]
@@ -225,80 +228,82 @@
 		return
 	}
 	if l.ready {
-		send(l.conn, command{Op: "suspend", ID: x.Txn})
+		sendCommand(l.conn, command{Op: "suspend", ID: x.Txn})
 	}
 	l.mu.Unlock()
 }
 
-// Supply lets a run that stands at a call go on with the call's result.
+// ContinueWithResult lets a run that waits for a downstream call continue with its result.
 func (l *Link) ContinueWithResult(x *exchange.Exchange, result []byte) {
 	if result == nil {
 		result = []byte{}
 	}
-	l.tell(x, command{Op: "supply", ID: x.Txn, Body: &result})
+	l.continueRun(x, command{Op: "supply", ID: x.Txn, Body: &result})
 }
 
-// Pass lets a run that stands at a call go on without it.
-func (l *Link) ContinueWithout(x *exchange.Exchange) { l.tell(x, command{Op: "pass", ID: x.Txn}) }
+// ContinueWithout lets a run that waits for a downstream call continue without it.
+func (l *Link) ContinueWithout(x *exchange.Exchange) {
+	l.continueRun(x, command{Op: "pass", ID: x.Txn})
+}
 
-// tell says a word on a call. It is kept until the run is heard of again, as it may
-// be lost with its link.
-func (l *Link) tell(x *exchange.Exchange, word command) {
+// continueRun sends the command after a call. It is stored until the next notice about
+// the run, as it may be lost with its link.
+func (l *Link) continueRun(x *exchange.Exchange, cmd command) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.runs[x.Txn]
 	if r == nil || r.x != x {
 		return // it is over
 	}
-	r.word, r.wordAt = &word, time.Time{}
+	r.continuation, r.continuationSentAt = &cmd, time.Time{}
 	if l.ready {
-		r.wordAt = time.Now()
-		send(l.conn, word)
+		r.continuationSentAt = time.Now()
+		sendCommand(l.conn, cmd)
 	}
 }
 
-// Poll asks for the gauges, if there is a link to ask on.
+// PollGauges requests the gauges, if a link is up.
 func (l *Link) PollGauges() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.ready {
-		send(l.conn, command{Op: "poll", Tag: "g" + strconv.FormatUint(l.order, 10)})
+		sendCommand(l.conn, command{Op: "poll", Tag: "g" + strconv.FormatUint(l.lastOrder, 10)})
 	}
 }
 
 // Run keeps the link up until ctx ends.
 func (l *Link) Run(ctx context.Context) {
-	defer l.dropNext()
-	wait, logged, at, start := backoffMin, int64(-1), time.Time{}, time.Now()
+	defer l.closeNextConn()
+	wait, loggedLinks, loggedAt, start := backoffMin, int64(-1), time.Time{}, time.Now()
 	for ctx.Err() == nil {
 		before := l.Counters.Links.Load()
-		if l.again != nil {
-			l.again.TryStarted(time.Since(start))
+		if l.retryBackoff != nil {
+			l.retryBackoff.TryStarted(time.Since(start))
 		}
-		end, err := l.once(ctx)
+		reason, err := l.runLink(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		if l.Counters.Links.Load() != before { // it was up, however shortly
 			wait = backoffMin
-			if l.again != nil {
-				l.again.Succeeded()
+			if l.retryBackoff != nil {
+				l.retryBackoff.Succeeded()
 			}
 		}
-		if end == stream.ClosedLocally {
+		if reason == stream.ClosedLocally {
 			l.log.Info("worker pool link moved", "runs", l.OpenRuns())
 			continue
 		}
-		if links := l.Counters.Links.Load(); links != logged || time.Since(at) > downGap {
-			logged, at = links, time.Now()
-			l.log.Warn("worker pool link ended", "end", end.String(), "err", err, "runs", l.OpenRuns())
+		if links := l.Counters.Links.Load(); links != loggedLinks || time.Since(loggedAt) > downLogInterval {
+			loggedLinks, loggedAt = links, time.Now()
+			l.log.Warn("worker pool link ended", "end", reason.String(), "err", err, "runs", l.OpenRuns())
 		}
-		if l.again != nil {
-			wait = l.again.Failed(time.Since(start))
+		if l.retryBackoff != nil {
+			wait = l.retryBackoff.Failed(time.Since(start))
 		}
 		select {
 		case <-ctx.Done():
-		case <-l.moved:
+		case <-l.addressChanged:
 			wait = backoffMin
 			continue
 		case <-time.After(wait):
@@ -307,53 +312,53 @@
 	}
 }
 
-// Runs is the number of runs asked for and not known to be over.
+// OpenRuns returns the number of runs that were started and are not known to be over.
 func (l *Link) OpenRuns() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.runs)
 }
 
-// once opens a link and reads from it until it ends.
-func (l *Link) once(ctx context.Context) (stream.CloseReason, error) {
+// runLink opens a link and reads from it until it ends.
+func (l *Link) runLink(ctx context.Context) (stream.CloseReason, error) {
 	raw, err := l.dial(ctx)
 	if err != nil {
 		return l.Traffic.NeverOpened(err), err
 	}
-	c := stream.New(raw, &stream.Lines{Longest: longestLine},
-		stream.Limits{In: inLimit, Out: outLimit, StallTimeout: l.await, Linger: lingerTime}, &l.Traffic, nil)
+	c := stream.New(raw, &stream.Lines{Longest: maxLineBytes},
+		stream.Limits{In: readBufferBytes, Out: writeBufferBytes, StallTimeout: l.bindTimeout, Linger: lingerTimeout}, &l.Traffic, nil)
 	stop := context.AfterFunc(ctx, func() { c.Abort(stream.ClosedLocally) })
 	defer stop()
-	linked, unlink := context.WithCancel(ctx)
-	followed := make(chan struct{})
+	linkCtx, cancelLink := context.WithCancel(ctx)
+	followerDone := make(chan struct{})
 	go func() {
-		defer close(followed)
-		l.follow(linked, c)
+		defer close(followerDone)
+		l.followAddress(linkCtx, c)
 	}()
-	defer func() { unlink(); <-followed }()
+	defer func() { cancelLink(); <-followerDone }()
 	l.mu.Lock()
 	l.conn, l.ready = c, false
-	l.tries++
-	last := l.last
+	l.links++
+	lastSeq := l.lastSeq
 	l.mu.Unlock()
-	send(c, command{Op: "bind", Seq: &last})
-	err = l.read(c)
+	sendCommand(c, command{Op: "bind", Seq: &lastSeq})
+	err = l.readLines(c)
 	l.mu.Lock()
-	l.conn, l.ready, l.broke = nil, false, time.Now()
+	l.conn, l.ready, l.linkEnded = nil, false, time.Now()
 	l.mu.Unlock()
 	c.Abort(stream.CloseReasonOf(err, stream.ReadFailed))
 	<-c.Done()
 	if ctx.Err() != nil {
-		<-c.WhenClosed() // the process ends: nobody else would read on
+		<-c.WhenClosed() // the process ends: nothing reads this connection afterwards
 	}
 	return c.CloseReason(), err
 }
 
-// dial opens a connection to the worker pool, or takes the one that follow opened.
+// dial opens a connection to the worker pool, or takes the one that followAddress opened.
 func (l *Link) dial(ctx context.Context) (net.Conn, error) {
 	l.mu.Lock()
-	addr, next := l.addr, l.next
-	l.next = nil
+	addr, next := l.addr, l.nextConn
+	l.nextConn = nil
 	l.mu.Unlock()
 	if next != nil {
 		return next, nil
@@ -366,30 +371,30 @@
 	return raw, nil
 }
 
-// dropNext closes a connection that no link was made of.
-func (l *Link) dropNext() {
+// closeNextConn closes a connection that no link uses.
+func (l *Link) closeNextConn() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.next != nil {
-		_ = l.next.Close()
-		l.next = nil
+	if l.nextConn != nil {
+		_ = l.nextConn.Close()
+		l.nextConn = nil
 	}
 }
 
-// follow waits, while a link is up, for a new address, and lets the link go once
-// a connection to that one is open: a node that is told an address at which
-// nobody listens yet must not lose the link it has.
-func (l *Link) follow(ctx context.Context, c *stream.Conn) {
+// followAddress waits, while a link is up, for a new address, and ends the link once a
+// connection to the new one is open: a new address at which nothing listens yet must not
+// cost the present link.
+func (l *Link) followAddress(ctx context.Context, c *stream.Conn) {
 	select {
 	case <-ctx.Done():
 		return
-	case <-l.moved:
+	case <-l.addressChanged:
 	}
 	for wait := backoffMin; ; wait = min(2*wait, backoffMax) {
 		raw, err := l.dial(ctx)
 		if err == nil {
 			l.mu.Lock()
-			l.next = raw
+			l.nextConn = raw
 			l.mu.Unlock()
 			c.Abort(stream.ClosedLocally)
 			return
@@ -398,29 +403,30 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-l.moved: // newer still
+		case <-l.addressChanged: // a newer address
 		case <-time.After(wait):
 		}
 	}
 }
 
-func (l *Link) read(c *stream.Conn) error {
+// readLines handles the worker pool's lines until the link ends.
+func (l *Link) readLines(c *stream.Conn) error {
 	lines := bufio.NewScanner(c)
-	lines.Buffer(make([]byte, 0, 8<<10), longestLine+2)
+	lines.Buffer(make([]byte, 0, 8<<10), maxLineBytes+2)
 	for {
-		// A worker pool that is up answers forty polls a second. A new link does no
-		// harm, whatever the silence comes from, and brings what was missed.
-		wait := l.await
+		// A worker pool that is up answers forty polls a second. A new link does no harm,
+		// whatever the reason of the silence, and replays the missed notices.
+		wait := l.bindTimeout
 		if l.isReady() {
-			wait = l.quiet
+			wait = l.silenceTimeout
 		}
 		if err := c.SetReadDeadline(time.Now().Add(wait)); err != nil {
-			return fmt.Errorf("bound the wait for a line: %w", err)
+			return fmt.Errorf("set read deadline: %w", err)
 		}
 		if !lines.Scan() {
 			break
 		}
-		l.line(c, lines.Bytes())
+		l.handleLine(c, lines.Bytes())
 	}
 	err := lines.Err()
 	if ne, ok := err.(net.Error); ok && ne.Timeout() {
@@ -432,131 +438,134 @@
 	return err
 }
 
+// isReady reports whether the link's replay has ended.
 func (l *Link) isReady() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.ready
 }
 
-func (l *Link) complain(what string, args ...any) {
+// logBadLine counts a bad line and logs it at a bounded rate.
+func (l *Link) logBadLine(what string, args ...any) {
 	l.Counters.BadLines.Add(1)
-	if time.Since(l.complained) < complainGap {
-		l.muted++
+	if time.Since(l.lastBadLineLog) < badLineLogInterval {
+		l.mutedLines++
 		return
 	}
-	l.complained = time.Now()
-	l.log.Warn(what, append(args, "muted", l.muted)...)
-	l.muted = 0
+	l.lastBadLineLog = time.Now()
+	l.log.Warn(what, append(args, "muted", l.mutedLines)...)
+	l.mutedLines = 0
 }
 
-// line takes one line; it lives only during the call.
-func (l *Link) line(c *stream.Conn, text []byte) {
+// handleLine handles one line; text is valid only during the call.
+func (l *Link) handleLine(c *stream.Conn, text []byte) {
 	var n notice
 	if err := json.Unmarshal(text, &n); err != nil {
-		l.complain("line from the worker pool not understood", "err", err)
+		l.logBadLine("malformed line from the worker pool", "err", err)
 		return
 	}
 	switch n.Op {
 	case "bound":
-		l.bound(c, n)
+		l.handleBound(c, n)
 	case "finished":
-		if l.fresh(n) {
-			l.finished(n)
+		if l.acceptSeq(n) {
+			l.handleFinished(n)
 		}
 	case "blocked":
-		if l.fresh(n) {
-			l.blocked(n)
+		if l.acceptSeq(n) {
+			l.handleBlocked(n)
 		}
 	case "chatter":
-		l.fresh(n)
+		l.acceptSeq(n)
 	case "polled":
 		l.mu.Lock()
-		if !l.ready && n.Tag == l.barrier() {
-			l.resume()
-		} else if order, err := strconv.ParseUint(strings.TrimPrefix(n.Tag, "g"), 10, 64); err == nil && order <= l.order {
-			l.heard = max(l.heard, order) // commands are read in order: those before the poll were
+		if !l.ready && n.Tag == l.replayTag() {
+			l.endReplay()
+		} else if order, err := strconv.ParseUint(strings.TrimPrefix(n.Tag, "g"), 10, 64); err == nil && order <= l.lastOrder {
+			l.readOrder = max(l.readOrder, order) // commands are read in order, so those before the poll were read
 		}
 		l.mu.Unlock()
 		l.sink.GaugesRead(n.Values)
 	case "unknown":
-		l.rejected(n)
+		l.handleRejected(n)
 	default:
-		l.complain("unknown word from the worker pool", "op", clip(n.Op))
+		l.logBadLine("unknown op from the worker pool", "op", clip(n.Op))
 	}
 }
 
-// barrier is the tag of the poll whose answer ends the replay; the lock must be held.
-func (l *Link) barrier() string { return "r" + strconv.Itoa(l.tries) }
+// replayTag returns the tag of the poll whose answer ends the replay; the lock must be held.
+func (l *Link) replayTag() string { return "r" + strconv.Itoa(l.links) }
 
-// bound starts the replay. What was missed follows; the answer to a poll sent
-// now comes after it. Nothing is spawned before: a run that finished while there
-// was no link must be known as finished first, or it would run twice.
-func (l *Link) bound(c *stream.Conn, n notice) {
+// handleBound starts the replay: the missed notices follow, and then the answer to a poll
+// that is sent now. No run is started before that answer: a run that ended while there was
+// no link must be known to have ended first, or it would run twice.
+func (l *Link) handleBound(c *stream.Conn, n notice) {
 	l.mu.Lock()
 	if l.ready {
 		l.mu.Unlock()
-		l.complain("bound twice on one link")
+		l.logBadLine("bound twice on one link")
 		return
 	}
-	send(c, command{Op: "poll", Tag: l.barrier()})
-	last := l.last
+	sendCommand(c, command{Op: "poll", Tag: l.replayTag()})
+	lastSeq := l.lastSeq
 	l.mu.Unlock()
 	l.Counters.Links.Add(1)
-	l.log.Info("worker pool bound", "began", n.End, "up_ms", n.Ms, "after", last)
-	l.sink.WorkerPoolUp(n.End == "chilly", milliseconds(n.Ms))
+	l.log.Info("worker pool bound", "began", n.End, "up_ms", n.Ms, "after", lastSeq)
+	l.sink.WorkerPoolUp(n.End == "chilly", clampMillis(n.Ms))
 }
 
-// resume says again what the worker pool may not have heard, and lets new
-// commands go out; the lock must be held. A run that it is known to have heard of
-// is not asked for again: one that ended since the replay would run twice.
-func (l *Link) resume() {
+// endReplay sends the commands again that the worker pool may not have read, and lets new
+// ones be sent; the lock must be held. A run whose command is known to have been read is
+// not started again: one that ended since the replay would run twice.
+func (l *Link) endReplay() {
 	l.ready = true
-	again := make([]*run, 0, len(l.runs))
+	open := make([]*run, 0, len(l.runs))
 	for _, r := range l.runs {
-		again = append(again, r)
+		open = append(open, r)
 	}
-	slices.SortFunc(again, func(a, b *run) int { return cmp.Compare(a.order, b.order) })
-	for _, r := range again {
-		if !r.sent || r.order > l.heard || l.broke.Sub(r.at) < lostTail {
+	slices.SortFunc(open, func(a, b *run) int { return cmp.Compare(a.order, b.order) })
+	for _, r := range open {
+		if !r.sent || r.order > l.readOrder || l.linkEnded.Sub(r.sentAt) < unreadWindow {
 			if r.sent {
 				l.Counters.Restarted.Add(1)
 			}
-			l.spawn(r)
+			l.sendSpawn(r)
 		}
-		if r.word != nil && (r.wordAt.IsZero() || l.broke.Sub(r.wordAt) < lostTail) {
-			r.wordAt = time.Now()
-			send(l.conn, *r.word)
+		if r.continuation != nil && (r.continuationSentAt.IsZero() || l.linkEnded.Sub(r.continuationSentAt) < unreadWindow) {
+			r.continuationSentAt = time.Now()
+			sendCommand(l.conn, *r.continuation)
 		}
 		if r.stopped {
-			send(l.conn, command{Op: "suspend", ID: r.x.Txn})
+			sendCommand(l.conn, command{Op: "suspend", ID: r.x.Txn})
 		}
 	}
 }
 
-// fresh reports whether a numbered notice is new, and notes its number.
-func (l *Link) fresh(n notice) bool {
+// acceptSeq reports whether a numbered notice is new, and records its number.
+func (l *Link) acceptSeq(n notice) bool {
 	l.mu.Lock()
-	last := l.last
-	if n.Seq > last {
-		l.last = n.Seq
+	lastSeq := l.lastSeq
+	if n.Seq > lastSeq {
+		l.lastSeq = n.Seq
 	}
 	l.mu.Unlock()
-	if n.Seq <= last {
-		l.Counters.RepeatedNotices.Add(1) // the protocol has them
+	if n.Seq <= lastSeq {
+		l.Counters.RepeatedNotices.Add(1) // part of the protocol
 		return false
 	}
-	if n.Seq > last+1 {
-		l.gap(n.Seq - last - 1)
+	if n.Seq > lastSeq+1 {
+		l.handleLostNotices(n.Seq - lastSeq - 1)
 	}
 	return true
 }
 
-// gap fails what may have finished unnoticed and must not run again. Safe work
-// is simply asked for again: if it still runs, nothing happens.
-func (l *Link) gap(missed int64) {
+// handleLostNotices fails the runs that may have ended without a notice and must not run
+// again. Safe work is started again on the next link: if it still runs, the worker pool
+// ignores the command.
+func (l *Link) handleLostNotices(missed int64) {
 	l.Counters.LostNotices.Add(missed)
 	l.mu.Lock()
-	l.heard = 0 // what was heard of may have ended unnoticed
+	l.readOrder = 0 // runs whose commands were read may have ended without a notice
 	var lost []*run
 	for id, r := range l.runs {
 		if r.sent && !r.x.Safe {
@@ -573,7 +582,8 @@
 	}
 }
 
-func (l *Link) take(id string) *run {
+// removeRun removes and returns a run, nil if it is unknown.
+func (l *Link) removeRun(id string) *run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.runs[id]
@@ -581,55 +591,57 @@
 	return r
 }
 
-func (l *Link) finished(n notice) {
-	end, known := ends[n.End]
-	if !known {
-		l.complain("unknown end of a run", "end", clip(n.End))
-		end = Error
+// handleFinished handles the end of a run.
+func (l *Link) handleFinished(n notice) {
+	outcome, ok := outcomeByWord[n.End]
+	if !ok {
+		l.logBadLine("unknown end of a run", "end", clip(n.End))
+		outcome = Error
 	}
-	r := l.take(n.ID)
+	r := l.removeRun(n.ID)
 	if r == nil {
-		l.complain("end of a run that was not asked for", "id", clip(n.ID))
-		l.sink.UnknownRunEnded(n.ID, end, n.Body)
+		l.logBadLine("end of a run that was not asked for", "id", clip(n.ID))
+		l.sink.UnknownRunEnded(n.ID, outcome, n.Body)
 		return
 	}
-	l.Counters.Finished[end].Add(1)
-	l.sink.RunEnded(r.x, end, milliseconds(n.Ms), n.Body)
+	l.Counters.Finished[outcome].Add(1)
+	l.sink.RunEnded(r.x, outcome, clampMillis(n.Ms), n.Body)
 }
 
-// blocked takes the word that a run stands at a call. A word on an earlier call of
-// its was taken.
-func (l *Link) blocked(n notice) {
+// handleBlocked handles the notice that a run waits for a downstream call. The command
+// after its previous call has been read then.
+func (l *Link) handleBlocked(n notice) {
 	l.mu.Lock()
 	r := l.runs[n.ID]
 	if r != nil {
-		r.word = nil
+		r.continuation = nil
 	}
 	l.mu.Unlock()
 	if r == nil {
-		l.complain("call of a run that was not asked for", "id", clip(n.ID))
+		l.logBadLine("call of a run that was not asked for", "id", clip(n.ID))
 		return
 	}
 	l.sink.CallNeeded(r.x, n.Body)
 }
 
-// rejected takes the word that a command was not carried out. A spawn that was
-// not has no run, and never will.
-func (l *Link) rejected(n notice) {
-	l.complain("command not carried out", "op", clip(n.End), "id", clip(n.ID))
+// handleRejected handles the notice that a command was not carried out. A rejected spawn
+// has no run and will never have one.
+func (l *Link) handleRejected(n notice) {
+	l.logBadLine("command rejected by the worker pool", "op", clip(n.End), "id", clip(n.ID))
 	if n.End != "spawn" {
 		return
 	}
-	if r := l.take(n.ID); r != nil {
+	if r := l.removeRun(n.ID); r != nil {
 		l.Counters.Rejected.Add(1)
 		l.Counters.Finished[NeverStarted].Add(1)
-		l.sink.RunEnded(r.x, NeverStarted, 0, nil) // an error would pass for a sign of work during a hang
+		l.sink.RunEnded(r.x, NeverStarted, 0, nil) // Error would count as progress of a hanging worker pool
 	}
 }
 
+// clip bounds a text of the worker pool for the log.
 func clip(s string) string { return s[:min(len(s), 24)] }
 
-// milliseconds clamps what the worker pool tells to a sane span.
-func milliseconds(ms float64) time.Duration {
+// clampMillis converts milliseconds from the worker pool, clamped to 0 to 1e12.
+func clampMillis(ms float64) time.Duration {
 	return time.Duration(min(max(ms, 0), 1e12) * float64(time.Millisecond))
 }
