--- a/cmd/simhost/fleet.go
+++ b/cmd/simhost/fleet.go
@@ -16,63 +16,63 @@
 	252: rules.ConnectFailed, 251: rules.ConnectionReset, 250: rules.Cancelled, 249: rules.NeverStarted,
 }
 
-// instance is one node: its module and what it did in the present batch.
-// Its module is nil once its code has failed.
+// instance is one simulated node: its module and its actions in the present batch. The
+// module is nil once its code has failed.
 type instance struct {
-	who     uint16
+	id      uint16
 	module  *rules.Module
 	actions simwire.Actions
 	gauges  []float64
 	touched bool
 }
 
-// fleet holds the instances of this process, which share nothing.
+// fleet holds the instances of this process, which share no state.
 type fleet struct {
-	own   *config.Config
-	nodes map[uint16]*instance
-	order []*instance // touched in this batch, in order
-	reply simwire.Reply
-	bad   error // settings that can't be served
+	cfg         *config.Config
+	instances   map[uint16]*instance
+	touched     []*instance // those with events in this batch, in order
+	reply       simwire.Reply
+	settingsErr error // invalid settings of an instance
 }
 
-func newFleet(own *config.Config) *fleet {
-	return &fleet{own: own, nodes: map[uint16]*instance{}}
+func newFleet(cfg *config.Config) *fleet {
+	return &fleet{cfg: cfg, instances: map[uint16]*instance{}}
 }
 
-// answer applies a batch and returns the reply to write.
-func (f *fleet) answer(b simwire.Batch) (*simwire.Reply, error) {
-	f.order = f.order[:0]
+// handleBatch applies a batch and returns the reply to write.
+func (f *fleet) handleBatch(b simwire.Batch) (*simwire.Reply, error) {
+	f.touched = f.touched[:0]
 	f.reply.Reset()
-	var who uint16
+	var id uint16
 	var addressed bool
 	for i := range b.Count {
 		rec := b.Record(i)
 		if rec.Code() == simwire.EvAt {
-			who, addressed = rec.U16(1), true
+			id, addressed = rec.U16(1), true
 			continue
 		}
 		if !addressed {
 			return nil, fmt.Errorf("event code %d before any At", rec.Code())
 		}
-		if err := f.event(b, who, rec); err != nil {
+		if err := f.event(b, id, rec); err != nil {
 			return nil, err
 		}
 	}
-	for _, n := range f.order {
+	for _, n := range f.touched {
 		if !n.touched { // its process ended within the batch
 			continue
 		}
-		n.guard(func() error { n.module.FinishBatch(b.Clock); return nil })
-		f.reply.Add(n.who, &n.actions)
+		n.run(func() error { n.module.FinishBatch(b.Clock); return nil })
+		f.reply.Add(n.id, &n.actions)
 		n.actions.Reset()
 		n.touched = false
 	}
 	return &f.reply, nil
 }
 
-// event hands one event record to its instance.
-func (f *fleet) event(b simwire.Batch, who uint16, rec simwire.Record) error {
-	n := f.nodes[who]
+// event passes one event record to its instance.
+func (f *fleet) event(b simwire.Batch, id uint16, rec simwire.Record) error {
+	n := f.instances[id]
 	switch code := rec.Code(); {
 	case code < simwire.EvEnlist || code > simwire.EvDemand:
 		return fmt.Errorf("unknown event code %d", code)
@@ -80,84 +80,86 @@
 		if n != nil {
 			n.touched = false
 		}
-		return f.start(b, who, rec)
+		return f.start(b, id, rec)
 	case n == nil:
-		return fmt.Errorf("event code %d for instance %d, which was never started", code, who)
+		return fmt.Errorf("event code %d for instance %d, which was never started", code, id)
 	case code == simwire.EvExit:
 		n.touched = false
-		delete(f.nodes, who)
+		delete(f.instances, id)
 		return nil
 	}
 	f.touch(n)
-	n.guard(func() error { return n.event(b, rec) })
+	n.run(func() error { return n.event(b, rec) })
 	return nil
 }
 
+// touch notes that an instance has events in this batch.
 func (f *fleet) touch(n *instance) {
 	if !n.touched {
 		n.touched = true
-		f.order = append(f.order, n)
+		f.touched = append(f.touched, n)
 	}
 }
 
-// start makes the instance that an Enlist asks for.
-func (f *fleet) start(b simwire.Batch, who uint16, rec simwire.Record) error {
+// start creates the instance that an Enlist event requests.
+func (f *fleet) start(b simwire.Batch, id uint16, rec simwire.Record) error {
 	text, err := b.Tail(rec, 9)
 	if err != nil {
-		return fmt.Errorf("settings of instance %d: %w", who, err)
+		return fmt.Errorf("settings of instance %d: %w", id, err)
 	}
-	n := &instance{who: who}
-	f.nodes[who] = n
+	n := &instance{id: id}
+	f.instances[id] = n
 	f.touch(n)
-	n.build(func() error {
+	n.protect(func() error {
 		set, names, err := settings.ParseNamed(text)
 		if err == nil {
-			settings.UseShedding(&set, f.own)
-			err = settings.UsePools(&set, names, f.own)
+			settings.UseShedding(&set, f.cfg)
+			err = settings.UsePools(&set, names, f.cfg)
 		}
 		if err != nil {
-			f.bad = fmt.Errorf("instance %d: %w", who, err)
+			f.settingsErr = fmt.Errorf("instance %d: %w", id, err)
 			return err
 		}
 		if n.module, err = rules.New(b.Clock, set, rec.U64(1), &host{&n.actions}); err != nil {
-			f.bad = fmt.Errorf("instance %d: %w", who, err)
+			f.settingsErr = fmt.Errorf("instance %d: %w", id, err)
 		}
 		return err
 	})
 	return nil
 }
 
-// guard runs code of a live module; an error or a panic ends the instance.
-func (n *instance) guard(run func() error) {
+// run runs code of a module that has not failed; an error or a panic ends the instance.
+func (n *instance) run(step func() error) {
 	if n.module != nil {
-		n.build(run)
+		n.protect(step)
 	}
 }
 
-func (n *instance) build(run func() error) {
+// protect runs step; an error or a panic ends the instance.
+func (n *instance) protect(step func() error) {
 	defer func() {
 		if p := recover(); p != nil {
-			n.fault(fmt.Sprintf("panic: %v", p))
+			n.fail(fmt.Sprintf("panic: %v", p))
 		}
 	}()
-	if err := run(); err != nil {
-		n.fault(err.Error())
+	if err := step(); err != nil {
+		n.fail(err.Error())
 	}
 }
 
-// fault reports that this instance's code has failed, and nothing else.
-func (n *instance) fault(text string) {
+// fail ends the instance. Its only action in this batch is then the InternalError.
+func (n *instance) fail(text string) {
 	n.module = nil
 	n.actions.Reset()
 	n.actions.Text(simwire.AcInternalError, text)
 }
 
-// event maps one event to the module's method.
+// event calls the module's method for one event.
 func (n *instance) event(b simwire.Batch, rec simwire.Record) error {
 	now, m, id := b.Clock, n.module, rules.RequestID(rec.U64(1))
 	switch rec.Code() {
 	case simwire.EvDemand:
-		m.Arrive(now, demand(rec))
+		m.Arrive(now, parseDemand(rec))
 	case simwire.EvEnded:
 		o, ok := outcomes[rec.U8(17)]
 		if !ok {
@@ -186,7 +188,8 @@
 	return nil
 }
 
-func demand(rec simwire.Record) rules.Request {
+// parseDemand converts a Demand record to a request.
+func parseDemand(rec simwire.Record) rules.Request {
 	opts := rec.U8(66)
 	r := rules.Request{
 		ID: rules.RequestID(rec.U64(1)), RepeatOf: rules.RequestID(rec.U64(9)), CallerTimeout: rec.Time(17),
@@ -200,26 +203,28 @@
 	return r
 }
 
-// host writes a module's actions in wire form.
-type host struct{ a *simwire.Actions }
+// host implements rules.Host: it collects a module's actions in wire form.
+type host struct{ actions *simwire.Actions }
 
-func (h *host) Run(id rules.RequestID)          { h.a.ID(simwire.AcLaunch, uint64(id)) }
-func (h *host) Preempt(id rules.RequestID)      { h.a.ID(simwire.AcYank, uint64(id)) }
-func (h *host) Fail(id rules.RequestID)         { h.a.ID(simwire.AcFail, uint64(id)) }
-func (h *host) SkipCall(id rules.RequestID)     { h.a.ID(simwire.AcSkip, uint64(id)) }
-func (h *host) ForgetRecord(id rules.RequestID) { h.a.ID(simwire.AcReleaseKey, uint64(id)) }
-func (h *host) JoinEarlier(id rules.RequestID)  { h.a.ID(simwire.AcReuse, uint64(id)) }
+func (h *host) Run(id rules.RequestID)          { h.actions.ID(simwire.AcLaunch, uint64(id)) }
+func (h *host) Preempt(id rules.RequestID)      { h.actions.ID(simwire.AcYank, uint64(id)) }
+func (h *host) Fail(id rules.RequestID)         { h.actions.ID(simwire.AcFail, uint64(id)) }
+func (h *host) SkipCall(id rules.RequestID)     { h.actions.ID(simwire.AcSkip, uint64(id)) }
+func (h *host) ForgetRecord(id rules.RequestID) { h.actions.ID(simwire.AcReleaseKey, uint64(id)) }
+func (h *host) JoinEarlier(id rules.RequestID)  { h.actions.ID(simwire.AcReuse, uint64(id)) }
 func (h *host) Refuse(id rules.RequestID, retryAfter time.Duration, last bool) {
-	h.a.PushBack(uint64(id), retryAfter, last)
+	h.actions.PushBack(uint64(id), retryAfter, last)
 }
 func (h *host) Call(id rules.RequestID, timeout time.Duration) {
-	h.a.IDTime(simwire.AcCallDep, uint64(id), timeout)
+	h.actions.IDTime(simwire.AcCallDep, uint64(id), timeout)
 }
 func (h *host) KeepRecord(id rules.RequestID, span time.Duration) {
-	h.a.IDTime(simwire.AcKeep, uint64(id), span)
+	h.actions.IDTime(simwire.AcKeep, uint64(id), span)
 }
-func (h *host) SetHealth(stored, good bool)               { h.a.SetHealth(stored, good) }
-func (h *host) PublishLoad(value float64)                 { h.a.Signal(value) }
-func (h *host) SetIdleTimeout(after time.Duration)        { h.a.IdleLimit(after) }
-func (h *host) StartTimer(token uint64, in time.Duration) { h.a.IDTime(simwire.AcAfter, token, in) }
-func (h *host) Log(line string)                           { h.a.Text(simwire.AcWriteLog, line) }
+func (h *host) SetHealth(stored, good bool)        { h.actions.SetHealth(stored, good) }
+func (h *host) PublishLoad(value float64)          { h.actions.Signal(value) }
+func (h *host) SetIdleTimeout(after time.Duration) { h.actions.IdleLimit(after) }
+func (h *host) StartTimer(token uint64, in time.Duration) {
+	h.actions.IDTime(simwire.AcAfter, token, in)
+}
+func (h *host) Log(line string) { h.actions.Text(simwire.AcWriteLog, line) }
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,6 +1,6 @@
-// Command simhost hosts decision modules for the simulator: it reads batches
-// of events from standard input and writes one reply for each to standard
-// output. It maps the wire to the module's interface and decides nothing.
+// Command simhost runs the decision modules of simulated nodes: it reads batches of events
+// from standard input and writes one reply for each batch to standard output. It maps the
+// simulator's wire format to the module's interface and decides nothing.
 package main
 
 import (
@@ -18,29 +18,29 @@
 
 func main() { os.Exit(execute(os.Args[1:])) }
 
-// execute runs the command line and returns the exit status: 1 what came on the
-// wire can't be used, 2 arguments or a configuration that can't be.
+// execute runs the command line and returns the exit status: 1 for invalid input on the
+// wire, 2 for invalid arguments or an invalid configuration.
 func execute(args []string) int {
 	status, path := 2, ""
 	c := &cobra.Command{
 		Use:           "simhost [--config FILE]",
-		Short:         "Host the node's decisions on the simulator's wire",
+		Short:         "Run the decision modules of simulated nodes on standard input and output",
 		Args:          cobra.NoArgs,
 		SilenceErrors: true,
 		SilenceUsage:  true,
 		RunE: func(*cobra.Command, []string) error {
-			own := config.Defaults()
+			cfg := config.Defaults()
 			if path != "" {
 				var err error
-				if own, err = config.Load(path); err != nil {
+				if cfg, err = config.Load(path); err != nil {
 					return err
 				}
 			}
 			status = 1
-			return serve(own, os.Stdin, os.Stdout)
+			return serve(cfg, os.Stdin, os.Stdout)
 		},
 	}
-	c.Flags().StringVarP(&path, "config", "c", "", "the node's INI file, for the features that the simulator has: [pools], [together]")
+	c.Flags().StringVarP(&path, "config", "c", "", "the node's INI file, for the sections that apply to the simulator: [pools], [together]")
 	c.SetArgs(args)
 	if err := c.Execute(); err != nil {
 		fmt.Fprintf(os.Stderr, "simhost: %v\n", err)
@@ -49,10 +49,11 @@
 	return 0
 }
 
-// serve answers batches until the input ends between two frames or settings can't be served.
-func serve(own *config.Config, in io.Reader, out io.Writer) error {
+// serve answers batches until the input ends between two frames. It returns an error if the
+// input or an instance's settings are invalid.
+func serve(cfg *config.Config, in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<20)
-	f := newFleet(own)
+	f := newFleet(cfg)
 	var buf []byte
 	for {
 		batch, grown, err := simwire.ReadBatch(r, buf)
@@ -63,15 +64,15 @@
 		if err != nil {
 			return err
 		}
-		reply, err := f.answer(batch)
+		reply, err := f.handleBatch(batch)
 		if err != nil {
 			return err
 		}
 		if _, err := reply.WriteTo(out); err != nil {
 			return err
 		}
-		if f.bad != nil { // the simulator has been told, and nothing was served
-			return f.bad
+		if f.settingsErr != nil { // the reply reported it to the simulator
+			return f.settingsErr
 		}
 	}
 }
--- a/internal/dependency/dependency.go
+++ b/internal/dependency/dependency.go
@@ -1,7 +1,7 @@
-// Package dependency owns the calls to what lies below a node, the database that all
-// nodes share: one HTTP request each, a bounded number of connections, and one
-// outcome, whatever the other side does. It must never decide whether a call is made
-// or repeated, and never make one twice by itself.
+// Package dependency makes the downstream calls: calls to the database that all nodes
+// share. Each call is one HTTP request over a bounded number of connections and has one
+// outcome, whatever the other side does. The package does not decide whether a call is
+// made and never retries one. A Client is safe for concurrent use.
 package dependency
 
 import (
@@ -22,132 +22,133 @@
 	"robinmast/rules"
 )
 
-// Mechanics of the calls.
+// Path, headers and limits of the calls.
 const (
-	path        = "/v1/exec"
-	refHeader   = "Request-Ref"          // whose call it is
-	timeHeader  = "Statement-Timeout-Ms" // for how long its caller waits
-	neverHeader = "Never-Started"        // in an answer: the statement was not begun
+	execPath           = "/v1/exec"
+	refHeader          = "Request-Ref"          // the transaction name of the calling run
+	timeoutHeader      = "Statement-Timeout-Ms" // how long the node waits, milliseconds
+	neverStartedHeader = "Never-Started"        // in a response: the statement was not started
 
-	dialTimeout = time.Second
-	idleTime    = 20 * time.Second
-	lingerTime  = 100 * time.Millisecond // for the other side to close its side
-	ringLimit   = 8 << 10
-	mostResult  = 64 << 10 // a longer result is a failure
-	logGap      = 5 * time.Second
+	dialTimeout    = time.Second
+	idleTimeout    = 20 * time.Second
+	lingerTimeout  = 100 * time.Millisecond // for the database to close its side
+	bufferBytes    = 8 << 10
+	maxResultBytes = 64 << 10 // a longer result fails the call
+	logInterval    = 5 * time.Second
 )
 
-// Client makes calls.
+// Client makes calls to one database.
 type Client struct {
 	Traffic stream.Traffic
-	Calls   atomic.Int64
-	Ended   [rules.NeverStarted + 1]atomic.Int64 // by outcome
+	Calls   atomic.Int64                         // calls made
+	Ended   [rules.NeverStarted + 1]atomic.Int64 // calls ended, by outcome
 
-	url    atomic.Pointer[string]
-	http   *http.Client
-	log    *slog.Logger
-	logged atomic.Int64
-	ctx    context.Context
+	url        atomic.Pointer[string]
+	http       *http.Client
+	log        *slog.Logger
+	lastLogged atomic.Int64
+	ctx        context.Context
 }
 
-// New returns a client of the database at addr that opens so many connections at
-// most. All calls end with ctx.
+// New returns a client of the database at addr that opens at most conns connections. All
+// calls end with ctx.
 func New(ctx context.Context, addr string, conns int, log *slog.Logger) *Client {
 	c := &Client{log: log, ctx: ctx}
 	c.ChangeAddress(addr)
 	c.http = &http.Client{Transport: &http.Transport{
 		Proxy: nil, DialContext: c.dial, DisableCompression: true,
-		MaxConnsPerHost: conns, MaxIdleConnsPerHost: conns, IdleConnTimeout: idleTime,
+		MaxConnsPerHost: conns, MaxIdleConnsPerHost: conns, IdleConnTimeout: idleTimeout,
 	}}
 	context.AfterFunc(ctx, c.http.CloseIdleConnections)
 	return c
 }
 
-// Move takes later calls to another address; those out end where they began.
+// ChangeAddress sends later calls to another address; calls in flight end where they
+// started.
 func (c *Client) ChangeAddress(addr string) {
-	u := "http://" + addr + path
+	u := "http://" + addr + execPath
 	if old := c.url.Swap(&u); old != nil && *old != u {
 		c.http.CloseIdleConnections()
 	}
 }
 
-// dial opens a connection whose bytes pass through rings like all others.
+// dial opens a connection that is buffered and counted like all others.
 func (c *Client) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	raw, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, network, addr)
 	if err != nil {
 		c.Traffic.NeverOpened(err)
-		return nil, fmt.Errorf("dial what lies below: %w", err)
+		return nil, fmt.Errorf("dial downstream dependency: %w", err)
 	}
 	return stream.New(raw, stream.Bytes{}, stream.Limits{
-		In: ringLimit, Out: ringLimit, StallTimeout: stream.StallLimit, Linger: lingerTime,
+		In: bufferBytes, Out: bufferBytes, StallTimeout: stream.StallLimit, Linger: lingerTimeout,
 	}, &c.Traffic, nil), nil
 }
 
-// Call makes the call that the run ref stands at. done is told once, by any
-// goroutine, how it ended and with what; cancel gives the call up, after which done
-// is not told.
+// Call makes a downstream call for the run ref. done is called once, by another
+// goroutine, with the outcome and the result; after cancel it is not called.
 func (c *Client) Call(ref string, statement []byte, timeout time.Duration, done func(o rules.Outcome, result []byte, took time.Duration)) (cancel func()) {
 	c.Calls.Add(1)
 	ctx, stop := context.WithTimeout(c.ctx, timeout)
-	var given atomic.Bool
+	var finished atomic.Bool
 	began := time.Now()
 	go func() {
 		defer stop()
-		o, result, err := c.call(ctx, ref, statement, timeout)
-		if given.Load() {
+		o, result, err := c.exec(ctx, ref, statement, timeout)
+		if finished.Load() {
 			o = rules.Cancelled
 		}
 		c.Ended[o].Add(1)
-		if o == rules.Cancelled || given.Swap(true) {
+		if o == rules.Cancelled || finished.Swap(true) {
 			return
 		}
 		if err != nil {
-			c.complain(o, err)
+			c.logFailure(o, err)
 		}
 		done(o, result, time.Since(began))
 	}()
 	return func() {
-		given.Store(true)
+		finished.Store(true)
 		stop()
 	}
 }
 
-func (c *Client) call(ctx context.Context, ref string, statement []byte, timeout time.Duration) (rules.Outcome, []byte, error) {
+// exec makes one HTTP request and returns its outcome.
+func (c *Client) exec(ctx context.Context, ref string, statement []byte, timeout time.Duration) (rules.Outcome, []byte, error) {
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }})
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, *c.url.Load(), bytes.NewReader(statement))
 	if err != nil {
-		return rules.ConnectFailed, nil, fmt.Errorf("call below: %w", err)
+		return rules.ConnectFailed, nil, fmt.Errorf("downstream call: %w", err)
 	}
 	req.Header.Set(refHeader, ref)
-	req.Header.Set(timeHeader, strconv.FormatInt(max(timeout.Milliseconds(), 1), 10))
+	req.Header.Set(timeoutHeader, strconv.FormatInt(max(timeout.Milliseconds(), 1), 10))
 	res, err := c.http.Do(req)
 	if err != nil {
-		return broken(ctx, connected.Load()), nil, fmt.Errorf("call below: %w", err)
+		return failedOutcome(ctx, connected.Load()), nil, fmt.Errorf("downstream call: %w", err)
 	}
 	defer res.Body.Close()
-	result, err := io.ReadAll(io.LimitReader(res.Body, mostResult+1))
+	result, err := io.ReadAll(io.LimitReader(res.Body, maxResultBytes+1))
 	switch {
 	case err != nil:
-		return broken(ctx, true), nil, fmt.Errorf("call below: %w", err)
-	case len(result) > mostResult:
-		return rules.Failed, nil, errors.New("call below: a result without an end")
+		return failedOutcome(ctx, true), nil, fmt.Errorf("downstream call: %w", err)
+	case len(result) > maxResultBytes:
+		return rules.Failed, nil, errors.New("downstream call: result exceeds 64 KiB")
 	case res.StatusCode == http.StatusOK:
 		return rules.OK, result, nil
-	case res.Header.Get(neverHeader) != "":
+	case res.Header.Get(neverStartedHeader) != "":
 		return rules.CallRejected, nil, nil
 	case res.StatusCode == http.StatusGatewayTimeout || res.StatusCode == http.StatusRequestTimeout:
 		return rules.TimedOut, nil, nil
 	}
-	return rules.Failed, nil, fmt.Errorf("call below: status %s", res.Status)
+	return rules.Failed, nil, fmt.Errorf("downstream call: status %s", res.Status)
 }
 
-// broken is how a call ended that got no answer.
-func broken(ctx context.Context, connected bool) rules.Outcome {
+// failedOutcome returns the outcome of a call without a complete response.
+func failedOutcome(ctx context.Context, connected bool) rules.Outcome {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
 		return rules.Cancelled
-	case !connected: // so nothing of it was said
+	case !connected: // so nothing of it was sent
 		return rules.ConnectFailed
 	case ctx.Err() != nil:
 		return rules.TimedOut
@@ -155,17 +156,17 @@
 	return rules.ConnectionReset
 }
 
-// names are the outcomes in lines.
-var names = [...]string{
+// outcomeNames are the names of the outcomes in the log.
+var outcomeNames = [...]string{
 	rules.OK: "ok", rules.Failed: "failed", rules.CallRejected: "full", rules.TimedOut: "timed_out",
 	rules.ConnectFailed: "connect_failed", rules.ConnectionReset: "reset", rules.Cancelled: "given_up", rules.NeverStarted: "moot",
 }
 
-// complain logs failures at a bounded rate.
-func (c *Client) complain(o rules.Outcome, err error) {
-	now, last := time.Now().UnixNano(), c.logged.Load()
-	if now-last < int64(logGap) || !c.logged.CompareAndSwap(last, now) {
+// logFailure logs failed calls at a bounded rate.
+func (c *Client) logFailure(o rules.Outcome, err error) {
+	now, last := time.Now().UnixNano(), c.lastLogged.Load()
+	if now-last < int64(logInterval) || !c.lastLogged.CompareAndSwap(last, now) {
 		return
 	}
-	c.log.Warn("calls below fail", "outcome", names[o], "err", err, "made", c.Calls.Load(), "well", c.Ended[rules.OK].Load())
+	c.log.Warn("downstream calls fail", "outcome", outcomeNames[o], "err", err, "made", c.Calls.Load(), "well", c.Ended[rules.OK].Load())
 }
--- a/internal/dependency/dependency_test.go
+++ b/internal/dependency/dependency_test.go
@@ -17,9 +17,10 @@
 	"robinmast/rules"
 )
 
-// database answers each request on its connections as answer says; no bytes and no
-// error keep it waiting, an error resets the connection.
-func database(t *testing.T, answer func(q *http.Request, statement string) (text string, reset bool)) string {
+// stubDatabase answers each request on its connections with the text that answer returns,
+// and then resets the connection if answer says so. An empty text leaves the request
+// without a response.
+func stubDatabase(t *testing.T, answer func(q *http.Request, statement string) (text string, reset bool)) string {
 	t.Helper()
 	return standin.Serve(t, func(c net.Conn) {
 		for rd := bufio.NewReader(c); ; {
@@ -40,32 +41,32 @@
 	})
 }
 
-type result struct {
-	o    rules.Outcome
-	text string
-	took time.Duration
+type callResult struct {
+	outcome rules.Outcome
+	text    string
+	took    time.Duration
 }
 
-func client(t *testing.T, addr string) *Client {
+func newClient(t *testing.T, addr string) *Client {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	return New(ctx, addr, 4, slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
-func (c *Client) ask(timeout time.Duration) (chan result, func()) {
-	got := make(chan result, 2)
+func (c *Client) call(timeout time.Duration) (chan callResult, func()) {
+	got := make(chan callResult, 2)
 	cancel := c.Call("f00d", []byte("a\x00b"), timeout, func(o rules.Outcome, text []byte, took time.Duration) {
-		got <- result{o, string(text), took}
+		got <- callResult{o, string(text), took}
 	})
 	return got, cancel
 }
 
-const well = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nrows"
+const goodResponse = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nrows"
 
-// Whatever the other side does, a call has one outcome, and only what it says in
-// full counts as a result.
-func TestOutcomes(t *testing.T) {
+// Whatever the database does, a call has one outcome, and only a complete response counts
+// as a result.
+func TestCallOutcomes(t *testing.T) {
 	status := func(line, header string) string {
 		return "HTTP/1.1 " + line + "\r\n" + header + "Content-Length: 0\r\n\r\n"
 	}
@@ -74,33 +75,33 @@
 		reset bool
 		want  rules.Outcome
 	}{
-		"rows":          {well, false, rules.OK},
+		"rows":          {goodResponse, false, rules.OK},
 		"never started": {status("503 Full", "Never-Started: 1\r\n"), false, rules.CallRejected},
 		"busy":          {status("503 Full", ""), false, rules.Failed},
 		"fails":         {status("500 No", ""), false, rules.Failed},
-		"gave up":       {status("504 Late", ""), false, rules.TimedOut},
+		"timed out":     {status("504 Late", ""), false, rules.TimedOut},
 		"hangs":         {"", false, rules.TimedOut},
-		"half, hangs":   {well[:20], false, rules.TimedOut},
+		"half, hangs":   {goodResponse[:20], false, rules.TimedOut},
 		"resets":        {"", true, rules.ConnectionReset},
-		"without end":   {"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + strings.Repeat("x", 200000), false, rules.Failed},
-		"babbles":       {strings.Repeat("x", 1<<20), true, rules.ConnectionReset},
+		"too long":      {"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + strings.Repeat("x", 200000), false, rules.Failed},
+		"not HTTP":      {strings.Repeat("x", 1<<20), true, rules.ConnectionReset},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			seen := make(chan string, 1)
-			cl := client(t, database(t, func(q *http.Request, statement string) (string, bool) {
-				seen <- fmt.Sprintf("%s %s %s %s %q", q.Method, q.URL.Path, q.Header.Get(refHeader), q.Header.Get(timeHeader), statement)
+			requests := make(chan string, 1)
+			cl := newClient(t, stubDatabase(t, func(q *http.Request, statement string) (string, bool) {
+				requests <- fmt.Sprintf("%s %s %s %s %q", q.Method, q.URL.Path, q.Header.Get(refHeader), q.Header.Get(timeoutHeader), statement)
 				return c.text, c.reset
 			}))
-			got, _ := cl.ask(1500 * time.Millisecond)
+			got, _ := cl.call(1500 * time.Millisecond)
 			r := <-got
-			if r.o != c.want || (r.text != "rows") != (c.want != rules.OK) {
-				t.Errorf("outcome %d with %.20q, want %d", r.o, r.text, c.want)
+			if r.outcome != c.want || (r.text != "rows") != (c.want != rules.OK) {
+				t.Errorf("outcome %d with %.20q, want %d", r.outcome, r.text, c.want)
 			}
 			if r.took > 8*time.Second {
 				t.Errorf("took %v", r.took)
 			}
-			if s := <-seen; s != `POST /v1/exec f00d 1500 "a\x00b"` {
+			if s := <-requests; s != `POST /v1/exec f00d 1500 "a\x00b"` {
 				t.Errorf("sent %s", s)
 			}
 			if n := cl.Ended[c.want].Load(); n != 1 || cl.Calls.Load() != 1 {
@@ -110,47 +111,49 @@
 	}
 }
 
-// An answer that breaks off, at whatever byte, is no result, and the next call is none the worse.
-func TestAnswerCutAtEveryByte(t *testing.T) {
+// A response that ends early, at whatever byte, is no result, and the next call succeeds.
+func TestResponseCutAtEveryByte(t *testing.T) {
 	var at atomic.Int64
-	cl := client(t, database(t, func(*http.Request, string) (string, bool) { return well[:at.Load()], int(at.Load()) < len(well) }))
-	for cut := range well {
+	cl := newClient(t, stubDatabase(t, func(*http.Request, string) (string, bool) {
+		return goodResponse[:at.Load()], int(at.Load()) < len(goodResponse)
+	}))
+	for cut := range goodResponse {
 		at.Store(int64(cut))
-		got, _ := cl.ask(5 * time.Second)
-		if r := <-got; r.o != rules.ConnectionReset {
-			t.Errorf("cut at %d: outcome %d with %q", cut, r.o, r.text)
+		got, _ := cl.call(5 * time.Second)
+		if r := <-got; r.outcome != rules.ConnectionReset {
+			t.Errorf("cut at %d: outcome %d with %q", cut, r.outcome, r.text)
 		}
 	}
-	at.Store(int64(len(well)))
-	got, _ := cl.ask(5 * time.Second)
-	if r := <-got; r.o != rules.OK || r.text != "rows" {
+	at.Store(int64(len(goodResponse)))
+	got, _ := cl.call(5 * time.Second)
+	if r := <-got; r.outcome != rules.OK || r.text != "rows" {
 		t.Errorf("whole: %+v", r)
 	}
 }
 
-// A call that nobody waits for any more ends at once and is not told of; nothing is
-// known to have begun where nobody listens; another address counts from the next call on.
-func TestGivenUpAwayAndMoved(t *testing.T) {
-	asked := make(chan bool, 1)
-	cl := client(t, database(t, func(*http.Request, string) (string, bool) { asked <- true; return "", false }))
-	got, cancel := cl.ask(time.Minute)
-	<-asked
+// A cancelled call ends at once and its callback is not called. A call to an address where
+// nothing listens fails to connect. Another address applies from the next call on.
+func TestCancelledUnreachableAndMoved(t *testing.T) {
+	requested := make(chan bool, 1)
+	cl := newClient(t, stubDatabase(t, func(*http.Request, string) (string, bool) { requested <- true; return "", false }))
+	got, cancel := cl.call(time.Minute)
+	<-requested
 	cancel()
 	standin.Eventually(t, "the end of the call", func() bool { return cl.Ended[rules.Cancelled].Load() == 1 })
 	if len(got) != 0 {
-		t.Errorf("told of: %+v", <-got)
+		t.Errorf("callback called: %+v", <-got)
 	}
 	addr, open := standin.ClosedAddress(t)
 	cl.ChangeAddress(addr)
-	got, _ = cl.ask(5 * time.Second)
-	if r := <-got; r.o != rules.ConnectFailed {
-		t.Errorf("away: %+v", r)
+	got, _ = cl.call(5 * time.Second)
+	if r := <-got; r.outcome != rules.ConnectFailed {
+		t.Errorf("unreachable: %+v", r)
 	}
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "rows") })}
 	go srv.Serve(open())
 	defer srv.Close()
-	got, _ = cl.ask(5 * time.Second)
-	if r := <-got; r.o != rules.OK || r.text != "rows" {
-		t.Errorf("there again: %+v", r)
+	got, _ = cl.call(5 * time.Second)
+	if r := <-got; r.outcome != rules.OK || r.text != "rows" {
+		t.Errorf("reachable again: %+v", r)
 	}
 }
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -1,6 +1,7 @@
-// Package members owns the reports to the membership service: one every so
-// often, and one at once when the phase changes. It must never hold up anything
-// else: whatever the service does, all that is lost is a report.
+// Package members sends a node's reports to the membership service and to the control
+// service: one at a fixed interval, and one at once when the phase changes. It never
+// blocks its callers: whatever the service does, only reports are lost. A Reporter is safe
+// for concurrent use; its Run is one goroutine.
 package members
 
 import (
@@ -22,57 +23,57 @@
 	"robinmast/internal/stream"
 )
 
-// Mechanics of the reports. An entry lapses 3 s after the last one, so that two
-// tries in a row may fail.
+// Times and limits of the reports. The membership service drops a node 3 s after its last
+// report, so that two reports in a row may fail.
 const (
-	period     = 700 * time.Millisecond
-	timeout    = 900 * time.Millisecond
-	backoffMin = 50 * time.Millisecond
-	backoffMax = period
-	logGap     = 5 * time.Second
-
-	// A control service that is lost is lost to all nodes at once: they come back
-	// spread over controlMost, and each makes so many tries in a window at most. A
-	// service that came back drops nobody sooner than 3 s.
-	controlMost   = 2800 * time.Millisecond
-	controlWindow = 10 * time.Second
-	controlBudget = 16
-
-	lingerTime = 100 * time.Millisecond // for the service to close its side
-
-	ringLimit = 8 << 10 // a report, and what is read of an answer at a time
+	reportInterval = 700 * time.Millisecond
+	reportTimeout  = 900 * time.Millisecond
+	backoffMin     = 50 * time.Millisecond
+	backoffMax     = reportInterval
+	logInterval    = 5 * time.Second
+
+	// All nodes lose a control service at the same moment: they reconnect spread over
+	// controlMaxWait, and each makes at most controlBudget tries per controlWindow. A
+	// control service that restarted drops no node within its first 3 s.
+	controlMaxWait = 2800 * time.Millisecond
+	controlWindow  = 10 * time.Second
+	controlBudget  = 16
+
+	lingerTimeout = 100 * time.Millisecond // for the service to close its side
+	bufferBytes   = 8 << 10                // a report, or one read of an answer
 )
 
-// Reporter reports one node's phase.
+// Reporter sends one node's reports to one service.
 type Reporter struct {
-	Sent   atomic.Int64 // reports that were taken
-	Failed atomic.Int64
+	Sent   atomic.Int64 // reports that were accepted
+	Failed atomic.Int64 // reports that were not
 
 	Traffic stream.Traffic
 
-	// Answered, if set before Run, takes the body of each answer that has one, and
-	// when its report was made. It must not wait.
+	// OnAnswer, if set before Run, receives the body of each answer with status 200, and
+	// when its report was made. It must not block.
 	OnAnswer func(sent time.Time, body []byte)
 
-	scheme string
-	name   string
-	what   string        // the service, for lines
-	path   string        // of the reports, before the name
-	body   func() string // a report, as of now
-	url    atomic.Pointer[string]
-	client *http.Client
-	log    *slog.Logger
-	period time.Duration    // the constant, but in tests
-	again  *backoff.Backoff // after failures, nil = as the membership service is used to
-	out    atomic.Bool
-	change chan struct{}
+	scheme       string
+	name         string
+	service      string        // the service's name for the log
+	path         string        // URL path before the node's name
+	body         func() string // makes a report of the present state
+	url          atomic.Pointer[string]
+	client       *http.Client
+	log          *slog.Logger
+	interval     time.Duration    // the constant, shorter in tests
+	retryBackoff *backoff.Backoff // after failures, nil = doubling waits
+	outOfService atomic.Bool
+	reportNow    chan struct{}
 }
 
-// New returns a reporter to the membership service at addr for the node called name.
+// New returns a reporter to the membership service at addr for the node called name. It
+// reports the phase UP or OUT.
 func New(addr, name string, log *slog.Logger) *Reporter {
 	r := newReporter(addr, name, "/members/", "membership service", log)
 	r.body = func() string {
-		if r.out.Load() {
+		if r.outOfService.Load() {
 			return `{"phase":"OUT"}`
 		}
 		return `{"phase":"UP"}`
@@ -80,80 +81,83 @@
 	return r
 }
 
-// Spread lets tries after a failure wait random times within a budget: all nodes lose
-// the service at one moment. It must be called before Run.
+// UseBackoff makes tries after a failure wait for random times within a budget, since all
+// nodes lose the service at the same moment. It must be called before Run.
 func (r *Reporter) UseBackoff(rnd *rand.Rand) {
-	r.again = backoff.New(backoff.Settings{MinWait: backoffMin, InitialSpan: 2 * backoffMin, MaxSpan: backoffMax, Window: controlWindow, Budget: 24}, rnd)
+	r.retryBackoff = backoff.New(backoff.Settings{MinWait: backoffMin, InitialSpan: 2 * backoffMin, MaxSpan: backoffMax, Window: controlWindow, Budget: 24}, rnd)
 }
 
 // NewControl returns a reporter to the control service at addr; body makes a
-// report and must not wait. secure, if set, is how it is spoken to.
-func NewControl(addr, name string, secure *tls.Config, body func() string, log *slog.Logger) *Reporter {
+// report and must not block. tlsConfig, if set, makes the reports go over TLS.
+func NewControl(addr, name string, tlsConfig *tls.Config, body func() string, log *slog.Logger) *Reporter {
 	r := newReporter(addr, name, "/nodes/", "control service", log)
 	r.body = body
-	r.again = backoff.New(backoff.Settings{
-		MinWait: backoffMin, InitialSpan: 2 * backoffMin, MaxSpan: controlMost, Window: controlWindow, Budget: controlBudget,
+	r.retryBackoff = backoff.New(backoff.Settings{
+		MinWait: backoffMin, InitialSpan: 2 * backoffMin, MaxSpan: controlMaxWait, Window: controlWindow, Budget: controlBudget,
 	}, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
-	if secure != nil {
+	if tlsConfig != nil {
 		r.scheme = "https://"
-		r.client.Transport.(*http.Transport).TLSClientConfig = secure
-		r.point(addr)
+		r.client.Transport.(*http.Transport).TLSClientConfig = tlsConfig
+		r.setURL(addr)
 	}
 	return r
 }
 
-func newReporter(addr, name, path, what string, log *slog.Logger) *Reporter {
+// newReporter returns a reporter without a body.
+func newReporter(addr, name, path, service string, log *slog.Logger) *Reporter {
 	r := &Reporter{
-		scheme: "http://", name: name, path: path, what: what, period: period, log: log, change: make(chan struct{}, 1),
+		scheme: "http://", name: name, path: path, service: service, interval: reportInterval, log: log, reportNow: make(chan struct{}, 1),
 	}
-	r.point(addr)
-	r.client = &http.Client{Timeout: timeout, Transport: &http.Transport{
+	r.setURL(addr)
+	r.client = &http.Client{Timeout: reportTimeout, Transport: &http.Transport{
 		Proxy: nil, DialContext: r.dial, DisableCompression: true,
 		MaxIdleConns: 1, MaxConnsPerHost: 2, IdleConnTimeout: 30 * time.Second,
 	}}
 	return r
 }
 
-func (r *Reporter) point(addr string) (changed bool) {
+// setURL sets the URL of the reports; it reports whether that changed.
+func (r *Reporter) setURL(addr string) (changed bool) {
 	u := r.scheme + addr + r.path + url.PathEscape(r.name)
 	old := r.url.Swap(&u)
 	return old == nil || *old != u
 }
 
-// Move takes the reports to another address, beginning with one at once. A
-// report that is under way ends where it began.
+// ChangeAddress sends the reports to another address, starting with one at once. A report
+// in flight ends where it started.
 func (r *Reporter) ChangeAddress(addr string) {
-	if !r.point(addr) {
+	if !r.setURL(addr) {
 		return
 	}
 	r.client.CloseIdleConnections()
-	r.poke()
+	r.triggerReport()
 }
 
-func (r *Reporter) poke() {
+// triggerReport makes Run send a report at once.
+func (r *Reporter) triggerReport() {
 	select {
-	case r.change <- struct{}{}:
+	case r.reportNow <- struct{}{}:
 	default:
 	}
 }
 
-// dial opens a connection whose bytes pass through rings like all others.
+// dial opens a connection that is buffered and counted like all others.
 func (r *Reporter) dial(ctx context.Context, network, addr string) (net.Conn, error) {
-	raw, err := (&net.Dialer{Timeout: timeout}).DialContext(ctx, network, addr)
+	raw, err := (&net.Dialer{Timeout: reportTimeout}).DialContext(ctx, network, addr)
 	if err != nil {
 		r.Traffic.NeverOpened(err)
 		return nil, err
 	}
-	return stream.New(raw, stream.Bytes{}, stream.Limits{In: ringLimit, Out: ringLimit, StallTimeout: timeout, Linger: lingerTime}, &r.Traffic, nil), nil
+	return stream.New(raw, stream.Bytes{}, stream.Limits{In: bufferBytes, Out: bufferBytes, StallTimeout: reportTimeout, Linger: lingerTimeout}, &r.Traffic, nil), nil
 }
 
-// Poke has a report sent at once.
-func (r *Reporter) ReportNow() { r.poke() }
+// ReportNow makes a report be sent at once.
+func (r *Reporter) ReportNow() { r.triggerReport() }
 
-// SetUp sets the phase and, if it changed, reports it at once.
+// SetServing sets the phase, UP or OUT, and reports it at once if it changed.
 func (r *Reporter) SetServing(up bool) {
-	if r.out.Swap(!up) == up {
-		r.poke()
+	if r.outOfService.Swap(!up) == up {
+		r.triggerReport()
 	}
 }
 
@@ -164,49 +168,49 @@
 	var logged time.Time
 	for ctx.Err() == nil {
 		began := time.Now()
-		if r.again != nil && failing {
-			r.again.TryStarted(began.Sub(start))
+		if r.retryBackoff != nil && failing {
+			r.retryBackoff.TryStarted(began.Sub(start))
 		}
 		err := r.report(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		pause := r.period - time.Since(began)
+		pause := r.interval - time.Since(began)
 		if err != nil {
 			r.Failed.Add(1)
-			if !failing || time.Since(logged) > logGap {
-				level, what := slog.LevelWarn, "report to the "+r.what+" failed"
+			if !failing || time.Since(logged) > logInterval {
+				level, message := slog.LevelWarn, "report to the "+r.service+" failed"
 				var ne net.Error
-				if errors.As(err, &ne) && ne.Timeout() { // it may count all the same
-					level, what = slog.LevelInfo, "report to the "+r.what+" was not answered"
+				if errors.As(err, &ne) && ne.Timeout() { // the service may have accepted it all the same
+					level, message = slog.LevelInfo, "report to the "+r.service+" was not answered"
 				}
-				r.log.Log(ctx, level, what, "err", err, "failed", r.Failed.Load())
+				r.log.Log(ctx, level, message, "err", err, "failed", r.Failed.Load())
 				logged = time.Now()
 			}
 			pause, wait = wait, min(2*wait, backoffMax)
-			if r.again != nil {
-				pause = r.again.Failed(time.Since(start))
+			if r.retryBackoff != nil {
+				pause = r.retryBackoff.Failed(time.Since(start))
 			}
 		} else {
-			if r.again != nil {
-				r.again.Succeeded()
+			if r.retryBackoff != nil {
+				r.retryBackoff.Succeeded()
 			}
 			r.Sent.Add(1)
 			if failing {
-				r.log.Info("reports to the " + r.what + " are taken again")
+				r.log.Info("reports to the " + r.service + " are taken again")
 			}
 			wait = backoffMin
 		}
 		failing = err != nil
 		select {
 		case <-ctx.Done():
-		case <-r.change:
+		case <-r.reportNow:
 		case <-time.After(max(pause, 0)):
 		}
 	}
 }
 
-// report sends one report and waits until it was taken.
+// report sends one report and waits for the answer.
 func (r *Reporter) report(ctx context.Context) error {
 	sent := time.Now()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPut, *r.url.Load(), strings.NewReader(r.body()))
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -18,10 +18,10 @@
 	"robinmast/internal/stream"
 )
 
-func run(t *testing.T, addr string) *Reporter {
+func startReporter(t *testing.T, addr string) *Reporter {
 	t.Helper()
 	r := New(addr, "n3", slog.New(slog.NewTextHandler(io.Discard, nil)))
-	r.period = 50 * time.Millisecond
+	r.interval = 50 * time.Millisecond
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { r.Run(ctx); close(done) }()
@@ -39,6 +39,7 @@
 	return r
 }
 
+// Reports are sent at the interval, and one at once when the phase changes.
 func TestReports(t *testing.T) {
 	var mu sync.Mutex
 	var got []string
@@ -50,7 +51,7 @@
 		w.WriteHeader(http.StatusNoContent)
 	}))
 	defer srv.Close()
-	r := run(t, strings.TrimPrefix(srv.URL, "http://"))
+	r := startReporter(t, strings.TrimPrefix(srv.URL, "http://"))
 	standin.Eventually(t, "three reports", func() bool { return r.Sent.Load() >= 3 })
 	r.SetServing(true) // no change
 	r.SetServing(false)
@@ -66,29 +67,29 @@
 	}
 }
 
-// Whatever the service does, reports go on and are taken once it is well, and
-// nobody who sets the phase waits.
-func TestTroubles(t *testing.T) {
+// Whatever the service does, reports continue and are accepted once it works again, and
+// setting the phase never blocks.
+func TestServiceFailures(t *testing.T) {
 	for name, bad := range map[string]func(net.Conn){
 		"resets":     func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
 		"closes":     func(c net.Conn) { c.Close() },
 		"hangs":      func(c net.Conn) { time.Sleep(3 * time.Second); c.Close() },
-		"says 500":   func(c net.Conn) { io.WriteString(c, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"); c.Close() },
-		"says 200":   func(c net.Conn) { io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"); c.Close() },
-		"babbles":    func(c net.Conn) { io.WriteString(c, strings.Repeat("x", 1<<20)); c.Close() },
+		"status 500": func(c net.Conn) { io.WriteString(c, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"); c.Close() },
+		"status 200": func(c net.Conn) { io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"); c.Close() },
+		"not HTTP":   func(c net.Conn) { io.WriteString(c, strings.Repeat("x", 1<<20)); c.Close() },
 		"never ends": func(c net.Conn) { io.WriteString(c, "HTTP/1.1 204 No Content\r\nX: "); time.Sleep(3 * time.Second) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			ln := standin.Listen(t)
-			var well atomic.Bool
+			var healthy atomic.Bool
 			go func() {
 				for {
 					c, err := ln.Accept()
 					if err != nil {
 						return
 					}
-					if !well.Load() {
+					if !healthy.Load() {
 						go bad(c)
 						continue
 					}
@@ -106,25 +107,25 @@
 					}()
 				}
 			}()
-			r := run(t, ln.Addr().String())
+			r := startReporter(t, ln.Addr().String())
 			standin.Eventually(t, "failure", func() bool { return r.Failed.Load() >= 2 })
 			began := time.Now()
 			r.SetServing(false)
 			r.SetServing(true)
-			if d := time.Since(began); d > time.Second { // it hangs for three
+			if d := time.Since(began); d > time.Second { // the stub hangs for 3 s
 				t.Errorf("setting the phase took %v", d)
 			}
 			sent := r.Sent.Load()
-			well.Store(true)
+			healthy.Store(true)
 			standin.Eventually(t, "recovery", func() bool { return r.Sent.Load() > sent+1 })
 		})
 	}
 }
 
-// A service that is away is asked again until it is there.
-func TestAway(t *testing.T) {
+// Reports to an unreachable service are tried again until it is up.
+func TestServiceUnreachable(t *testing.T) {
 	addr, open := standin.ClosedAddress(t)
-	r := run(t, addr)
+	r := startReporter(t, addr)
 	standin.Eventually(t, "refused reports", func() bool { return r.Traffic.Ended[stream.DialRefused].Load() >= 3 })
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })}
 	go srv.Serve(open())
@@ -132,10 +133,10 @@
 	standin.Eventually(t, "a report", func() bool { return r.Sent.Load() > 0 })
 }
 
-// Two tries in a row may fail, by time-out too, before an entry would lapse.
-func TestPeriodLeavesRoom(t *testing.T) {
+// Two reports in a row may fail, even by timeout, before the service would drop the node.
+func TestIntervalAllowsTwoFailures(t *testing.T) {
 	const lapse = 3 * time.Second
-	if worst := period + 2*timeout + backoffMin + 2*backoffMin; worst > lapse-300*time.Millisecond {
-		t.Errorf("a report may come %v after the one before", worst)
+	if worst := reportInterval + 2*reportTimeout + backoffMin + 2*backoffMin; worst > lapse-300*time.Millisecond {
+		t.Errorf("two reports may be %v apart", worst)
 	}
 }
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -1,6 +1,7 @@
-// Package simwire reads and writes the simulator's frames. It
-// knows layouts only; what the fields mean to a node is the rules package's
-// business.
+// Package simwire reads and writes the simulator's frames, with the event and action names
+// of the simulator's wire page. It knows layouts only; package rules defines what the
+// fields mean. Numbers are big-endian, times are float64 milliseconds. Its types are not
+// safe for concurrent use.
 package simwire
 
 import (
@@ -14,10 +15,10 @@
 
 // Sizes of the fixed parts of a frame, in bytes.
 const (
-	batchHeader = 12 // after the length field: record count and clock
-	EventSize   = 72
-	ActionSize  = 24
-	maxFrame    = 1 << 30
+	batchHeaderSize = 12 // after the length field: record count and clock
+	EventSize       = 72 // an event record
+	ActionSize      = 24 // an action record
+	maxFrameSize    = 1 << 30
 )
 
 // Event codes.
@@ -54,7 +55,7 @@
 	AcContext       = 16
 )
 
-// Bits of a Demand's opts.
+// Bits of the opts field of a Demand.
 const (
 	OptHint  = 1
 	OptRetry = 2
@@ -63,27 +64,28 @@
 
 // Batch is one frame of events.
 type Batch struct {
-	Clock   time.Duration
-	Count   int
+	Clock   time.Duration // the simulator's clock
+	Count   int           // event records
 	records []byte
 	tail    []byte
 }
 
-// Record is one event record, addressed by the offsets of the wire page.
+// Record is one event record; fields are addressed by the offsets of the wire page.
 type Record []byte
 
-// ReadBatch reads one frame into buf, growing it as needed, and returns the
-// batch and the buffer. It returns io.EOF only between frames.
+// ReadBatch reads one frame into buf, growing it as needed, and returns the batch, which
+// refers to the buffer, and the buffer. At the end of input between two frames it returns
+// io.EOF itself; any other error is wrapped.
 func ReadBatch(r io.Reader, buf []byte) (Batch, []byte, error) {
-	var head [4]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+	var length [4]byte
+	if _, err := io.ReadFull(r, length[:]); err != nil {
 		if errors.Is(err, io.EOF) {
 			return Batch{}, buf, io.EOF
 		}
 		return Batch{}, buf, fmt.Errorf("frame cut short in its length: %w", err)
 	}
-	size := int(binary.BigEndian.Uint32(head[:]))
-	if size < batchHeader || size > maxFrame {
+	size := int(binary.BigEndian.Uint32(length[:]))
+	if size < batchHeaderSize || size > maxFrameSize {
 		return Batch{}, buf, fmt.Errorf("impossible frame length %d", size)
 	}
 	if cap(buf) < size {
@@ -97,10 +99,11 @@
 	return b, buf, err
 }
 
+// parseBatch parses the body of a frame, after its length.
 func parseBatch(body []byte) (Batch, error) {
 	count := int(binary.BigEndian.Uint32(body))
 	clock := math.Float64frombits(binary.BigEndian.Uint64(body[4:]))
-	rest := body[batchHeader:]
+	rest := body[batchHeaderSize:]
 	if count > len(rest)/EventSize {
 		return Batch{}, fmt.Errorf("%d records do not fit a frame of %d bytes", count, len(body))
 	}
@@ -111,19 +114,19 @@
 	return Batch{Clock: Duration(clock), Count: count, records: rest[:n], tail: rest[n:]}, nil
 }
 
-// Record returns event record i.
+// Record returns event record i, counted from 0.
 func (b Batch) Record(i int) Record { return Record(b.records[i*EventSize : (i+1)*EventSize]) }
 
 // Tail resolves a tail reference at the given offset of a record.
-func (b Batch) Tail(r Record, at int) ([]byte, error) {
-	off, n := uint64(r.U32(at)), uint64(r.U32(at+4))
-	if off+n > uint64(len(b.tail)) {
-		return nil, fmt.Errorf("tail reference %d+%d beyond %d bytes", off, n, len(b.tail))
+func (b Batch) Tail(r Record, offset int) ([]byte, error) {
+	start, n := uint64(r.U32(offset)), uint64(r.U32(offset+4))
+	if start+n > uint64(len(b.tail)) {
+		return nil, fmt.Errorf("tail reference %d+%d beyond %d bytes", start, n, len(b.tail))
 	}
-	return b.tail[off : off+n], nil
+	return b.tail[start : start+n], nil
 }
 
-// Code is the record's event code.
+// Code returns the record's event code.
 func (r Record) Code() byte { return r[0] }
 
 // U8 reads one byte.
@@ -138,35 +141,37 @@
 // U64 reads an eight-byte number.
 func (r Record) U64(at int) uint64 { return binary.BigEndian.Uint64(r[at:]) }
 
-// F32 reads a four-byte float.
+// F32 reads a four-byte float; NaN and infinities read as 0.
 func (r Record) F32(at int) float64 {
-	return finite(float64(math.Float32frombits(binary.BigEndian.Uint32(r[at:]))))
+	return finiteOrZero(float64(math.Float32frombits(binary.BigEndian.Uint32(r[at:]))))
 }
 
-// Time reads a time in milliseconds.
+// Time reads a time in milliseconds; NaN and infinities read as 0.
 func (r Record) Time(at int) time.Duration {
-	return Duration(finite(math.Float64frombits(binary.BigEndian.Uint64(r[at:]))))
+	return Duration(finiteOrZero(math.Float64frombits(binary.BigEndian.Uint64(r[at:]))))
 }
 
-func finite(x float64) float64 {
+// finiteOrZero returns x, or 0 if x is NaN or infinite.
+func finiteOrZero(x float64) float64 {
 	if math.IsNaN(x) || math.IsInf(x, 0) {
 		return 0
 	}
 	return x
 }
 
-// Duration turns wire milliseconds into a duration, to the nearest microsecond.
+// Duration converts wire milliseconds to a duration, rounded to the nearest microsecond.
 func Duration(ms float64) time.Duration {
 	return time.Duration(math.Round(ms*1000)) * time.Microsecond
 }
 
-func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+// milliseconds converts a duration to wire milliseconds.
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// Actions collects what one instance does in one batch.
+// Actions collects the actions of one instance in one batch.
 type Actions struct {
 	records []byte
 	tail    []byte
-	logRefs []int // offsets of tail references, which move when tails are joined
+	logRefs []int // offsets of tail references, adjusted when tails are joined
 }
 
 // Reset empties the buffer.
@@ -174,9 +179,10 @@
 	a.records, a.tail, a.logRefs = a.records[:0], a.tail[:0], a.logRefs[:0]
 }
 
-// Len is the number of records collected.
+// Len returns the number of records collected.
 func (a *Actions) Len() int { return len(a.records) / ActionSize }
 
+// add appends an empty record and returns it.
 func (a *Actions) add(code byte) []byte {
 	var rec [ActionSize]byte
 	rec[0] = code
@@ -191,7 +197,7 @@
 func (a *Actions) IDTime(code byte, id uint64, d time.Duration) {
 	r := a.add(code)
 	binary.BigEndian.PutUint64(r[1:], id)
-	binary.BigEndian.PutUint64(r[9:], math.Float64bits(millis(d)))
+	binary.BigEndian.PutUint64(r[9:], math.Float64bits(milliseconds(d)))
 }
 
 // PushBack adds a refusal.
@@ -205,27 +211,27 @@
 // SetHealth adds a health setting.
 func (a *Actions) SetHealth(stored, on bool) {
 	r := a.add(AcSetHealth)
-	r[1], r[2] = flag(stored), flag(on)
+	r[1], r[2] = boolByte(stored), boolByte(on)
 }
 
-func flag(on bool) byte {
+func boolByte(on bool) byte {
 	if on {
 		return 1
 	}
 	return 0
 }
 
-// Signal adds a free value.
+// Signal adds a load feedback value.
 func (a *Actions) Signal(x float64) {
 	binary.BigEndian.PutUint32(a.add(AcSignal)[1:], math.Float32bits(float32(x)))
 }
 
-// IdleLimit adds a limit on idle connections.
+// IdleLimit adds an idle timeout of connections.
 func (a *Actions) IdleLimit(d time.Duration) {
-	binary.BigEndian.PutUint64(a.add(AcIdleLimit)[1:], math.Float64bits(millis(d)))
+	binary.BigEndian.PutUint64(a.add(AcIdleLimit)[1:], math.Float64bits(milliseconds(d)))
 }
 
-// Text adds WriteLog or InternalError.
+// Text adds a WriteLog or InternalError action with its text.
 func (a *Actions) Text(code byte, line string) {
 	r := a.add(code)
 	binary.BigEndian.PutUint32(r[1:], uint32(len(a.tail)))
@@ -236,24 +242,24 @@
 
 // Reply builds one reply frame.
 type Reply struct {
-	buf  []byte
-	tail []byte
-	n    int
+	buf     []byte
+	tail    []byte
+	records int
 }
 
 // Reset starts a new reply.
 func (p *Reply) Reset() {
-	p.buf, p.tail, p.n = append(p.buf[:0], make([]byte, 8)...), p.tail[:0], 0
+	p.buf, p.tail, p.records = append(p.buf[:0], make([]byte, 8)...), p.tail[:0], 0
 }
 
-// Add appends an instance's actions under its Context; nothing for none.
-func (p *Reply) Add(who uint16, a *Actions) {
+// Add appends a Context record and the instance's actions, or nothing if there are none.
+func (p *Reply) Add(instance uint16, a *Actions) {
 	if a.Len() == 0 {
 		return
 	}
 	var ctx [ActionSize]byte
 	ctx[0] = AcContext
-	binary.BigEndian.PutUint16(ctx[1:], who)
+	binary.BigEndian.PutUint16(ctx[1:], instance)
 	p.buf = append(p.buf, ctx[:]...)
 	base := len(p.buf)
 	p.buf = append(p.buf, a.records...)
@@ -262,13 +268,13 @@
 		binary.BigEndian.PutUint32(ref, binary.BigEndian.Uint32(ref)+uint32(len(p.tail)))
 	}
 	p.tail = append(p.tail, a.tail...)
-	p.n += 1 + a.Len()
+	p.records += 1 + a.Len()
 }
 
-// WriteTo writes the frame.
+// WriteTo writes the frame; Reset must be called before the next one.
 func (p *Reply) WriteTo(w io.Writer) (int64, error) {
 	p.buf = append(p.buf, p.tail...)
-	binary.BigEndian.PutUint32(p.buf, uint32(p.n))
+	binary.BigEndian.PutUint32(p.buf, uint32(p.records))
 	binary.BigEndian.PutUint32(p.buf[4:], uint32(len(p.buf)-8))
 	n, err := w.Write(p.buf)
 	if err != nil {
--- a/internal/simwire/frame_test.go
+++ b/internal/simwire/frame_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// unhex reads the wire page's notation: hex groups and "+N" for N zero bytes.
-func unhex(t *testing.T, text string) []byte {
+// decodeHex decodes the wire page's notation: hex groups, and "+N" for N zero bytes.
+func decodeHex(t *testing.T, text string) []byte {
 	t.Helper()
 	var out []byte
 	for _, word := range strings.Fields(text) {
@@ -41,7 +41,7 @@
 09 000247280e6f2b19 +63`
 
 func TestBatchExample(t *testing.T) {
-	b, _, err := ReadBatch(bytes.NewReader(unhex(t, batchExample)), nil)
+	b, _, err := ReadBatch(bytes.NewReader(decodeHex(t, batchExample)), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,13 +52,13 @@
 	if d.Code() != EvDemand || d.U64(1) != 0x000bda025d3a91c4 || d.U64(9) != 0x000247280e6f2b19 ||
 		d.Time(17) != 240*time.Millisecond || d.F32(25) != 0.625 || d.Time(29) != 12*time.Millisecond ||
 		d.U32(41) != 17 || d.Time(45) != 1850*time.Microsecond || d.F32(61) != 24.5 || d.U8(66) != OptHint {
-		t.Errorf("Demand read wrongly: % x", d)
+		t.Errorf("wrong fields of Demand: % x", d)
 	}
 	if g := b.Record(2); g.U64(1) != 77 || g.U8(9) != 4 || g.F32(14) != 3 || g.F32(22) != 120 {
-		t.Errorf("TickDue read wrongly: % x", g)
+		t.Errorf("wrong fields of TickDue: % x", g)
 	}
 	if b.Record(3).U16(1) != 5 || b.Record(4).Code() != EvHangup {
-		t.Error("second instance read wrongly")
+		t.Error("wrong fields of the second instance")
 	}
 }
 
@@ -78,7 +78,7 @@
 	if _, err := p.WriteTo(&out); err != nil {
 		t.Fatal(err)
 	}
-	want := unhex(t, `00000005 00000089 10 0003 +21 01 000bda025d3a91c4 +15
+	want := decodeHex(t, `00000005 00000089 10 0003 +21 01 000bda025d3a91c4 +15
 0d 000000000000004d 407f400000000000 +7 10 0005 +21 0e 00000000 00000011 +15
 74776f2073657276657273206b6e6f776e`)
 	if !bytes.Equal(out.Bytes(), want) {
@@ -87,7 +87,7 @@
 }
 
 func TestEmptyBatch(t *testing.T) {
-	b, _, err := ReadBatch(bytes.NewReader(unhex(t, "0000000c 00000000 40c06e2000000000")), nil)
+	b, _, err := ReadBatch(bytes.NewReader(decodeHex(t, "0000000c 00000000 40c06e2000000000")), nil)
 	if err != nil || b.Count != 0 {
 		t.Fatalf("%+v, %v", b, err)
 	}
@@ -119,7 +119,7 @@
 	} {
 		var a Actions
 		c.do(&a)
-		if want := unhex(t, c.want); !bytes.Equal(a.records, want) {
+		if want := decodeHex(t, c.want); !bytes.Equal(a.records, want) {
 			t.Errorf("%s: got % x, want % x", c.name, a.records, want)
 		}
 	}
@@ -141,14 +141,14 @@
 }
 
 func TestMalformedFrames(t *testing.T) {
-	good := unhex(t, batchExample)
+	good := decodeHex(t, batchExample)
 	for name, frame := range map[string][]byte{
 		"cut in the length": good[:2],
 		"cut in the body":   good[:100],
-		"length too small":  unhex(t, "0000000b +11"),
-		"length too large":  unhex(t, "ffffffff +20"),
-		"too many records":  unhex(t, "0000000c 00000001 40c06e2000000000"),
-		"clock not finite":  unhex(t, "0000000c 00000000 7ff8000000000000"),
+		"length too small":  decodeHex(t, "0000000b +11"),
+		"length too large":  decodeHex(t, "ffffffff +20"),
+		"too many records":  decodeHex(t, "0000000c 00000001 40c06e2000000000"),
+		"clock not finite":  decodeHex(t, "0000000c 00000000 7ff8000000000000"),
 	} {
 		if _, _, err := ReadBatch(bytes.NewReader(frame), nil); err == nil || errors.Is(err, io.EOF) {
 			t.Errorf("%s: error %v", name, err)
