--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -40,7 +40,8 @@
 			return serve(cfg, os.Stdin, os.Stdout)
 		},
 	}
-	c.Flags().StringVarP(&path, "config", "c", "", "the node's INI file, for the sections that apply to the simulator: [pools], [together]")
+	c.Flags().StringVarP(&path, "config", "c", "",
+		"the node's INI file, for the sections that apply to the simulator: [pools], [together]")
 	c.SetArgs(args)
 	if err := c.Execute(); err != nil {
 		fmt.Fprintf(os.Stderr, "simhost: %v\n", err)
--- a/internal/dependency/dependency.go
+++ b/internal/dependency/dependency.go
@@ -86,7 +86,8 @@
 
 // Call makes a downstream call for the run ref. done is called once, by another
 // goroutine, with the outcome and the result; after cancel it is not called.
-func (c *Client) Call(ref string, statement []byte, timeout time.Duration, done func(o rules.Outcome, result []byte, took time.Duration)) (cancel func()) {
+func (c *Client) Call(ref string, statement []byte, timeout time.Duration,
+	done func(o rules.Outcome, result []byte, took time.Duration)) (cancel func()) {
 	c.Calls.Add(1)
 	ctx, stop := context.WithTimeout(c.ctx, timeout)
 	var finished atomic.Bool
@@ -113,7 +114,9 @@
 }
 
 // exec makes one HTTP request and returns its outcome.
-func (c *Client) exec(ctx context.Context, ref string, statement []byte, timeout time.Duration) (rules.Outcome, []byte, error) {
+func (c *Client) exec(
+	ctx context.Context, ref string, statement []byte, timeout time.Duration,
+) (rules.Outcome, []byte, error) {
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }})
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, *c.url.Load(), bytes.NewReader(statement))
@@ -168,5 +171,6 @@
 	if now-last < int64(logInterval) || !c.lastLogged.CompareAndSwap(last, now) {
 		return
 	}
-	c.log.Warn("downstream calls fail", "outcome", outcomeNames[o], "err", err, "made", c.Calls.Load(), "well", c.Ended[rules.OK].Load())
+	c.log.Warn("downstream calls fail", "outcome", outcomeNames[o], "err", err,
+		"made", c.Calls.Load(), "well", c.Ended[rules.OK].Load())
 }
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -84,7 +84,9 @@
 // UseBackoff makes tries after a failure wait for random times within a budget, since all
 // nodes lose the service at the same moment. It must be called before Run.
 func (r *Reporter) UseBackoff(rnd *rand.Rand) {
-	r.retryBackoff = backoff.New(backoff.Settings{MinWait: backoffMin, InitialSpan: 2 * backoffMin, MaxSpan: backoffMax, Window: controlWindow, Budget: 24}, rnd)
+	r.retryBackoff = backoff.New(backoff.Settings{
+		MinWait: backoffMin, InitialSpan: 2 * backoffMin, MaxSpan: backoffMax, Window: controlWindow, Budget: 24,
+	}, rnd)
 }
 
 // NewControl returns a reporter to the control service at addr; body makes a
@@ -148,7 +150,9 @@
 		r.Traffic.NeverOpened(err)
 		return nil, err
 	}
-	return stream.New(raw, stream.Bytes{}, stream.Limits{In: bufferBytes, Out: bufferBytes, StallTimeout: reportTimeout, Linger: lingerTimeout}, &r.Traffic, nil), nil
+	return stream.New(raw, stream.Bytes{}, stream.Limits{
+		In: bufferBytes, Out: bufferBytes, StallTimeout: reportTimeout, Linger: lingerTimeout,
+	}, &r.Traffic, nil), nil
 }
 
 // ReportNow makes a report be sent at once.
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -168,7 +168,8 @@
 	}
 	n.isPoolUp = true
 	waiting := n.inArrivalOrder()
-	up := min(e.duration, n.cfg.Settings.WarmUpTime+n.cfg.Settings.OverloadWindow) // an earlier start makes no difference
+	// An earlier start makes no difference.
+	up := min(e.duration, n.cfg.Settings.WarmUpTime+n.cfg.Settings.OverloadWindow)
 	if err := n.buildModule(n.now-up, e.cold); err != nil {
 		panic(err) // the same settings were accepted before
 	}
--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -66,9 +66,10 @@
 	h.lastCall++
 	call := h.lastCall
 	req.callNumber = call
-	req.cancelCall = h.cfg.Calls.Call(req.x.Txn, req.statement, timeout, func(o rules.Outcome, result []byte, took time.Duration) {
-		h.post(event{kind: callEnded, x: req.x, callOutcome: o, body: result, duration: took, callNumber: call})
-	})
+	req.cancelCall = h.cfg.Calls.Call(req.x.Txn, req.statement, timeout,
+		func(o rules.Outcome, result []byte, took time.Duration) {
+			h.post(event{kind: callEnded, x: req.x, callOutcome: o, body: result, duration: took, callNumber: call})
+		})
 }
 
 // SkipCall lets a run continue without the call that it waits for.
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -42,7 +42,8 @@
 		return nil
 	}
 	n.readClock()
-	if err := n.cfg.ResultCache.Close(n.now); err != nil { // the next start restores the state that a crash would leave
+	// After an error the next start restores the state that a crash would leave.
+	if err := n.cfg.ResultCache.Close(n.now); err != nil {
 		n.cfg.Log.Error("result cache was not closed cleanly", "err", err)
 	}
 	return nil
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -37,7 +37,8 @@
 // Calls makes calls to the downstream dependency. done is called once, from any
 // goroutine, unless the call was cancelled before.
 type Calls interface {
-	Call(ref string, statement []byte, timeout time.Duration, done func(o rules.Outcome, result []byte, took time.Duration)) (cancel func())
+	Call(ref string, statement []byte, timeout time.Duration,
+		done func(o rules.Outcome, result []byte, took time.Duration)) (cancel func())
 }
 
 // Config configures a Node.
--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -78,9 +78,12 @@
 // read. A keyed request with another body repeats nothing and is reported as a conflict:
 // its sender must not receive the other request's result, and to run it would be a
 // second run under the key.
-func (t *recordTable) find(x *exchange.Exchange, q rules.Request, now time.Duration, settings rules.Settings) (id rules.RequestID, conflict bool) {
+func (t *recordTable) find(
+	x *exchange.Exchange, q rules.Request, now time.Duration, settings rules.Settings,
+) (id rules.RequestID, conflict bool) {
 	rec := t.byKey[recordKey(x, settings)]
-	if rec == nil || rec.neverStarted || now-q.Age > rec.expires || x.Safe && rec.ended && !rec.succeeded && !rec.failRepeats {
+	if rec == nil || rec.neverStarted || now-q.Age > rec.expires ||
+		x.Safe && rec.ended && !rec.succeeded && !rec.failRepeats {
 		return 0, false
 	}
 	return rec.holder, !x.Safe && rec.bodyHash != 0 && rec.bodyHash != hashBody(x.Body)
@@ -111,7 +114,9 @@
 
 // endRun records how the run of a record ended, and returns the requests that waited
 // for it.
-func (t *recordTable) endRun(rec *record, succeeded bool, result []byte, now time.Duration, freshness time.Duration) []*openRequest {
+func (t *recordTable) endRun(
+	rec *record, succeeded bool, result []byte, now time.Duration, freshness time.Duration,
+) []*openRequest {
 	rec.ended, rec.succeeded = true, succeeded
 	if succeeded && t.byKey[rec.key] == rec {
 		rec.result = result
@@ -120,7 +125,8 @@
 		if freshness > 0 { // a read's result is shared for that long from its end
 			rec.expires = now + freshness
 		}
-		for t.resultBytes > t.resultLimit && len(t.results) > 0 { // repeats of an evicted result fail; none runs again
+		// Repeats of a request whose result is evicted fail; none runs again.
+		for t.resultBytes > t.resultLimit && len(t.results) > 0 {
 			oldest := t.results[0]
 			t.results = t.results[1:]
 			t.resultBytes -= len(oldest.result)
@@ -139,7 +145,9 @@
 	}
 	t.lastSweep = now
 	for _, rec := range t.byKey {
-		rec.waiting = slices.DeleteFunc(rec.waiting, func(w *openRequest) bool { return w.x.FinalState() != exchange.Open })
+		rec.waiting = slices.DeleteFunc(rec.waiting, func(w *openRequest) bool {
+			return w.x.FinalState() != exchange.Open
+		})
 		if now > rec.expires+lateReadGrace && len(rec.waiting) == 0 {
 			t.remove(rec)
 		}
@@ -175,5 +183,7 @@
 	if succeeded {
 		end = pool.Complete
 	}
-	n.followUps = append(n.followUps, event{kind: runEnded, x: req.x, outcome: end, duration: n.cfg.Settings.BatchInterval, body: result})
+	n.followUps = append(n.followUps, event{
+		kind: runEnded, x: req.x, outcome: end, duration: n.cfg.Settings.BatchInterval, body: result,
+	})
 }
--- a/internal/node/recovery.go
+++ b/internal/node/recovery.go
@@ -17,18 +17,18 @@
 	// WorkerPoolUp returns the learned state for a warm start of the module, nil = none,
 	// with its weight and the speed reached.
 	WorkerPoolUp(now, since time.Duration, cold bool) (l *rules.Learned, weight, speed float64)
-	// InDoubt reports whether a request without an idempotency record may have run. again
+	// InDoubt reports whether a request without an idempotency record may have run. retry
 	// marks a further try.
-	InDoubt(now time.Duration, class int, key uint64, again bool, age time.Duration) bool
-	// Arrived counts a request; again marks a further try.
-	Arrived(now time.Duration, again bool)
+	InDoubt(now time.Duration, class int, key uint64, retry bool, age time.Duration) bool
+	// Arrived counts a request; retry marks a further try.
+	Arrived(now time.Duration, retry bool)
 	// RunSucceeded observes a run; it reports whether the module's warm start is to be
 	// discarded.
 	RunSucceeded(now time.Duration, class int, took, hint time.Duration) (forget bool)
 	// Step runs at each timer of the module. short means that the fleet is short of
 	// capacity. It returns the share of its full load that the node asks for, and the share
 	// of its full speed that it has reached.
-	Step(now time.Duration, short bool, learned func() rules.Learned) (ask, warm float64)
+	Step(now time.Duration, short bool, learned func() rules.Learned) (loadShare, speed float64)
 	// ObservePrevious takes what a control service observed of previous incarnations.
 	ObservePrevious(now time.Duration, h *recovery.PreviousStore)
 	// FleetCapacity takes the present share of the fleet's usual capacity.
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -55,7 +55,8 @@
 	case repeatOf == req.id:
 	case conflict:
 		if c := n.KeyConflicts.Add(1); c&(c-1) == 0 { // the 1st, 2nd, 4th, 8th ...
-			n.cfg.Log.Warn("idempotency key belongs to another request", "class", x.ClassName, "caller", x.Caller, "so_far", c)
+			n.cfg.Log.Warn("idempotency key belongs to another request",
+				"class", x.ClassName, "caller", x.Caller, "so_far", c)
 		}
 		x.Answer(exchange.Answer{Kind: exchange.Failed})
 		n.release(req)
--- a/internal/node/resultcache.go
+++ b/internal/node/resultcache.go
@@ -26,7 +26,8 @@
 	// the same.
 	RunsUnrecorded(err error) bool
 	// RunEnded stores how a run ended; done receives whether the result is stored.
-	RunEnded(now time.Duration, x *exchange.Exchange, expires time.Duration, good bool, body []byte, done func(stored bool))
+	RunEnded(now time.Duration, x *exchange.Exchange, expires time.Duration, good bool, body []byte,
+		done func(stored bool))
 	// Withdraw removes the intent of a request that did not run.
 	Withdraw(x *exchange.Exchange)
 	// LateRunEnded stores how a run of a previous incarnation ended.
@@ -78,7 +79,8 @@
 			n.restoredByRun[r.Record.Run] = e
 		}
 	}
-	n.linkRestored(-maxClockSpan) // until the worker pool reports its start, it may have outlived the previous incarnation
+	// Until the worker pool reports its start, it may have outlived the previous incarnation.
+	n.linkRestored(-maxClockSpan)
 	return nil
 }
 
@@ -138,7 +140,8 @@
 		}
 	}
 	if overdue > 0 {
-		n.cfg.Log.Warn("runs of a previous incarnation did not end in time: their repeats fail, since it is unknown whether they started", "runs", overdue)
+		n.cfg.Log.Warn("runs of a previous incarnation did not end in time: their repeats fail, "+
+			"since it is unknown whether they started", "runs", overdue)
 	}
 }
 
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -33,12 +33,12 @@
 	dialTimeout        = time.Second            // per attempt
 	backoffMin         = 10 * time.Millisecond  // between attempts to connect
 	backoffMax         = 500 * time.Millisecond // the same after many
-	silenceTimeout     = 2 * time.Second        // without a line, while polls are outstanding, the link is replaced
+	silenceTimeout     = 2 * time.Second        // without a line, with polls outstanding, the link is replaced
 	bindTimeout        = 15 * time.Second       // the same before the worker pool is bound
 	badLineLogInterval = 2 * time.Second        // between log lines about malformed input
 	downLogInterval    = 5 * time.Second        // between log lines while the worker pool is unreachable
 	lingerTimeout      = 100 * time.Millisecond // for the worker pool to close its side of an abandoned link
-	unreadWindow       = 100 * time.Millisecond // commands sent this shortly before a link ended may not have been read
+	unreadWindow       = 100 * time.Millisecond // commands sent this shortly before a link ended may be unread
 )
 
 // Outcome is how a run ended.
@@ -53,7 +53,9 @@
 )
 
 // outcomeByWord maps the words of the worker pool's protocol.
-var outcomeByWord = map[string]Outcome{"complete": Complete, "error": Error, "cancelled": Cancelled, "unknown": NeverStarted}
+var outcomeByWord = map[string]Outcome{
+	"complete": Complete, "error": Error, "cancelled": Cancelled, "unknown": NeverStarted,
+}
 
 // Sink receives the worker pool's notices. Its methods must not block.
 type Sink interface {
@@ -136,7 +138,9 @@
 // UseBackoff makes attempts to connect wait for random times within a budget, since many
 // nodes may lose their worker pools at one moment. It must be called before Run.
 func (l *Link) UseBackoff(rnd *rand.Rand) {
-	l.retryBackoff = backoff.New(backoff.Settings{MinWait: backoffMin, InitialSpan: 4 * backoffMin, MaxSpan: backoffMax, Window: 10 * time.Second, Budget: 60}, rnd)
+	l.retryBackoff = backoff.New(backoff.Settings{
+		MinWait: backoffMin, InitialSpan: 4 * backoffMin, MaxSpan: backoffMax, Window: 10 * time.Second, Budget: 60,
+	}, rnd)
 }
 
 // ChangeAddress moves the link to another address. The present link is used until a
@@ -325,8 +329,9 @@
 	if err != nil {
 		return l.Traffic.NeverOpened(err), err
 	}
-	c := stream.New(raw, &stream.Lines{Longest: maxLineBytes},
-		stream.Limits{In: readBufferBytes, Out: writeBufferBytes, StallTimeout: l.bindTimeout, Linger: lingerTimeout}, &l.Traffic, nil)
+	c := stream.New(raw, &stream.Lines{Longest: maxLineBytes}, stream.Limits{
+		In: readBufferBytes, Out: writeBufferBytes, StallTimeout: l.bindTimeout, Linger: lingerTimeout,
+	}, &l.Traffic, nil)
 	stop := context.AfterFunc(ctx, func() { c.Abort(stream.ClosedLocally) })
 	defer stop()
 	linkCtx, cancelLink := context.WithCancel(ctx)
