--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -1,7 +1,3 @@
-// This file owns the module's Host: it carries out what the module says, within
-// the loop. It must never weigh a request, and never call the module back: what
-// follows from an action is fed in the next batch.
-
 package node
 
 import (
@@ -12,113 +8,118 @@
 	"robinmast/rules"
 )
 
-// host is unexported, so that only the module can reach it.
+// host implements rules.Host: it carries out the module's actions, within the loop. It
+// never calls the module back; an event that follows from an action is passed to the
+// module in the next batch. host is a type of its own to keep these methods out of
+// Node's exported ones.
 type host struct{ *Node }
 
 var _ rules.Host = host{}
 
-// Run asks the worker pool for a run. Before it has come up nothing is asked
-// for: what is held then is read again once it has.
+// Run starts a run. Before the worker pool is up nothing is started: the requests that
+// wait then are passed to a new module once it is.
 func (h host) Run(id rules.RequestID) {
-	if it := h.items[id]; it != nil && !it.running {
-		it.running = true
-		if h.isBound {
-			h.spawn(it)
+	if req := h.requests[id]; req != nil && !req.running {
+		req.running = true
+		if h.isPoolUp {
+			h.startRun(req)
 		}
 	}
 }
 
-// Halt stops a run.
+// Preempt stops a run.
 func (h host) Preempt(id rules.RequestID) {
-	it := h.items[id]
+	req := h.requests[id]
 	switch {
-	case it == nil || !it.running:
-	case h.isBound:
-		h.suspend(it)
+	case req == nil || !req.running:
+	case h.isPoolUp:
+		h.stopRun(req)
 	default:
-		h.late = append(h.late, event{kind: finished, x: it.x, end: pool.Cancelled})
+		h.followUps = append(h.followUps, event{kind: runEnded, x: req.x, outcome: pool.Cancelled})
 	}
 }
 
-// Refuse answers that a request never ran.
+// Refuse answers that the request never ran.
 func (h host) Refuse(id rules.RequestID, retryAfter time.Duration, last bool) {
 	h.answer(id, exchange.Answer{Kind: exchange.Refused, RetryAfter: retryAfter, Last: last})
 }
 
-// Fail answers without a promise.
+// Fail answers without a promise whether the request ran.
 func (h host) Fail(id rules.RequestID) { h.answer(id, exchange.Answer{Kind: exchange.Failed}) }
 
+// answer gives a request its final answer.
 func (h host) answer(id rules.RequestID, a exchange.Answer) {
-	if it := h.items[id]; it != nil {
-		it.x.Answer(a)
-		h.leave(it)
+	if req := h.requests[id]; req != nil {
+		req.x.Answer(a)
+		h.releaseIfDone(req)
 	}
 }
 
-// Call makes the call that a run stands at. The configuration admits settings with
-// calls only where there is something to call.
+// Call makes the downstream call that a run waits for. The configuration accepts
+// settings with calls only if there is a dependency to call.
 func (h host) Call(id rules.RequestID, timeout time.Duration) {
-	it := h.items[id]
-	if it == nil || h.cfg.Calls == nil {
+	req := h.requests[id]
+	if req == nil || h.cfg.Calls == nil {
 		return
 	}
-	it.giveUpCall()
-	h.calls++
-	call := h.calls
-	it.call = call
-	it.hangUp = h.cfg.Calls.Call(it.x.Txn, it.statement, timeout, func(o rules.Outcome, result []byte, took time.Duration) {
-		h.post(event{kind: called, x: it.x, out: o, body: result, took: took, call: call})
-	})
+	req.cancelOpenCall()
+	h.lastCall++
+	call := h.lastCall
+	req.callNumber = call
+	req.cancelCall = h.cfg.Calls.Call(req.x.Txn, req.statement, timeout,
+		func(o rules.Outcome, result []byte, took time.Duration) {
+			h.post(event{kind: callEnded, x: req.x, callOutcome: o, body: result, duration: took, callNumber: call})
+		})
 }
 
-// Skip lets a run go on without the call it stands at.
+// SkipCall lets a run continue without the call that it waits for.
 func (h host) SkipCall(id rules.RequestID) {
-	if it := h.items[id]; it != nil {
-		h.pool.ContinueWithout(it.x)
+	if req := h.requests[id]; req != nil {
+		h.pool.ContinueWithout(req.x)
 	}
 }
 
-// Keep makes or renews a request's entry in the table.
+// KeepRecord creates or renews the idempotency record of a request.
 func (h host) KeepRecord(id rules.RequestID, span time.Duration) {
-	it := h.items[id]
-	if it == nil {
+	req := h.requests[id]
+	if req == nil {
 		return
 	}
-	if key := keyOf(it.x, h.cfg.Settings); key != "" {
-		h.table.keep(it, key, h.now+span)
+	if key := recordKey(req.x, h.cfg.Settings); key != "" {
+		h.records.keepRecord(req, key, h.now+span)
 	}
 }
 
-// Forget takes a request's entry out of the table.
+// ForgetRecord removes the idempotency record of a request.
 func (h host) ForgetRecord(id rules.RequestID) {
-	if it := h.items[id]; it != nil && it.kept != nil {
-		h.settleKept(it, false, nil)
-		h.table.drop(it.kept)
+	if req := h.requests[id]; req != nil && req.record != nil {
+		h.endRecord(req, false, nil)
+		h.records.remove(req.record)
 	}
 }
 
-// Reuse serves a request from the result of the one it repeats.
+// JoinEarlier serves a request from the result of the earlier one that it repeats.
 func (h host) JoinEarlier(id rules.RequestID) {
-	it := h.items[id]
-	if it == nil {
+	req := h.requests[id]
+	if req == nil {
 		return
 	}
-	it.reusing = true
-	e := h.table.byKey[keyOf(it.x, h.cfg.Settings)]
+	req.joined = true
+	rec := h.records.byKey[recordKey(req.x, h.cfg.Settings)]
 	switch {
-	case e == nil:
-		h.reused(it, false, nil)
-	case e.over && e.good && e.body == nil && e.stored:
-		h.fetch(it, e)
-	case e.over:
-		h.toldEarlier(e, e.good)
-		h.reused(it, e.good, e.body)
+	case rec == nil:
+		h.endJoined(req, false, nil)
+	case rec.ended && rec.succeeded && rec.result == nil && rec.stored:
+		h.fetchResult(req, rec)
+	case rec.ended:
+		h.countFailedRepeat(rec, rec.succeeded)
+		h.endJoined(req, rec.succeeded, rec.result)
 	default:
-		e.waiting = append(e.waiting, it)
+		rec.waiting = append(rec.waiting, req)
 	}
 }
 
-// SetHealth sets what health checks and the membership service are told.
+// SetHealth sets the state that health checks and the membership service see.
 func (h host) SetHealth(_, good bool) {
 	h.front.SetHealth(good)
 	if h.cfg.Health != nil {
@@ -126,16 +127,16 @@
 	}
 }
 
-// Say sets the free value.
+// PublishLoad publishes the load feedback.
 func (h host) PublishLoad(value float64) {
-	h.value = value
-	h.front.PublishLoad(h.asked(value))
+	h.feedback = value
+	h.front.PublishLoad(h.scaleFeedback(value))
 }
 
-// CloseIdle sets the idle limit of connections.
+// SetIdleTimeout sets the idle timeout of connections.
 func (h host) SetIdleTimeout(after time.Duration) { h.front.SetIdleTimeout(after) }
 
-// Wake sets a timer.
+// StartTimer starts a timer.
 func (h host) StartTimer(token uint64, in time.Duration) {
 	at := h.now + in
 	i := len(h.timers)
@@ -147,5 +148,5 @@
 	h.timers[i] = timer{at: at, token: token}
 }
 
-// Log passes a line of the module on.
+// Log writes a line of the module to the node's log.
 func (h host) Log(line string) { h.cfg.Log.Info("module", "line", line) }
