--- a/internal/standin/fleet/caller.go
+++ b/internal/standin/fleet/caller.go
@@ -19,94 +19,94 @@
 
 // Habits that a scenario does not set.
 const (
-	badRun    = 5                      // failures in a row after which a dispatcher leaves a node alone
-	badFor    = time.Second            // for so long
-	valueLife = time.Second            // of the free value
-	listEvery = 500 * time.Millisecond // the membership list is read
-	listedFor = 3 * time.Second        // after its last report
-	lateSlack = 110 * time.Millisecond // after its limit an answer is late: the rule's slack
-	leastLeft = 20 * time.Millisecond  // less is not worth a try
+	maxFailures            = 5                      // failures in a row after which a dispatcher leaves a node alone
+	ejectionTime           = time.Second            // for so long
+	loadFeedbackTTL        = time.Second            // of the free value
+	membershipPollInterval = 500 * time.Millisecond // the membership list is read
+	membershipTTL          = 3 * time.Second        // after its last report
+	answerSlack            = 110 * time.Millisecond // after its limit an answer is late: the rule's slack
+	minTryTime             = 20 * time.Millisecond  // less is not worth a try
 )
 
 // end is how a try ended.
-type end uint8
+type outcome uint8
 
 const (
-	served end = iota
+	served outcome = iota
 	refused
 	failed
-	late        // no answer in its time
-	cut         // the connection ended first
-	unreachable // no connection could be had
-	heldBack    // the dispatcher had nobody to send it to: no try was made
-	ends
+	timedOut       // no answer in its time
+	connectionLost // the connection ended first
+	unreachable    // no connection could be had
+	notSent        // the dispatcher had nobody to send it to: no try was made
+	numOutcomes
 )
 
-var endNames = [ends]string{"served", "refused", "failed", "late", "cut", "unreachable", "held_back"}
+var outcomeNames = [numOutcomes]string{"served", "refused", "failed", "late", "cut", "unreachable", "held_back"}
 
 // dispatcher is one of them.
 type dispatcher struct {
-	f     *Fleet
-	n     int
-	heeds bool
+	fleet         *Fleet
+	number        int
+	followsAdvice bool
 
 	mu    sync.Mutex
-	peers []peer
+	nodes []nodeState
 }
 
 // peer is what a dispatcher knows of a node.
-type peer struct {
-	addr   string // of the link to it
-	conns  []*platform.Client
-	dials  int // under way
-	away   time.Time
-	bad    int
-	value  float64
-	heard  time.Time // the value
-	red    bool
-	open   int
-	listed bool
+type nodeState struct {
+	addr         string // of the link to it
+	conns        []*platform.Client
+	dialing      int // under way
+	avoidUntil   time.Time
+	failures     int
+	loadFeedback float64
+	feedbackAt   time.Time // the value
+	unhealthy    bool
+	openTries    int
+	listed       bool
 }
 
-func newDispatcher(f *Fleet, n int, heeds bool) *dispatcher {
-	d := &dispatcher{f: f, n: n, heeds: heeds, peers: make([]peer, len(f.nodes))}
-	for i := range d.peers {
-		d.peers[i] = peer{addr: f.toNode[n][i].Addr(), value: 1, listed: true}
+func newDispatcher(f *Fleet, number int, followsAdvice bool) *dispatcher {
+	d := &dispatcher{fleet: f, number: number, followsAdvice: followsAdvice, nodes: make([]nodeState, len(f.nodes))}
+	for i := range d.nodes {
+		d.nodes[i] = nodeState{addr: f.nodeLinks[number][i].Addr(), loadFeedback: 1, listed: true}
 	}
 	return d
 }
 
 // pick chooses a node that was not tried: by its free value, among those that are
 // listed, not left alone and said to be well. ok is false where there is none.
-func (d *dispatcher) pick(rnd *rand.Rand, tried uint64) (node int, ok bool) {
+func (d *dispatcher) pickNode(random *rand.Rand, tried uint64) (node int, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
 	draw := func() int {
-		for _, well := range []bool{true, false} { // red ones only if there are no others
+		for _, healthy := range []bool{true, false} { // red ones only if there are no others
 			sum := 0.0
-			weigh := func(i int) float64 {
-				p := &d.peers[i]
-				if tried&(1<<i) != 0 || !p.listed || now.Before(p.away) || well == p.red {
+			weight := func(i int) float64 {
+				n := &d.nodes[i]
+				if tried&(1<<i) != 0 || !n.listed || now.Before(n.avoidUntil) || healthy == n.unhealthy {
 					return 0
 				}
-				if !d.heeds || now.Sub(p.heard) > valueLife {
+				if !d.followsAdvice || now.Sub(n.feedbackAt) > loadFeedbackTTL {
 					return 1
 				}
-				return max(p.value, 0.01)
+				return max(n.loadFeedback, 0.01)
 			}
-			for i := range d.peers {
-				sum += weigh(i)
+			for i := range d.nodes {
+				sum += weight(i)
 			}
 			if sum == 0 {
 				continue
 			}
-			x := rnd.Float64() * sum
+			remaining := random.Float64() * sum
 			last := -1
-			for i := range d.peers {
-				if w := weigh(i); w > 0 {
+			for i := range d.nodes {
+				if w := weight(i); w > 0 {
 					last = i
-					if x -= w; x < 0 {
+					if remaining -= w; remaining < 0 {
 						break
 					}
 				}
@@ -116,9 +116,9 @@
 		return -1
 	}
 	node = draw()
-	if node >= 0 && d.f.s.Dispatchers.Route == "least" {
-		if o := draw(); o >= 0 && d.peers[o].open < d.peers[node].open {
-			node = o
+	if node >= 0 && d.fleet.scenario.Dispatchers.Routing == "least" {
+		if other := draw(); other >= 0 && d.nodes[other].openTries < d.nodes[node].openTries {
+			node = other
 		}
 	}
 	return node, node >= 0
@@ -127,37 +127,37 @@
 // connection is one with room; it opens one where all are full.
 func (d *dispatcher) connection(node int) (*platform.Client, error) {
 	d.mu.Lock()
-	p := &d.peers[node]
+	n := &d.nodes[node]
 	var best *platform.Client
-	kept := p.conns[:0]
-	for _, c := range p.conns {
+	usable := n.conns[:0]
+	for _, c := range n.conns {
 		if !c.Usable() {
-			d.f.note(func(t *tally) { t.Twice += c.Twice() })
+			d.fleet.record(func(t *tally) { t.DuplicateAnswers += c.Twice() })
 			continue
 		}
-		kept = append(kept, c)
+		usable = append(usable, c)
 		if best == nil || c.Room() > best.Room() {
 			best = c
 		}
 	}
-	p.conns = kept
-	if best != nil && (best.Room() > 0 || len(p.conns)+p.dials >= d.f.s.Dispatchers.Connect) {
+	n.conns = usable
+	if best != nil && (best.Room() > 0 || len(n.conns)+n.dialing >= d.fleet.scenario.Dispatchers.MaxConnections) {
 		d.mu.Unlock()
 		return best, nil
 	}
-	if len(p.conns)+p.dials >= d.f.s.Dispatchers.Connect {
+	if len(n.conns)+n.dialing >= d.fleet.scenario.Dispatchers.MaxConnections {
 		d.mu.Unlock()
 		return nil, errors.New("all connections are being opened")
 	}
-	p.dials++
+	n.dialing++
 	d.mu.Unlock()
-	c, err := platform.Dial(p.addr, d.n)
-	d.f.note(func(t *tally) { t.Connects++ })
+	c, err := platform.Dial(n.addr, d.number)
+	d.fleet.record(func(t *tally) { t.Connections++ })
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	p.dials--
+	n.dialing--
 	if err == nil {
-		p.conns = append(p.conns, c)
+		n.conns = append(n.conns, c)
 	}
 	return c, err
 }
@@ -166,38 +166,38 @@
 func (d *dispatcher) reconnect() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for i := range d.peers {
-		for _, c := range d.peers[i].conns {
+	for i := range d.nodes {
+		for _, c := range d.nodes[i].conns {
 			c.Close()
 		}
-		d.peers[i].away, d.peers[i].bad, d.peers[i].value = time.Time{}, 0, 1
+		d.nodes[i].avoidUntil, d.nodes[i].failures, d.nodes[i].loadFeedback = time.Time{}, 0, 1
 	}
 }
 
 // learn takes what a try's end says of the node.
-func (d *dispatcher) learn(node int, e end, a platform.Answer) {
+func (d *dispatcher) recordOutcome(node int, result outcome, answer platform.Answer) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	p, now := &d.peers[node], time.Now()
-	p.open--
-	switch e {
+	n, now := &d.nodes[node], time.Now()
+	n.openTries--
+	switch result {
 	case served, refused:
-		p.bad = 0
+		n.failures = 0
 	default:
-		if p.bad++; p.bad >= badRun {
-			p.away = now.Add(badFor)
-			p.bad = badRun - 1 // one more tells whether it is well again
+		if n.failures++; n.failures >= maxFailures {
+			n.avoidUntil = now.Add(ejectionTime)
+			n.failures = maxFailures - 1 // one more tells whether it is well again
 		}
 	}
-	if a.Word == "" {
+	if answer.Word == "" {
 		return
 	}
-	if !math.IsNaN(a.Value) {
-		p.value, p.heard = a.Value, now
+	if !math.IsNaN(answer.Value) {
+		n.loadFeedback, n.feedbackAt = answer.Value, now
 	}
-	if e == refused && d.heeds && a.Later > 0 {
-		if until := now.Add(min(a.Later, d.f.s.Fleet.MaxAdvice)); until.After(p.away) {
-			p.away = until
+	if result == refused && d.followsAdvice && answer.Later > 0 {
+		if until := now.Add(min(answer.Later, d.fleet.scenario.Fleet.MaxRetryAfter)); until.After(n.avoidUntil) {
+			n.avoidUntil = until
 		}
 	}
 }
@@ -205,56 +205,56 @@
 // request is one that a desktop wants answered.
 type request struct {
 	arrival
-	class  *ClassPart
-	rnd    *rand.Rand
-	began  time.Time
-	unique string
-	tries  int
+	class          *ClassSection
+	random         *rand.Rand
+	startedAt      time.Time
+	idempotencyKey string
+	tries          int
 }
 
 // play is a desktop's life with one request: it tries again while there is time.
-func (f *Fleet) play(q *request) {
-	d := f.dispatchers[q.dispatcher]
-	deadline := q.began.Add(q.class.Deadline)
-	wait := f.s.Desktops.Backoff
-	var e end
+func (f *Fleet) runRequest(request *request) {
+	d := f.dispatchers[request.dispatcher]
+	deadline := request.startedAt.Add(request.class.Deadline)
+	backoff := f.scenario.Desktops.Backoff
+	var result outcome
 	for n := 0; ; n++ {
-		var later time.Duration
-		e, later = d.send(q, deadline)
-		if e == served || n >= f.s.Desktops.Retries || q.class.Effect == "unsafe" && e != refused && e != heldBack && e != unreachable {
+		var retryAfter time.Duration
+		result, retryAfter = d.send(request, deadline)
+		if result == served || n >= f.scenario.Desktops.Retries || request.class.Effect == "unsafe" && result != refused && result != notSent && result != unreachable {
 			break
 		}
-		pause := wait
-		if f.s.Desktops.Jitter {
-			pause = time.Duration((0.5 + q.rnd.Float64()) * float64(wait))
+		pause := backoff
+		if f.scenario.Desktops.Jitter {
+			pause = time.Duration((0.5 + request.random.Float64()) * float64(backoff))
 		}
-		if f.s.Desktops.Heed {
-			pause = max(pause, later)
+		if f.scenario.Desktops.FollowAdvice {
+			pause = max(pause, retryAfter)
 		}
-		wait *= 2
-		if time.Until(deadline)-pause < leastLeft || f.pause(pause) != nil {
+		backoff *= 2
+		if time.Until(deadline)-pause < minTryTime || f.sleep(pause) != nil {
 			break
 		}
 	}
-	took := time.Since(q.began)
-	f.note(func(t *tally) {
-		if e == served && took <= q.class.Aim {
-			t.Worth += f.worth(q)
+	took := time.Since(request.startedAt)
+	f.record(func(t *tally) {
+		if result == served && took <= request.class.LatencyTarget {
+			t.Utility += f.utility(request)
 			t.InTime++
 		}
-		t.Requests[e]++
+		t.Requests[result]++
 	})
 }
 
-func (f *Fleet) worth(q *request) float64 {
-	if f.s.Fleet.WorthByWork {
-		return q.class.Worth * q.ms
+func (f *Fleet) utility(request *request) float64 {
+	if f.scenario.Fleet.UtilityPerWork {
+		return request.class.Utility * request.workMs
 	}
-	return q.class.Worth
+	return request.class.Utility
 }
 
 // pause waits, unless the rehearsal ends.
-func (f *Fleet) pause(d time.Duration) error {
+func (f *Fleet) sleep(d time.Duration) error {
 	select {
 	case <-f.ctx.Done():
 		return f.ctx.Err()
@@ -264,132 +264,132 @@
 }
 
 // send takes a request through the dispatcher's list.
-func (d *dispatcher) send(q *request, deadline time.Time) (e end, later time.Duration) {
-	e = heldBack
-	for walked, tried := 0, uint64(0); walked <= d.f.s.Dispatchers.Walk; walked++ {
-		left := min(time.Until(deadline), d.f.s.Dispatchers.Try)
-		node, ok := d.pick(q.rnd, tried)
-		if !ok || left < leastLeft || d.f.ctx.Err() != nil {
+func (d *dispatcher) send(request *request, deadline time.Time) (result outcome, retryAfter time.Duration) {
+	result = notSent
+	for further, tried := 0, uint64(0); further <= d.fleet.scenario.Dispatchers.FurtherNodes; further++ {
+		timeLeft := min(time.Until(deadline), d.fleet.scenario.Dispatchers.TryTimeout)
+		node, ok := d.pickNode(request.random, tried)
+		if !ok || timeLeft < minTryTime || d.fleet.ctx.Err() != nil {
 			break
 		}
 		tried |= 1 << node
-		var a platform.Answer
-		e, a = d.try(q, node, left)
-		d.learn(node, e, a)
+		var answer platform.Answer
+		result, answer = d.try(request, node, timeLeft)
+		d.recordOutcome(node, result, answer)
 		switch {
-		case e == served:
-			return e, 0
-		case e == refused:
-			later = a.Later
-			if a.GiveUp && d.heeds {
-				return e, later
+		case result == served:
+			return result, 0
+		case result == refused:
+			retryAfter = answer.Later
+			if answer.GiveUp && d.followsAdvice {
+				return result, retryAfter
 			}
-		case e != unreachable && q.class.Effect == "unsafe":
-			return e, later // it may have run
+		case result != unreachable && request.class.Effect == "unsafe":
+			return result, retryAfter // it may have run
 		}
 	}
-	if e == heldBack {
-		later = d.soonest()
-		d.f.note(func(t *tally) { t.HeldBack++ })
+	if result == notSent {
+		retryAfter = d.earliestRetry()
+		d.fleet.record(func(t *tally) { t.NotSent++ })
 	}
-	return e, later
+	return result, retryAfter
 }
 
 // soonest is when the first node may be tried again.
-func (d *dispatcher) soonest() time.Duration {
+func (d *dispatcher) earliestRetry() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	least := d.f.s.Fleet.MaxAdvice
-	for i := range d.peers {
-		if p := &d.peers[i]; p.listed {
-			least = min(least, max(time.Until(p.away), 0))
+	wait := d.fleet.scenario.Fleet.MaxRetryAfter
+	for i := range d.nodes {
+		if n := &d.nodes[i]; n.listed {
+			wait = min(wait, max(time.Until(n.avoidUntil), 0))
 		}
 	}
-	return least
+	return wait
 }
 
 // try sends a request to a node and says how that ended.
-func (d *dispatcher) try(q *request, node int, left time.Duration) (e end, a platform.Answer) {
-	first := q.tries == 0
-	q.tries++
+func (d *dispatcher) try(request *request, node int, timeout time.Duration) (result outcome, answer platform.Answer) {
+	first := request.tries == 0
+	request.tries++
 	d.mu.Lock()
-	d.peers[node].open++
+	d.nodes[node].openTries++
 	d.mu.Unlock()
 	began := time.Now()
-	sound := d.f.sound(d.n, node)
+	noFault := d.fleet.noFault(d.number, node)
 	defer func() {
 		took := time.Since(began)
-		sound = sound && d.f.sound(d.n, node)
-		d.f.note(func(t *tally) {
-			t.Tries[e]++
+		noFault = noFault && d.fleet.noFault(d.number, node)
+		d.fleet.record(func(t *tally) {
+			t.Tries[result]++
 			if first {
-				t.First++
+				t.FirstTries++
 			}
-			if e == refused {
+			if result == refused {
 				switch {
-				case a.GiveUp:
-					t.Ended++
-				case a.Later > 0:
-					t.Advised++
+				case answer.GiveUp:
+					t.StoppedRetries++
+				case answer.Later > 0:
+					t.RetryAfters++
 				}
 				if first {
-					t.refusedIn = append(t.refusedIn, took)
-					if took > promptly {
-						t.Tardy++
+					t.refusalTimes = append(t.refusalTimes, took)
+					if took > promptRefusal {
+						t.SlowRefusals++
 					}
 				}
 			}
-			if e == late && sound { // nothing was wrong from here to there
-				t.Lost++
+			if result == timedOut && noFault { // nothing was wrong from here to there
+				t.Unanswered++
 			}
 		})
 	}()
 	c, err := d.connection(node)
 	if err != nil {
-		return unreachable, a
+		return unreachable, answer
 	}
-	text := strconv.AppendFloat(nil, q.ms, 'f', 3, 64)
-	r := platform.Request{Txn: d.f.txn(), Class: q.class.Name, Tenant: "acme", Limit: left, HintMs: q.ms, Retry: !first}
-	if q.class.Effect != "safe" {
-		r.Unique = q.unique
-		text = append(append(text, ' '), q.unique...)
+	body := strconv.AppendFloat(nil, request.workMs, 'f', 3, 64)
+	message := platform.Request{Txn: d.fleet.newTransaction(), Class: request.class.Name, Tenant: "acme", Limit: timeout, HintMs: request.workMs, Retry: !first}
+	if request.class.Effect != "safe" {
+		message.Unique = request.idempotencyKey
+		body = append(append(body, ' '), request.idempotencyKey...)
 	}
-	r.Body = text
-	ctx, cancel := context.WithTimeout(d.f.ctx, left+lateSlack)
+	message.Body = body
+	ctx, cancel := context.WithTimeout(d.fleet.ctx, timeout+answerSlack)
 	defer cancel()
 	sent := time.Now()
-	a, err = c.Do(ctx, r)
+	answer, err = c.Do(ctx, message)
 	switch {
 	case err != nil && ctx.Err() != nil:
-		if d.f.ctx.Err() != nil {
-			return cut, platform.Answer{} // the rehearsal ends: that says nothing
+		if d.fleet.ctx.Err() != nil {
+			return connectionLost, platform.Answer{} // the rehearsal ends: that says nothing
 		}
-		return late, a
+		return timedOut, answer
 	case errors.Is(err, platform.ErrGone):
-		return cut, a
+		return connectionLost, answer
 	case err != nil:
-		return unreachable, a
-	case time.Since(sent) > left+lateSlack:
-		return late, a
-	case a.Word == "ACK":
-		return served, a
-	case a.Word == "NAK":
-		return refused, a
+		return unreachable, answer
+	case time.Since(sent) > timeout+answerSlack:
+		return timedOut, answer
+	case answer.Word == "ACK":
+		return served, answer
+	case answer.Word == "NAK":
+		return refused, answer
 	}
-	return failed, a
+	return failed, answer
 }
 
 // probeAll keeps up the health checks and the list until the rehearsal ends.
-func (d *dispatcher) probeAll(done *sync.WaitGroup) {
-	for i := range d.peers {
+func (d *dispatcher) startProbes(done *sync.WaitGroup) {
+	for i := range d.nodes {
 		done.Go(func() { d.probe(i) })
 	}
 	done.Go(func() {
-		for d.f.pause(listEvery) == nil {
-			for i := range d.peers {
-				phase, at := d.f.members.Phase(d.f.nodes[i].child.name)
+		for d.fleet.sleep(membershipPollInterval) == nil {
+			for i := range d.nodes {
+				phase, at := d.fleet.members.Phase(d.fleet.nodes[i].process.name)
 				d.mu.Lock()
-				d.peers[i].listed = phase == "" || time.Since(at) < listedFor
+				d.nodes[i].listed = phase == "" || time.Since(at) < membershipTTL
 				d.mu.Unlock()
 			}
 		}
@@ -397,19 +397,19 @@
 }
 
 func (d *dispatcher) probe(i int) {
-	every := d.f.s.Dispatchers.Probe
-	if every == 0 {
+	interval := d.fleet.scenario.Dispatchers.ProbeInterval
+	if interval == 0 {
 		return
 	}
-	rnd := rand.New(rand.NewPCG(d.f.s.Fleet.Seed, uint64(1000+d.n*64+i)))
-	for d.f.pause(time.Duration(float64(every)/d.f.probeRate()*(0.9+0.2*rnd.Float64()))) == nil {
-		green, err := platform.Probe(d.peers[i].addr, min(every, time.Second))
-		d.f.note(func(t *tally) { t.Probes++ })
+	random := rand.New(rand.NewPCG(d.fleet.scenario.Fleet.Seed, uint64(1000+d.number*64+i)))
+	for d.fleet.sleep(time.Duration(float64(interval)/d.fleet.currentProbeFactor()*(0.9+0.2*random.Float64()))) == nil {
+		healthy, err := platform.Probe(d.nodes[i].addr, min(interval, time.Second))
+		d.fleet.record(func(t *tally) { t.Probes++ })
 		d.mu.Lock()
-		d.peers[i].red = err != nil || !green
+		d.nodes[i].unhealthy = err != nil || !healthy
 		d.mu.Unlock()
 	}
 }
 
 // txn is a name that no try had.
-func (f *Fleet) txn() string { return fmt.Sprintf("%016x", f.nextTxn.Add(1)) }
+func (f *Fleet) newTransaction() string { return fmt.Sprintf("%016x", f.lastTransaction.Add(1)) }
--- a/internal/standin/fleet/child.go
+++ b/internal/standin/fleet/child.go
@@ -47,34 +47,34 @@
 	return err
 }
 
-func (s *starter) end() { close(s.jobs); <-s.done }
+func (s *starter) stop() { close(s.jobs); <-s.done }
 
 // child is one process of ours, which may be started again.
-type child struct {
+type process struct {
 	name    string
 	program string
 	args    []string
 	env     []string
-	log     string // file that takes what it says
+	logPath string // file that takes what it says
 	starter *starter
 
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	ended   chan struct{}
-	wanted  bool          // nobody asked it to end
-	crashes int           // ends that nobody asked for
-	cpu     time.Duration // of lives that ended
-	squeeze context.CancelFunc
+	mu             sync.Mutex
+	cmd            *exec.Cmd
+	ended          chan struct{}
+	shouldRun      bool          // nobody asked it to end
+	crashes        int           // ends that nobody asked for
+	pastCPU        time.Duration // of lives that ended
+	stopThrottling context.CancelFunc
 }
 
 // start starts the process.
-func (c *child) start() error {
+func (c *process) start() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.cmd != nil {
 		return nil
 	}
-	log, err := os.OpenFile(c.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(c.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
@@ -86,16 +86,16 @@
 		return fmt.Errorf("%s: %w", c.name, err)
 	}
 	ended := make(chan struct{})
-	c.cmd, c.ended, c.wanted = cmd, ended, true
+	c.cmd, c.ended, c.shouldRun = cmd, ended, true
 	go func() { // ends with the child
 		_ = cmd.Wait() // how it ended is told by wanted
 		c.mu.Lock()
 		if c.cmd == cmd {
-			if c.wanted {
+			if c.shouldRun {
 				c.crashes++
 			}
 			if s := cmd.ProcessState; s != nil {
-				c.cpu += s.UserTime() + s.SystemTime()
+				c.pastCPU += s.UserTime() + s.SystemTime()
 			}
 			c.cmd = nil
 		}
@@ -106,69 +106,69 @@
 }
 
 // signal sends a signal, if the process runs; one that ends it is no crash.
-func (c *child) signal(sig syscall.Signal) {
+func (c *process) signal(sig syscall.Signal) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.cmd == nil {
 		return
 	}
 	if sig == syscall.SIGKILL || sig == syscall.SIGTERM {
-		c.wanted = false
+		c.shouldRun = false
 	}
 	_ = c.cmd.Process.Signal(sig) // it may just have ended
 }
 
 // end ends the process at once and waits for that.
-func (c *child) end() {
-	c.release()
+func (c *process) kill() {
+	c.unthrottle()
 	c.signal(syscall.SIGKILL)
 	c.wait(10 * time.Second)
 }
 
 // leave asks the process to leave, and waits.
-func (c *child) leave(most time.Duration) {
+func (c *process) terminate(timeout time.Duration) {
 	c.signal(syscall.SIGTERM)
-	if !c.wait(most) {
-		c.end()
+	if !c.wait(timeout) {
+		c.kill()
 	}
 }
 
-func (c *child) wait(most time.Duration) bool {
+func (c *process) wait(timeout time.Duration) bool {
 	c.mu.Lock()
-	ended, runs := c.ended, c.cmd != nil
+	ended, running := c.ended, c.cmd != nil
 	c.mu.Unlock()
-	if !runs {
+	if !running {
 		return true
 	}
 	select {
 	case <-ended:
 		return true
-	case <-time.After(most):
+	case <-time.After(timeout):
 		return false
 	}
 }
 
 // hold lets the process run only a share of the time, until release.
-func (c *child) hold(share float64) {
-	const turn = 20 * time.Millisecond
+func (c *process) throttle(share float64) {
+	const period = 20 * time.Millisecond
 	ctx, cancel := context.WithCancel(context.Background())
 	c.mu.Lock()
-	c.squeeze = cancel
+	c.stopThrottling = cancel
 	c.mu.Unlock()
 	go func() { // ends by release
 		for ctx.Err() == nil {
 			c.signal(syscall.SIGSTOP)
-			time.Sleep(time.Duration((1 - share) * float64(turn)))
+			time.Sleep(time.Duration((1 - share) * float64(period)))
 			c.signal(syscall.SIGCONT)
-			time.Sleep(time.Duration(share * float64(turn)))
+			time.Sleep(time.Duration(share * float64(period)))
 		}
 	}()
 }
 
-func (c *child) release() {
+func (c *process) unthrottle() {
 	c.mu.Lock()
-	stop := c.squeeze
-	c.squeeze = nil
+	stop := c.stopThrottling
+	c.stopThrottling = nil
 	c.mu.Unlock()
 	if stop != nil {
 		stop()
@@ -178,28 +178,28 @@
 }
 
 // used is the processor time of all its lives.
-func (c *child) used() time.Duration {
+func (c *process) cpuTime() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.cmd == nil {
-		return c.cpu
+		return c.pastCPU
 	}
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", c.cmd.Process.Pid))
 	if err != nil {
-		return c.cpu
+		return c.pastCPU
 	}
 	_, rest, _ := strings.Cut(string(text), ") ")
 	fields := strings.Fields(rest)
 	if len(fields) < 13 {
-		return c.cpu
+		return c.pastCPU
 	}
 	user, _ := strconv.ParseInt(fields[11], 10, 64)
 	system, _ := strconv.ParseInt(fields[12], 10, 64)
-	return c.cpu + time.Duration(user+system)*time.Second/100 // clock ticks, 100 a second on Linux
+	return c.pastCPU + time.Duration(user+system)*time.Second/100 // clock ticks, 100 a second on Linux
 }
 
 // memory is the resident size in kilobytes, 0 if it can't be told.
-func (c *child) memory() int {
+func (c *process) residentKB() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.cmd == nil {
@@ -218,7 +218,7 @@
 // holdAddr takes a port of loopback for a child and holds it, bound and not
 // listening, so that nobody is given it for port 0 before the child listens there,
 // nor while the child is away. It is free again once the file is closed.
-func holdAddr() (addr string, held *os.File, err error) {
+func reserveAddr() (addr string, held *os.File, err error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return "", nil, fmt.Errorf("hold a port: %w", err)
@@ -236,8 +236,8 @@
 }
 
 // reachable waits until an address can be connected to.
-func reachable(ctx context.Context, addr string, most time.Duration) error {
-	for end := time.Now().Add(most); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(5 * time.Millisecond) {
+func waitReachable(ctx context.Context, addr string, timeout time.Duration) error {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline) && ctx.Err() == nil; time.Sleep(5 * time.Millisecond) {
 		if c, err := net.DialTimeout("tcp", addr, time.Second); err == nil {
 			return c.Close()
 		}
@@ -246,57 +246,57 @@
 }
 
 // settings is the platform's settings object for the scenario's nodes.
-func (s *Scenario) settings() map[string]any {
+func (s *Scenario) platformSettings() map[string]any {
 	effects := map[string]string{"safe": "idempotent", "keyed": "deduplicated", "unsafe": "at_most_once"}
 	var lanes []any
 	for _, c := range s.Classes {
-		lanes = append(lanes, map[string]any{"name": c.Name, "aimMs": c.Aim.Milliseconds(), "deadlineMs": c.Deadline.Milliseconds(),
-			"effect": effects[c.Effect], "windowMs": 60_000, "worth": c.Worth})
+		lanes = append(lanes, map[string]any{"name": c.Name, "aimMs": c.LatencyTarget.Milliseconds(), "deadlineMs": c.Deadline.Milliseconds(),
+			"effect": effects[c.Effect], "windowMs": 60_000, "worth": c.Utility})
 	}
-	counted := "request"
-	if s.Fleet.WorthByWork {
-		counted = "work"
+	countedBy := "request"
+	if s.Fleet.UtilityPerWork {
+		countedBy = "work"
 	}
 	return map[string]any{
-		"tickMs": 2, "groupSize": s.Fleet.Nodes, "lanes": lanes, "countedBy": counted,
+		"tickMs": 2, "groupSize": s.Fleet.Nodes, "lanes": lanes, "countedBy": countedBy,
 		"parties": []any{map[string]any{"name": "acme", "share": 1, "quotaRps": 100_000}},
 		"extra": map[string]any{"cpus": s.Fleet.Cores, "ramKb": 400_000, "runFactor": 4, "entryKb": 0.2,
 			"meters": []string{"cpu_busy", "runnable"}, "passesDeadline": true, "tellsGone": true, "preemption": "drop",
 			"say": "weight", "keepaliveMaxMs": 30_000, "upstreams": s.Dispatchers.Count, "heededMs": 1000, "below": "none"},
 		"clientHabits": map[string]any{"marksRetry": true},
-		"bounds":       map[string]any{"retryAfter": true, "maxRetryAfterMs": s.Fleet.MaxAdvice.Milliseconds()},
+		"bounds":       map[string]any{"retryAfter": true, "maxRetryAfterMs": s.Fleet.MaxRetryAfter.Milliseconds()},
 		"obligations": map[string]any{"fallMultiple": 8, "fallMs": 1500, "stopSendingWithinMs": 200, "answerSlackMs": 60,
-			"coldFrom": s.Fleet.ColdFrom, "rampTimeMs": s.Fleet.ColdRamp.Milliseconds()},
+			"coldFrom": s.Fleet.ColdSpeed, "rampTimeMs": s.Fleet.WarmUpTime.Milliseconds()},
 	}
 }
 
 // writeNode writes a node's two files into dir.
-func (s *Scenario) writeNode(dir, name, listen, pool, members string, seed uint64, control []string, plain bool) error {
+func (s *Scenario) writeNodeConfig(dir, name, listen, pool, members string, seed uint64, control []string, plain bool) error {
 	text, err := json.Marshal(map[string]any{
 		"name": name, "listen": listen, "pool": pool, "members": members, "seed": fmt.Sprintf("%016x", seed), "stop_ms": 2000,
 		"limits":   map[string]any{"cores": s.Fleet.NodeCores, "memory_mb": s.Fleet.MemoryMB, "sockets": 384},
-		"settings": s.settings(),
+		"settings": s.platformSettings(),
 	})
 	if err != nil {
 		return err
 	}
-	var own strings.Builder
-	if s.Fleet.Results {
-		fmt.Fprintf(&own, "[results]\nenabled = true\ndurability = soon\ndir = %s\n", filepath.Join(dir, "results"))
+	var settings strings.Builder
+	if s.Fleet.ResultCache {
+		fmt.Fprintf(&settings, "[results]\nenabled = true\ndurability = soon\ndir = %s\n", filepath.Join(dir, "results"))
 	}
 	if len(control) > 0 {
-		fmt.Fprintf(&own, "[control]\naddress = %s\nadvertise = %s\n", strings.Join(control, ", "), listen)
+		fmt.Fprintf(&settings, "[control]\naddress = %s\nadvertise = %s\n", strings.Join(control, ", "), listen)
 	}
 	if s.Fleet.Together != "off" && !plain {
-		fmt.Fprintf(&own, "[together]\nenabled = true\ntold = %v\n", s.Fleet.Together == "told")
+		fmt.Fprintf(&settings, "[together]\nenabled = true\ntold = %v\n", s.Fleet.Together == "told")
 	}
-	if s.Fleet.Comeback != "off" && !plain {
-		fmt.Fprintf(&own, "[comeback]\nenabled = true\nsnapshot = %v\n", s.Fleet.Comeback == "snapshot")
-		if !s.Fleet.Results {
-			fmt.Fprintf(&own, "dir = %s\n", filepath.Join(dir, "learned"))
+	if s.Fleet.Recovery != "off" && !plain {
+		fmt.Fprintf(&settings, "[comeback]\nenabled = true\nsnapshot = %v\n", s.Fleet.Recovery == "snapshot")
+		if !s.Fleet.ResultCache {
+			fmt.Fprintf(&settings, "dir = %s\n", filepath.Join(dir, "learned"))
 		}
 	}
 	return errors.Join(
 		os.WriteFile(filepath.Join(dir, "config.json"), text, 0o600),
-		os.WriteFile(filepath.Join(dir, "robinmast.ini"), []byte(own.String()), 0o600))
+		os.WriteFile(filepath.Join(dir, "robinmast.ini"), []byte(settings.String()), 0o600))
 }
--- a/internal/standin/fleet/comeback_test.go
+++ b/internal/standin/fleet/comeback_test.go
@@ -21,7 +21,7 @@
 // lostMemory is a node whose answers stay on the way while it is killed with its pool:
 // what ran is asked for again when it is back, and what it remembers of that is the
 // folder's.
-const lostMemory = `
+const lostResults = `
 [fleet]
 nodes = %d
 control = 1
@@ -59,7 +59,7 @@
 // A folder that was emptied, is a copy from before, or the neighbour's: with [comeback]
 // no keyed request runs again that ran within its window, since the control service
 // heard of the earlier life; without it some do. A folder that was kept is not doubted.
-func TestLostMemoryIsDoubted(t *testing.T) {
+func TestLostResultsAreInDoubt(t *testing.T) {
 	opt := build(t)
 	for _, c := range []struct {
 		folder, says string
@@ -67,21 +67,21 @@
 	}{{"empty", "the folder was empty, and an earlier life was heard", 1}, {"old", "it is an older copy", 1}, {"swap", "memory lost", 2}} {
 		t.Run(c.folder, func(t *testing.T) {
 			t.Parallel()
-			plain := run(t, scenario(t, fmt.Sprintf(lostMemory, c.nodes, "off", c.folder)), opt)
-			if plain.RanAgain == 0 {
+			plain := run(t, scenario(t, fmt.Sprintf(lostResults, c.nodes, "off", c.folder)), opt)
+			if plain.RanAgainAfterRestart == 0 {
 				t.Error("without [comeback] nothing ran again: the fault shows nothing")
 			}
 			var f *Fleet
 			seen := opt
 			var log string
-			seen.Look = func(x *Fleet) { f = x }
+			seen.OnStarted = func(x *Fleet) { f = x }
 			seen.Keep = t.TempDir()
-			r := run(t, scenario(t, fmt.Sprintf(lostMemory, c.nodes, "on", c.folder)), seen)
+			r := run(t, scenario(t, fmt.Sprintf(lostResults, c.nodes, "on", c.folder)), seen)
 			for i := range f.Nodes() {
-				log += kept(t, seen.Keep, i)
+				log += nodeLog(t, seen.Keep, i)
 			}
-			if r.RanAgain > 0 || !strings.Contains(log, c.says) {
-				t.Errorf("%d requests ran again; the nodes say %s", r.RanAgain, grep(log, "memory"))
+			if r.RanAgainAfterRestart > 0 || !strings.Contains(log, c.says) {
+				t.Errorf("%d requests ran again; the nodes say %s", r.RanAgainAfterRestart, grep(log, "memory"))
 			}
 		})
 	}
@@ -89,9 +89,9 @@
 		t.Parallel()
 		seen := opt
 		seen.Keep = t.TempDir()
-		r := run(t, scenario(t, fmt.Sprintf(lostMemory, 1, "on", "keep")), seen)
-		if log := kept(t, seen.Keep, 0); r.RanAgain > 0 || strings.Contains(log, "memory lost") {
-			t.Errorf("%d requests ran again; the node says %s", r.RanAgain, grep(log, "memory"))
+		r := run(t, scenario(t, fmt.Sprintf(lostResults, 1, "on", "keep")), seen)
+		if log := nodeLog(t, seen.Keep, 0); r.RanAgainAfterRestart > 0 || strings.Contains(log, "memory lost") {
+			t.Errorf("%d requests ran again; the node says %s", r.RanAgainAfterRestart, grep(log, "memory"))
 		}
 	})
 }
@@ -118,7 +118,7 @@
 	Over             bool
 }
 
-var backLine = regexp.MustCompile(`back in full service after`)
+var fullServiceLine = regexp.MustCompile(`back in full service after`)
 
 // All nodes are killed with their pools at 0.9 of what they can do and come back cold
 // together: the way back is measured by the programs themselves, each node's states and
@@ -143,7 +143,7 @@
 	opt := build(t)
 	opt.Keep = t.TempDir()
 	var last []eventView
-	stop := watching(&opt, func(ctx context.Context, _ int, addr string, _ time.Duration) {
+	stop := pollServices(&opt, func(ctx context.Context, _ int, addr string, _ time.Duration) {
 		if v, err := fetch[[]eventView](ctx, addr, "/events"); err == nil {
 			last = v
 		}
@@ -151,7 +151,7 @@
 	r := run(t, s, opt)
 	stop()
 	for i := range s.Fleet.Nodes {
-		if n := len(backLine.FindAllString(kept(t, opt.Keep, i), -1)); n != 2 {
+		if n := len(fullServiceLine.FindAllString(nodeLog(t, opt.Keep, i), -1)); n != 2 {
 			t.Errorf("node %d says %d times that it is back in full service, 2 wanted", i+1, n)
 		}
 	}
@@ -162,18 +162,18 @@
 	if e.Lost != 6 || e.Of != 6 || !e.Over || e.Least > 0.5 || e.HalfS <= 0 || e.MostS < e.HalfS || e.FullS < e.MostS || e.FullS > 7 {
 		t.Errorf("the event is %+v", e)
 	}
-	if r.Back < 0 || r.Back > 5 { // 3 s until the pools are warm, and 2 s
-		t.Errorf("back after %.1f s", r.Back)
+	if r.RecoveryTime < 0 || r.RecoveryTime > 5 { // 3 s until the pools are warm, and 2 s
+		t.Errorf("back after %.1f s", r.RecoveryTime)
 	}
-	after, _ := r.Mean(5, 13)
-	if tries := after.perFirst(); tries > 1.5 {
+	after, _ := r.Between(5, 13)
+	if tries := after.triesPerFirstTry(); tries > 1.5 {
 		t.Errorf("%.2f tries a first try from the restart on", tries)
 	}
 }
 
 // Snapshots: a node that comes back takes up what it had learned; one that is ten times
 // as fast as its snapshot says drops it.
-func TestSnapshotIsTakenUpAndDropped(t *testing.T) {
+func TestSnapshotUsedOrDropped(t *testing.T) {
 	const night = `
 [fleet]
 nodes = 2
@@ -201,7 +201,7 @@
 			o.Keep = t.TempDir()
 			run(t, scenario(t, fmt.Sprintf(night, c.from, c.ramp, c.more)), o)
 			for i := range 2 {
-				log := kept(t, o.Keep, i)
+				log := nodeLog(t, o.Keep, i)
 				if !strings.Contains(log, c.says) || c.never != "" && strings.Contains(log, c.never) {
 					t.Errorf("node %d says %s", i+1, grep(log, "snapshot"))
 				}
@@ -211,7 +211,7 @@
 }
 
 // kept is what a node said, as kept by the rehearsal.
-func kept(t *testing.T, dir string, node int) string {
+func nodeLog(t *testing.T, dir string, node int) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(dir, fmt.Sprintf("n%d.log", node+1)))
 	if err != nil {
@@ -222,20 +222,20 @@
 
 // The control service comes back after the node whose folder was emptied: what it had
 // heard of the earlier life outlives it too, and the node doubts until it is told.
-func TestServiceComesBackLater(t *testing.T) {
+func TestControlServiceReturnsLater(t *testing.T) {
 	opt := build(t)
 	opt.Keep = t.TempDir()
-	text := fmt.Sprintf(lostMemory, 1, "on", "empty") + "[fault.deaf]\nat = 2900ms\nfor = 1s\nwhat = kill\non = control\n"
+	text := fmt.Sprintf(lostResults, 1, "on", "empty") + "[fault.deaf]\nat = 2900ms\nfor = 1s\nwhat = kill\non = control\n"
 	r := run(t, scenario(t, text), opt)
-	log := kept(t, opt.Keep, 0)
-	if r.RanAgain > 0 || !strings.Contains(log, "an earlier life was heard") {
-		t.Errorf("%d requests ran again; the node says %s", r.RanAgain, grep(log, "memory"))
+	log := nodeLog(t, opt.Keep, 0)
+	if r.RanAgainAfterRestart > 0 || !strings.Contains(log, "an earlier life was heard") {
+		t.Errorf("%d requests ran again; the node says %s", r.RanAgainAfterRestart, grep(log, "memory"))
 	}
 }
 
 // A rolling restart that overtakes itself, and a node that crashes in every start: the
 // rest serve on, and the two are back in full service once they are let be.
-func TestOvertaken(t *testing.T) {
+func TestRepeatedRestarts(t *testing.T) {
 	s, err := Load("../../../rehearsals/overtaken.ini")
 	if err != nil {
 		t.Fatal(err)
@@ -243,12 +243,12 @@
 	opt := build(t)
 	opt.Keep = t.TempDir()
 	r := run(t, s, opt)
-	if r.ServedShare < 0.95 || r.Back < 0 || r.Back > 2 {
-		t.Errorf("%.3f served, back after %.1f s", r.ServedShare, r.Back)
+	if r.ServedShare < 0.95 || r.RecoveryTime < 0 || r.RecoveryTime > 2 {
+		t.Errorf("%.3f served, back after %.1f s", r.ServedShare, r.RecoveryTime)
 	}
 	for i := range s.Fleet.Nodes {
-		lines := strings.Split(strings.TrimSpace(kept(t, opt.Keep, i)), "\n")
-		if text := strings.Join(lines[max(len(lines)-40, 0):], "\n"); !backLine.MatchString(text) {
+		lines := strings.Split(strings.TrimSpace(nodeLog(t, opt.Keep, i)), "\n")
+		if text := strings.Join(lines[max(len(lines)-40, 0):], "\n"); !fullServiceLine.MatchString(text) {
 			t.Errorf("node %d is not back in full service at the end", i+1)
 		}
 	}
@@ -259,7 +259,7 @@
 // -fleet.long.
 func TestManyResultsOnOneDisk(t *testing.T) {
 	nodes, entries := 3, 5_000
-	if *long {
+	if *fullSize {
 		nodes, entries = 24, 100_000
 	}
 	s := scenario(t, fmt.Sprintf("[fleet]\nnodes = %d\ncores = 1\nresults = true\ncomeback = on\nseconds = 8\nmemory_mb = 192\n[load]\nsteps = 0s 0.4\n"+
@@ -267,13 +267,13 @@
 		"[fault.night]\nat = 3s\nfor = 200ms\nwhat = kill\non = nodes\n", nodes))
 	opt := build(t)
 	opt.Keep = t.TempDir()
-	opt.Ini = map[string]string{"results": "entries = 400000\nbytes = 256MB"} // full of keyed entries a node takes no new ones
+	opt.NodeSettings = map[string]string{"results": "entries = 400000\nbytes = 256MB"} // full of keyed entries a node takes no new ones
 	opt.Prepare = func(_ int, dir string) error { return fillResults(filepath.Join(dir, "results"), entries) }
 	r := run(t, s, opt)
 	took := regexp.MustCompile(`"remembered results".* kept=(\d+) .*recovery=(\S+) restore=(\S+)`)
 	var slowest time.Duration
 	for i := range nodes {
-		all := took.FindAllStringSubmatch(kept(t, opt.Keep, i), -1)
+		all := took.FindAllStringSubmatch(nodeLog(t, opt.Keep, i), -1)
 		if len(all) != 2 {
 			t.Fatalf("node %d says %d times what it remembers", i+1, len(all))
 		}
@@ -285,9 +285,9 @@
 		}
 	}
 	t.Logf("%d nodes with %d results each: opened and restored within %v; refused p99 %.1f ms, %.4f served, back to 0.95 after %.1f s",
-		nodes, entries, slowest, r.RefusedP99, r.ServedShare, r.Back)
-	if slowest > 5*time.Second || r.Back < 0 && !*long { // 24 of that size share six cores and more: docs/ROADMAP.md
-		t.Errorf("the slowest took %v, back %.1f", slowest, r.Back)
+		nodes, entries, slowest, r.RefusalP99, r.ServedShare, r.RecoveryTime)
+	if slowest > 5*time.Second || r.RecoveryTime < 0 && !*fullSize { // 24 of that size share six cores and more: docs/ROADMAP.md
+		t.Errorf("the slowest took %v, back %.1f", slowest, r.RecoveryTime)
 	}
 }
 
@@ -319,14 +319,14 @@
 
 // Half of the files of a store are gone: what is left is served, identity or count of the
 // last mark tell that some is missing, and no keyed request runs again.
-func TestHalfOfItsFilesGone(t *testing.T) {
+func TestHalfOfStoreFilesMissing(t *testing.T) {
 	opt := build(t)
 	opt.Keep = t.TempDir()
-	opt.Ini = map[string]string{"store": "segment = 256KB"}
+	opt.NodeSettings = map[string]string{"store": "segment = 256KB"}
 	opt.Prepare = func(_ int, dir string) error { return fillResults(filepath.Join(dir, "results"), 3000) }
-	r := run(t, scenario(t, fmt.Sprintf(lostMemory, 1, "on", "half")), opt)
-	log := kept(t, opt.Keep, 0)
-	if r.RanAgain > 0 || !strings.Contains(log, "memory lost") {
-		t.Errorf("%d requests ran again; the node says %s", r.RanAgain, log)
+	r := run(t, scenario(t, fmt.Sprintf(lostResults, 1, "on", "half")), opt)
+	log := nodeLog(t, opt.Keep, 0)
+	if r.RanAgainAfterRestart > 0 || !strings.Contains(log, "memory lost") {
+		t.Errorf("%d requests ran again; the node says %s", r.RanAgainAfterRestart, log)
 	}
 }
--- a/internal/standin/fleet/fleet_test.go
+++ b/internal/standin/fleet/fleet_test.go
@@ -86,8 +86,8 @@
 			go func() { defer c.Close(); _, _ = io.Copy(c, c) }()
 		}
 	}()
-	ask := func(c net.Conn, text string, most time.Duration) (string, error) {
-		_ = c.SetDeadline(time.Now().Add(most))
+	exchange := func(c net.Conn, text string, timeout time.Duration) (string, error) {
+		_ = c.SetDeadline(time.Now().Add(timeout))
 		if _, err := io.WriteString(c, text); err != nil {
 			return "", err
 		}
@@ -95,17 +95,17 @@
 		n, err := io.ReadFull(c, b)
 		return string(b[:n]), err
 	}
-	timedOut := func(err error) bool { var ne net.Error; return errors.As(err, &ne) && ne.Timeout() }
+	isTimeout := func(err error) bool { var ne net.Error; return errors.As(err, &ne) && ne.Timeout() }
 	for _, c := range []struct {
 		name   string
 		faults Faults
 		check  func(t *testing.T, l *Link, old net.Conn)
 	}{
 		{"cut", Faults{CutUp: true, CutDown: true}, func(t *testing.T, l *Link, old net.Conn) {
-			if _, err := ask(old, "lost", 60*time.Millisecond); !timedOut(err) {
+			if _, err := exchange(old, "lost", 60*time.Millisecond); !isTimeout(err) {
 				t.Errorf("bytes passed a cut link: %v", err)
 			}
-			l.Set(Faults{})
+			l.SetFaults(Faults{})
 			b := make([]byte, 4) // what was under way arrives once the link is whole
 			_ = old.SetDeadline(time.Now().Add(2 * time.Second))
 			if _, err := io.ReadFull(old, b); err != nil || string(b) != "lost" {
@@ -113,40 +113,40 @@
 			}
 		}},
 		{"cut one way", Faults{CutDown: true}, func(t *testing.T, l *Link, old net.Conn) {
-			if _, err := ask(old, "gone", 60*time.Millisecond); !timedOut(err) {
+			if _, err := exchange(old, "gone", 60*time.Millisecond); !isTimeout(err) {
 				t.Errorf("an answer passed: %v", err)
 			}
 		}},
 		{"delay", Faults{Delay: 60 * time.Millisecond, Jitter: 20 * time.Millisecond}, func(t *testing.T, l *Link, old net.Conn) {
 			began := time.Now()
-			if _, err := ask(old, "slow", 2*time.Second); err != nil || time.Since(began) < 120*time.Millisecond {
+			if _, err := exchange(old, "slow", 2*time.Second); err != nil || time.Since(began) < 120*time.Millisecond {
 				t.Errorf("an answer after %v, %v", time.Since(began), err)
 			}
 		}},
-		{"throttle", Faults{Rate: 10_000}, func(t *testing.T, l *Link, old net.Conn) {
+		{"throttle", Faults{BytesPerSecond: 10_000}, func(t *testing.T, l *Link, old net.Conn) {
 			began := time.Now()
-			if _, err := ask(old, strings.Repeat("x", 2000), 5*time.Second); err != nil || time.Since(began) < 300*time.Millisecond {
+			if _, err := exchange(old, strings.Repeat("x", 2000), 5*time.Second); err != nil || time.Since(began) < 300*time.Millisecond {
 				t.Errorf("2,000 bytes both ways at 10,000 a second took %v, %v", time.Since(began), err)
 			}
 		}},
-		{"mid message", Faults{After: 3} /* one has passed before */, func(t *testing.T, l *Link, old net.Conn) {
-			if got, err := ask(old, "halves", 100*time.Millisecond); got != "ha" || !timedOut(err) {
+		{"mid message", Faults{StopAfter: 3} /* one has passed before */, func(t *testing.T, l *Link, old net.Conn) {
+			if got, err := exchange(old, "halves", 100*time.Millisecond); got != "ha" || !isTimeout(err) {
 				t.Errorf("got %q, %v", got, err)
 			}
 		}},
 		{"reset", Faults{Reset: true}, func(t *testing.T, l *Link, old net.Conn) {
-			if _, err := ask(old, "late", time.Second); err == nil || timedOut(err) {
+			if _, err := exchange(old, "late", time.Second); err == nil || isTimeout(err) {
 				t.Errorf("an open connection: %v", err)
 			}
 			if c, err := net.Dial("tcp", l.Addr()); err == nil {
-				if _, err := ask(c, "new", time.Second); err == nil || timedOut(err) {
+				if _, err := exchange(c, "new", time.Second); err == nil || isTimeout(err) {
 					t.Errorf("a new connection: %v", err)
 				}
 				c.Close()
 			}
 		}},
 		{"half open", Faults{HalfOpen: true}, func(t *testing.T, l *Link, old net.Conn) {
-			if _, err := ask(old, "dead", 60*time.Millisecond); !timedOut(err) {
+			if _, err := exchange(old, "dead", 60*time.Millisecond); !isTimeout(err) {
 				t.Errorf("the near side was told: %v", err)
 			}
 		}},
@@ -162,18 +162,18 @@
 				t.Fatal(err)
 			}
 			defer conn.Close()
-			if got, err := ask(conn, "a", time.Second); got != "a" || err != nil {
+			if got, err := exchange(conn, "a", time.Second); got != "a" || err != nil {
 				t.Fatalf("before the fault: %q, %v", got, err)
 			}
-			l.Set(c.faults)
+			l.SetFaults(c.faults)
 			c.check(t, l, conn)
-			l.Set(Faults{})
+			l.SetFaults(Faults{})
 			after, err := net.Dial("tcp", l.Addr())
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer after.Close()
-			if got, err := ask(after, "well", 2*time.Second); got != "well" || err != nil {
+			if got, err := exchange(after, "well", 2*time.Second); got != "well" || err != nil {
 				t.Errorf("a new connection after healing: %q, %v", got, err)
 			}
 		})
@@ -181,11 +181,11 @@
 }
 
 // A schedule replays by its seed, and another seed is another night.
-func TestScheduleReplays(t *testing.T) {
+func TestScheduleDependsOnSeed(t *testing.T) {
 	digest := func(seed uint64) string {
 		s := Defaults()
 		s.Name, s.Fleet.Seed = "x", seed
-		s.Classes = []ClassPart{{Name: "a", Share: 1, Ms: 20, Worth: 1, Aim: time.Second, Deadline: time.Second, Effect: "safe"}}
+		s.Classes = []ClassSection{{Name: "a", Share: 1, WorkMs: 20, Utility: 1, LatencyTarget: time.Second, Deadline: time.Second, Effect: "safe"}}
 		if err := s.Check(); err != nil {
 			t.Fatal(err)
 		}
@@ -240,12 +240,12 @@
 
 // A fleet through a crash of a third, keyed work among it: all that the outside
 // view promises to count is counted, no rule is broken, and nothing is left behind.
-func TestCrashOfAThird(t *testing.T) {
+func TestThirdOfNodesCrash(t *testing.T) {
 	opt := build(t)
 	var pids []string
-	opt.Look = func(f *Fleet) {
+	opt.OnStarted = func(f *Fleet) {
 		for _, n := range f.nodes {
-			pids = append(pids, fmt.Sprint(n.child.cmd.Process.Pid))
+			pids = append(pids, fmt.Sprint(n.process.cmd.Process.Pid))
 		}
 	}
 	r := run(t, scenario(t, `
@@ -266,18 +266,18 @@
 what = kill
 on = nodes:0.333
 `), opt)
-	if r.During > 0.95*r.Before {
-		t.Errorf("worth %.0f a second during a crash of a third, %.0f before: it did not show", r.During, r.Before)
+	if r.UtilityDuring > 0.95*r.UtilityBefore {
+		t.Errorf("worth %.0f a second during a crash of a third, %.0f before: it did not show", r.UtilityDuring, r.UtilityBefore)
 	}
-	if n := r.Tally.Tries[cut] + r.Tally.Tries[unreachable]; n == 0 {
+	if n := r.Tally.Tries[connectionLost] + r.Tally.Tries[unreachable]; n == 0 {
 		t.Error("nobody noticed the crash")
 	}
 	sum := 0
 	for _, n := range r.Tally.Requests {
 		sum += n
 	}
-	if sum == 0 || sum > r.Tally.Asked {
-		t.Errorf("%d requests ended of %d", sum, r.Tally.Asked)
+	if sum == 0 || sum > r.Tally.Started {
+		t.Errorf("%d requests ended of %d", sum, r.Tally.Started)
 	}
 	for _, pid := range pids {
 		if _, err := os.Stat("/proc/" + pid); err == nil {
@@ -287,23 +287,23 @@
 }
 
 // The outside view sees what it is there for: a report with faults in it says so.
-func TestReportTellsWhatBroke(t *testing.T) {
-	r := &Report{Tally: tally{Lost: 1, Twice: 2}, RanTwice: 3}
+func TestReportViolations(t *testing.T) {
+	r := &Report{Tally: tally{Unanswered: 1, DuplicateAnswers: 2}, RanTwice: 3}
 	if got := strings.Join(r.Broken(), "; "); !strings.Contains(got, "1 tries") || !strings.Contains(got, "2 answers") || !strings.Contains(got, "3 keyed") {
 		t.Errorf("told %q", got)
 	}
-	r = &Report{Marks: []Mark{{At: 1, On: true}, {At: 2}}}
+	r = &Report{FaultMarks: []FaultMark{{At: 1, On: true}, {At: 2}}}
 	for i := range 50 { // 10 a slice, nothing from 1 to 3.5 s, then all again
-		r.slices = append(r.slices, map[bool]float64{true: 0, false: 10}[i >= 10 && i < 35])
+		r.samples = append(r.samples, map[bool]float64{true: 0, false: 10}[i >= 10 && i < 35])
 	}
-	if r.back(); r.Back != 1.5 || r.Before != 100 || r.During != 0 {
-		t.Errorf("back after %v s, before %v, during %v", r.Back, r.Before, r.During)
+	if r.measureRecovery(); r.RecoveryTime != 1.5 || r.UtilityBefore != 100 || r.UtilityDuring != 0 {
+		t.Errorf("back after %v s, before %v, during %v", r.RecoveryTime, r.UtilityBefore, r.UtilityDuring)
 	}
 }
 
 // A child's port is given to nobody else while it is away, and the child can have it.
-func TestHeldPorts(t *testing.T) {
-	addr, held, err := holdAddr()
+func TestReservedPorts(t *testing.T) {
+	addr, held, err := reserveAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -324,16 +324,16 @@
 }
 
 // A rehearsal that is cut short says so, and leaves no child and no folder behind.
-func TestCutShort(t *testing.T) {
+func TestCancelledRun(t *testing.T) {
 	opt := build(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var f *Fleet
 	var pids []string
-	opt.Look = func(x *Fleet) {
+	opt.OnStarted = func(x *Fleet) {
 		f = x
 		for _, n := range x.nodes {
-			pids = append(pids, fmt.Sprint(n.child.cmd.Process.Pid))
+			pids = append(pids, fmt.Sprint(n.process.cmd.Process.Pid))
 		}
 		time.AfterFunc(500*time.Millisecond, cancel)
 	}
--- a/internal/standin/fleet/link.go
+++ b/internal/standin/fleet/link.go
@@ -17,17 +17,17 @@
 type Faults struct {
 	CutUp, CutDown bool          // bytes stop towards the listener's side, or back; connections stay open
 	Delay, Jitter  time.Duration // each way; jitter is added, evenly from 0
-	Rate           int           // bytes a second each way and connection, 0 = no bound
-	After          int           // bytes each way and connection after which nothing passes, 0 = no bound
+	BytesPerSecond int           // bytes a second each way and connection, 0 = no bound
+	StopAfter      int           // bytes each way and connection after which nothing passes, 0 = no bound
 	Reset          bool          // connections end by a reset, and new ones too
 	HalfOpen       bool          // the far side goes away once; the near side is not told
 }
 
 // Bounds of a link.
 const (
-	linkChunk = 16 << 10
-	linkQueue = 64  // chunks that are under way, each way and connection
-	linkConns = 512 // connections; further ones are reset
+	maxChunkBytes   = 16 << 10
+	maxQueuedChunks = 64  // chunks that are under way, each way and connection
+	maxConnections  = 512 // connections; further ones are reset
 )
 
 // Link passes TCP connections on to a target. Its methods may be called by any goroutine.
@@ -38,17 +38,17 @@
 	target  string
 	faults  Faults
 	changed chan struct{} // closed with the next change
-	conns   map[*pair]struct{}
+	conns   map[*linkConn]struct{}
 	opened  int
 	closed  bool
-	rnd     *rand.Rand
+	random  *rand.Rand
 	running sync.WaitGroup
 }
 
 // pair is one connection through the link.
-type pair struct {
+type linkConn struct {
 	near, far net.Conn
-	dead      chan struct{} // closed when nothing passes any more
+	done      chan struct{} // closed when nothing passes any more
 	once      sync.Once
 }
 
@@ -59,7 +59,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("fault proxy: %w", err)
 	}
-	l := &Link{ln: ln, target: target, changed: make(chan struct{}), conns: map[*pair]struct{}{}, rnd: rand.New(rand.NewPCG(seed, 3))}
+	l := &Link{ln: ln, target: target, changed: make(chan struct{}), conns: map[*linkConn]struct{}{}, random: rand.New(rand.NewPCG(seed, 3))}
 	l.running.Go(l.accept)
 	return l, nil
 }
@@ -68,21 +68,21 @@
 func (l *Link) Addr() string { return l.ln.Addr().String() }
 
 // Opened is how many connections were opened through it.
-func (l *Link) Opened() int {
+func (l *Link) ConnectionsOpened() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.opened
 }
 
 // Aim passes new connections on to another target.
-func (l *Link) Aim(target string) {
+func (l *Link) SetTarget(target string) {
 	l.mu.Lock()
 	l.target = target
 	l.mu.Unlock()
 }
 
 // Set replaces the faults; Faults{} heals.
-func (l *Link) Set(f Faults) {
+func (l *Link) SetFaults(f Faults) {
 	l.mu.Lock()
 	l.faults = f
 	close(l.changed)
@@ -99,11 +99,11 @@
 }
 
 // Cut ends every connection in order, as when the far side restarts.
-func (l *Link) Cut() {
+func (l *Link) CloseConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for p := range l.conns {
-		p.end()
+		p.close()
 	}
 }
 
@@ -115,31 +115,31 @@
 	close(l.changed)
 	l.changed = make(chan struct{})
 	for p := range l.conns {
-		p.end()
+		p.close()
 	}
 	l.mu.Unlock()
 	l.running.Wait()
 }
 
-func (p *pair) end() {
+func (p *linkConn) close() {
 	p.once.Do(func() {
-		close(p.dead)
+		close(p.done)
 		_ = p.near.Close()
 		_ = p.far.Close()
 	})
 }
 
-func (p *pair) reset() {
+func (p *linkConn) reset() {
 	for _, c := range []net.Conn{p.near, p.far} {
 		if t, ok := c.(*net.TCPConn); ok {
 			_ = t.SetLinger(0)
 		}
 	}
-	p.end()
+	p.close()
 }
 
 // now is what holds at present, and what closes when that changes.
-func (l *Link) now() (Faults, <-chan struct{}) {
+func (l *Link) currentFaults() (Faults, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.faults, l.changed
@@ -154,21 +154,21 @@
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
-		l.running.Go(func() { l.pass(near) })
+		l.running.Go(func() { l.serve(near) })
 	}
 }
 
 // pass serves one connection. While the way up is cut the far side is not dialled:
 // to whoever opened it the connection looks half-open.
-func (l *Link) pass(near net.Conn) {
-	end := func() {
+func (l *Link) serve(near net.Conn) {
+	abort := func() {
 		if t, ok := near.(*net.TCPConn); ok {
 			_ = t.SetLinger(0)
 		}
 		_ = near.Close()
 	}
 	for began := time.Now(); ; {
-		f, changed := l.now()
+		f, changed := l.currentFaults()
 		if !f.CutUp && !f.CutDown {
 			break
 		}
@@ -180,38 +180,38 @@
 		closed := l.closed
 		l.mu.Unlock()
 		if closed || time.Since(began) > 9*time.Second {
-			end()
+			abort()
 			return
 		}
 	}
 	l.mu.Lock()
-	target, refuse := l.target, l.faults.Reset || l.closed || len(l.conns) >= linkConns
+	target, refuse := l.target, l.faults.Reset || l.closed || len(l.conns) >= maxConnections
 	l.mu.Unlock()
 	if refuse || target == "" {
-		end()
+		abort()
 		return
 	}
 	far, err := net.DialTimeout("tcp", target, time.Second)
 	if err != nil {
-		end()
+		abort()
 		return
 	}
-	p := &pair{near: near, far: far, dead: make(chan struct{})}
+	p := &linkConn{near: near, far: far, done: make(chan struct{})}
 	l.mu.Lock()
 	if l.closed {
 		l.mu.Unlock()
-		p.end()
+		p.close()
 		return
 	}
 	l.conns[p] = struct{}{}
 	l.opened++
-	seed := l.rnd.Uint64()
+	seed := l.random.Uint64()
 	l.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { l.pump(p, near, far, true, rand.New(rand.NewPCG(seed, 1))) })
-	both.Go(func() { l.pump(p, far, near, false, rand.New(rand.NewPCG(seed, 2))) })
+	both.Go(func() { l.forward(p, near, far, true, rand.New(rand.NewPCG(seed, 1))) })
+	both.Go(func() { l.forward(p, far, near, false, rand.New(rand.NewPCG(seed, 2))) })
 	both.Wait()
-	p.end()
+	p.close()
 	l.mu.Lock()
 	delete(l.conns, p)
 	l.mu.Unlock()
@@ -219,42 +219,42 @@
 
 // chunk is bytes under way; without bytes it is the end of them.
 type chunk struct {
-	b   []byte
-	due time.Time
+	data []byte
+	due  time.Time
 }
 
 // pump carries one way of a connection.
-func (l *Link) pump(p *pair, from, to net.Conn, up bool, rnd *rand.Rand) {
-	queue := make(chan chunk, linkQueue)
+func (l *Link) forward(p *linkConn, from, to net.Conn, up bool, random *rand.Rand) {
+	queue := make(chan chunk, maxQueuedChunks)
 	l.running.Go(func() {
 		defer close(queue)
-		last := time.Time{}
+		lastDue := time.Time{}
 		for {
-			b := make([]byte, linkChunk)
+			b := make([]byte, maxChunkBytes)
 			n, err := from.Read(b)
-			f, _ := l.now()
+			f, _ := l.currentFaults()
 			due := time.Now().Add(f.Delay)
 			if f.Jitter > 0 {
-				due = due.Add(time.Duration(rnd.Int64N(int64(f.Jitter))))
+				due = due.Add(time.Duration(random.Int64N(int64(f.Jitter))))
 			}
-			if due.Before(last) { // order is kept
-				due = last
+			if due.Before(lastDue) { // order is kept
+				due = lastDue
 			}
-			last = due
+			lastDue = due
 			if n > 0 {
 				select {
 				case queue <- chunk{b[:n], due}:
-				case <-p.dead:
+				case <-p.done:
 					return
 				}
 			}
 			if err != nil {
-				if !errors.Is(err, io.EOF) && !p.silent(l, from) {
+				if !errors.Is(err, io.EOF) && !p.hidesFailure(l, from) {
 					p.reset() // a reset travels as one
 				}
 				select {
 				case queue <- chunk{due: due}:
-				case <-p.dead:
+				case <-p.done:
 				}
 				return
 			}
@@ -262,36 +262,36 @@
 	})
 	passed := 0
 	for c := range queue {
-		if !l.wait(p, c.due) || !l.open(p, up, &passed, &c) {
-			p.end()
+		if !l.sleepUntil(p, c.due) || !l.admit(p, up, &passed, &c) {
+			p.close()
 			return
 		}
-		if c.b == nil {
+		if c.data == nil {
 			if t, ok := to.(*net.TCPConn); ok && t.CloseWrite() == nil {
 				return
 			}
-			p.end()
+			p.close()
 			return
 		}
-		if _, err := to.Write(c.b); err != nil && !p.silent(l, to) {
-			p.end()
+		if _, err := to.Write(c.data); err != nil && !p.hidesFailure(l, to) {
+			p.close()
 			return
 		}
 	}
 }
 
 // silent reports whether a failure on one side is not to be told to the other.
-func (p *pair) silent(l *Link, side net.Conn) bool {
-	f, _ := l.now()
+func (p *linkConn) hidesFailure(l *Link, side net.Conn) bool {
+	f, _ := l.currentFaults()
 	return f.HalfOpen && side == p.far
 }
 
 // wait waits until due, or the connection's end.
-func (l *Link) wait(p *pair, due time.Time) bool {
+func (l *Link) sleepUntil(p *linkConn, due time.Time) bool {
 	if d := time.Until(due); d > 0 {
 		select {
 		case <-time.After(d):
-		case <-p.dead:
+		case <-p.done:
 			return false
 		}
 	}
@@ -300,30 +300,30 @@
 
 // open waits until a chunk may pass, and cuts it where the bytes end. It reports
 // whether the connection goes on.
-func (l *Link) open(p *pair, up bool, passed *int, c *chunk) bool {
+func (l *Link) admit(p *linkConn, up bool, passed *int, c *chunk) bool {
 	for {
-		f, changed := l.now()
-		shut := f.HalfOpen || up && f.CutUp || !up && f.CutDown
-		if !shut && f.After > 0 {
-			if room := f.After - *passed; room <= 0 {
-				shut = true
-			} else if len(c.b) > room {
-				c.b = c.b[:room] // the rest is lost: nothing passes here any more
+		f, changed := l.currentFaults()
+		blocked := f.HalfOpen || up && f.CutUp || !up && f.CutDown
+		if !blocked && f.StopAfter > 0 {
+			if allowed := f.StopAfter - *passed; allowed <= 0 {
+				blocked = true
+			} else if len(c.data) > allowed {
+				c.data = c.data[:allowed] // the rest is lost: nothing passes here any more
 			}
 		}
-		if !shut {
-			*passed += len(c.b)
-			if f.Rate > 0 && len(c.b) > 0 {
-				return l.wait(p, time.Now().Add(time.Duration(float64(len(c.b))/float64(f.Rate)*float64(time.Second))))
+		if !blocked {
+			*passed += len(c.data)
+			if f.BytesPerSecond > 0 && len(c.data) > 0 {
+				return l.sleepUntil(p, time.Now().Add(time.Duration(float64(len(c.data))/float64(f.BytesPerSecond)*float64(time.Second))))
 			}
 			return true
 		}
 		select {
 		case <-changed:
-			if f.After > 0 || f.HalfOpen { // what stopped in the middle can't go on
+			if f.StopAfter > 0 || f.HalfOpen { // what stopped in the middle can't go on
 				return false
 			}
-		case <-p.dead:
+		case <-p.done:
 			return false
 		}
 	}
--- a/internal/standin/fleet/lives_test.go
+++ b/internal/standin/fleet/lives_test.go
@@ -10,7 +10,7 @@
 
 // Every fact that anybody acts on stands in the table of docs/recovery.md with its life,
 // what happens at its end, and a test that is there.
-func TestEveryFactHasALife(t *testing.T) {
+func TestEveryFactExpires(t *testing.T) {
 	text, err := os.ReadFile("../../../docs/recovery.md")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/standin/fleet/mutants_test.go
+++ b/internal/standin/fleet/mutants_test.go
@@ -16,49 +16,49 @@
 // real processes. holds says what it saw besides.
 type mutant struct {
 	name, file, from, to string
-	holds                func(t *testing.T, opt Options) (bool, string)
+	check                func(t *testing.T, opt Options) (bool, string)
 }
 
 var mutants = []mutant{
 	{
 		"no queue timeout check", "decide/shedding/shedding.go",
 		"return m.QueueDelay(max(ahead, 0), utility) >",
-		"return false && m.QueueDelay(max(ahead, 0), utility) >", refusedAtOnce,
+		"return false && m.QueueDelay(max(ahead, 0), utility) >", refusedPromptly,
 	},
 	{
 		"no refusal stops retries", "decide/shedding/shedding.go",
 		"if m.stopRemainder += share; m.stopRemainder >= 1 {",
-		"if m.stopRemainder += 0 * share; m.stopRemainder >= 1 {", fewTries,
+		"if m.stopRemainder += 0 * share; m.stopRemainder >= 1 {", retriesAreStopped,
 	},
 	{
 		"every refusal stops retries", "decide/shedding/shedding.go",
 		"if m.stopRemainder += share; m.stopRemainder >= 1 {",
-		"if m.stopRemainder += 1 + 0*share; m.stopRemainder >= 1 {", walksGoOn,
+		"if m.stopRemainder += 1 + 0*share; m.stopRemainder >= 1 {", retriesContinue,
 	},
 	{
 		"digests never expire", "decide/shedding/digest.go",
 		"age := now - m.digestAsOf\n",
-		"age := 0 * (now - m.digestAsOf)\n", oldDigestsGo,
+		"age := 0 * (now - m.digestAsOf)\n", digestsExpire,
 	},
 	{
 		"waits are not random", "decide/backoff/backoff.go",
 		"wait += time.Duration(b.random.Int64N(int64(over) + 1))",
-		"wait += over", returnsSpread,
+		"wait += over", reconnectsSpread,
 	},
 	{
 		"nothing is in doubt", "decide/recovery/storecheck.go",
 		"if effect == rules.Safe {\n\t\treturn false\n\t}\n\tsince",
-		"if effect <= 99 {\n\t\treturn false\n\t}\n\tsince", lostIsDoubted,
+		"if effect <= 99 {\n\t\treturn false\n\t}\n\tsince", lostResultsAreInDoubt,
 	},
 	{
 		"checkpoints are ignored", "decide/recovery/storecheck.go",
 		"case previous.Checkpoint > c.found.Checkpoint.N:",
-		"case false && previous.Checkpoint > c.found.Checkpoint.N:", oldCopyIsSeen,
+		"case false && previous.Checkpoint > c.found.Checkpoint.N:", oldCopyIsDetected,
 	},
 	{
 		"no loss is an event", "decide/recovery/eventdetector.go",
 		"float64(len(lost)) > minLostShare*",
-		"float64(len(lost)) > 99*minLostShare*", eventIsKept,
+		"float64(len(lost)) > 99*minLostShare*", eventIsRecorded,
 	},
 }
 
@@ -88,7 +88,7 @@
 // Each defence switched off, one at a time, fails what it is for; with all of them
 // what it is for holds. Behind a flag: it builds the programs for each.
 func TestMutantsFail(t *testing.T) {
-	if !*long {
+	if !*fullSize {
 		t.Skip("-fleet.long builds and plays every mutant")
 	}
 	whole := build(t)
@@ -98,7 +98,7 @@
 	}
 	for _, m := range mutants {
 		t.Run(m.name, func(t *testing.T) {
-			if ok, saw := m.holds(t, whole); !ok {
+			if ok, saw := m.check(t, whole); !ok {
 				t.Errorf("it does not hold with the defence: %s", saw)
 			}
 			dir := t.TempDir()
@@ -124,7 +124,7 @@
 			if err != nil {
 				t.Fatalf("%v: %s", err, out)
 			}
-			ok, saw := m.holds(t, Options{Node: filepath.Join(dir, "robinmast"), Control: filepath.Join(dir, "robinmast-control")})
+			ok, saw := m.check(t, Options{Node: filepath.Join(dir, "robinmast"), Control: filepath.Join(dir, "robinmast-control")})
 			if ok {
 				t.Errorf("it holds without the defence: %s", saw)
 			}
@@ -133,55 +133,55 @@
 	}
 }
 
-func refusedAtOnce(t *testing.T, opt Options) (bool, string) {
+func refusedPromptly(t *testing.T, opt Options) (bool, string) {
 	r := run(t, scenario(t, "[fleet]\nnodes = 3\nseconds = 7\ntogether = alone\n[load]\nsteps = 0s 0.5, 1s 1.6\n[dispatchers]\nwalk = 2\n"+twoClasses), opt)
-	return r.RefusedSoon > 0.75, fmt.Sprintf("%.3f of refused first tries hear so within 20 ms", r.RefusedSoon)
+	return r.PromptRefusalShare > 0.75, fmt.Sprintf("%.3f of refused first tries hear so within 20 ms", r.PromptRefusalShare)
 }
 
-func fewTries(t *testing.T, opt Options) (bool, string) {
+func retriesAreStopped(t *testing.T, opt Options) (bool, string) {
 	r := run(t, scenario(t, "[fleet]\nnodes = 4\nseconds = 9\ntogether = alone\n[load]\nsteps = 0s 0.5, 2s 3\n[dispatchers]\nwalk = 3\n"+twoClasses), opt)
-	over, _ := r.Mean(4, 9)
-	ended := float64(over.Ended) / float64(max(over.Tries[refused], 1))
-	return ended > 0.1, fmt.Sprintf("%.2f of the refusals end a walk at three times the capacity, %.3f tries", ended, over.perFirst())
+	over, _ := r.Between(4, 9)
+	ended := float64(over.StoppedRetries) / float64(max(over.Tries[refused], 1))
+	return ended > 0.1, fmt.Sprintf("%.2f of the refusals end a walk at three times the capacity, %.3f tries", ended, over.triesPerFirstTry())
 }
 
-func walksGoOn(t *testing.T, opt Options) (bool, string) {
+func retriesContinue(t *testing.T, opt Options) (bool, string) {
 	r := run(t, scenario(t, "[fleet]\nnodes = 3\nseconds = 7\ntogether = alone\n[load]\nsteps = 0s 0.5\n[dispatchers]\nwalk = 2\n"+
 		"[fault.full]\nat = 1s\nfor = 6s\nwhat = slow\nfactor = 6\non = nodes:1\n"+twoClasses), opt)
-	ended := float64(r.Tally.Ended) / float64(max(r.Tally.Tries[refused], 1))
+	ended := float64(r.Tally.StoppedRetries) / float64(max(r.Tally.Tries[refused], 1))
 	return ended < 0.1, fmt.Sprintf("%.2f of %d refusals by the one full node end a walk", ended, r.Tally.Tries[refused])
 }
 
-func oldDigestsGo(t *testing.T, opt Options) (bool, string) {
+func digestsExpire(t *testing.T, opt Options) (bool, string) {
 	s := scenario(t, "[fleet]\nnodes = 3\nseconds = 10\ntogether = told\ncontrol = 1\n[load]\nsteps = 0s 2, 5s 0.35\n[dispatchers]\nwalk = 2\nheed = 0\n"+
 		"[fault.killed]\nat = 4s\nfor = 6s\nwhat = kill\non = control\n[fault.full]\nat = 7s\nfor = 3s\nwhat = slow\nfactor = 8\non = nodes:1\n"+twoClasses)
 	r := run(t, s, opt)
-	late, _ := r.Mean(8, 10)
-	ended := float64(late.Ended) / float64(max(late.Tries[refused], 1))
+	late, _ := r.Between(8, 10)
+	ended := float64(late.StoppedRetries) / float64(max(late.Tries[refused], 1))
 	return ended < 0.2, fmt.Sprintf("%.2f of %d refusals end a walk long after the digest's life", ended, late.Tries[refused])
 }
 
-func returnsSpread(t *testing.T, opt Options) (bool, string) {
+func reconnectsSpread(t *testing.T, opt Options) (bool, string) {
 	s := scenario(t, "[fleet]\nnodes = 6\ncores = 1\nseconds = 10\ncontrol = 1\n[load]\nsteps = 0s 0.2\n[fault.lost]\nat = 1s\nfor = 4s\nwhat = kill\non = control\n")
 	opt.Keep = t.TempDir()
 	run(t, s, opt)
-	spread := returned(t, opt.Keep, 6)
+	spread := reconnectSpread(t, opt.Keep, 6)
 	return spread.Seconds() > 0.3, fmt.Sprintf("six nodes come back within %v", spread)
 }
 
-func lostIsDoubted(t *testing.T, opt Options) (bool, string) {
-	r := run(t, scenario(t, fmt.Sprintf(lostMemory, 1, "on", "empty")), opt)
-	return r.RanAgain == 0, fmt.Sprintf("%d keyed requests ran again", r.RanAgain)
+func lostResultsAreInDoubt(t *testing.T, opt Options) (bool, string) {
+	r := run(t, scenario(t, fmt.Sprintf(lostResults, 1, "on", "empty")), opt)
+	return r.RanAgainAfterRestart == 0, fmt.Sprintf("%d keyed requests ran again", r.RanAgainAfterRestart)
 }
 
-func oldCopyIsSeen(t *testing.T, opt Options) (bool, string) {
+func oldCopyIsDetected(t *testing.T, opt Options) (bool, string) {
 	opt.Keep = t.TempDir()
-	run(t, scenario(t, fmt.Sprintf(lostMemory, 1, "on", "old")), opt)
-	says := grep(kept(t, opt.Keep, 0), "memory lost")
+	run(t, scenario(t, fmt.Sprintf(lostResults, 1, "on", "old")), opt)
+	says := grep(nodeLog(t, opt.Keep, 0), "memory lost")
 	return says != "", "the node says " + says
 }
 
-func eventIsKept(t *testing.T, opt Options) (bool, string) {
+func eventIsRecorded(t *testing.T, opt Options) (bool, string) {
 	opt.Keep = t.TempDir()
 	run(t, scenario(t, "[fleet]\nnodes = 4\ncontrol = 1\ncomeback = on\nseconds = 8\n[load]\nsteps = 0s 0.4\n"+
 		"[fault.night]\nat = 3s\nfor = 1s\nwhat = kill\non = nodes:0.5\n"+twoClasses), opt)
--- a/internal/standin/fleet/together_test.go
+++ b/internal/standin/fleet/together_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-var long = flag.Bool("fleet.long", false, "play the rehearsals at full size: 24 nodes, 10 s")
+var fullSize = flag.Bool("fleet.long", false, "play the rehearsals at full size: 24 nodes, 10 s")
 
 // classes of the rehearsals: as on the bench's first site, smaller.
 const twoClasses = `
@@ -64,10 +64,10 @@
 }
 
 // watching looks at every control service ten times a second until stop is called.
-func watching(opt *Options, each func(ctx context.Context, service int, addr string, at time.Duration)) (stop func()) {
+func pollServices(opt *Options, each func(ctx context.Context, service int, addr string, at time.Duration)) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var looking sync.WaitGroup
-	opt.Look = func(f *Fleet) {
+	opt.OnStarted = func(f *Fleet) {
 		began := time.Now()
 		for i, addr := range f.ControlAddrs() {
 			looking.Go(func() {
@@ -85,9 +85,9 @@
 }
 
 // watch looks at the fleet's view all the while, from outside.
-func watch(t *testing.T, s *Scenario, opt Options, each func(at time.Duration, v fleetView)) *Report {
+func pollFleet(t *testing.T, s *Scenario, opt Options, each func(at time.Duration, v fleetView)) *Report {
 	t.Helper()
-	stop := watching(&opt, func(ctx context.Context, _ int, addr string, at time.Duration) {
+	stop := pollServices(&opt, func(ctx context.Context, _ int, addr string, at time.Duration) {
 		if v, err := view(ctx, addr); err == nil {
 			each(at, v)
 		}
@@ -100,11 +100,11 @@
 // Told: while the fleet gets twice what it can do there is a cut, every node that
 // asks follows it, and it is gone soon after; before it there is none. A node of
 // the old kind beside them is served all the same.
-func TestCutAppearsAndGoes(t *testing.T) {
+func TestThresholdFollowsOverload(t *testing.T) {
 	s := scenario(t, "[fleet]\nnodes = 3\ncores = 2\nseconds = 9\ntogether = told\ncontrol = 1\n[load]\nsteps = 0s 0.5, 3s 2, 6s 0.5\n[dispatchers]\nwalk = 2\nheed = 0\n"+twoClasses)
 	var mu sync.Mutex
 	var early, during, late, follow int
-	r := watch(t, s, build(t), func(at time.Duration, v fleetView) {
+	r := pollFleet(t, s, build(t), func(at time.Duration, v fleetView) {
 		mu.Lock()
 		defer mu.Unlock()
 		cut := v.Digest.Cut > 0
@@ -129,16 +129,16 @@
 	if early > 0 || during < 8 || late > 0 || follow < 3 {
 		t.Errorf("seen with a cut: %d before, %d during, %d long after the overload; all followed it in %d", early, during, late, follow)
 	}
-	over, _ := r.Mean(4, 6)
-	before, _ := r.Mean(1, 3)
-	if over.Worth < 0.95*before.Worth {
-		t.Errorf("worth %.0f in 2 s at twice the capacity, %.0f at half of it", over.Worth, before.Worth)
+	over, _ := r.Between(4, 6)
+	before, _ := r.Between(1, 3)
+	if over.Utility < 0.95*before.Utility {
+		t.Errorf("worth %.0f in 2 s at twice the capacity, %.0f at half of it", over.Utility, before.Utility)
 	}
 }
 
 // The service that tells is killed, and stopped, in the middle of an overload: the
 // nodes go on alone, service goes on, and its next life is followed again.
-func TestTellerIsLost(t *testing.T) {
+func TestControlServiceLost(t *testing.T) {
 	s := scenario(t, `
 [fleet]
 nodes = 3
@@ -159,7 +159,7 @@
 	var mu sync.Mutex
 	epochs := map[uint64]bool{}
 	again := 0
-	r := watch(t, s, build(t), func(at time.Duration, v fleetView) {
+	r := pollFleet(t, s, build(t), func(at time.Duration, v fleetView) {
 		mu.Lock()
 		defer mu.Unlock()
 		if v.Digest.Epoch > 0 {
@@ -174,10 +174,10 @@
 	if len(epochs) != 2 || again == 0 {
 		t.Errorf("%d lives of the service were seen, its second is followed in %d looks", len(epochs), again)
 	}
-	with, _ := r.Mean(2, 4)
-	without, _ := r.Mean(6, 8)
-	if without.Worth < 0.85*with.Worth {
-		t.Errorf("worth %.0f in 2 s while told, %.0f while the teller is away", with.Worth, without.Worth)
+	with, _ := r.Between(2, 4)
+	without, _ := r.Between(6, 8)
+	if without.Utility < 0.85*with.Utility {
+		t.Errorf("worth %.0f in 2 s while told, %.0f while the teller is away", with.Utility, without.Utility)
 	}
 }
 
@@ -202,7 +202,7 @@
 `+twoClasses)
 	var mu sync.Mutex
 	followed, looks := 0, 0
-	watch(t, s, build(t), func(at time.Duration, v fleetView) {
+	pollFleet(t, s, build(t), func(at time.Duration, v fleetView) {
 		mu.Lock()
 		defer mu.Unlock()
 		if at < 6*time.Second {
@@ -222,9 +222,9 @@
 
 // Nodes that lose the control service together come back spread out, and make
 // fewer tries than a pace that doubles to 0.7 s would.
-func TestNodesReturnSpread(t *testing.T) {
+func TestNodesReconnectSpread(t *testing.T) {
 	nodes, away, least := 6, 4, 300*time.Millisecond
-	if *long {
+	if *fullSize {
 		nodes, away, least = 24, 10, 2*time.Second
 	}
 	s := scenario(t, fmt.Sprintf(`
@@ -244,7 +244,7 @@
 	opt := build(t)
 	opt.Keep = t.TempDir()
 	run(t, s, opt)
-	spread := returned(t, opt.Keep, nodes)
+	spread := reconnectSpread(t, opt.Keep, nodes)
 	if spread < least {
 		t.Errorf("%d nodes came back within %v", nodes, spread)
 	}
@@ -252,50 +252,50 @@
 }
 
 // returned is within what time all nodes said that their reports are taken again.
-func returned(t *testing.T, dir string, nodes int) time.Duration {
+func reconnectSpread(t *testing.T, dir string, nodes int) time.Duration {
 	t.Helper()
 	stamp := regexp.MustCompile(`time=(\S+) .*reports to the control service are taken again`)
-	var back []time.Time
+	var reconnects []time.Time
 	for i := range nodes {
-		if m := stamp.FindStringSubmatch(kept(t, dir, i)); m != nil {
+		if m := stamp.FindStringSubmatch(nodeLog(t, dir, i)); m != nil {
 			at, err := time.Parse(time.RFC3339Nano, m[1])
 			if err != nil {
 				t.Fatal(err)
 			}
-			back = append(back, at)
+			reconnects = append(reconnects, at)
 		}
 	}
-	if len(back) < nodes {
-		t.Fatalf("%d of %d nodes came back", len(back), nodes)
+	if len(reconnects) < nodes {
+		t.Fatalf("%d of %d nodes came back", len(reconnects), nodes)
 	}
-	slices.SortFunc(back, func(a, b time.Time) int { return a.Compare(b) })
-	return back[len(back)-1].Sub(back[0])
+	slices.SortFunc(reconnects, func(a, b time.Time) int { return a.Compare(b) })
+	return reconnects[len(reconnects)-1].Sub(reconnects[0])
 }
 
 // Refused first tries hear so at once, instead of being held in vain: with the
 // defence switched off the same night fails this.
-func TestRefusedAtOnce(t *testing.T) {
-	night := func(together string) *Report {
+func TestRefusedPromptly(t *testing.T) {
+	play := func(together string) *Report {
 		return run(t, scenario(t, "[fleet]\nnodes = 3\ncores = 2\nseconds = 7\ntogether = "+together+
 			"\n[load]\nsteps = 0s 0.5, 1s 1.6\n[dispatchers]\nwalk = 2\n"+twoClasses), build(t))
 	}
-	with, without := night("alone"), night("off")
-	if with.RefusedSoon < 0.75 {
-		t.Errorf("%.3f of the refused first tries heard so within 20 ms", with.RefusedSoon)
+	with, without := play("alone"), play("off")
+	if with.PromptRefusalShare < 0.75 {
+		t.Errorf("%.3f of the refused first tries heard so within 20 ms", with.PromptRefusalShare)
 	}
-	if without.RefusedSoon > with.RefusedSoon-0.15 {
-		t.Errorf("%.3f did with the defence switched off, %.3f with it: this test shows nothing", without.RefusedSoon, with.RefusedSoon)
+	if without.PromptRefusalShare > with.PromptRefusalShare-0.15 {
+		t.Errorf("%.3f did with the defence switched off, %.3f with it: this test shows nothing", without.PromptRefusalShare, with.PromptRefusalShare)
 	}
-	a, _ := with.Mean(2, 7)
-	b, _ := without.Mean(2, 7)
-	if a.Worth < 0.97*b.Worth {
-		t.Errorf("worth %.0f with the defence, %.0f without", a.Worth, b.Worth)
+	a, _ := with.Between(2, 7)
+	b, _ := without.Between(2, 7)
+	if a.Utility < 0.97*b.Utility {
+		t.Errorf("worth %.0f with the defence, %.0f without", a.Utility, b.Utility)
 	}
 }
 
 // One node is full while the others have room: walks are not ended, and what fits
 // is served, alone and told.
-func TestOneNodeFull(t *testing.T) {
+func TestOneNodeOverloaded(t *testing.T) {
 	for _, together := range []string{"alone", "told"} {
 		t.Run(together, func(t *testing.T) {
 			r := run(t, scenario(t, "[fleet]\nnodes = 3\ncores = 2\nseconds = 7\ncontrol = 1\ntogether = "+together+`
@@ -315,14 +315,14 @@
 			}
 			lost := 0
 			for e, n := range r.Tally.Requests {
-				if end(e) != served {
+				if outcome(e) != served {
 					lost += n
 				}
 			}
-			if share := float64(lost) / float64(r.Tally.Asked); share > 0.001 {
-				t.Errorf("%d of %d requests were not served", lost, r.Tally.Asked)
+			if share := float64(lost) / float64(r.Tally.Started); share > 0.001 {
+				t.Errorf("%d of %d requests were not served", lost, r.Tally.Started)
 			}
-			if ended := float64(r.Tally.Ended) / float64(r.Tally.Tries[refused]); ended > 0.1 {
+			if ended := float64(r.Tally.StoppedRetries) / float64(r.Tally.Tries[refused]); ended > 0.1 {
 				t.Errorf("%.2f of the refusals ended a walk", ended)
 			}
 		})
@@ -358,7 +358,7 @@
 	opt := build(t)
 	var mu sync.Mutex
 	halves, whole, full, nobody := [2]int{}, [2]int{}, 0, 0
-	stop := watching(&opt, func(ctx context.Context, i int, addr string, at time.Duration) {
+	stop := pollServices(&opt, func(ctx context.Context, i int, addr string, at time.Duration) {
 		v, err := view(ctx, addr)
 		mu.Lock()
 		defer mu.Unlock()
@@ -390,16 +390,16 @@
 	if whole[0] == 0 || whole[1] == 0 {
 		t.Errorf("healed, %v looks held all", whole)
 	}
-	before, _ := r.Mean(1, 3)
-	during, _ := r.Mean(5, 9)
-	if during.Worth/4 < 0.85*before.Worth/2 {
-		t.Errorf("worth %.0f a second in halves, %.0f before", during.Worth/4, before.Worth/2)
+	before, _ := r.Between(1, 3)
+	during, _ := r.Between(5, 9)
+	if during.Utility/4 < 0.85*before.Utility/2 {
+		t.Errorf("worth %.0f a second in halves, %.0f before", during.Utility/4, before.Utility/2)
 	}
 }
 
 // Half of the nodes are older programs without [together]: all rules hold, and the
 // fleet serves as much as one that is all of a kind, within what chance does.
-func TestOldBesideNew(t *testing.T) {
+func TestNodesWithoutShedding(t *testing.T) {
 	r := run(t, scenario(t, `
 [fleet]
 nodes = 4
@@ -413,24 +413,24 @@
 [dispatchers]
 walk = 3
 `+twoClasses), build(t))
-	over, _ := r.Mean(4, 8)
-	if rate := over.Worth / 4; rate < 0.95*r.Capacity*1.23 {
+	over, _ := r.Between(4, 8)
+	if rate := over.Utility / 4; rate < 0.95*r.Capacity*1.23 {
 		t.Errorf("worth %.0f a second at twice the capacity, all cores are worth %.0f", rate, r.Capacity*1.23)
 	}
 }
 
 // A liar among the nodes, and the word of a dead incarnation, make no cut where the
 // fleet has room, and keep none from anybody.
-func TestLiarAmongNodes(t *testing.T) {
+func TestFalseLoadReports(t *testing.T) {
 	s := scenario(t, "[fleet]\nnodes = 3\ncores = 1\nseconds = 6\ncontrol = 1\ntogether = told\n[load]\nsteps = 0s 0.5\n"+twoClasses)
 	opt := build(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var lying sync.WaitGroup
-	taken, cuts := 0, 0
-	opt.Look = func(f *Fleet) {
+	var reporting sync.WaitGroup
+	accepted, thresholds := 0, 0
+	opt.OnStarted = func(f *Fleet) {
 		addr := f.ControlAddrs()[0]
-		lying.Go(func() {
+		reporting.Go(func() {
 			for seq := 1; ctx.Err() == nil; seq++ {
 				for name, inc := range map[string]int{"liar": 9, "n1": 1} { // n1's is of a life long past
 					body := fmt.Sprintf(`{"addr":"127.0.0.1:9","incarnation":%d,"seq":%d,"phase":"up","healthy":true,"warm":1,"limit":1,`+
@@ -441,13 +441,13 @@
 					}
 					if r, err := http.DefaultClient.Do(q); err == nil {
 						if r.StatusCode == http.StatusOK {
-							taken++
+							accepted++
 						}
 						r.Body.Close()
 					}
 				}
 				if v, err := view(ctx, addr); err == nil && v.Digest.Cut > 0 && seq > 20 { // the others have spoken
-					cuts++
+					thresholds++
 				}
 				select {
 				case <-ctx.Done():
@@ -458,12 +458,12 @@
 	}
 	r := run(t, s, opt)
 	cancel()
-	lying.Wait()
-	if taken < 10 {
-		t.Fatalf("%d lies were taken: nobody lied", taken)
+	reporting.Wait()
+	if accepted < 10 {
+		t.Fatalf("%d lies were taken: nobody lied", accepted)
 	}
-	if cuts > 0 {
-		t.Errorf("a cut was seen %d times", cuts)
+	if thresholds > 0 {
+		t.Errorf("a cut was seen %d times", thresholds)
 	}
 	if r.ServedShare < 0.999 {
 		t.Errorf("%.4f served at half of what fits", r.ServedShare)
