--- /dev/null
+++ b/internal/standin/fleet/faults.go
@@ -0,0 +1,215 @@
+package fleet
+
+import (
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"slices"
+	"sync"
+	"syscall"
+	"time"
+)
+
+// sound reports whether no fault stands between a dispatcher and a node, nor in it.
+func (f *Fleet) noFault(dispatcher, node int) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.activeFaults[[2]int{dispatcher, node}] == 0 && f.activeFaults[[2]int{-1, node}] == 0
+}
+
+func (f *Fleet) currentProbeFactor() float64 {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.probeFactor
+}
+
+// turn carries out the faults.
+func (f *Fleet) runFaults() {
+	for _, change := range f.scenario.faultChanges() {
+		if f.sleep(max(time.Until(f.began.Add(change.at)), 0)) != nil {
+			return
+		}
+		f.mu.Lock()
+		f.faultMarks = append(f.faultMarks, FaultMark{At: change.at.Seconds(), Fault: change.fault.Name, On: change.begins})
+		f.mu.Unlock()
+		f.applyFault(change.fault, change.begins)
+	}
+}
+
+// disturb notes that something stands between a dispatcher (-1 = all) and a node.
+// Its end counts a while later: what was under way may still suffer.
+func (f *Fleet) trackFault(dispatcher, node int, on bool) {
+	add := func(delta int) {
+		f.mu.Lock()
+		f.activeFaults[[2]int{dispatcher, node}] += delta
+		f.mu.Unlock()
+	}
+	if on {
+		add(1)
+		return
+	}
+	time.AfterFunc(2*time.Second+f.scenario.Dispatchers.TryTimeout, func() { add(-1) })
+}
+
+// apply begins or ends a fault.
+func (f *Fleet) applyFault(fault *FaultSection, on bool) {
+	switch {
+	case slices.Contains(processFaults, fault.Kind):
+		targets, _ := f.scenario.selectMembers(fault.Targets, "nodes", "control") // it was checked
+		var changes sync.WaitGroup
+		for _, i := range targets.index {
+			changes.Go(func() {
+				if targets.group == "control" {
+					f.applyToControlService(fault, i, on)
+					return
+				}
+				f.trackFault(-1, i, on)
+				f.applyToNode(fault, i, on)
+			})
+		}
+		changes.Wait()
+	case slices.Contains(linkFaults, fault.Kind):
+		from, to, _ := f.scenario.linkEnds(fault.Link)
+		for _, l := range f.links[from.group+"->"+to.group] {
+			if !from.contains(from.group, l.from) || !to.contains(to.group, l.to) {
+				continue
+			}
+			switch {
+			case from.group == "dispatchers":
+				f.trackFault(l.from, l.to, on)
+			case to.group == "pools":
+				f.trackFault(-1, l.from, on)
+			}
+			l.SetFaults(fault.linkFaults(on))
+		}
+	default:
+		f.applyToClients(fault, on)
+	}
+}
+
+// faults is what a fault does to a link.
+func (f *FaultSection) linkFaults(on bool) (faults Faults) {
+	if !on {
+		return faults
+	}
+	switch f.Kind {
+	case "cut":
+		faults.CutUp, faults.CutDown = true, true
+	case "cut_up":
+		faults.CutUp = true
+	case "cut_down":
+		faults.CutDown = true
+	case "throttle":
+		faults.BytesPerSecond = max(f.BytesPerSecond, 100)
+	case "half_open":
+		faults.HalfOpen = true
+	case "reset":
+		faults.Reset = true
+	case "mid_message":
+		faults.StopAfter = max(f.StopAfter, 1)
+	}
+	faults.Delay, faults.Jitter = f.Delay, f.Jitter
+	return faults
+}
+
+func (f *Fleet) applyToNode(fault *FaultSection, i int, on bool) {
+	node := f.nodes[i]
+	switch {
+	case fault.Kind == "kill" && on, fault.Kind == "term" && on:
+		if fault.Kind == "term" {
+			node.process.terminate(3 * time.Second)
+		} else {
+			node.process.kill()
+		}
+		_ = node.pool.Close()
+		node.poolLink.SetTarget("")
+	case fault.Kind == "late" && on:
+	case fault.Kind == "kill", fault.Kind == "term", fault.Kind == "late":
+		f.prepareResults(node, fault.ResultsState)
+		if fault.Kind != "late" && f.startPool(i, true) != nil {
+			return // its node reports nothing, and that shows
+		}
+		if err := node.process.start(); err != nil {
+			f.record(func(t *tally) { t.Crashes++ })
+		}
+	case fault.Kind == "hang":
+		node.pool.Pause(on)
+		fallthrough
+	case fault.Kind == "stop":
+		node.process.signal(map[bool]syscall.Signal{true: syscall.SIGSTOP, false: syscall.SIGCONT}[on])
+	case fault.Kind == "squeeze" && on:
+		node.process.throttle(fault.Factor)
+	case fault.Kind == "squeeze":
+		node.process.unthrottle()
+	case fault.Kind == "slow" && on:
+		node.pool.Slow(fault.Factor)
+	case fault.Kind == "slow":
+		node.pool.Slow(1)
+	}
+}
+
+// folder prepares what a started node finds of its results.
+func (f *Fleet) prepareResults(node *fleetNode, state string) {
+	results := filepath.Join(node.dir, "results")
+	if state == "keep" {
+		return
+	}
+	if state == "half" {
+		files, _ := filepath.Glob(filepath.Join(results, "*-*")) // its pattern is well formed
+		for i, file := range files {
+			if i%2 == 0 {
+				_ = os.Remove(file) // a file of ours
+			}
+		}
+		return
+	}
+	_ = os.RemoveAll(results) // a folder of ours
+	switch {
+	case state == "old" && node.resultsCopy != "":
+		_ = os.CopyFS(results, os.DirFS(node.resultsCopy))
+	case state == "swap":
+		other := f.nodes[(slices.Index(f.nodes, node)+1)%len(f.nodes)]
+		_ = os.CopyFS(results, os.DirFS(filepath.Join(other.dir, "results"))) // as of now, as by a hand's mistake
+	}
+}
+
+func (f *Fleet) applyToControlService(fault *FaultSection, i int, on bool) {
+	process := f.controlServices[i].process
+	switch {
+	case (fault.Kind == "kill" || fault.Kind == "term") && on:
+		process.kill()
+	case fault.Kind == "kill", fault.Kind == "term", fault.Kind == "late":
+		if fault.ResultsState == "empty" {
+			_ = os.RemoveAll(filepath.Join(f.dir, process.name))
+		}
+		if err := process.start(); err != nil {
+			f.record(func(t *tally) { t.Crashes++ })
+		}
+	default:
+		process.signal(map[bool]syscall.Signal{true: syscall.SIGSTOP, false: syscall.SIGCONT}[on])
+	}
+}
+
+func (f *Fleet) applyToClients(fault *FaultSection, on bool) {
+	switch {
+	case fault.Kind == "probe":
+		f.mu.Lock()
+		f.probeFactor = map[bool]float64{true: fault.Factor, false: 1}[on]
+		f.mu.Unlock()
+	case fault.Kind == "reconnect" && on:
+		targets, err := f.scenario.selectMembers(fault.Targets, "dispatchers")
+		if err != nil {
+			targets, _ = f.scenario.selectMembers("dispatchers", "dispatchers")
+		}
+		for _, d := range targets.index {
+			f.dispatchers[d].reconnect()
+		}
+	case fault.Kind == "return" && on: // every desktop comes at once: a second's worth of capacity
+		random := rand.New(rand.NewPCG(f.scenario.Fleet.Seed, 6))
+		for range int(f.scenario.capacity()) {
+			a := arrival{class: random.IntN(len(f.scenario.Classes)), dispatcher: random.IntN(len(f.dispatchers)), seed: random.Uint64()}
+			a.workMs = f.scenario.Classes[a.class].WorkMs * (0.5 + random.ExpFloat64()/2)
+			f.startRequest(a, time.Now())
+		}
+	}
+}
--- a/internal/standin/fleet/child.go
+++ b/internal/standin/fleet/process.go
@@ -5,13 +5,11 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"net"
 	"os"
 	"os/exec"
-	"path/filepath"
 	"runtime"
 	"strconv"
 	"strings"
@@ -244,59 +242,3 @@
 	}
 	return errors.Join(ctx.Err(), fmt.Errorf("nobody listens at %s", addr))
 }
-
-// settings is the platform's settings object for the scenario's nodes.
-func (s *Scenario) platformSettings() map[string]any {
-	effects := map[string]string{"safe": "idempotent", "keyed": "deduplicated", "unsafe": "at_most_once"}
-	var lanes []any
-	for _, c := range s.Classes {
-		lanes = append(lanes, map[string]any{"name": c.Name, "aimMs": c.LatencyTarget.Milliseconds(), "deadlineMs": c.Deadline.Milliseconds(),
-			"effect": effects[c.Effect], "windowMs": 60_000, "worth": c.Utility})
-	}
-	countedBy := "request"
-	if s.Fleet.UtilityPerWork {
-		countedBy = "work"
-	}
-	return map[string]any{
-		"tickMs": 2, "groupSize": s.Fleet.Nodes, "lanes": lanes, "countedBy": countedBy,
-		"parties": []any{map[string]any{"name": "acme", "share": 1, "quotaRps": 100_000}},
-		"extra": map[string]any{"cpus": s.Fleet.Cores, "ramKb": 400_000, "runFactor": 4, "entryKb": 0.2,
-			"meters": []string{"cpu_busy", "runnable"}, "passesDeadline": true, "tellsGone": true, "preemption": "drop",
-			"say": "weight", "keepaliveMaxMs": 30_000, "upstreams": s.Dispatchers.Count, "heededMs": 1000, "below": "none"},
-		"clientHabits": map[string]any{"marksRetry": true},
-		"bounds":       map[string]any{"retryAfter": true, "maxRetryAfterMs": s.Fleet.MaxRetryAfter.Milliseconds()},
-		"obligations": map[string]any{"fallMultiple": 8, "fallMs": 1500, "stopSendingWithinMs": 200, "answerSlackMs": 60,
-			"coldFrom": s.Fleet.ColdSpeed, "rampTimeMs": s.Fleet.WarmUpTime.Milliseconds()},
-	}
-}
-
-// writeNode writes a node's two files into dir.
-func (s *Scenario) writeNodeConfig(dir, name, listen, pool, members string, seed uint64, control []string, plain bool) error {
-	text, err := json.Marshal(map[string]any{
-		"name": name, "listen": listen, "pool": pool, "members": members, "seed": fmt.Sprintf("%016x", seed), "stop_ms": 2000,
-		"limits":   map[string]any{"cores": s.Fleet.NodeCores, "memory_mb": s.Fleet.MemoryMB, "sockets": 384},
-		"settings": s.platformSettings(),
-	})
-	if err != nil {
-		return err
-	}
-	var settings strings.Builder
-	if s.Fleet.ResultCache {
-		fmt.Fprintf(&settings, "[results]\nenabled = true\ndurability = soon\ndir = %s\n", filepath.Join(dir, "results"))
-	}
-	if len(control) > 0 {
-		fmt.Fprintf(&settings, "[control]\naddress = %s\nadvertise = %s\n", strings.Join(control, ", "), listen)
-	}
-	if s.Fleet.Together != "off" && !plain {
-		fmt.Fprintf(&settings, "[together]\nenabled = true\ntold = %v\n", s.Fleet.Together == "told")
-	}
-	if s.Fleet.Recovery != "off" && !plain {
-		fmt.Fprintf(&settings, "[comeback]\nenabled = true\nsnapshot = %v\n", s.Fleet.Recovery == "snapshot")
-		if !s.Fleet.ResultCache {
-			fmt.Fprintf(&settings, "dir = %s\n", filepath.Join(dir, "learned"))
-		}
-	}
-	return errors.Join(
-		os.WriteFile(filepath.Join(dir, "config.json"), text, 0o600),
-		os.WriteFile(filepath.Join(dir, "robinmast.ini"), []byte(settings.String()), 0o600))
-}
