--- a/internal/standin/fleet/desktop.go
+++ b/internal/standin/fleet/desktop.go
@@ -5,17 +5,19 @@
 	"time"
 )
 
-// request is one that a desktop wants answered.
+// request is a desktop's request, with all its tries.
 type request struct {
 	arrival
 	class          *ClassSection
 	random         *rand.Rand
 	startedAt      time.Time
 	idempotencyKey string
-	tries          int
+	tries          int // sent so far, over all nodes and retries
 }
 
-// play is a desktop's life with one request: it tries again while there is time.
+// runRequest sends a request through its dispatcher, and retries with exponential backoff until it is
+// served, the retries are used up or the deadline is too near. Unsafe requests are retried only if no
+// run can have started.
 func (f *Fleet) runRequest(request *request) {
 	d := f.dispatchers[request.dispatcher]
 	deadline := request.startedAt.Add(request.class.Deadline)
@@ -24,7 +26,8 @@
 	for n := 0; ; n++ {
 		var retryAfter time.Duration
 		result, retryAfter = d.send(request, deadline)
-		if result == served || n >= f.scenario.Desktops.Retries || request.class.Effect == "unsafe" && result != refused && result != notSent && result != unreachable {
+		if result == served || n >= f.scenario.Desktops.Retries ||
+			request.class.Effect == "unsafe" && result != refused && result != notSent && result != unreachable {
 			break
 		}
 		pause := backoff
@@ -49,6 +52,7 @@
 	})
 }
 
+// utility returns what a request is worth if it is served within its latency target.
 func (f *Fleet) utility(request *request) float64 {
 	if f.scenario.Fleet.UtilityPerWork {
 		return request.class.Utility * request.workMs
@@ -56,7 +60,7 @@
 	return request.class.Utility
 }
 
-// pause waits, unless the rehearsal ends.
+// sleep waits for d. It returns an error at once if the rehearsal ends.
 func (f *Fleet) sleep(d time.Duration) error {
 	select {
 	case <-f.ctx.Done():
--- a/internal/standin/fleet/dispatcher.go
+++ b/internal/standin/fleet/dispatcher.go
@@ -1,7 +1,3 @@
-// This file owns the callers: dispatchers that route, walk their lists, probe and
-// reconnect, and the desktops behind them that try again. It must never know of a
-// node but what its answers, its probes and the membership list say.
-
 package fleet
 
 import (
@@ -17,73 +13,77 @@
 	"robinmast/internal/standin/platform"
 )
 
-// Habits that a scenario does not set.
+// Behaviour of dispatchers that a scenario does not set.
 const (
-	maxFailures            = 5                      // failures in a row after which a dispatcher leaves a node alone
-	ejectionTime           = time.Second            // for so long
-	loadFeedbackTTL        = time.Second            // of the free value
-	membershipPollInterval = 500 * time.Millisecond // the membership list is read
-	membershipTTL          = 3 * time.Second        // after its last report
-	answerSlack            = 110 * time.Millisecond // after its limit an answer is late: the rule's slack
-	minTryTime             = 20 * time.Millisecond  // less is not worth a try
+	maxFailures            = 5                      // failures in a row after which a node is ejected
+	ejectionTime           = time.Second            // for which an ejected node gets no requests
+	loadFeedbackTTL        = time.Second            // of a node's published load feedback
+	membershipPollInterval = 500 * time.Millisecond // between reads of the membership list
+	membershipTTL          = 3 * time.Second        // for which a node is listed after its last report
+	answerSlack            = 110 * time.Millisecond // over a try's timeout, which the rules allow an answer
+	minTryTime             = 20 * time.Millisecond  // with less time left no try is made
 )
 
-// end is how a try ended.
+// outcome is how a try or a request ended.
 type outcome uint8
 
 const (
 	served outcome = iota
 	refused
 	failed
-	timedOut       // no answer in its time
-	connectionLost // the connection ended first
-	unreachable    // no connection could be had
-	notSent        // the dispatcher had nobody to send it to: no try was made
+	timedOut       // no answer within the timeout
+	connectionLost // the connection closed before the answer
+	unreachable    // no connection could be opened
+	notSent        // the dispatcher had no node to send it to, so no try was made
 	numOutcomes
 )
 
+// outcomeNames are the names in the report's table.
 var outcomeNames = [numOutcomes]string{"served", "refused", "failed", "late", "cut", "unreachable", "held_back"}
 
-// dispatcher is one of them.
+// dispatcher sends requests to the nodes. It knows of a node only its answers, its health checks and
+// the membership list. Its methods may be called by any goroutine.
 type dispatcher struct {
 	fleet         *Fleet
 	number        int
-	followsAdvice bool
+	followsAdvice bool // obeys load feedback, retry-after and refusals that must not be retried
 
 	mu    sync.Mutex
 	nodes []nodeState
 }
 
-// peer is what a dispatcher knows of a node.
+// nodeState is what a dispatcher knows of a node.
 type nodeState struct {
-	addr         string // of the link to it
+	addr         string // of the link to the node
 	conns        []*platform.Client
-	dialing      int // under way
+	dialing      int // connections that are being opened
 	avoidUntil   time.Time
-	failures     int
+	failures     int // in a row
 	loadFeedback float64
-	feedbackAt   time.Time // the value
-	unhealthy    bool
+	feedbackAt   time.Time // when loadFeedback was received
+	unhealthy    bool      // by the last health check
 	openTries    int
-	listed       bool
+	listed       bool // in the membership list
 }
 
 func newDispatcher(f *Fleet, number int, followsAdvice bool) *dispatcher {
-	d := &dispatcher{fleet: f, number: number, followsAdvice: followsAdvice, nodes: make([]nodeState, len(f.nodes))}
+	d := &dispatcher{
+		fleet: f, number: number, followsAdvice: followsAdvice, nodes: make([]nodeState, len(f.nodes)),
+	}
 	for i := range d.nodes {
 		d.nodes[i] = nodeState{addr: f.nodeLinks[number][i].Addr(), loadFeedback: 1, listed: true}
 	}
 	return d
 }
 
-// pick chooses a node that was not tried: by its free value, among those that are
-// listed, not left alone and said to be well. ok is false where there is none.
+// pickNode draws a node, weighted by load feedback, among those that are listed, not ejected and not in
+// the bit set tried. Healthy nodes come first. ok is false if there is none.
 func (d *dispatcher) pickNode(random *rand.Rand, tried uint64) (node int, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
 	draw := func() int {
-		for _, healthy := range []bool{true, false} { // red ones only if there are no others
+		for _, healthy := range []bool{true, false} { // unhealthy nodes only if there is no healthy one
 			sum := 0.0
 			weight := func(i int) float64 {
 				n := &d.nodes[i]
@@ -124,7 +124,8 @@
 	return node, node >= 0
 }
 
-// connection is one with room; it opens one where all are full.
+// connection returns a connection to a node that has room for a request. It opens one if all are full,
+// up to the limit of connections to a node.
 func (d *dispatcher) connection(node int) (*platform.Client, error) {
 	d.mu.Lock()
 	n := &d.nodes[node]
@@ -147,7 +148,7 @@
 	}
 	if len(n.conns)+n.dialing >= d.fleet.scenario.Dispatchers.MaxConnections {
 		d.mu.Unlock()
-		return nil, errors.New("all connections are being opened")
+		return nil, fmt.Errorf("connect to node %d: all connections are still being opened", node+1)
 	}
 	n.dialing++
 	d.mu.Unlock()
@@ -162,7 +163,7 @@
 	return c, err
 }
 
-// reconnect drops every connection, as a dispatcher that starts anew.
+// reconnect closes all connections, as a restarted dispatcher does.
 func (d *dispatcher) reconnect() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -174,7 +175,7 @@
 	}
 }
 
-// learn takes what a try's end says of the node.
+// recordOutcome updates what is known of a node after a try.
 func (d *dispatcher) recordOutcome(node int, result outcome, answer platform.Answer) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -186,7 +187,7 @@
 	default:
 		if n.failures++; n.failures >= maxFailures {
 			n.avoidUntil = now.Add(ejectionTime)
-			n.failures = maxFailures - 1 // one more tells whether it is well again
+			n.failures = maxFailures - 1 // after the ejection a single further failure ejects it again
 		}
 	}
 	if answer.Word == "" {
@@ -202,7 +203,8 @@
 	}
 }
 
-// send takes a request through the dispatcher's list.
+// send tries a request at one node after another, up to FurtherNodes further ones. retryAfter is the
+// last advice received; without a try, the time until the first node may be tried.
 func (d *dispatcher) send(request *request, deadline time.Time) (result outcome, retryAfter time.Duration) {
 	result = notSent
 	for further, tried := 0, uint64(0); further <= d.fleet.scenario.Dispatchers.FurtherNodes; further++ {
@@ -224,7 +226,7 @@
 				return result, retryAfter
 			}
 		case result != unreachable && request.class.Effect == "unsafe":
-			return result, retryAfter // it may have run
+			return result, retryAfter // it may have run, so it must not be repeated
 		}
 	}
 	if result == notSent {
@@ -234,7 +236,7 @@
 	return result, retryAfter
 }
 
-// soonest is when the first node may be tried again.
+// earliestRetry returns the time until the first listed node may be tried again.
 func (d *dispatcher) earliestRetry() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -247,8 +249,10 @@
 	return wait
 }
 
-// try sends a request to a node and says how that ended.
-func (d *dispatcher) try(request *request, node int, timeout time.Duration) (result outcome, answer platform.Answer) {
+// try sends a request to a node and returns the outcome.
+func (d *dispatcher) try(
+	request *request, node int, timeout time.Duration,
+) (result outcome, answer platform.Answer) {
 	first := request.tries == 0
 	request.tries++
 	d.mu.Lock()
@@ -278,7 +282,7 @@
 					}
 				}
 			}
-			if result == timedOut && noFault { // nothing was wrong from here to there
+			if result == timedOut && noFault { // a fault on the way would explain it
 				t.Unanswered++
 			}
 		})
@@ -288,7 +292,10 @@
 		return unreachable, answer
 	}
 	body := strconv.AppendFloat(nil, request.workMs, 'f', 3, 64)
-	message := platform.Request{Txn: d.fleet.newTransaction(), Class: request.class.Name, Tenant: "acme", Limit: timeout, HintMs: request.workMs, Retry: !first}
+	message := platform.Request{
+		Txn: d.fleet.newTransaction(), Class: request.class.Name, Tenant: "acme", Limit: timeout,
+		HintMs: request.workMs, Retry: !first,
+	}
 	if request.class.Effect != "safe" {
 		message.Unique = request.idempotencyKey
 		body = append(append(body, ' '), request.idempotencyKey...)
@@ -301,7 +308,7 @@
 	switch {
 	case err != nil && ctx.Err() != nil:
 		if d.fleet.ctx.Err() != nil {
-			return connectionLost, platform.Answer{} // the rehearsal ends: that says nothing
+			return connectionLost, platform.Answer{} // the rehearsal ended, so this is not counted against the node
 		}
 		return timedOut, answer
 	case errors.Is(err, platform.ErrGone):
@@ -318,7 +325,7 @@
 	return failed, answer
 }
 
-// probeAll keeps up the health checks and the list until the rehearsal ends.
+// startProbes runs the health checks and reads the membership list until the rehearsal ends.
 func (d *dispatcher) startProbes(done *sync.WaitGroup) {
 	for i := range d.nodes {
 		done.Go(func() { d.probe(i) })
@@ -335,13 +342,17 @@
 	})
 }
 
+// probe checks the health of node i at ProbeInterval, with 10 % jitter, until the rehearsal ends.
 func (d *dispatcher) probe(i int) {
 	interval := d.fleet.scenario.Dispatchers.ProbeInterval
 	if interval == 0 {
 		return
 	}
 	random := rand.New(rand.NewPCG(d.fleet.scenario.Fleet.Seed, uint64(1000+d.number*64+i)))
-	for d.fleet.sleep(time.Duration(float64(interval)/d.fleet.currentProbeFactor()*(0.9+0.2*random.Float64()))) == nil {
+	wait := func() time.Duration {
+		return time.Duration(float64(interval) / d.fleet.currentProbeFactor() * (0.9 + 0.2*random.Float64()))
+	}
+	for d.fleet.sleep(wait()) == nil {
 		healthy, err := platform.Probe(d.nodes[i].addr, min(interval, time.Second))
 		d.fleet.record(func(t *tally) { t.Probes++ })
 		d.mu.Lock()
@@ -350,5 +361,5 @@
 	}
 }
 
-// txn is a name that no try had.
+// newTransaction returns an ID that no other try has.
 func (f *Fleet) newTransaction() string { return fmt.Sprintf("%016x", f.lastTransaction.Add(1)) }
--- a/internal/standin/fleet/faults.go
+++ b/internal/standin/fleet/faults.go
@@ -10,34 +10,36 @@
 	"time"
 )
 
-// sound reports whether no fault stands between a dispatcher and a node, nor in it.
+// noFault reports whether no fault affects a node or the link from a dispatcher to it.
 func (f *Fleet) noFault(dispatcher, node int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.activeFaults[[2]int{dispatcher, node}] == 0 && f.activeFaults[[2]int{-1, node}] == 0
 }
 
+// currentProbeFactor returns by how much health checks are more frequent than the scenario sets.
 func (f *Fleet) currentProbeFactor() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.probeFactor
 }
 
-// turn carries out the faults.
+// runFaults begins and ends the faults at their times.
 func (f *Fleet) runFaults() {
 	for _, change := range f.scenario.faultChanges() {
 		if f.sleep(max(time.Until(f.began.Add(change.at)), 0)) != nil {
 			return
 		}
 		f.mu.Lock()
-		f.faultMarks = append(f.faultMarks, FaultMark{At: change.at.Seconds(), Fault: change.fault.Name, On: change.begins})
+		mark := FaultMark{At: change.at.Seconds(), Fault: change.fault.Name, On: change.begins}
+		f.faultMarks = append(f.faultMarks, mark)
 		f.mu.Unlock()
 		f.applyFault(change.fault, change.begins)
 	}
 }
 
-// disturb notes that something stands between a dispatcher (-1 = all) and a node.
-// Its end counts a while later: what was under way may still suffer.
+// trackFault records the begin or end of a fault between a dispatcher (-1 = all) and a node. The end
+// counts after TryTimeout and 2 s more, since requests in flight may still be affected.
 func (f *Fleet) trackFault(dispatcher, node int, on bool) {
 	add := func(delta int) {
 		f.mu.Lock()
@@ -51,11 +53,11 @@
 	time.AfterFunc(2*time.Second+f.scenario.Dispatchers.TryTimeout, func() { add(-1) })
 }
 
-// apply begins or ends a fault.
+// applyFault begins or ends a fault.
 func (f *Fleet) applyFault(fault *FaultSection, on bool) {
 	switch {
 	case slices.Contains(processFaults, fault.Kind):
-		targets, _ := f.scenario.selectMembers(fault.Targets, "nodes", "control") // it was checked
+		targets, _ := f.scenario.selectMembers(fault.Targets, "nodes", "control") // validated before
 		var changes sync.WaitGroup
 		for _, i := range targets.index {
 			changes.Go(func() {
@@ -87,7 +89,7 @@
 	}
 }
 
-// faults is what a fault does to a link.
+// linkFaults returns the faults that f sets on a link, none when it ends.
 func (f *FaultSection) linkFaults(on bool) (faults Faults) {
 	if !on {
 		return faults
@@ -112,6 +114,7 @@
 	return faults
 }
 
+// applyToNode begins or ends a fault of node i.
 func (f *Fleet) applyToNode(fault *FaultSection, i int, on bool) {
 	node := f.nodes[i]
 	switch {
@@ -127,7 +130,7 @@
 	case fault.Kind == "kill", fault.Kind == "term", fault.Kind == "late":
 		f.prepareResults(node, fault.ResultsState)
 		if fault.Kind != "late" && f.startPool(i, true) != nil {
-			return // its node reports nothing, and that shows
+			return // the node stays down, and the report shows it
 		}
 		if err := node.process.start(); err != nil {
 			f.record(func(t *tally) { t.Crashes++ })
@@ -148,31 +151,33 @@
 	}
 }
 
-// folder prepares what a started node finds of its results.
+// prepareResults puts a node's results folder into the state that FaultSection.ResultsState describes.
 func (f *Fleet) prepareResults(node *fleetNode, state string) {
 	results := filepath.Join(node.dir, "results")
 	if state == "keep" {
 		return
 	}
 	if state == "half" {
-		files, _ := filepath.Glob(filepath.Join(results, "*-*")) // its pattern is well formed
+		files, _ := filepath.Glob(filepath.Join(results, "*-*")) // the pattern is valid
 		for i, file := range files {
 			if i%2 == 0 {
-				_ = os.Remove(file) // a file of ours
+				_ = os.Remove(file) // within the rehearsal's own folder
 			}
 		}
 		return
 	}
-	_ = os.RemoveAll(results) // a folder of ours
+	_ = os.RemoveAll(results) // within the rehearsal's own folder
 	switch {
 	case state == "old" && node.resultsCopy != "":
 		_ = os.CopyFS(results, os.DirFS(node.resultsCopy))
 	case state == "swap":
 		other := f.nodes[(slices.Index(f.nodes, node)+1)%len(f.nodes)]
-		_ = os.CopyFS(results, os.DirFS(filepath.Join(other.dir, "results"))) // as of now, as by a hand's mistake
+		// As after an operator's mistake: the neighbour's results as they are now.
+		_ = os.CopyFS(results, os.DirFS(filepath.Join(other.dir, "results")))
 	}
 }
 
+// applyToControlService begins or ends a fault of control service i.
 func (f *Fleet) applyToControlService(fault *FaultSection, i int, on bool) {
 	process := f.controlServices[i].process
 	switch {
@@ -190,6 +195,7 @@
 	}
 }
 
+// applyToClients begins or ends a fault of dispatchers or desktops.
 func (f *Fleet) applyToClients(fault *FaultSection, on bool) {
 	switch {
 	case fault.Kind == "probe":
@@ -204,10 +210,13 @@
 		for _, d := range targets.index {
 			f.dispatchers[d].reconnect()
 		}
-	case fault.Kind == "return" && on: // every desktop comes at once: a second's worth of capacity
+	case fault.Kind == "return" && on: // all desktops at once: as many requests as fill all cores for a second
 		random := rand.New(rand.NewPCG(f.scenario.Fleet.Seed, 6))
 		for range int(f.scenario.capacity()) {
-			a := arrival{class: random.IntN(len(f.scenario.Classes)), dispatcher: random.IntN(len(f.dispatchers)), seed: random.Uint64()}
+			a := arrival{
+				class: random.IntN(len(f.scenario.Classes)), dispatcher: random.IntN(len(f.dispatchers)),
+				seed: random.Uint64(),
+			}
 			a.workMs = f.scenario.Classes[a.class].WorkMs * (0.5 + random.ExpFloat64()/2)
 			f.startRequest(a, time.Now())
 		}
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -1,8 +1,12 @@
-// Package fleet owns rehearsals: a fleet of real processes of ours on loopback,
-// with stand-ins for what they talk to, a fault proxy on every link, and callers
-// that behave as callers do; what becomes of it is seen from outside only. It
-// must never be linked into a program in service but robinmastctl, listen beyond
-// loopback, or end a process that it did not start.
+// Package fleet runs rehearsals: scenarios of load and faults against a fleet of real node and
+// control service processes. Stand-ins take the place of the worker pools, the membership service,
+// the dispatchers and the desktops, and every link goes through a proxy that can inject faults.
+//
+// Parse reads a scenario and Run plays it. The Report holds what clients and stand-ins measured
+// from outside the programs. The same seed gives the same schedule of requests and faults.
+//
+// The package listens on loopback only and ends only processes that it started. Among the programs
+// only robinmastctl links it. A Fleet uses many goroutines; all of them have ended when Run returns.
 package fleet
 
 import (
@@ -21,17 +25,17 @@
 	"robinmast/internal/standin/platform"
 )
 
-// Options are what a rehearsal needs besides its scenario.
+// Options are the settings of a rehearsal beside its scenario.
 type Options struct {
-	Node, Control string                           // the programs
-	Tell          func(Second)                     // each second as it ends, nil = nobody
-	OnStarted     func(f *Fleet)                   // once when all is up, nil = nobody
-	NodeSettings  map[string]string                // further keys of the nodes' file, by section
-	Prepare       func(node int, dir string) error // of a node's folder before its first start, nil = nothing
-	Keep          string                           // folder that logs are copied to, "" = none
+	Node, Control string                           // paths of the programs
+	Tell          func(Second)                     // called at the end of each second; may be nil
+	OnStarted     func(f *Fleet)                   // called once when all processes are up; may be nil
+	NodeSettings  map[string]string                // further lines of the nodes' INI file, by section
+	Prepare       func(node int, dir string) error // called before a node's first start; may be nil
+	Keep          string                           // folder that the logs are copied to, "" = none
 }
 
-// Fleet is a rehearsal under way.
+// Fleet is a running rehearsal.
 type Fleet struct {
 	scenario *Scenario
 	options  Options
@@ -46,28 +50,29 @@
 	dispatchers     []*dispatcher
 	nodeLinks       [][]*Link // by dispatcher and node
 	lastTransaction atomic.Uint64
-	heldPorts       []*os.File             // ports of children
-	links           map[string][]groupLink // by "from->to" of groups
+	heldPorts       []*os.File             // reserved ports of the processes
+	links           map[string][]groupLink // by their groups, "from->to"
 
 	mu                sync.Mutex
-	current           tally
-	activeFaults      map[[2]int]int // faults between a dispatcher and a node, -1 = all
+	current           tally          // since the last sample
+	activeFaults      map[[2]int]int // by dispatcher (-1 = all) and node
 	probeFactor       float64
-	runCounts         map[string]int // runs of what may not run twice, by node, life and key
-	firstIncarnation  map[string]int // the life of a node in which a key ran first, by node and key
-	rerunAfterRestart int            // keys that ran in a later life of the same node too
+	runCounts         map[string]int // of keyed and unsafe requests, by node, pool incarnation and key
+	firstIncarnation  map[string]int // pool incarnation in which a key ran first, by node and key
+	rerunAfterRestart int            // runs of keys that had run in an earlier incarnation of the node
 	faultMarks        []FaultMark
 	began             time.Time
 	running           sync.WaitGroup
 }
 
-// linkAt is a link between two members of groups.
+// groupLink is the link between two members of groups, numbered from 0.
 type groupLink struct {
 	*Link
 	from, to int
 }
 
-// Addrs of the control services' reports, as operators reach them.
+// ControlAddrs returns the control services' addresses for reports and for operators, without fault
+// proxies.
 func (f *Fleet) ControlAddrs() (list []string) {
 	for _, c := range f.controlServices {
 		list = append(list, c.reportAddr)
@@ -75,16 +80,16 @@
 	return list
 }
 
-// Nodes tells how many there are.
+// Nodes returns the number of nodes.
 func (f *Fleet) Nodes() int { return len(f.nodes) }
 
-// Log is what a node has said so far.
+// Log returns a node's log so far.
 func (f *Fleet) Log(node int) string {
-	text, _ := os.ReadFile(f.nodes[node].process.logPath) // nothing yet
+	text, _ := os.ReadFile(f.nodes[node].process.logPath) // there is no file before the first start
 	return string(text)
 }
 
-// Opened is how many connections the nodes have made to a group, by node.
+// ConnectionsOpened returns how many connections each node has opened to a group.
 func (f *Fleet) ConnectionsOpened(to string) (counts []int) {
 	counts = make([]int, len(f.nodes))
 	for _, l := range f.links["nodes->"+to] {
@@ -93,10 +98,13 @@
 	return counts
 }
 
-// Run plays a scenario and tells how it went. An error says that it could not be
-// played; what went wrong in it stands in the report.
+// Run plays a scenario and reports the outcome. An error means that the scenario could not be
+// played to its end; rules that were violated in it are part of the report.
 func Run(ctx context.Context, scenario *Scenario, opt Options) (report *Report, err error) {
-	f := &Fleet{scenario: scenario, options: opt, links: map[string][]groupLink{}, activeFaults: map[[2]int]int{}, probeFactor: 1, runCounts: map[string]int{}, firstIncarnation: map[string]int{}}
+	f := &Fleet{
+		scenario: scenario, options: opt, links: map[string][]groupLink{}, activeFaults: map[[2]int]int{},
+		probeFactor: 1, runCounts: map[string]int{}, firstIncarnation: map[string]int{},
+	}
 	f.ctx, f.cancel = context.WithCancel(ctx)
 	defer f.cancel()
 	if f.dir, err = os.MkdirTemp("", "robinmast-fleet-"); err != nil {
@@ -117,7 +125,7 @@
 	f.running.Wait()
 	f.summarize(report)
 	if err := ctx.Err(); err != nil {
-		return report, fmt.Errorf("the rehearsal was cut short: %w", err)
+		return report, fmt.Errorf("rehearsal cancelled: %w", err)
 	}
 	if opt.Keep != "" {
 		err = f.copyLogs()
@@ -125,7 +133,7 @@
 	return report, err
 }
 
-// close ends everything, in an order that leaves nobody waiting.
+// close ends all processes, links and stand-ins, in an order in which none waits for another.
 func (f *Fleet) close() {
 	f.cancel()
 	for _, n := range f.nodes {
@@ -153,7 +161,7 @@
 	}
 }
 
-// link makes a link and files it under its groups.
+// addLink opens a link between two members and records it under their groups.
 func (f *Fleet) addLink(from string, i int, to string, j int, target string) (*Link, error) {
 	l, err := NewLink(target, f.scenario.Fleet.Seed^uint64(i*1000+j))
 	if err == nil {
@@ -163,7 +171,8 @@
 	return l, err
 }
 
-// build starts everything and waits until all nodes listen.
+// startAll starts all processes and stand-ins and waits until the nodes accept connections. Nodes of
+// a fault of the kind late are left out.
 func (f *Fleet) startAll() (err error) {
 	if f.members, err = platform.StartMembers(); err != nil {
 		return err
@@ -196,7 +205,7 @@
 	startsLate := map[int]bool{}
 	for i := range f.scenario.Faults {
 		if fault := &f.scenario.Faults[i]; fault.Kind == "late" {
-			targets, _ := f.scenario.selectMembers(fault.Targets, "nodes", "control") // it was checked
+			targets, _ := f.scenario.selectMembers(fault.Targets, "nodes", "control") // validated before
 			for _, j := range targets.index {
 				startsLate[j] = startsLate[j] || targets.group == "nodes"
 			}
@@ -221,13 +230,14 @@
 	if f.scenario.Fleet.ResultCache {
 		for _, n := range f.nodes {
 			n.resultsCopy = filepath.Join(n.dir, "old")
-			_ = os.CopyFS(n.resultsCopy, os.DirFS(filepath.Join(n.dir, "results"))) // a folder being written to: what a copy by hand gets
+			// The node may be writing to the folder, as when an operator copies it. An incomplete copy is intended.
+			_ = os.CopyFS(n.resultsCopy, os.DirFS(filepath.Join(n.dir, "results")))
 		}
 	}
 	return nil
 }
 
-// addr takes a port for a child until the rehearsal is over.
+// reservePort reserves a port for a process until the rehearsal is over.
 func (f *Fleet) reservePort() (string, error) {
 	addr, port, err := reserveAddr()
 	if err == nil {
@@ -236,16 +246,19 @@
 	return addr, err
 }
 
-// note changes the figures of the present second.
+// record updates the counts of the current sample interval.
 func (f *Fleet) record(change func(*tally)) {
 	f.mu.Lock()
 	change(&f.current)
 	f.mu.Unlock()
 }
 
-// playAll sends the schedule's requests, turns the faults on and off, and counts.
+// runSchedule sends the schedule's requests, applies the faults and samples the counts.
 func (f *Fleet) runSchedule() *Report {
-	report := &Report{Scenario: f.scenario.Name, Seed: f.scenario.Fleet.Seed, Nodes: f.scenario.Fleet.Nodes, Capacity: f.scenario.capacity(), Together: f.scenario.Fleet.Together}
+	report := &Report{
+		Scenario: f.scenario.Name, Seed: f.scenario.Fleet.Seed, Nodes: f.scenario.Fleet.Nodes,
+		Capacity: f.scenario.capacity(), Together: f.scenario.Fleet.Together,
+	}
 	f.began = time.Now()
 	for _, d := range f.dispatchers {
 		d.startProbes(&f.running)
@@ -266,15 +279,17 @@
 	return report
 }
 
-// ask lets a desktop begin a request.
+// startRequest starts a desktop's request of the schedule.
 func (f *Fleet) startRequest(a arrival, began time.Time) {
-	request := &request{arrival: a, class: &f.scenario.Classes[a.class], random: rand.New(rand.NewPCG(a.seed, 5)),
-		startedAt: began, idempotencyKey: fmt.Sprintf("k%016x", a.seed)}
+	request := &request{
+		arrival: a, class: &f.scenario.Classes[a.class], random: rand.New(rand.NewPCG(a.seed, 5)),
+		startedAt: began, idempotencyKey: fmt.Sprintf("k%016x", a.seed),
+	}
 	f.record(func(t *tally) { t.Started++; t.UtilityOffered += f.utility(request) })
 	f.running.Go(func() { f.runRequest(request) })
 }
 
-// keep copies the logs for whoever wants to look.
+// copyLogs copies the processes' logs to Options.Keep, at most 16 MiB of each.
 func (f *Fleet) copyLogs() error {
 	if err := os.MkdirAll(f.options.Keep, 0o755); err != nil {
 		return err
--- a/internal/standin/fleet/node.go
+++ b/internal/standin/fleet/node.go
@@ -14,7 +14,7 @@
 	"robinmast/internal/standin/platform"
 )
 
-// place is one node with its worker pool.
+// fleetNode is one node with its worker pool.
 type fleetNode struct {
 	process         *process
 	dir             string
@@ -22,16 +22,17 @@
 	poolLink        *Link
 	controlLinks    []*Link
 	pool            *platform.Pool
-	poolIncarnation int
-	resultsCopy     string // a copy of its folder as of the start
+	poolIncarnation int    // from 1
+	resultsCopy     string // folder with a copy of its results as of the start
 }
 
-// service is one control service.
+// controlService is one control service.
 type controlService struct {
 	process             *process
 	reportAddr, xdsAddr string
 }
 
+// addControl starts control service i and waits until it accepts connections.
 func (f *Fleet) addControl(i int) (err error) {
 	service := &controlService{}
 	if service.reportAddr, err = f.reservePort(); err != nil {
@@ -41,8 +42,10 @@
 		return err
 	}
 	name := fmt.Sprintf("control%d", i+1)
-	service.process = &process{name: name, program: f.options.Control, logPath: filepath.Join(f.dir, name+".log"), starter: f.starter,
-		args: []string{"--reports", service.reportAddr, "--xds", service.xdsAddr, "--dir", filepath.Join(f.dir, name)}}
+	service.process = &process{
+		name: name, program: f.options.Control, logPath: filepath.Join(f.dir, name+".log"), starter: f.starter,
+		args: []string{"--reports", service.reportAddr, "--xds", service.xdsAddr, "--dir", filepath.Join(f.dir, name)},
+	}
 	f.controlServices = append(f.controlServices, service)
 	if err := service.process.start(); err != nil {
 		return err
@@ -50,14 +53,17 @@
 	return waitReachable(f.ctx, service.reportAddr, 10*time.Second)
 }
 
+// addNode prepares node i with its links, worker pool and settings; it does not start the node.
 func (f *Fleet) addNode(i int) (err error) {
 	node := &fleetNode{}
 	f.nodes = append(f.nodes, node)
 	name := fmt.Sprintf("n%d", i+1)
 	node.dir = filepath.Join(f.dir, name)
-	node.process = &process{name: name, program: f.options.Node, logPath: filepath.Join(f.dir, name+".log"), starter: f.starter,
+	node.process = &process{
+		name: name, program: f.options.Node, logPath: filepath.Join(f.dir, name+".log"), starter: f.starter,
 		args: []string{"run", "--config", filepath.Join(node.dir, "robinmast.ini")},
-		env:  []string{"EDGE_CONFIG=" + filepath.Join(node.dir, "config.json")}}
+		env:  []string{"EDGE_CONFIG=" + filepath.Join(node.dir, "config.json")},
+	}
 	if err := os.Mkdir(node.dir, 0o700); err != nil {
 		return err
 	}
@@ -83,7 +89,8 @@
 	if err := f.startPool(i, false); err != nil {
 		return err
 	}
-	if err := f.scenario.writeNodeConfig(node.dir, name, node.addr, node.poolLink.Addr(), membersLink.Addr(), f.scenario.Fleet.Seed+uint64(i), controlAddrs, i < f.scenario.Fleet.PlainNodes); err != nil {
+	if err := f.scenario.writeNodeConfig(node.dir, name, node.addr, node.poolLink.Addr(), membersLink.Addr(),
+		f.scenario.Fleet.Seed+uint64(i), controlAddrs, i < f.scenario.Fleet.PlainNodes); err != nil {
 		return err
 	}
 	if f.options.Prepare != nil {
@@ -94,7 +101,7 @@
 	return f.addSettings(node)
 }
 
-// more adds the options' keys to a node's file.
+// addSettings adds Options.NodeSettings to a node's INI file.
 func (f *Fleet) addSettings(node *fleetNode) error {
 	if len(f.options.NodeSettings) == 0 {
 		return nil
@@ -122,12 +129,14 @@
 	return os.WriteFile(path, []byte(config), 0o600)
 }
 
-// startPool starts a node's worker pool anew.
+// startPool starts the next incarnation of node i's worker pool, at ColdSpeed if cold. The pool takes
+// each body as the run time in milliseconds, followed by the idempotency key of keyed and unsafe work,
+// and counts the runs of each key.
 func (f *Fleet) startPool(i int, cold bool) (err error) {
 	node := f.nodes[i]
 	node.poolIncarnation++
 	pool, incarnation := fmt.Sprintf("%d.%d", i, node.poolIncarnation), node.poolIncarnation
-	node.pool, err = platform.StartPool(f.scenario.Fleet.Cores, f.scenario.Fleet.Contention, func(run platform.Run) (float64, string, []byte) {
+	execute := func(run platform.Run) (float64, string, []byte) {
 		words := strings.SplitN(string(run.Body), " ", 2)
 		ms, err := strconv.ParseFloat(words[0], 64)
 		if err != nil {
@@ -145,7 +154,8 @@
 			f.mu.Unlock()
 		}
 		return ms, "complete", []byte("done by " + run.ID)
-	})
+	}
+	node.pool, err = platform.StartPool(f.scenario.Fleet.Cores, f.scenario.Fleet.Contention, execute)
 	if err != nil {
 		return err
 	}
@@ -156,13 +166,15 @@
 	return nil
 }
 
-// settings is the platform's settings object for the scenario's nodes.
+// platformSettings returns the platform's settings object for the scenario's nodes.
 func (s *Scenario) platformSettings() map[string]any {
 	effects := map[string]string{"safe": "idempotent", "keyed": "deduplicated", "unsafe": "at_most_once"}
 	var lanes []any
 	for _, c := range s.Classes {
-		lanes = append(lanes, map[string]any{"name": c.Name, "aimMs": c.LatencyTarget.Milliseconds(), "deadlineMs": c.Deadline.Milliseconds(),
-			"effect": effects[c.Effect], "windowMs": 60_000, "worth": c.Utility})
+		lanes = append(lanes, map[string]any{
+			"name": c.Name, "aimMs": c.LatencyTarget.Milliseconds(), "deadlineMs": c.Deadline.Milliseconds(),
+			"effect": effects[c.Effect], "windowMs": 60_000, "worth": c.Utility,
+		})
 	}
 	countedBy := "request"
 	if s.Fleet.UtilityPerWork {
@@ -171,20 +183,29 @@
 	return map[string]any{
 		"tickMs": 2, "groupSize": s.Fleet.Nodes, "lanes": lanes, "countedBy": countedBy,
 		"parties": []any{map[string]any{"name": "acme", "share": 1, "quotaRps": 100_000}},
-		"extra": map[string]any{"cpus": s.Fleet.Cores, "ramKb": 400_000, "runFactor": 4, "entryKb": 0.2,
-			"meters": []string{"cpu_busy", "runnable"}, "passesDeadline": true, "tellsGone": true, "preemption": "drop",
-			"say": "weight", "keepaliveMaxMs": 30_000, "upstreams": s.Dispatchers.Count, "heededMs": 1000, "below": "none"},
+		"extra": map[string]any{
+			"cpus": s.Fleet.Cores, "ramKb": 400_000, "runFactor": 4, "entryKb": 0.2,
+			"meters": []string{"cpu_busy", "runnable"}, "passesDeadline": true, "tellsGone": true,
+			"preemption": "drop", "say": "weight", "keepaliveMaxMs": 30_000, "upstreams": s.Dispatchers.Count,
+			"heededMs": 1000, "below": "none",
+		},
 		"clientHabits": map[string]any{"marksRetry": true},
 		"bounds":       map[string]any{"retryAfter": true, "maxRetryAfterMs": s.Fleet.MaxRetryAfter.Milliseconds()},
-		"obligations": map[string]any{"fallMultiple": 8, "fallMs": 1500, "stopSendingWithinMs": 200, "answerSlackMs": 60,
-			"coldFrom": s.Fleet.ColdSpeed, "rampTimeMs": s.Fleet.WarmUpTime.Milliseconds()},
+		"obligations": map[string]any{
+			"fallMultiple": 8, "fallMs": 1500, "stopSendingWithinMs": 200, "answerSlackMs": 60,
+			"coldFrom": s.Fleet.ColdSpeed, "rampTimeMs": s.Fleet.WarmUpTime.Milliseconds(),
+		},
 	}
 }
 
-// writeNode writes a node's two files into dir.
-func (s *Scenario) writeNodeConfig(dir, name, listen, pool, members string, seed uint64, control []string, plain bool) error {
+// writeNodeConfig writes a node's two files into dir: the platform's config.json and robinmast.ini. A
+// plain node has neither [together] nor [comeback].
+func (s *Scenario) writeNodeConfig(
+	dir, name, listen, pool, members string, seed uint64, control []string, plain bool,
+) error {
 	text, err := json.Marshal(map[string]any{
-		"name": name, "listen": listen, "pool": pool, "members": members, "seed": fmt.Sprintf("%016x", seed), "stop_ms": 2000,
+		"name": name, "listen": listen, "pool": pool, "members": members,
+		"seed": fmt.Sprintf("%016x", seed), "stop_ms": 2000,
 		"limits":   map[string]any{"cores": s.Fleet.NodeCores, "memory_mb": s.Fleet.MemoryMB, "sockets": 384},
 		"settings": s.platformSettings(),
 	})
--- a/internal/standin/fleet/process.go
+++ b/internal/standin/fleet/process.go
@@ -1,6 +1,3 @@
-// This file owns the processes that a rehearsal starts: their files, their start,
-// signals and end. It must never end a process that it did not start.
-
 package fleet
 
 import (
@@ -18,8 +15,8 @@
 	"time"
 )
 
-// starter starts children from one thread that lasts as long as they may: each of
-// them is killed by the kernel should this process end, however it ends.
+// starter starts processes from one locked thread. The kernel kills them when that thread ends, so they
+// do not outlive this program however it ends.
 type starter struct {
 	jobs chan func()
 	done chan struct{}
@@ -47,94 +44,96 @@
 
 func (s *starter) stop() { close(s.jobs); <-s.done }
 
-// child is one process of ours, which may be started again.
+// process is a program that the rehearsal starts, and may start again after its end. Its methods may be
+// called by any goroutine.
 type process struct {
 	name    string
 	program string
 	args    []string
 	env     []string
-	logPath string // file that takes what it says
+	logPath string // file that standard error is appended to
 	starter *starter
 
 	mu             sync.Mutex
 	cmd            *exec.Cmd
 	ended          chan struct{}
-	shouldRun      bool          // nobody asked it to end
-	crashes        int           // ends that nobody asked for
-	pastCPU        time.Duration // of lives that ended
-	stopThrottling context.CancelFunc
+	shouldRun      bool               // an exit now is a crash
+	crashes        int                // exits that were not requested
+	pastCPU        time.Duration      // processor time of earlier incarnations
+	stopThrottling context.CancelFunc // nil if not throttled
 }
 
-// start starts the process.
-func (c *process) start() error {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.cmd != nil {
+// start starts the process unless it runs.
+func (p *process) start() error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.cmd != nil {
 		return nil
 	}
-	log, err := os.OpenFile(c.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	defer log.Close() // the child has its own descriptor
-	cmd := exec.Command(c.program, c.args...)
-	cmd.Env = append(os.Environ(), c.env...)
+	defer log.Close() // the process has its own descriptor
+	cmd := exec.Command(p.program, p.args...)
+	cmd.Env = append(os.Environ(), p.env...)
 	cmd.Stderr = log
-	if err := c.starter.start(cmd); err != nil {
-		return fmt.Errorf("%s: %w", c.name, err)
+	if err := p.starter.start(cmd); err != nil {
+		return fmt.Errorf("%s: %w", p.name, err)
 	}
 	ended := make(chan struct{})
-	c.cmd, c.ended, c.shouldRun = cmd, ended, true
-	go func() { // ends with the child
-		_ = cmd.Wait() // how it ended is told by wanted
-		c.mu.Lock()
-		if c.cmd == cmd {
-			if c.shouldRun {
-				c.crashes++
+	p.cmd, p.ended, p.shouldRun = cmd, ended, true
+	go func() { // ends with the process
+		_ = cmd.Wait() // whether the exit was a crash follows from shouldRun
+		p.mu.Lock()
+		if p.cmd == cmd {
+			if p.shouldRun {
+				p.crashes++
 			}
 			if s := cmd.ProcessState; s != nil {
-				c.pastCPU += s.UserTime() + s.SystemTime()
+				p.pastCPU += s.UserTime() + s.SystemTime()
 			}
-			c.cmd = nil
+			p.cmd = nil
 		}
-		c.mu.Unlock()
+		p.mu.Unlock()
 		close(ended)
 	}()
 	return nil
 }
 
-// signal sends a signal, if the process runs; one that ends it is no crash.
-func (c *process) signal(sig syscall.Signal) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.cmd == nil {
+// signal sends a signal if the process runs. An exit after SIGKILL or SIGTERM does not count as a crash.
+func (p *process) signal(sig syscall.Signal) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.cmd == nil {
 		return
 	}
 	if sig == syscall.SIGKILL || sig == syscall.SIGTERM {
-		c.shouldRun = false
+		p.shouldRun = false
 	}
-	_ = c.cmd.Process.Signal(sig) // it may just have ended
+	_ = p.cmd.Process.Signal(sig) // it may have exited meanwhile
 }
 
-// end ends the process at once and waits for that.
-func (c *process) kill() {
-	c.unthrottle()
-	c.signal(syscall.SIGKILL)
-	c.wait(10 * time.Second)
+// kill kills the process and waits for its exit, 10 s at most.
+func (p *process) kill() {
+	p.unthrottle()
+	p.signal(syscall.SIGKILL)
+	p.wait(10 * time.Second)
 }
 
-// leave asks the process to leave, and waits.
-func (c *process) terminate(timeout time.Duration) {
-	c.signal(syscall.SIGTERM)
-	if !c.wait(timeout) {
-		c.kill()
+// terminate asks the process to exit, and kills it if it has not after timeout.
+func (p *process) terminate(timeout time.Duration) {
+	p.signal(syscall.SIGTERM)
+	if !p.wait(timeout) {
+		p.kill()
 	}
 }
 
-func (c *process) wait(timeout time.Duration) bool {
-	c.mu.Lock()
-	ended, running := c.ended, c.cmd != nil
-	c.mu.Unlock()
+// wait waits for the process's exit and reports whether it came within timeout.
+func (p *process) wait(timeout time.Duration) bool {
+	p.mu.Lock()
+	ended, running := p.ended, p.cmd != nil
+	p.mu.Unlock()
 	if !running {
 		return true
 	}
@@ -146,64 +145,66 @@
 	}
 }
 
-// hold lets the process run only a share of the time, until release.
-func (c *process) throttle(share float64) {
+// throttle lets the process run only a share of the time, until unthrottle: it alternates between
+// SIGSTOP and SIGCONT.
+func (p *process) throttle(share float64) {
 	const period = 20 * time.Millisecond
 	ctx, cancel := context.WithCancel(context.Background())
-	c.mu.Lock()
-	c.stopThrottling = cancel
-	c.mu.Unlock()
-	go func() { // ends by release
+	p.mu.Lock()
+	p.stopThrottling = cancel
+	p.mu.Unlock()
+	go func() { // ended by unthrottle
 		for ctx.Err() == nil {
-			c.signal(syscall.SIGSTOP)
+			p.signal(syscall.SIGSTOP)
 			time.Sleep(time.Duration((1 - share) * float64(period)))
-			c.signal(syscall.SIGCONT)
+			p.signal(syscall.SIGCONT)
 			time.Sleep(time.Duration(share * float64(period)))
 		}
 	}()
 }
 
-func (c *process) unthrottle() {
-	c.mu.Lock()
-	stop := c.stopThrottling
-	c.stopThrottling = nil
-	c.mu.Unlock()
+// unthrottle ends throttle, and waits until its goroutine can send no further SIGSTOP.
+func (p *process) unthrottle() {
+	p.mu.Lock()
+	stop := p.stopThrottling
+	p.stopThrottling = nil
+	p.mu.Unlock()
 	if stop != nil {
 		stop()
 		time.Sleep(25 * time.Millisecond)
 	}
-	c.signal(syscall.SIGCONT)
+	p.signal(syscall.SIGCONT)
 }
 
-// used is the processor time of all its lives.
-func (c *process) cpuTime() time.Duration {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.cmd == nil {
-		return c.pastCPU
+// cpuTime returns the processor time of all incarnations of the process.
+func (p *process) cpuTime() time.Duration {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.cmd == nil {
+		return p.pastCPU
 	}
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", c.cmd.Process.Pid))
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
-		return c.pastCPU
+		return p.pastCPU
 	}
 	_, rest, _ := strings.Cut(string(text), ") ")
 	fields := strings.Fields(rest)
 	if len(fields) < 13 {
-		return c.pastCPU
+		return p.pastCPU
 	}
 	user, _ := strconv.ParseInt(fields[11], 10, 64)
 	system, _ := strconv.ParseInt(fields[12], 10, 64)
-	return c.pastCPU + time.Duration(user+system)*time.Second/100 // clock ticks, 100 a second on Linux
+	return p.pastCPU + time.Duration(user+system)*time.Second/100 // Linux reports 100 clock ticks a second
 }
 
-// memory is the resident size in kilobytes, 0 if it can't be told.
-func (c *process) residentKB() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.cmd == nil {
+// residentKB returns the resident memory in kilobytes, 0 if it is unknown.
+func (p *process) residentKB() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.cmd == nil {
 		return 0
 	}
-	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", c.cmd.Process.Pid)) // none: 0
+	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid)) // no text gives 0
 	for line := range strings.Lines(string(text)) {
 		if rest, ok := strings.CutPrefix(line, "VmRSS:"); ok {
 			kb, _ := strconv.Atoi(strings.Fields(rest)[0])
@@ -213,32 +214,33 @@
 	return 0
 }
 
-// holdAddr takes a port of loopback for a child and holds it, bound and not
-// listening, so that nobody is given it for port 0 before the child listens there,
-// nor while the child is away. It is free again once the file is closed.
-func reserveAddr() (addr string, held *os.File, err error) {
+// reserveAddr reserves a loopback port for a process. The port is bound but not listening, so the kernel
+// assigns it to nobody who asks for port 0 before the process listens on it or while the process is
+// down. Closing the file frees the port.
+func reserveAddr() (addr string, port *os.File, err error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return "", nil, fmt.Errorf("hold a port: %w", err)
+		return "", nil, fmt.Errorf("reserve port: %w", err)
 	}
-	held = os.NewFile(uintptr(fd), "held port")
+	port = os.NewFile(uintptr(fd), "reserved port")
 	err = errors.Join(
-		syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1), // the child's listener sets it too
+		syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1), // the process's listener sets it too
 		syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
 	name, err2 := syscall.Getsockname(fd)
 	in, ok := name.(*syscall.SockaddrInet4)
 	if err = errors.Join(err, err2); err != nil || !ok {
-		return "", nil, errors.Join(fmt.Errorf("hold a port: %w", err), held.Close())
+		return "", nil, errors.Join(fmt.Errorf("reserve port: %w", err), port.Close())
 	}
-	return fmt.Sprintf("127.0.0.1:%d", in.Port), held, nil
+	return fmt.Sprintf("127.0.0.1:%d", in.Port), port, nil
 }
 
-// reachable waits until an address can be connected to.
+// waitReachable waits until an address accepts connections.
 func waitReachable(ctx context.Context, addr string, timeout time.Duration) error {
-	for deadline := time.Now().Add(timeout); time.Now().Before(deadline) && ctx.Err() == nil; time.Sleep(5 * time.Millisecond) {
+	deadline := time.Now().Add(timeout)
+	for ; time.Now().Before(deadline) && ctx.Err() == nil; time.Sleep(5 * time.Millisecond) {
 		if c, err := net.DialTimeout("tcp", addr, time.Second); err == nil {
 			return c.Close()
 		}
 	}
-	return errors.Join(ctx.Err(), fmt.Errorf("nobody listens at %s", addr))
+	return errors.Join(ctx.Err(), fmt.Errorf("%s accepts no connections after %s", addr, timeout))
 }
