--- a/internal/standin/fleet/link.go
+++ b/internal/standin/fleet/link.go
@@ -1,6 +1,3 @@
-// This file owns the fault proxy: one link between two parties, which can be cut,
-// slowed, broken and healed. It must never change a byte or the order of bytes.
-
 package fleet
 
 import (
@@ -13,31 +10,32 @@
 	"time"
 )
 
-// Faults are what a link does to what passes. The zero value passes all at once.
+// Faults are the faults of a link. The zero value forwards all bytes at once.
 type Faults struct {
-	CutUp, CutDown bool          // bytes stop towards the listener's side, or back; connections stay open
-	Delay, Jitter  time.Duration // each way; jitter is added, evenly from 0
-	BytesPerSecond int           // bytes a second each way and connection, 0 = no bound
-	StopAfter      int           // bytes each way and connection after which nothing passes, 0 = no bound
-	Reset          bool          // connections end by a reset, and new ones too
-	HalfOpen       bool          // the far side goes away once; the near side is not told
+	CutUp, CutDown bool          // no bytes pass to the target, or back; connections stay open
+	Delay, Jitter  time.Duration // each way; jitter is a uniformly random addition, 0 up to Jitter
+	BytesPerSecond int           // each way and connection, 0 = unlimited
+	StopAfter      int           // bytes each way and connection after which none pass, 0 = unlimited
+	Reset          bool          // open and new connections are reset
+	HalfOpen       bool          // the target's side is closed, the client's side is not notified
 }
 
-// Bounds of a link.
+// Limits of a link.
 const (
-	maxChunkBytes   = 16 << 10
-	maxQueuedChunks = 64  // chunks that are under way, each way and connection
-	maxConnections  = 512 // connections; further ones are reset
+	maxChunkBytes   = 16 << 10 // read at once
+	maxQueuedChunks = 64       // chunks in transit, each way and connection
+	maxConnections  = 512      // open connections; further ones are reset
 )
 
-// Link passes TCP connections on to a target. Its methods may be called by any goroutine.
+// Link is a TCP proxy to a target that can inject faults. It never changes bytes or their order. Its
+// methods may be called by any goroutine.
 type Link struct {
 	ln net.Listener
 
 	mu      sync.Mutex
 	target  string
 	faults  Faults
-	changed chan struct{} // closed with the next change
+	changed chan struct{} // closed at the next change of faults
 	conns   map[*linkConn]struct{}
 	opened  int
 	closed  bool
@@ -45,43 +43,46 @@
 	running sync.WaitGroup
 }
 
-// pair is one connection through the link.
+// linkConn is one connection through the link: near is the client's side, far the target's.
 type linkConn struct {
 	near, far net.Conn
-	done      chan struct{} // closed when nothing passes any more
+	done      chan struct{} // closed when no more bytes pass
 	once      sync.Once
 }
 
-// NewLink listens on a free port of loopback and passes on to target, "" meaning
-// that nobody is there yet. The seed is that of the jitter.
+// NewLink listens on a free loopback port and forwards to target. While target is "", connections are
+// reset. The seed determines the jitter.
 func NewLink(target string, seed uint64) (*Link, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("fault proxy: %w", err)
 	}
-	l := &Link{ln: ln, target: target, changed: make(chan struct{}), conns: map[*linkConn]struct{}{}, random: rand.New(rand.NewPCG(seed, 3))}
+	l := &Link{
+		ln: ln, target: target, changed: make(chan struct{}), conns: map[*linkConn]struct{}{},
+		random: rand.New(rand.NewPCG(seed, 3)),
+	}
 	l.running.Go(l.accept)
 	return l, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address that the link listens on.
 func (l *Link) Addr() string { return l.ln.Addr().String() }
 
-// Opened is how many connections were opened through it.
+// ConnectionsOpened returns how many connections were opened through the link.
 func (l *Link) ConnectionsOpened() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.opened
 }
 
-// Aim passes new connections on to another target.
+// SetTarget sets the target of new connections.
 func (l *Link) SetTarget(target string) {
 	l.mu.Lock()
 	l.target = target
 	l.mu.Unlock()
 }
 
-// Set replaces the faults; Faults{} heals.
+// SetFaults replaces the faults; Faults{} ends them.
 func (l *Link) SetFaults(f Faults) {
 	l.mu.Lock()
 	l.faults = f
@@ -92,13 +93,13 @@
 		case f.Reset:
 			p.reset()
 		case f.HalfOpen:
-			_ = p.far.Close() // the near side hears nothing: its pumps wait for the end of the fault
+			_ = p.far.Close() // forward hides this from the client until the fault ends
 		}
 	}
 	l.mu.Unlock()
 }
 
-// Cut ends every connection in order, as when the far side restarts.
+// CloseConnections closes all connections normally, as a restart of the target does.
 func (l *Link) CloseConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -107,7 +108,7 @@
 	}
 }
 
-// Close ends the link and waits until nothing of it runs.
+// Close closes the link and waits for its goroutines.
 func (l *Link) Close() {
 	l.mu.Lock()
 	l.closed = true
@@ -138,7 +139,7 @@
 	p.close()
 }
 
-// now is what holds at present, and what closes when that changes.
+// currentFaults returns the faults, and a channel that is closed when they change.
 func (l *Link) currentFaults() (Faults, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -158,8 +159,8 @@
 	}
 }
 
-// pass serves one connection. While the way up is cut the far side is not dialled:
-// to whoever opened it the connection looks half-open.
+// serve forwards one connection. While the link is cut in either direction the target is not dialled, so
+// the connection looks half-open to the client; after about 10 s it is reset.
 func (l *Link) serve(near net.Conn) {
 	abort := func() {
 		if t, ok := near.(*net.TCPConn); ok {
@@ -217,13 +218,13 @@
 	l.mu.Unlock()
 }
 
-// chunk is bytes under way; without bytes it is the end of them.
+// chunk is data in transit, and when to deliver it. Without data it is the end of the stream.
 type chunk struct {
 	data []byte
 	due  time.Time
 }
 
-// pump carries one way of a connection.
+// forward forwards one direction of a connection; up is the direction to the target.
 func (l *Link) forward(p *linkConn, from, to net.Conn, up bool, random *rand.Rand) {
 	queue := make(chan chunk, maxQueuedChunks)
 	l.running.Go(func() {
@@ -237,7 +238,7 @@
 			if f.Jitter > 0 {
 				due = due.Add(time.Duration(random.Int64N(int64(f.Jitter))))
 			}
-			if due.Before(lastDue) { // order is kept
+			if due.Before(lastDue) { // jitter must not reorder bytes
 				due = lastDue
 			}
 			lastDue = due
@@ -250,7 +251,7 @@
 			}
 			if err != nil {
 				if !errors.Is(err, io.EOF) && !p.hidesFailure(l, from) {
-					p.reset() // a reset travels as one
+					p.reset() // a reset on one side becomes a reset on the other
 				}
 				select {
 				case queue <- chunk{due: due}:
@@ -280,13 +281,13 @@
 	}
 }
 
-// silent reports whether a failure on one side is not to be told to the other.
+// hidesFailure reports whether a failure on one side must not reach the other side.
 func (p *linkConn) hidesFailure(l *Link, side net.Conn) bool {
 	f, _ := l.currentFaults()
 	return f.HalfOpen && side == p.far
 }
 
-// wait waits until due, or the connection's end.
+// sleepUntil waits until due. It returns false if the connection closes before.
 func (l *Link) sleepUntil(p *linkConn, due time.Time) bool {
 	if d := time.Until(due); d > 0 {
 		select {
@@ -298,8 +299,8 @@
 	return true
 }
 
-// open waits until a chunk may pass, and cuts it where the bytes end. It reports
-// whether the connection goes on.
+// admit waits until the faults let a chunk pass, and shortens it to what StopAfter allows. It returns
+// false if the connection must be closed.
 func (l *Link) admit(p *linkConn, up bool, passed *int, c *chunk) bool {
 	for {
 		f, changed := l.currentFaults()
@@ -308,19 +309,20 @@
 			if allowed := f.StopAfter - *passed; allowed <= 0 {
 				blocked = true
 			} else if len(c.data) > allowed {
-				c.data = c.data[:allowed] // the rest is lost: nothing passes here any more
+				c.data = c.data[:allowed] // the rest is discarded, since no more bytes will pass
 			}
 		}
 		if !blocked {
 			*passed += len(c.data)
 			if f.BytesPerSecond > 0 && len(c.data) > 0 {
-				return l.sleepUntil(p, time.Now().Add(time.Duration(float64(len(c.data))/float64(f.BytesPerSecond)*float64(time.Second))))
+				transfer := time.Duration(float64(len(c.data)) / float64(f.BytesPerSecond) * float64(time.Second))
+				return l.sleepUntil(p, time.Now().Add(transfer))
 			}
 			return true
 		}
 		select {
 		case <-changed:
-			if f.StopAfter > 0 || f.HalfOpen { // what stopped in the middle can't go on
+			if f.StopAfter > 0 || f.HalfOpen { // part of the stream is lost, so the connection cannot continue
 				return false
 			}
 		case <-p.done:
--- a/internal/standin/fleet/output.go
+++ b/internal/standin/fleet/output.go
@@ -13,35 +13,44 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Line prints a second for people.
+// Line prints a second as a line of the table under Head.
 func (s Second) Line(out io.Writer) {
 	t := &s.Tally
-	fmt.Fprintf(out, "%4d %6d %8.0f %8.0f %6.2f %7d %7d %7d %6d %6d %6d %6d %5.2f %5.0f %5d\n", s.At, t.Started, t.UtilityOffered, t.Utility, t.triesPerFirstTry(),
-		t.Tries[served], t.Tries[refused], t.Tries[failed], t.Tries[timedOut], t.Tries[connectionLost]+t.Tries[unreachable], t.NotSent, t.StoppedRetries, s.NodeCPU, s.CPUPerTry, s.MemoryKB>>10)
+	fmt.Fprintf(out, "%4d %6d %8.0f %8.0f %6.2f %7d %7d %7d %6d %6d %6d %6d %5.2f %5.0f %5d\n",
+		s.At, t.Started, t.UtilityOffered, t.Utility, t.triesPerFirstTry(),
+		t.Tries[served], t.Tries[refused], t.Tries[failed], t.Tries[timedOut],
+		t.Tries[connectionLost]+t.Tries[unreachable], t.NotSent, t.StoppedRetries,
+		s.NodeCPU, s.CPUPerTry, s.MemoryKB>>10)
 }
 
-// Head is the table's head.
+// Head prints the header of the lines of seconds.
 func Head(out io.Writer) {
-	fmt.Fprintf(out, "%4s %6s %8s %8s %6s %7s %7s %7s %6s %6s %6s %6s %5s %5s %5s\n", "s", "asked", "offered", "worth", "tries",
+	fmt.Fprintf(out, "%4s %6s %8s %8s %6s %7s %7s %7s %6s %6s %6s %6s %5s %5s %5s\n",
+		"s", "asked", "offered", "worth", "tries",
 		"served", "refused", "failed", "late", "cut", "held", "ended", "cpu", "us", "MB")
 }
 
-// Table prints the end of a rehearsal for people.
+// Table prints the summary of a rehearsal.
 func (r *Report) Table(out io.Writer) {
 	fmt.Fprintln(out)
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
-	row := func(what, format string, args ...any) { fmt.Fprintf(w, "%s\t%s\n", what, fmt.Sprintf(format, args...)) }
-	row("requests", "%d, %.4f of them served, %.4f of the worth in time", r.Tally.Started, r.ServedShare, r.UtilityShare)
+	row := func(label, format string, args ...any) {
+		fmt.Fprintf(w, "%s\t%s\n", label, fmt.Sprintf(format, args...))
+	}
+	row("requests", "%d, %.4f of them served, %.4f of the worth in time",
+		r.Tally.Started, r.ServedShare, r.UtilityShare)
 	row("tries a first try", "%.3f", r.TriesPerFirstTry)
 	for i, name := range outcomeNames {
 		if n, q := r.Tally.Tries[i], r.Tally.Requests[i]; n+q > 0 {
 			row(name, "%d tries, %d requests", n, q)
 		}
 	}
-	row("refused first tries", "answered in %.1f ms (p50), %.1f ms (p99), %.3f of them within 20 ms", r.RefusalP50, r.RefusalP99, r.PromptRefusalShare)
+	row("refused first tries", "answered in %.1f ms (p50), %.1f ms (p99), %.3f of them within 20 ms",
+		r.RefusalP50, r.RefusalP99, r.PromptRefusalShare)
 	row("probes, connections", "%d, %d", r.Tally.Probes, r.Tally.Connections)
 	if r.RanAgainAfterRestart > 0 {
-		row("ran again", "%d keyed or unsafe requests ran in a later life of the same node too", r.RanAgainAfterRestart)
+		row("ran again", "%d keyed or unsafe requests ran again in a later incarnation of the same node",
+			r.RanAgainAfterRestart)
 	}
 	if len(r.FaultMarks) > 0 {
 		row("worth a second", "%.0f before the faults, %.0f while they lasted", r.UtilityBefore, r.UtilityDuring)
@@ -51,7 +60,7 @@
 			row("back to 0.95", "%.1f s after the last fault's end", r.RecoveryTime)
 		}
 	}
-	_ = w.Flush() // whoever asked has gone
+	_ = w.Flush() // an error means that the reader has closed the output
 	if broken := r.Broken(); len(broken) > 0 {
 		fmt.Fprintf(out, "\nBROKEN: %s\n", strings.Join(broken, "; "))
 	} else {
@@ -59,29 +68,30 @@
 	}
 }
 
-// JSON writes the report for machines.
+// JSON writes the report as one JSON object.
 func (r *Report) JSON(out io.Writer) error { return json.NewEncoder(out).Encode(r) }
 
-// Plot writes worth, tries and refusals by second as a picture, the faults marked.
+// Plot writes a chart of utility, tries and refusals by second, with the faults marked, to a file. The
+// suffix of the path selects the format: .svg, .png or .pdf.
 func (r *Report) Plot(path string) error {
-	picture := plot.New()
-	picture.Title.Text = fmt.Sprintf("%s, %d nodes, together %s, seed %d", r.Scenario, r.Nodes, r.Together, r.Seed)
-	picture.X.Label.Text, picture.Y.Label.Text = "seconds", "tries and worth a second"
-	picture.Y.Min = 0
-	picture.Legend.Top = true
+	chart := plot.New()
+	chart.Title.Text = fmt.Sprintf("%s, %d nodes, together %s, seed %d", r.Scenario, r.Nodes, r.Together, r.Seed)
+	chart.X.Label.Text, chart.Y.Label.Text = "seconds", "tries and worth a second"
+	chart.Y.Min = 0
+	chart.Legend.Top = true
 	line := func(name string, c color.Color, value func(s *Second) float64) error {
-		var xy plotter.XYs
+		var points plotter.XYs
 		for i := range r.Seconds {
-			xy = append(xy, plotter.XY{X: float64(r.Seconds[i].At) - 0.5, Y: value(&r.Seconds[i])})
+			points = append(points, plotter.XY{X: float64(r.Seconds[i].At) - 0.5, Y: value(&r.Seconds[i])})
 		}
-		l, err := plotter.NewLine(xy)
+		l, err := plotter.NewLine(points)
 		if err != nil {
 			return err
 		}
 		l.Color = c
 		l.Width = vg.Points(1.5)
-		picture.Add(l)
-		picture.Legend.Add(name, l)
+		chart.Add(l)
+		chart.Legend.Add(name, l)
 		return nil
 	}
 	top := 0.0
@@ -95,13 +105,15 @@
 		}
 		l.Color = map[bool]color.Color{true: color.RGBA{R: 200, A: 255}, false: color.RGBA{G: 140, A: 255}}[m.On]
 		l.Dashes = []vg.Length{vg.Points(3), vg.Points(3)}
-		picture.Add(l)
+		chart.Add(l)
 		if m.On {
-			label, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: m.At, Y: top}}, Labels: []string{m.Fault}})
+			label, err := plotter.NewLabels(plotter.XYLabels{
+				XYs: plotter.XYs{{X: m.At, Y: top}}, Labels: []string{m.Fault},
+			})
 			if err != nil {
 				return fmt.Errorf("plot: %w", err)
 			}
-			picture.Add(label)
+			chart.Add(label)
 		}
 	}
 	for _, l := range []struct {
@@ -118,7 +130,7 @@
 			return fmt.Errorf("plot: %w", err)
 		}
 	}
-	if err := picture.Save(22*vg.Centimeter, 11*vg.Centimeter, path); err != nil {
+	if err := chart.Save(22*vg.Centimeter, 11*vg.Centimeter, path); err != nil {
 		return fmt.Errorf("plot: %w", err)
 	}
 	return nil
--- a/internal/standin/fleet/report.go
+++ b/internal/standin/fleet/report.go
@@ -1,6 +1,3 @@
-// This file owns what a rehearsal counts and how it is told: seconds, the report,
-// its table and its plot. It must never change what is played.
-
 package fleet
 
 import (
@@ -10,34 +7,37 @@
 	"time"
 )
 
-// slice is how finely served worth is kept, to tell how soon it was back.
+// sampleInterval is the resolution at which served utility is recorded, which limits that of the recovery
+// times.
 const sampleInterval = 100 * time.Millisecond
 
-// promptly is how soon a refused first try is to hear so.
+// promptRefusal is the time within which a refused first try should be answered.
 const promptRefusal = 20 * time.Millisecond
 
-// tally is what happened in a span of time. Worth is earned by answers in time.
+// tally holds the counts of a period. Utility counts for requests that are served within their latency
+// target.
 type tally struct {
-	Started          int              `json:"asked"`    // requests of desktops that began
-	UtilityOffered   float64          `json:"offered"`  // their worth
-	Utility          float64          `json:"worth"`    // served in time
+	Started          int              `json:"asked"`    // requests that desktops started
+	UtilityOffered   float64          `json:"offered"`  // utility of those requests
+	Utility          float64          `json:"worth"`    // of requests served in time
 	InTime           int              `json:"in_time"`  // requests served in time
-	Requests         [numOutcomes]int `json:"requests"` // how requests ended, by end
-	Tries            [numOutcomes]int `json:"tries"`    // how tries ended, by end
-	FirstTries       int              `json:"first"`    // first tries
-	NotSent          int              `json:"held_back"`
-	StoppedRetries   int              `json:"walks_ended"` // refusals that wished for no other node
-	RetryAfters      int              `json:"advised"`     // other refusals with advice
+	Requests         [numOutcomes]int `json:"requests"` // by outcome
+	Tries            [numOutcomes]int `json:"tries"`    // by outcome
+	FirstTries       int              `json:"first"`
+	NotSent          int              `json:"held_back"`   // times that a dispatcher had no node to send a request to
+	StoppedRetries   int              `json:"walks_ended"` // refusals that must not be retried at another node
+	RetryAfters      int              `json:"advised"`     // other refusals with a retry-after
 	Probes           int              `json:"probes"`
 	Connections      int              `json:"connects"`
-	Unanswered       int              `json:"lost"`  // tries without an answer in time though nothing was wrong on the way
-	SlowRefusals     int              `json:"tardy"` // refused first tries answered later than promptly
-	DuplicateAnswers int              `json:"twice"` // answers to what had been answered
-	Crashes          int              `json:"crashes"`
+	Unanswered       int              `json:"lost"`    // tries that timed out with no fault on the way
+	SlowRefusals     int              `json:"tardy"`   // refused first tries answered after more than promptRefusal
+	DuplicateAnswers int              `json:"twice"`   // further answers to answered requests
+	Crashes          int              `json:"crashes"` // unexpected exits, and failed starts
 
 	refusalTimes []time.Duration // of first tries
 }
 
+// add adds the counts of o.
 func (t *tally) add(o *tally) {
 	t.Started += o.Started
 	t.UtilityOffered += o.UtilityOffered
@@ -60,7 +60,7 @@
 	t.refusalTimes = append(t.refusalTimes, o.refusalTimes...)
 }
 
-// tries is how many were sent.
+// tries returns the number of tries, of any outcome.
 func (t *tally) tries() int {
 	n := 0
 	for _, x := range t.Tries {
@@ -69,60 +69,66 @@
 	return n
 }
 
-// perFirst is how many tries were made for each first one.
+// triesPerFirstTry returns the tries per first try, 1 if nothing was retried.
 func (t *tally) triesPerFirstTry() float64 { return float64(t.tries()) / float64(max(t.FirstTries, 1)) }
 
-// Second is one second of a rehearsal.
+// Second holds the measurements of one second of a rehearsal.
 type Second struct {
-	At         int     `json:"at"` // from 1
+	At         int     `json:"at"` // number of the second, from 1
 	Tally      tally   `json:"tally"`
-	NodeCPU    float64 `json:"node_cpu"`   // cores, all nodes together
-	MemoryKB   int     `json:"memory_kb"`  // the largest node
-	ControlCPU float64 `json:"ctl_cpu"`    // cores, all control services
-	CPUPerTry  float64 `json:"cpu_of_try"` // microseconds of the nodes a try
+	NodeCPU    float64 `json:"node_cpu"`   // cores used by all nodes
+	MemoryKB   int     `json:"memory_kb"`  // resident memory of the largest node
+	ControlCPU float64 `json:"ctl_cpu"`    // cores used by all control services
+	CPUPerTry  float64 `json:"cpu_of_try"` // microseconds of the nodes' processor time per try
 }
 
-// Mark is a fault's begin or end.
+// FaultMark is the begin or end of a fault.
 type FaultMark struct {
-	At    float64 `json:"at"` // seconds
+	At    float64 `json:"at"` // seconds since the start
 	Fault string  `json:"fault"`
-	On    bool    `json:"on"`
+	On    bool    `json:"on"` // it begins
 }
 
-// Report is what a rehearsal showed, from outside.
+// Report is the outcome of a rehearsal, as measured by clients and stand-ins.
 type Report struct {
 	Scenario   string      `json:"scenario"`
 	Seed       uint64      `json:"seed"`
 	Nodes      int         `json:"nodes"`
 	Together   string      `json:"together"`
-	Capacity   float64     `json:"capacity"` // requests a second that fill all cores
+	Capacity   float64     `json:"capacity"` // requests a second that keep all cores busy
 	Seconds    []Second    `json:"seconds"`
 	FaultMarks []FaultMark `json:"marks"`
 	Tally      tally       `json:"tally"`
 
-	TriesPerFirstTry     float64 `json:"tries_a_first_try"`
-	ServedShare          float64 `json:"served_share"` // of the requests, whenever
-	UtilityShare         float64 `json:"worth_share"`  // of the worth offered, in time
-	RefusalP50           float64 `json:"refused_p50_ms"`
-	RefusalP99           float64 `json:"refused_p99_ms"`
-	PromptRefusalShare   float64 `json:"refused_within_20ms"` // share of the refused first tries
-	RanTwice             int     `json:"ran_twice"`           // keyed or unsafe work that ran more than once in one life of a node
-	RanAgainAfterRestart int     `json:"ran_again"`           // and in a later life of the same node: where its memory was lost that shows
-	RecoveryTime         float64 `json:"back_s"`              // from the last fault's end until 0.95 of the worth before the first; -1 = not, 0 = there was no fault
-	HalfRecoveryTime     float64 `json:"half_s"`              // the same until half of it
-	UtilityBefore        float64 `json:"before"`              // worth a second served before the first fault
-	UtilityDuring        float64 `json:"during"`              // and while faults lasted
+	TriesPerFirstTry   float64 `json:"tries_a_first_try"`
+	ServedShare        float64 `json:"served_share"` // of the requests, in time or not
+	UtilityShare       float64 `json:"worth_share"`  // of the utility offered, served in time
+	RefusalP50         float64 `json:"refused_p50_ms"`
+	RefusalP99         float64 `json:"refused_p99_ms"`
+	PromptRefusalShare float64 `json:"refused_within_20ms"` // of the refused first tries
+
+	// Keyed or unsafe requests that ran more than once in one incarnation of a node, and runs in a later
+	// incarnation of the same node, which happen if its result cache was lost.
+	RanTwice             int `json:"ran_twice"`
+	RanAgainAfterRestart int `json:"ran_again"`
+
+	// Seconds from the end of the last fault until the utility served was back to 0.95, or half, of
+	// UtilityBefore; -1 = not before the end, 0 without faults.
+	RecoveryTime     float64 `json:"back_s"`
+	HalfRecoveryTime float64 `json:"half_s"`
+	UtilityBefore    float64 `json:"before"` // utility served a second before the first fault
+	UtilityDuring    float64 `json:"during"` // utility served a second from the first fault's begin to the last one's end
 
-	samples []float64
+	samples []float64 // utility served in each sample interval
 }
 
-// Broken lists what no rehearsal may show.
+// Broken lists the violations of rules that hold in every rehearsal.
 func (r *Report) Broken() (list []string) {
 	for what, n := range map[string]int{
-		"tries without an answer in their time, with nothing wrong on the way": r.Tally.Unanswered,
-		"answers to what had been answered":                                    r.Tally.DuplicateAnswers,
-		"keyed or unsafe requests that ran twice in one life of a node":        r.RanTwice,
-		"processes that ended unasked or did not start":                        r.Tally.Crashes,
+		"tries without an answer within their timeout, with no fault on the way": r.Tally.Unanswered,
+		"answers to requests that had been answered":                             r.Tally.DuplicateAnswers,
+		"keyed or unsafe requests that ran twice in one incarnation of a node":   r.RanTwice,
+		"processes that exited unexpectedly or did not start":                    r.Tally.Crashes,
 	} {
 		if n > 0 {
 			list = append(list, fmt.Sprintf("%d %s", n, what))
@@ -132,7 +138,8 @@
 	return list
 }
 
-// Mean adds up the seconds from one to before another.
+// Between returns the total of the seconds after from up to to, and the nodes' mean processor use in
+// cores.
 func (r *Report) Between(from, to int) (t tally, cpu float64) {
 	for _, s := range r.Seconds {
 		if s.At > from && s.At <= to {
@@ -143,7 +150,8 @@
 	return t, cpu / float64(max(to-from, 1))
 }
 
-// tick closes each second.
+// countSeconds samples the counts until the rehearsal ends, and adds a Second to the report after each
+// second.
 func (f *Fleet) countSeconds(report *Report) {
 	usage := func() (nodes, control time.Duration) {
 		for _, n := range f.nodes {
@@ -186,14 +194,14 @@
 	}
 }
 
-// finish adds up a report.
+// summarize computes the totals of a report.
 func (f *Fleet) summarize(report *Report) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := range report.Seconds {
 		report.Tally.add(&report.Seconds[i].Tally)
 	}
-	late := f.current // what ended while the rehearsal did: accounting, no service
+	late := f.current // ended as the rehearsal did, so only violations count
 	report.Tally.DuplicateAnswers += late.DuplicateAnswers
 	for _, d := range f.dispatchers {
 		for i := range d.nodes {
@@ -237,8 +245,9 @@
 	report.measureRecovery()
 }
 
-// back works out how service stood before, during and after the faults. The first
-// second is warming up. A sliding second has 0.95 of before, or it is not back.
+// measureRecovery computes the utility before and during the faults, and the recovery times after them.
+// The first second is left out, as the fleet warms up. Recovery is reached by the first sliding second
+// that has the required share of UtilityBefore.
 func (r *Report) measureRecovery() {
 	if len(r.FaultMarks) == 0 {
 		return
