--- a/internal/standin/fleet/node.go
+++ b/internal/standin/fleet/node.go
@@ -44,7 +44,9 @@
 	name := fmt.Sprintf("control%d", i+1)
 	service.process = &process{
 		name: name, program: f.options.Control, logPath: filepath.Join(f.dir, name+".log"), starter: f.starter,
-		args: []string{"--reports", service.reportAddr, "--xds", service.xdsAddr, "--dir", filepath.Join(f.dir, name)},
+		args: []string{
+			"--reports", service.reportAddr, "--xds", service.xdsAddr, "--dir", filepath.Join(f.dir, name),
+		},
 	}
 	f.controlServices = append(f.controlServices, service)
 	if err := service.process.start(); err != nil {
@@ -214,7 +216,8 @@
 	}
 	var settings strings.Builder
 	if s.Fleet.ResultCache {
-		fmt.Fprintf(&settings, "[results]\nenabled = true\ndurability = soon\ndir = %s\n", filepath.Join(dir, "results"))
+		fmt.Fprintf(&settings, "[results]\nenabled = true\ndurability = soon\ndir = %s\n",
+			filepath.Join(dir, "results"))
 	}
 	if len(control) > 0 {
 		fmt.Fprintf(&settings, "[control]\naddress = %s\nadvertise = %s\n", strings.Join(control, ", "), listen)
