--- a/internal/standin/fleet/expiry_test.go
+++ b/internal/standin/fleet/expiry_test.go
@@ -8,16 +8,17 @@
 	"testing"
 )
 
-// Every fact that anybody acts on stands in the table of docs/recovery.md with its life,
-// what happens at its end, and a test that is there.
+// The table of docs/recovery.md lists every piece of state that a component acts on, with its lifetime and
+// what happens when it expires. Each row must be complete and name a test that exists.
 func TestEveryFactExpires(t *testing.T) {
 	text, err := os.ReadFile("../../../docs/recovery.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, table, ok := strings.Cut(string(text), "| fact | who acts on it | its life | at its end | test |\n| --- | --- | --- | --- | --- |\n")
+	const header = "| fact | who acts on it | its life | at its end | test |\n| --- | --- | --- | --- | --- |\n"
+	_, table, ok := strings.Cut(string(text), header)
 	if !ok {
-		t.Fatal("docs/recovery.md has no table of lives")
+		t.Fatal("docs/recovery.md has no table of lifetimes")
 	}
 	tests := map[string]bool{}
 	name := regexp.MustCompile(`(?m)^func (Test\w+)\(`)
@@ -44,19 +45,19 @@
 		rows++
 		cells := strings.Split(strings.Trim(strings.TrimSpace(line), "|"), "|")
 		if len(cells) != 5 {
-			t.Errorf("a row of %d cells: %s", len(cells), line)
+			t.Errorf("row has %d cells, want 5: %s", len(cells), line)
 			continue
 		}
 		for i := range cells {
 			if cells[i] = strings.TrimSpace(cells[i]); cells[i] == "" {
-				t.Errorf("an empty cell: %s", line)
+				t.Errorf("row has an empty cell: %s", line)
 			}
 		}
 		if test := cells[4]; test != "the bench's" && !tests[test] {
-			t.Errorf("%s: there is no %s", cells[0], test)
+			t.Errorf("%s: test %s does not exist", cells[0], test)
 		}
 	}
 	if rows < 12 {
-		t.Errorf("%d facts in the table", rows)
+		t.Errorf("the table has %d rows, want at least 12", rows)
 	}
 }
--- a/internal/standin/fleet/fleet_test.go
+++ b/internal/standin/fleet/fleet_test.go
@@ -23,12 +23,13 @@
 	err  error
 }
 
-// build builds the programs once for all tests of the package.
+// build builds the programs, once for all tests of the package, and returns the options to run them.
 func build(t *testing.T) Options {
 	t.Helper()
 	programs.once.Do(func() {
 		if programs.dir, programs.err = os.MkdirTemp("", "robinmast-programs-"); programs.err == nil {
-			out, err := exec.Command("go", "build", "-o", programs.dir, "../../../cmd/robinmast", "../../../cmd/robinmast-control").CombinedOutput()
+			out, err := exec.Command("go", "build", "-o", programs.dir,
+				"../../../cmd/robinmast", "../../../cmd/robinmast-control").CombinedOutput()
 			if err != nil {
 				programs.err = fmt.Errorf("%w: %s", err, out)
 			}
@@ -37,7 +38,9 @@
 	if programs.err != nil {
 		t.Fatal(programs.err)
 	}
-	return Options{Node: filepath.Join(programs.dir, "robinmast"), Control: filepath.Join(programs.dir, "robinmast-control")}
+	return Options{
+		Node: filepath.Join(programs.dir, "robinmast"), Control: filepath.Join(programs.dir, "robinmast-control"),
+	}
 }
 
 func TestMain(m *testing.M) {
@@ -46,7 +49,7 @@
 	os.Exit(code)
 }
 
-// scenario parses what a test plays.
+// scenario parses the text of a scenario.
 func scenario(t *testing.T, text string) *Scenario {
 	t.Helper()
 	s, err := Parse(t.Name(), []byte(text))
@@ -56,7 +59,7 @@
 	return s
 }
 
-// run plays a scenario; a broken rule fails the test.
+// run plays a scenario. A violated rule fails the test.
 func run(t *testing.T, s *Scenario, opt Options) *Report {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(s.Fleet.Seconds+60)*time.Second)
@@ -74,7 +77,7 @@
 	return r
 }
 
-// Every fault of a link does what its name says, and healing it lets bytes pass again.
+// Each fault of a link has its effect, and after its end a new connection works.
 func TestLinkFaults(t *testing.T) {
 	echo := standin.Listen(t)
 	go func() {
@@ -103,33 +106,34 @@
 	}{
 		{"cut", Faults{CutUp: true, CutDown: true}, func(t *testing.T, l *Link, old net.Conn) {
 			if _, err := exchange(old, "lost", 60*time.Millisecond); !isTimeout(err) {
-				t.Errorf("bytes passed a cut link: %v", err)
+				t.Errorf("bytes passed a link that is cut: %v", err)
 			}
 			l.SetFaults(Faults{})
-			b := make([]byte, 4) // what was under way arrives once the link is whole
+			b := make([]byte, 4) // bytes in transit arrive when the fault ends
 			_ = old.SetDeadline(time.Now().Add(2 * time.Second))
 			if _, err := io.ReadFull(old, b); err != nil || string(b) != "lost" {
-				t.Errorf("after healing: %q, %v", b, err)
+				t.Errorf("after the fault: %q, %v", b, err)
 			}
 		}},
 		{"cut one way", Faults{CutDown: true}, func(t *testing.T, l *Link, old net.Conn) {
 			if _, err := exchange(old, "gone", 60*time.Millisecond); !isTimeout(err) {
-				t.Errorf("an answer passed: %v", err)
+				t.Errorf("bytes passed a direction that is cut: %v", err)
 			}
 		}},
 		{"delay", Faults{Delay: 60 * time.Millisecond, Jitter: 20 * time.Millisecond}, func(t *testing.T, l *Link, old net.Conn) {
 			began := time.Now()
 			if _, err := exchange(old, "slow", 2*time.Second); err != nil || time.Since(began) < 120*time.Millisecond {
-				t.Errorf("an answer after %v, %v", time.Since(began), err)
+				t.Errorf("answered after %v, %v; want at least 120 ms", time.Since(began), err)
 			}
 		}},
 		{"throttle", Faults{BytesPerSecond: 10_000}, func(t *testing.T, l *Link, old net.Conn) {
 			began := time.Now()
-			if _, err := exchange(old, strings.Repeat("x", 2000), 5*time.Second); err != nil || time.Since(began) < 300*time.Millisecond {
-				t.Errorf("2,000 bytes both ways at 10,000 a second took %v, %v", time.Since(began), err)
+			_, err := exchange(old, strings.Repeat("x", 2000), 5*time.Second)
+			if err != nil || time.Since(began) < 300*time.Millisecond {
+				t.Errorf("2,000 bytes each way at 10,000 a second took %v, %v", time.Since(began), err)
 			}
 		}},
-		{"mid message", Faults{StopAfter: 3} /* one has passed before */, func(t *testing.T, l *Link, old net.Conn) {
+		{"mid message", Faults{StopAfter: 3} /* one byte has passed already */, func(t *testing.T, l *Link, old net.Conn) {
 			if got, err := exchange(old, "halves", 100*time.Millisecond); got != "ha" || !isTimeout(err) {
 				t.Errorf("got %q, %v", got, err)
 			}
@@ -147,7 +151,7 @@
 		}},
 		{"half open", Faults{HalfOpen: true}, func(t *testing.T, l *Link, old net.Conn) {
 			if _, err := exchange(old, "dead", 60*time.Millisecond); !isTimeout(err) {
-				t.Errorf("the near side was told: %v", err)
+				t.Errorf("the client was notified: %v", err)
 			}
 		}},
 	} {
@@ -174,18 +178,20 @@
 			}
 			defer after.Close()
 			if got, err := exchange(after, "well", 2*time.Second); got != "well" || err != nil {
-				t.Errorf("a new connection after healing: %q, %v", got, err)
+				t.Errorf("a new connection after the fault: %q, %v", got, err)
 			}
 		})
 	}
 }
 
-// A schedule replays by its seed, and another seed is another night.
+// The same seed gives the same schedule and another seed another one; the load is as set.
 func TestScheduleDependsOnSeed(t *testing.T) {
 	digest := func(seed uint64) string {
 		s := Defaults()
 		s.Name, s.Fleet.Seed = "x", seed
-		s.Classes = []ClassSection{{Name: "a", Share: 1, WorkMs: 20, Utility: 1, LatencyTarget: time.Second, Deadline: time.Second, Effect: "safe"}}
+		s.Classes = []ClassSection{{
+			Name: "a", Share: 1, WorkMs: 20, Utility: 1, LatencyTarget: time.Second, Deadline: time.Second, Effect: "safe",
+		}}
 		if err := s.Check(); err != nil {
 			t.Fatal(err)
 		}
@@ -196,7 +202,7 @@
 			}
 		}
 		if rate := float64(n) / float64(s.Fleet.Seconds) / s.capacity(); rate < 0.85 || rate > 0.95 {
-			t.Errorf("load %.3f, asked for 0.9", rate)
+			t.Errorf("load %.3f, want 0.9", rate)
 		}
 		return text
 	}
@@ -209,7 +215,7 @@
 	}
 }
 
-// A scenario that can't be played is told by file, line and key.
+// Errors of an invalid scenario name file, line and key. All scenarios in rehearsals are valid.
 func TestScenarioFaults(t *testing.T) {
 	for text, want := range map[string]string{
 		"[fleet]\nnodes = 99":                           "f.ini:2: [fleet] nodes: 99 is not between 1 and 24",
@@ -229,7 +235,7 @@
 	}
 	shipped, _ := filepath.Glob("../../../rehearsals/*.ini")
 	if len(shipped) == 0 {
-		t.Error("no rehearsals are shipped")
+		t.Error("there are no scenarios in rehearsals")
 	}
 	for _, path := range shipped {
 		if _, err := Load(path); err != nil {
@@ -238,8 +244,8 @@
 	}
 }
 
-// A fleet through a crash of a third, keyed work among it: all that the outside
-// view promises to count is counted, no rule is broken, and nothing is left behind.
+// A third of the nodes crash, with keyed requests in flight. The report shows the loss, no rule is violated
+// and no process is left behind.
 func TestThirdOfNodesCrash(t *testing.T) {
 	opt := build(t)
 	var pids []string
@@ -267,17 +273,18 @@
 on = nodes:0.333
 `), opt)
 	if r.UtilityDuring > 0.95*r.UtilityBefore {
-		t.Errorf("worth %.0f a second during a crash of a third, %.0f before: it did not show", r.UtilityDuring, r.UtilityBefore)
+		t.Errorf("utility %.0f a second during the crash, %.0f before: no loss in the report",
+			r.UtilityDuring, r.UtilityBefore)
 	}
 	if n := r.Tally.Tries[connectionLost] + r.Tally.Tries[unreachable]; n == 0 {
-		t.Error("nobody noticed the crash")
+		t.Error("no try was affected by the crash")
 	}
 	sum := 0
 	for _, n := range r.Tally.Requests {
 		sum += n
 	}
 	if sum == 0 || sum > r.Tally.Started {
-		t.Errorf("%d requests ended of %d", sum, r.Tally.Started)
+		t.Errorf("%d requests ended of %d started", sum, r.Tally.Started)
 	}
 	for _, pid := range pids {
 		if _, err := os.Stat("/proc/" + pid); err == nil {
@@ -286,32 +293,33 @@
 	}
 }
 
-// The outside view sees what it is there for: a report with faults in it says so.
+// A report lists violated rules, and measures utility and recovery around faults.
 func TestReportViolations(t *testing.T) {
 	r := &Report{Tally: tally{Unanswered: 1, DuplicateAnswers: 2}, RanTwice: 3}
-	if got := strings.Join(r.Broken(), "; "); !strings.Contains(got, "1 tries") || !strings.Contains(got, "2 answers") || !strings.Contains(got, "3 keyed") {
-		t.Errorf("told %q", got)
+	got := strings.Join(r.Broken(), "; ")
+	if !strings.Contains(got, "1 tries") || !strings.Contains(got, "2 answers") || !strings.Contains(got, "3 keyed") {
+		t.Errorf("violations: %q", got)
 	}
 	r = &Report{FaultMarks: []FaultMark{{At: 1, On: true}, {At: 2}}}
-	for i := range 50 { // 10 a slice, nothing from 1 to 3.5 s, then all again
+	for i := range 50 { // utility 10 in each sample, none from 1 to 3.5 s
 		r.samples = append(r.samples, map[bool]float64{true: 0, false: 10}[i >= 10 && i < 35])
 	}
 	if r.measureRecovery(); r.RecoveryTime != 1.5 || r.UtilityBefore != 100 || r.UtilityDuring != 0 {
-		t.Errorf("back after %v s, before %v, during %v", r.RecoveryTime, r.UtilityBefore, r.UtilityDuring)
+		t.Errorf("recovery time %v s, utility before %v, during %v", r.RecoveryTime, r.UtilityBefore, r.UtilityDuring)
 	}
 }
 
-// A child's port is given to nobody else while it is away, and the child can have it.
+// A process can listen on its reserved port again and again; while it is down nobody else does.
 func TestReservedPorts(t *testing.T) {
 	addr, held, err := reserveAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer held.Close()
-	for range 2 { // it may come back
+	for range 2 { // the second time as after a restart
 		ln, err := net.Listen("tcp", addr)
 		if err != nil {
-			t.Fatalf("a held port can't be listened on: %v", err)
+			t.Fatalf("listen on a reserved port: %v", err)
 		}
 		if err := ln.Close(); err != nil {
 			t.Fatal(err)
@@ -319,11 +327,11 @@
 	}
 	if c, err := net.Dial("tcp", addr); err == nil {
 		c.Close()
-		t.Error("somebody listens on a held port")
+		t.Error("a connection to a reserved port was accepted")
 	}
 }
 
-// A rehearsal that is cut short says so, and leaves no child and no folder behind.
+// A cancelled rehearsal returns the context's error, and leaves no process and no folder behind.
 func TestCancelledRun(t *testing.T) {
 	opt := build(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -337,8 +345,9 @@
 		}
 		time.AfterFunc(500*time.Millisecond, cancel)
 	}
-	if _, err := Run(ctx, scenario(t, "[fleet]\nnodes = 2\ncores = 1\nseconds = 60\ncontrol = 1\n"), opt); !errors.Is(err, context.Canceled) {
-		t.Errorf("a rehearsal that was cut short ended with %v", err)
+	s := scenario(t, "[fleet]\nnodes = 2\ncores = 1\nseconds = 60\ncontrol = 1\n")
+	if _, err := Run(ctx, s, opt); !errors.Is(err, context.Canceled) {
+		t.Errorf("cancelled rehearsal: %v", err)
 	}
 	for _, pid := range pids {
 		if _, err := os.Stat("/proc/" + pid); err == nil {
--- a/internal/standin/fleet/mutants_test.go
+++ b/internal/standin/fleet/mutants_test.go
@@ -12,8 +12,8 @@
 	"testing"
 )
 
-// mutant is a defence switched off in the source, and what then no longer holds of
-// real processes. holds says what it saw besides.
+// mutant is a change of the source that switches off one defence. check plays a scenario with the given
+// programs and reports whether the defence works, and what it measured.
 type mutant struct {
 	name, file, from, to string
 	check                func(t *testing.T, opt Options) (bool, string)
@@ -85,21 +85,21 @@
 	}
 }
 
-// Each defence switched off, one at a time, fails what it is for; with all of them
-// what it is for holds. Behind a flag: it builds the programs for each.
+// Each check passes with the unchanged programs and fails with its defence switched off. The test needs
+// -fleet.long, as it builds the programs for each mutant.
 func TestMutantsFail(t *testing.T) {
 	if !*fullSize {
-		t.Skip("-fleet.long builds and plays every mutant")
+		t.Skip("needs -fleet.long: builds and plays every mutant")
 	}
-	whole := build(t)
+	unchanged := build(t)
 	root, err := filepath.Abs("../../..")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, m := range mutants {
 		t.Run(m.name, func(t *testing.T) {
-			if ok, saw := m.check(t, whole); !ok {
-				t.Errorf("it does not hold with the defence: %s", saw)
+			if ok, measured := m.check(t, unchanged); !ok {
+				t.Errorf("the check fails with the defence: %s", measured)
 			}
 			dir := t.TempDir()
 			path := filepath.Join(root, filepath.FromSlash(m.file))
@@ -108,65 +108,82 @@
 				t.Fatal(err)
 			}
 			if strings.Count(string(text), m.from) != 1 {
-				t.Fatalf("%s has %q not once: the mutant is out of date", m.file, m.from)
+				t.Fatalf("%s does not have %q exactly once: the mutant is out of date", m.file, m.from)
 			}
 			changed, overlay := filepath.Join(dir, "changed.go"), filepath.Join(dir, "overlay.json")
 			list, err := json.Marshal(map[string]any{"Replace": map[string]string{path: changed}})
 			if err != nil {
 				t.Fatal(err)
 			}
-			for file, text := range map[string][]byte{changed: []byte(strings.Replace(string(text), m.from, m.to, 1)), overlay: list} {
+			for file, text := range map[string][]byte{
+				changed: []byte(strings.Replace(string(text), m.from, m.to, 1)),
+				overlay: list,
+			} {
 				if err := os.WriteFile(file, text, 0o600); err != nil {
 					t.Fatal(err)
 				}
 			}
-			out, err := exec.Command("go", "build", "-overlay", overlay, "-o", dir, "../../../cmd/robinmast", "../../../cmd/robinmast-control").CombinedOutput()
+			out, err := exec.Command("go", "build", "-overlay", overlay, "-o", dir,
+				"../../../cmd/robinmast", "../../../cmd/robinmast-control").CombinedOutput()
 			if err != nil {
 				t.Fatalf("%v: %s", err, out)
 			}
-			ok, saw := m.check(t, Options{Node: filepath.Join(dir, "robinmast"), Control: filepath.Join(dir, "robinmast-control")})
+			ok, measured := m.check(t, Options{
+				Node: filepath.Join(dir, "robinmast"), Control: filepath.Join(dir, "robinmast-control"),
+			})
 			if ok {
-				t.Errorf("it holds without the defence: %s", saw)
+				t.Errorf("the check passes without the defence: %s", measured)
 			}
-			t.Log(saw)
+			t.Log(measured)
 		})
 	}
 }
 
 func refusedPromptly(t *testing.T, opt Options) (bool, string) {
-	r := run(t, scenario(t, "[fleet]\nnodes = 3\nseconds = 7\ntogether = alone\n[load]\nsteps = 0s 0.5, 1s 1.6\n[dispatchers]\nwalk = 2\n"+twoClasses), opt)
-	return r.PromptRefusalShare > 0.75, fmt.Sprintf("%.3f of refused first tries hear so within 20 ms", r.PromptRefusalShare)
+	r := run(t, scenario(t, "[fleet]\nnodes = 3\nseconds = 7\ntogether = alone\n"+
+		"[load]\nsteps = 0s 0.5, 1s 1.6\n[dispatchers]\nwalk = 2\n"+twoClasses), opt)
+	return r.PromptRefusalShare > 0.75,
+		fmt.Sprintf("%.3f of refused first tries answered within 20 ms", r.PromptRefusalShare)
 }
 
 func retriesAreStopped(t *testing.T, opt Options) (bool, string) {
-	r := run(t, scenario(t, "[fleet]\nnodes = 4\nseconds = 9\ntogether = alone\n[load]\nsteps = 0s 0.5, 2s 3\n[dispatchers]\nwalk = 3\n"+twoClasses), opt)
+	r := run(t, scenario(t, "[fleet]\nnodes = 4\nseconds = 9\ntogether = alone\n"+
+		"[load]\nsteps = 0s 0.5, 2s 3\n[dispatchers]\nwalk = 3\n"+twoClasses), opt)
 	over, _ := r.Between(4, 9)
-	ended := float64(over.StoppedRetries) / float64(max(over.Tries[refused], 1))
-	return ended > 0.1, fmt.Sprintf("%.2f of the refusals end a walk at three times the capacity, %.3f tries", ended, over.triesPerFirstTry())
+	stopped := float64(over.StoppedRetries) / float64(max(over.Tries[refused], 1))
+	return stopped > 0.1,
+		fmt.Sprintf("%.2f of the refusals stop retries at three times the capacity, %.3f tries per first try",
+			stopped, over.triesPerFirstTry())
 }
 
 func retriesContinue(t *testing.T, opt Options) (bool, string) {
-	r := run(t, scenario(t, "[fleet]\nnodes = 3\nseconds = 7\ntogether = alone\n[load]\nsteps = 0s 0.5\n[dispatchers]\nwalk = 2\n"+
+	r := run(t, scenario(t, "[fleet]\nnodes = 3\nseconds = 7\ntogether = alone\n"+
+		"[load]\nsteps = 0s 0.5\n[dispatchers]\nwalk = 2\n"+
 		"[fault.full]\nat = 1s\nfor = 6s\nwhat = slow\nfactor = 6\non = nodes:1\n"+twoClasses), opt)
-	ended := float64(r.Tally.StoppedRetries) / float64(max(r.Tally.Tries[refused], 1))
-	return ended < 0.1, fmt.Sprintf("%.2f of %d refusals by the one full node end a walk", ended, r.Tally.Tries[refused])
+	stopped := float64(r.Tally.StoppedRetries) / float64(max(r.Tally.Tries[refused], 1))
+	return stopped < 0.1,
+		fmt.Sprintf("%.2f of %d refusals by the one overloaded node stop retries", stopped, r.Tally.Tries[refused])
 }
 
 func digestsExpire(t *testing.T, opt Options) (bool, string) {
-	s := scenario(t, "[fleet]\nnodes = 3\nseconds = 10\ntogether = told\ncontrol = 1\n[load]\nsteps = 0s 2, 5s 0.35\n[dispatchers]\nwalk = 2\nheed = 0\n"+
-		"[fault.killed]\nat = 4s\nfor = 6s\nwhat = kill\non = control\n[fault.full]\nat = 7s\nfor = 3s\nwhat = slow\nfactor = 8\non = nodes:1\n"+twoClasses)
+	s := scenario(t, "[fleet]\nnodes = 3\nseconds = 10\ntogether = told\ncontrol = 1\n"+
+		"[load]\nsteps = 0s 2, 5s 0.35\n[dispatchers]\nwalk = 2\nheed = 0\n"+
+		"[fault.killed]\nat = 4s\nfor = 6s\nwhat = kill\non = control\n"+
+		"[fault.full]\nat = 7s\nfor = 3s\nwhat = slow\nfactor = 8\non = nodes:1\n"+twoClasses)
 	r := run(t, s, opt)
 	late, _ := r.Between(8, 10)
-	ended := float64(late.StoppedRetries) / float64(max(late.Tries[refused], 1))
-	return ended < 0.2, fmt.Sprintf("%.2f of %d refusals end a walk long after the digest's life", ended, late.Tries[refused])
+	stopped := float64(late.StoppedRetries) / float64(max(late.Tries[refused], 1))
+	return stopped < 0.2,
+		fmt.Sprintf("%.2f of %d refusals stop retries long after the digest expired", stopped, late.Tries[refused])
 }
 
 func reconnectsSpread(t *testing.T, opt Options) (bool, string) {
-	s := scenario(t, "[fleet]\nnodes = 6\ncores = 1\nseconds = 10\ncontrol = 1\n[load]\nsteps = 0s 0.2\n[fault.lost]\nat = 1s\nfor = 4s\nwhat = kill\non = control\n")
+	s := scenario(t, "[fleet]\nnodes = 6\ncores = 1\nseconds = 10\ncontrol = 1\n[load]\nsteps = 0s 0.2\n"+
+		"[fault.lost]\nat = 1s\nfor = 4s\nwhat = kill\non = control\n")
 	opt.Keep = t.TempDir()
 	run(t, s, opt)
 	spread := reconnectSpread(t, opt.Keep, 6)
-	return spread.Seconds() > 0.3, fmt.Sprintf("six nodes come back within %v", spread)
+	return spread.Seconds() > 0.3, fmt.Sprintf("six nodes reconnect within %v", spread)
 }
 
 func lostResultsAreInDoubt(t *testing.T, opt Options) (bool, string) {
@@ -177,18 +194,18 @@
 func oldCopyIsDetected(t *testing.T, opt Options) (bool, string) {
 	opt.Keep = t.TempDir()
 	run(t, scenario(t, fmt.Sprintf(lostResults, 1, "on", "old")), opt)
-	says := grep(nodeLog(t, opt.Keep, 0), "memory lost")
-	return says != "", "the node says " + says
+	logged := grep(nodeLog(t, opt.Keep, 0), "memory lost")
+	return logged != "", "the node logged " + logged
 }
 
 func eventIsRecorded(t *testing.T, opt Options) (bool, string) {
 	opt.Keep = t.TempDir()
 	run(t, scenario(t, "[fleet]\nnodes = 4\ncontrol = 1\ncomeback = on\nseconds = 8\n[load]\nsteps = 0s 0.4\n"+
-		"[fault.night]\nat = 3s\nfor = 1s\nwhat = kill\non = nodes:0.5\n"+twoClasses), opt)
+		"[fault.killed]\nat = 3s\nfor = 1s\nwhat = kill\non = nodes:0.5\n"+twoClasses), opt)
 	text, err := os.ReadFile(filepath.Join(opt.Keep, "control1.log"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	says := grep(string(text), "event 1 started")
-	return says != "", "the service says " + says
+	logged := grep(string(text), "event 1 started")
+	return logged != "", "the control service logged " + logged
 }
--- a/internal/standin/fleet/recovery_test.go
+++ b/internal/standin/fleet/recovery_test.go
@@ -18,9 +18,9 @@
 	"robinmast/rules"
 )
 
-// lostMemory is a node whose answers stay on the way while it is killed with its pool:
-// what ran is asked for again when it is back, and what it remembers of that is the
-// folder's.
+// lostResults is a scenario in which nodes are killed with their pools while their answers do not reach
+// the dispatchers. After the restart clients repeat requests that have run, and only the results folder
+// can tell the node so. The arguments are the number of nodes, [comeback] and the state of the folder.
 const lostResults = `
 [fleet]
 nodes = %d
@@ -56,47 +56,52 @@
 folder = %s
 `
 
-// A folder that was emptied, is a copy from before, or the neighbour's: with [comeback]
-// no keyed request runs again that ran within its window, since the control service
-// heard of the earlier life; without it some do. A folder that was kept is not doubted.
+// A restarted node finds its results folder empty, replaced by an older copy, or swapped with another
+// node's. With [comeback] it detects the loss, since the control service knows the previous incarnation,
+// and no keyed request runs a second time within its window; without [comeback] some do. A folder that
+// was kept counts as complete.
 func TestLostResultsAreInDoubt(t *testing.T) {
 	opt := build(t)
 	for _, c := range []struct {
-		folder, says string
-		nodes        int
-	}{{"empty", "the folder was empty, and an earlier life was heard", 1}, {"old", "it is an older copy", 1}, {"swap", "memory lost", 2}} {
+		folder, logged string
+		nodes          int
+	}{
+		{"empty", "the folder was empty, and an earlier life was heard", 1},
+		{"old", "it is an older copy", 1},
+		{"swap", "memory lost", 2},
+	} {
 		t.Run(c.folder, func(t *testing.T) {
 			t.Parallel()
 			plain := run(t, scenario(t, fmt.Sprintf(lostResults, c.nodes, "off", c.folder)), opt)
 			if plain.RanAgainAfterRestart == 0 {
-				t.Error("without [comeback] nothing ran again: the fault shows nothing")
+				t.Error("without [comeback] no request ran again: the fault has no effect")
 			}
 			var f *Fleet
-			seen := opt
+			opt := opt
 			var log string
-			seen.OnStarted = func(x *Fleet) { f = x }
-			seen.Keep = t.TempDir()
-			r := run(t, scenario(t, fmt.Sprintf(lostResults, c.nodes, "on", c.folder)), seen)
+			opt.OnStarted = func(started *Fleet) { f = started }
+			opt.Keep = t.TempDir()
+			r := run(t, scenario(t, fmt.Sprintf(lostResults, c.nodes, "on", c.folder)), opt)
 			for i := range f.Nodes() {
-				log += nodeLog(t, seen.Keep, i)
+				log += nodeLog(t, opt.Keep, i)
 			}
-			if r.RanAgainAfterRestart > 0 || !strings.Contains(log, c.says) {
-				t.Errorf("%d requests ran again; the nodes say %s", r.RanAgainAfterRestart, grep(log, "memory"))
+			if r.RanAgainAfterRestart > 0 || !strings.Contains(log, c.logged) {
+				t.Errorf("%d requests ran again; the nodes logged %s", r.RanAgainAfterRestart, grep(log, "memory"))
 			}
 		})
 	}
 	t.Run("keep", func(t *testing.T) {
 		t.Parallel()
-		seen := opt
-		seen.Keep = t.TempDir()
-		r := run(t, scenario(t, fmt.Sprintf(lostResults, 1, "on", "keep")), seen)
-		if log := nodeLog(t, seen.Keep, 0); r.RanAgainAfterRestart > 0 || strings.Contains(log, "memory lost") {
-			t.Errorf("%d requests ran again; the node says %s", r.RanAgainAfterRestart, grep(log, "memory"))
+		opt := opt
+		opt.Keep = t.TempDir()
+		r := run(t, scenario(t, fmt.Sprintf(lostResults, 1, "on", "keep")), opt)
+		if log := nodeLog(t, opt.Keep, 0); r.RanAgainAfterRestart > 0 || strings.Contains(log, "memory lost") {
+			t.Errorf("%d requests ran again; the node logged %s", r.RanAgainAfterRestart, grep(log, "memory"))
 		}
 	})
 }
 
-// grep keeps the lines that hold a word.
+// grep returns the lines that contain word.
 func grep(text, word string) string {
 	var b strings.Builder
 	for line := range strings.Lines(text) {
@@ -107,7 +112,7 @@
 	return b.String()
 }
 
-// eventView is one of GET /events, as an operator sees it.
+// eventView is an event of a control service's GET /events.
 type eventView struct {
 	Number, Lost, Of int
 	Least            float64 `json:"least_room"`
@@ -118,11 +123,12 @@
 	Over             bool
 }
 
+// fullServiceLine matches the log line of a node that is back in full service.
 var fullServiceLine = regexp.MustCompile(`back in full service after`)
 
-// All nodes are killed with their pools at 0.9 of what they can do and come back cold
-// together: the way back is measured by the programs themselves, each node's states and
-// the fleet's event, whose times agree with what is served, seen from outside.
+// All nodes are killed with their pools at 0.9 of the capacity and restart cold. Each node logs its return
+// to full service, and the control service records one event whose capacities and recovery times fit what
+// clients measure.
 func TestAllKilledIsMeasured(t *testing.T) {
 	s := scenario(t, `
 [fleet]
@@ -152,29 +158,30 @@
 	stop()
 	for i := range s.Fleet.Nodes {
 		if n := len(fullServiceLine.FindAllString(nodeLog(t, opt.Keep, i), -1)); n != 2 {
-			t.Errorf("node %d says %d times that it is back in full service, 2 wanted", i+1, n)
+			t.Errorf("node %d logged %d times that it is back in full service, want 2", i+1, n)
 		}
 	}
 	if len(last) != 1 {
-		t.Fatalf("%d events were kept: %+v", len(last), last)
+		t.Fatalf("%d events were recorded: %+v", len(last), last)
 	}
 	e := last[0]
-	if e.Lost != 6 || e.Of != 6 || !e.Over || e.Least > 0.5 || e.HalfS <= 0 || e.MostS < e.HalfS || e.FullS < e.MostS || e.FullS > 7 {
-		t.Errorf("the event is %+v", e)
+	if e.Lost != 6 || e.Of != 6 || !e.Over || e.Least > 0.5 ||
+		e.HalfS <= 0 || e.MostS < e.HalfS || e.FullS < e.MostS || e.FullS > 7 {
+		t.Errorf("recorded event: %+v", e)
 	}
-	if r.RecoveryTime < 0 || r.RecoveryTime > 5 { // 3 s until the pools are warm, and 2 s
-		t.Errorf("back after %.1f s", r.RecoveryTime)
+	if r.RecoveryTime < 0 || r.RecoveryTime > 5 { // the pools are warm after 3 s; 2 s more are allowed
+		t.Errorf("recovered after %.1f s", r.RecoveryTime)
 	}
 	after, _ := r.Between(5, 13)
 	if tries := after.triesPerFirstTry(); tries > 1.5 {
-		t.Errorf("%.2f tries a first try from the restart on", tries)
+		t.Errorf("%.2f tries per first try after the restart", tries)
 	}
 }
 
-// Snapshots: a node that comes back takes up what it had learned; one that is ten times
-// as fast as its snapshot says drops it.
+// A restarted node uses its warm-start snapshot. If it turns out ten times as fast as the snapshot says,
+// it drops the snapshot.
 func TestSnapshotUsedOrDropped(t *testing.T) {
-	const night = `
+	const text = `
 [fleet]
 nodes = 2
 comeback = snapshot
@@ -191,26 +198,29 @@
 %s
 ` + twoClasses
 	opt := build(t)
-	for _, c := range []struct{ name, from, ramp, more, says, never string }{
-		{"true", "0.99", "100ms", "", "snapshot taken up", "snapshot dropped"},
-		{"lies", "0.99", "100ms", "[fault.slow]\nat = 0s\nfor = 3900ms\nwhat = slow\nfactor = 10\non = nodes\n", "snapshot dropped", ""},
+	for _, c := range []struct{ name, from, ramp, fault, logged, notLogged string }{
+		{"accurate", "0.99", "100ms", "", "snapshot taken up", "snapshot dropped"},
+		{
+			"wrong", "0.99", "100ms", "[fault.slow]\nat = 0s\nfor = 3900ms\nwhat = slow\nfactor = 10\non = nodes\n",
+			"snapshot dropped", "",
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			o := opt
-			o.Keep = t.TempDir()
-			run(t, scenario(t, fmt.Sprintf(night, c.from, c.ramp, c.more)), o)
+			opt := opt
+			opt.Keep = t.TempDir()
+			run(t, scenario(t, fmt.Sprintf(text, c.from, c.ramp, c.fault)), opt)
 			for i := range 2 {
-				log := nodeLog(t, o.Keep, i)
-				if !strings.Contains(log, c.says) || c.never != "" && strings.Contains(log, c.never) {
-					t.Errorf("node %d says %s", i+1, grep(log, "snapshot"))
+				log := nodeLog(t, opt.Keep, i)
+				if !strings.Contains(log, c.logged) || c.notLogged != "" && strings.Contains(log, c.notLogged) {
+					t.Errorf("node %d logged %s", i+1, grep(log, "snapshot"))
 				}
 			}
 		})
 	}
 }
 
-// kept is what a node said, as kept by the rehearsal.
+// nodeLog returns a node's log, as copied to dir.
 func nodeLog(t *testing.T, dir string, node int) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(dir, fmt.Sprintf("n%d.log", node+1)))
@@ -220,21 +230,22 @@
 	return string(text)
 }
 
-// The control service comes back after the node whose folder was emptied: what it had
-// heard of the earlier life outlives it too, and the node doubts until it is told.
+// The control service restarts after the node whose folder was emptied. It has stored what it knew of the
+// previous incarnation, and until the node receives that, it holds repeats in doubt.
 func TestControlServiceReturnsLater(t *testing.T) {
 	opt := build(t)
 	opt.Keep = t.TempDir()
-	text := fmt.Sprintf(lostResults, 1, "on", "empty") + "[fault.deaf]\nat = 2900ms\nfor = 1s\nwhat = kill\non = control\n"
+	text := fmt.Sprintf(lostResults, 1, "on", "empty") +
+		"[fault.control]\nat = 2900ms\nfor = 1s\nwhat = kill\non = control\n"
 	r := run(t, scenario(t, text), opt)
 	log := nodeLog(t, opt.Keep, 0)
 	if r.RanAgainAfterRestart > 0 || !strings.Contains(log, "an earlier life was heard") {
-		t.Errorf("%d requests ran again; the node says %s", r.RanAgainAfterRestart, grep(log, "memory"))
+		t.Errorf("%d requests ran again; the node logged %s", r.RanAgainAfterRestart, grep(log, "memory"))
 	}
 }
 
-// A rolling restart that overtakes itself, and a node that crashes in every start: the
-// rest serve on, and the two are back in full service once they are let be.
+// Two nodes are restarted again and again while they warm up, and a third crashes at every start. The
+// others keep serving, and in the end all nodes are back in full service.
 func TestRepeatedRestarts(t *testing.T) {
 	s, err := Load("../../../rehearsals/overtaken.ini")
 	if err != nil {
@@ -244,7 +255,7 @@
 	opt.Keep = t.TempDir()
 	r := run(t, s, opt)
 	if r.ServedShare < 0.95 || r.RecoveryTime < 0 || r.RecoveryTime > 2 {
-		t.Errorf("%.3f served, back after %.1f s", r.ServedShare, r.RecoveryTime)
+		t.Errorf("%.3f served, recovered after %.1f s", r.ServedShare, r.RecoveryTime)
 	}
 	for i := range s.Fleet.Nodes {
 		lines := strings.Split(strings.TrimSpace(nodeLog(t, opt.Keep, i)), "\n")
@@ -254,44 +265,47 @@
 	}
 }
 
-// Nodes with many remembered results open their stores on one disk together: time to
-// listen, and what requests meanwhile and after see. 24 nodes with 100,000 each behind
-// -fleet.long.
+// Nodes with many cached results restore them from one disk at the same time. Every node restores all of
+// them within 5 s, and the fleet recovers. With -fleet.long, 24 nodes restore 100,000 results each.
 func TestManyResultsOnOneDisk(t *testing.T) {
-	nodes, entries := 3, 5_000
+	nodes, results := 3, 5_000
 	if *fullSize {
-		nodes, entries = 24, 100_000
+		nodes, results = 24, 100_000
 	}
-	s := scenario(t, fmt.Sprintf("[fleet]\nnodes = %d\ncores = 1\nresults = true\ncomeback = on\nseconds = 8\nmemory_mb = 192\n[load]\nsteps = 0s 0.4\n"+
-		"[dispatchers]\nwalk = 2\n[class.pay]\nshare = 0.5\nms = 20\neffect = keyed\n[class.read]\nshare = 0.5\nms = 20\n"+
-		"[fault.night]\nat = 3s\nfor = 200ms\nwhat = kill\non = nodes\n", nodes))
+	s := scenario(t, fmt.Sprintf("[fleet]\nnodes = %d\ncores = 1\nresults = true\ncomeback = on\nseconds = 8\n"+
+		"memory_mb = 192\n[load]\nsteps = 0s 0.4\n[dispatchers]\nwalk = 2\n"+
+		"[class.pay]\nshare = 0.5\nms = 20\neffect = keyed\n[class.read]\nshare = 0.5\nms = 20\n"+
+		"[fault.killed]\nat = 3s\nfor = 200ms\nwhat = kill\non = nodes\n", nodes))
 	opt := build(t)
 	opt.Keep = t.TempDir()
-	opt.NodeSettings = map[string]string{"results": "entries = 400000\nbytes = 256MB"} // full of keyed entries a node takes no new ones
-	opt.Prepare = func(_ int, dir string) error { return fillResults(filepath.Join(dir, "results"), entries) }
+	// A node whose result cache is full of keyed records accepts no further ones.
+	opt.NodeSettings = map[string]string{"results": "entries = 400000\nbytes = 256MB"}
+	opt.Prepare = func(_ int, dir string) error { return fillResults(filepath.Join(dir, "results"), results) }
 	r := run(t, s, opt)
-	took := regexp.MustCompile(`"remembered results".* kept=(\d+) .*recovery=(\S+) restore=(\S+)`)
+	restored := regexp.MustCompile(`"remembered results".* kept=(\d+) .*recovery=(\S+) restore=(\S+)`)
 	var slowest time.Duration
 	for i := range nodes {
-		all := took.FindAllStringSubmatch(nodeLog(t, opt.Keep, i), -1)
-		if len(all) != 2 {
-			t.Fatalf("node %d says %d times what it remembers", i+1, len(all))
+		starts := restored.FindAllStringSubmatch(nodeLog(t, opt.Keep, i), -1)
+		if len(starts) != 2 {
+			t.Fatalf("node %d logged %d times how many results it restored, want 2", i+1, len(starts))
 		}
-		n, _ := strconv.Atoi(all[1][1])
-		a, _ := time.ParseDuration(all[1][2])
-		b, _ := time.ParseDuration(all[1][3])
-		if slowest = max(slowest, a+b); n < entries {
-			t.Errorf("node %d remembers %d of %d", i+1, n, entries)
+		n, _ := strconv.Atoi(starts[1][1])
+		open, _ := time.ParseDuration(starts[1][2])
+		restore, _ := time.ParseDuration(starts[1][3])
+		if slowest = max(slowest, open+restore); n < results {
+			t.Errorf("node %d restored %d of %d results", i+1, n, results)
 		}
 	}
-	t.Logf("%d nodes with %d results each: opened and restored within %v; refused p99 %.1f ms, %.4f served, back to 0.95 after %.1f s",
-		nodes, entries, slowest, r.RefusalP99, r.ServedShare, r.RecoveryTime)
-	if slowest > 5*time.Second || r.RecoveryTime < 0 && !*fullSize { // 24 of that size share six cores and more: docs/ROADMAP.md
-		t.Errorf("the slowest took %v, back %.1f", slowest, r.RecoveryTime)
+	t.Logf("%d nodes with %d results each: opened and restored within %v; "+
+		"refused p99 %.1f ms, %.4f served, back to 0.95 after %.1f s",
+		nodes, results, slowest, r.RefusalP99, r.ServedShare, r.RecoveryTime)
+	// 24 nodes of that size need more than the six cores of the test machine, see docs/ROADMAP.md.
+	if slowest > 5*time.Second || r.RecoveryTime < 0 && !*fullSize {
+		t.Errorf("the slowest node took %v; recovery time %.1f s", slowest, r.RecoveryTime)
 	}
 }
 
-// fillResults writes so many results of an hour's life into a node's folder.
+// fillResults writes n results that expire in an hour into a store, as a result cache does.
 func fillResults(dir string, n int) error {
 	s, _, err := store.Open(dir, store.Options{Segment: 256 << 10})
 	if err != nil {
@@ -302,12 +316,14 @@
 		var b store.Batch
 		for i := from; i < min(from+500, n); i++ {
 			id := resultcache.RequestKey{Class: "pay", Tenant: "acme", Name: fmt.Sprintf("old%08d", i)}
-			facts, err := cbor.Marshal(map[int]any{1: resultcache.Result, 2: rules.Keyed, 3: id.Class, 4: id.Tenant, 5: id.Name,
-				6: fmt.Sprintf("%016x", i), 7: expires - 3_600_000, 8: int64(3_600_000), 9: expires, 10: int64(100)})
+			record, err := cbor.Marshal(map[int]any{
+				1: resultcache.Result, 2: rules.Keyed, 3: id.Class, 4: id.Tenant, 5: id.Name,
+				6: fmt.Sprintf("%016x", i), 7: expires - 3_600_000, 8: int64(3_600_000), 9: expires, 10: int64(100),
+			})
 			if err != nil {
 				return err
 			}
-			b.Put("m/"+id.Text(), facts, expires)
+			b.Put("m/"+id.Text(), record, expires)
 			b.Put("b/"+id.Text(), make([]byte, 100), expires)
 		}
 		if err := s.Apply(&b, store.Soon); err != nil {
@@ -317,8 +333,8 @@
 	return s.Close()
 }
 
-// Half of the files of a store are gone: what is left is served, identity or count of the
-// last mark tell that some is missing, and no keyed request runs again.
+// Half of the files of a node's store are missing. The node detects that by the store's identity or by the
+// key count of the last checkpoint, and no keyed request runs again.
 func TestHalfOfStoreFilesMissing(t *testing.T) {
 	opt := build(t)
 	opt.Keep = t.TempDir()
@@ -327,6 +343,6 @@
 	r := run(t, scenario(t, fmt.Sprintf(lostResults, 1, "on", "half")), opt)
 	log := nodeLog(t, opt.Keep, 0)
 	if r.RanAgainAfterRestart > 0 || !strings.Contains(log, "memory lost") {
-		t.Errorf("%d requests ran again; the node says %s", r.RanAgainAfterRestart, log)
+		t.Errorf("%d requests ran again; the node logged %s", r.RanAgainAfterRestart, log)
 	}
 }
--- a/internal/standin/fleet/shedding_test.go
+++ b/internal/standin/fleet/shedding_test.go
@@ -16,7 +16,7 @@
 
 var fullSize = flag.Bool("fleet.long", false, "play the rehearsals at full size: 24 nodes, 10 s")
 
-// classes of the rehearsals: as on the bench's first site, smaller.
+// twoClasses is a smaller form of the classes of the benchmark's first site.
 const twoClasses = `
 [class.script-step]
 share = 0.77
@@ -31,46 +31,48 @@
 deadline = 2s
 `
 
-// fleetView is GET /fleet, as an operator sees it.
+// fleetView is the part of a control service's GET /fleet that the tests read.
 type fleetView struct {
 	Nodes []struct {
 		Name, Follows, State string
 	}
 	Digest struct {
-		Nodes              int
-		Epoch              uint64
-		Drain, Demand, Cut float64
+		Nodes     int
+		Epoch     uint64
+		Threshold float64 `json:"cut"` // 0 = none
 	}
 }
 
-// fetch is what a control service says under a path, as an operator reads it.
+// fetch gets a JSON document from a control service.
 func fetch[T any](ctx context.Context, addr, path string) (v T, err error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
 	if err != nil {
 		return v, err
 	}
-	r, err := http.DefaultClient.Do(q)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return v, err
 	}
-	defer r.Body.Close()
-	return v, json.NewDecoder(r.Body).Decode(&v)
+	defer response.Body.Close()
+	return v, json.NewDecoder(response.Body).Decode(&v)
 }
 
-func view(ctx context.Context, addr string) (fleetView, error) {
+func fetchFleet(ctx context.Context, addr string) (fleetView, error) {
 	return fetch[fleetView](ctx, addr, "/fleet")
 }
 
-// watching looks at every control service ten times a second until stop is called.
-func pollServices(opt *Options, each func(ctx context.Context, service int, addr string, at time.Duration)) (stop func()) {
+// pollServices calls each for every control service ten times a second until stop is called.
+func pollServices(
+	opt *Options, each func(ctx context.Context, service int, addr string, at time.Duration),
+) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	var looking sync.WaitGroup
+	var polling sync.WaitGroup
 	opt.OnStarted = func(f *Fleet) {
 		began := time.Now()
 		for i, addr := range f.ControlAddrs() {
-			looking.Go(func() {
+			polling.Go(func() {
 				for ctx.Err() == nil {
 					each(ctx, i, addr, time.Since(began))
 					select {
@@ -81,14 +83,14 @@
 			})
 		}
 	}
-	return func() { cancel(); looking.Wait() }
+	return func() { cancel(); polling.Wait() }
 }
 
-// watch looks at the fleet's view all the while, from outside.
+// pollFleet runs a scenario and passes each view of the fleet that a control service publishes meanwhile.
 func pollFleet(t *testing.T, s *Scenario, opt Options, each func(at time.Duration, v fleetView)) *Report {
 	t.Helper()
 	stop := pollServices(&opt, func(ctx context.Context, _ int, addr string, at time.Duration) {
-		if v, err := view(ctx, addr); err == nil {
+		if v, err := fetchFleet(ctx, addr); err == nil {
 			each(at, v)
 		}
 	})
@@ -97,21 +99,21 @@
 	return r
 }
 
-// Told: while the fleet gets twice what it can do there is a cut, every node that
-// asks follows it, and it is gone soon after; before it there is none. A node of
-// the old kind beside them is served all the same.
+// While the offered load is twice the capacity, the control service publishes a shedding threshold and
+// all nodes follow it. Before the overload and soon after it there is none.
 func TestThresholdFollowsOverload(t *testing.T) {
-	s := scenario(t, "[fleet]\nnodes = 3\ncores = 2\nseconds = 9\ntogether = told\ncontrol = 1\n[load]\nsteps = 0s 0.5, 3s 2, 6s 0.5\n[dispatchers]\nwalk = 2\nheed = 0\n"+twoClasses)
+	s := scenario(t, "[fleet]\nnodes = 3\ncores = 2\nseconds = 9\ntogether = told\ncontrol = 1\n"+
+		"[load]\nsteps = 0s 0.5, 3s 2, 6s 0.5\n[dispatchers]\nwalk = 2\nheed = 0\n"+twoClasses)
 	var mu sync.Mutex
-	var early, during, late, follow int
+	var early, during, late, allFollow int
 	r := pollFleet(t, s, build(t), func(at time.Duration, v fleetView) {
 		mu.Lock()
 		defer mu.Unlock()
-		cut := v.Digest.Cut > 0
+		overloaded := v.Digest.Threshold > 0
 		switch {
-		case at < 2900*time.Millisecond && cut:
+		case at < 2900*time.Millisecond && overloaded:
 			early++
-		case at > 4500*time.Millisecond && at < 6*time.Second && cut:
+		case at > 4500*time.Millisecond && at < 6*time.Second && overloaded:
 			during++
 			n := 0
 			for _, node := range v.Nodes {
@@ -120,24 +122,25 @@
 				}
 			}
 			if n == 3 {
-				follow++
+				allFollow++
 			}
-		case at > 8*time.Second && cut:
+		case at > 8*time.Second && overloaded:
 			late++
 		}
 	})
-	if early > 0 || during < 8 || late > 0 || follow < 3 {
-		t.Errorf("seen with a cut: %d before, %d during, %d long after the overload; all followed it in %d", early, during, late, follow)
+	if early > 0 || during < 8 || late > 0 || allFollow < 3 {
+		t.Errorf("views with a threshold: %d before, %d during, %d after the overload; all nodes followed it in %d",
+			early, during, late, allFollow)
 	}
 	over, _ := r.Between(4, 6)
 	before, _ := r.Between(1, 3)
 	if over.Utility < 0.95*before.Utility {
-		t.Errorf("worth %.0f in 2 s at twice the capacity, %.0f at half of it", over.Utility, before.Utility)
+		t.Errorf("utility %.0f in 2 s at twice the capacity, %.0f at half of it", over.Utility, before.Utility)
 	}
 }
 
-// The service that tells is killed, and stopped, in the middle of an overload: the
-// nodes go on alone, service goes on, and its next life is followed again.
+// If the control service is killed during an overload, the nodes shed on their own and utility stays
+// about the same. After its restart they follow the digests of its new epoch.
 func TestControlServiceLost(t *testing.T) {
 	s := scenario(t, `
 [fleet]
@@ -158,7 +161,7 @@
 `+twoClasses)
 	var mu sync.Mutex
 	epochs := map[uint64]bool{}
-	again := 0
+	followedAgain := 0
 	r := pollFleet(t, s, build(t), func(at time.Duration, v fleetView) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -167,22 +170,21 @@
 		}
 		for _, n := range v.Nodes {
 			if at > 10*time.Second && n.Follows == "the cut" {
-				again++
+				followedAgain++
 			}
 		}
 	})
-	if len(epochs) != 2 || again == 0 {
-		t.Errorf("%d lives of the service were seen, its second is followed in %d looks", len(epochs), again)
+	if len(epochs) != 2 || followedAgain == 0 {
+		t.Errorf("%d epochs of the service, want 2; nodes followed the second %d times", len(epochs), followedAgain)
 	}
 	with, _ := r.Between(2, 4)
 	without, _ := r.Between(6, 8)
 	if without.Utility < 0.85*with.Utility {
-		t.Errorf("worth %.0f in 2 s while told, %.0f while the teller is away", with.Utility, without.Utility)
+		t.Errorf("utility %.0f in 2 s with the control service, %.0f without", with.Utility, without.Utility)
 	}
 }
 
-// Digests 2 s late are taken for what they are, old: trust falls, nobody follows
-// what no longer holds, and service is as if alone.
+// Digests that arrive 2.6 s late have expired, so no node follows them.
 func TestDigestsComeLate(t *testing.T) {
 	s := scenario(t, `
 [fleet]
@@ -201,31 +203,31 @@
 delay = 1300ms
 `+twoClasses)
 	var mu sync.Mutex
-	followed, looks := 0, 0
+	followed, views := 0, 0
 	pollFleet(t, s, build(t), func(at time.Duration, v fleetView) {
 		mu.Lock()
 		defer mu.Unlock()
 		if at < 6*time.Second {
 			return
 		}
-		looks++
+		views++
 		for _, n := range v.Nodes {
 			if n.Follows == "the cut" || n.Follows == "an older cut" {
 				followed++
 			}
 		}
 	})
-	if looks == 0 || followed > 0 {
-		t.Errorf("in %d looks %d nodes followed a digest that was 2.6 s old when it came", looks, followed)
+	if views == 0 || followed > 0 {
+		t.Errorf("in %d views nodes followed %d times a digest that was 2.6 s old on arrival", views, followed)
 	}
 }
 
-// Nodes that lose the control service together come back spread out, and make
-// fewer tries than a pace that doubles to 0.7 s would.
+// Nodes that lose the control service at the same moment reconnect spread over time, so that they cause
+// no connection storm.
 func TestNodesReconnectSpread(t *testing.T) {
-	nodes, away, least := 6, 4, 300*time.Millisecond
+	nodes, outage, minSpread := 6, 4, 300*time.Millisecond // outage in seconds
 	if *fullSize {
-		nodes, away, least = 24, 10, 2*time.Second
+		nodes, outage, minSpread = 24, 10, 2*time.Second
 	}
 	s := scenario(t, fmt.Sprintf(`
 [fleet]
@@ -240,18 +242,18 @@
 for = %ds
 what = kill
 on = control
-`, nodes, away+6, away))
+`, nodes, outage+6, outage))
 	opt := build(t)
 	opt.Keep = t.TempDir()
 	run(t, s, opt)
 	spread := reconnectSpread(t, opt.Keep, nodes)
-	if spread < least {
-		t.Errorf("%d nodes came back within %v", nodes, spread)
+	if spread < minSpread {
+		t.Errorf("%d nodes reconnected within %v, want at least %v", nodes, spread, minSpread)
 	}
-	t.Logf("%d nodes came back within %v", nodes, spread)
+	t.Logf("%d nodes reconnected within %v", nodes, spread)
 }
 
-// returned is within what time all nodes said that their reports are taken again.
+// reconnectSpread returns the time between the first and the last node's reconnect, by their logs.
 func reconnectSpread(t *testing.T, dir string, nodes int) time.Duration {
 	t.Helper()
 	stamp := regexp.MustCompile(`time=(\S+) .*reports to the control service are taken again`)
@@ -266,14 +268,14 @@
 		}
 	}
 	if len(reconnects) < nodes {
-		t.Fatalf("%d of %d nodes came back", len(reconnects), nodes)
+		t.Fatalf("%d of %d nodes reconnected", len(reconnects), nodes)
 	}
 	slices.SortFunc(reconnects, func(a, b time.Time) int { return a.Compare(b) })
 	return reconnects[len(reconnects)-1].Sub(reconnects[0])
 }
 
-// Refused first tries hear so at once, instead of being held in vain: with the
-// defence switched off the same night fails this.
+// First tries that would exceed the queue timeout are refused at once instead of waiting in the queue.
+// Without load shedding the same scenario refuses clearly fewer of them promptly.
 func TestRefusedPromptly(t *testing.T) {
 	play := func(together string) *Report {
 		return run(t, scenario(t, "[fleet]\nnodes = 3\ncores = 2\nseconds = 7\ntogether = "+together+
@@ -281,20 +283,21 @@
 	}
 	with, without := play("alone"), play("off")
 	if with.PromptRefusalShare < 0.75 {
-		t.Errorf("%.3f of the refused first tries heard so within 20 ms", with.PromptRefusalShare)
+		t.Errorf("%.3f of the refused first tries were answered within 20 ms", with.PromptRefusalShare)
 	}
 	if without.PromptRefusalShare > with.PromptRefusalShare-0.15 {
-		t.Errorf("%.3f did with the defence switched off, %.3f with it: this test shows nothing", without.PromptRefusalShare, with.PromptRefusalShare)
+		t.Errorf("%.3f refused promptly without load shedding, %.3f with it: the scenario shows no difference",
+			without.PromptRefusalShare, with.PromptRefusalShare)
 	}
 	a, _ := with.Between(2, 7)
 	b, _ := without.Between(2, 7)
 	if a.Utility < 0.97*b.Utility {
-		t.Errorf("worth %.0f with the defence, %.0f without", a.Utility, b.Utility)
+		t.Errorf("utility %.0f with load shedding, %.0f without", a.Utility, b.Utility)
 	}
 }
 
-// One node is full while the others have room: walks are not ended, and what fits
-// is served, alone and told.
+// While one node is overloaded and the others have capacity, its refusals do not stop retries and all
+// requests are served, without and with digests.
 func TestOneNodeOverloaded(t *testing.T) {
 	for _, together := range []string{"alone", "told"} {
 		t.Run(together, func(t *testing.T) {
@@ -311,27 +314,27 @@
 on = nodes:1
 `+twoClasses), build(t))
 			if r.Tally.Tries[refused] < 10 {
-				t.Fatalf("%d tries were refused: nothing was full", r.Tally.Tries[refused])
+				t.Fatalf("%d tries were refused: the node was not overloaded", r.Tally.Tries[refused])
 			}
-			lost := 0
-			for e, n := range r.Tally.Requests {
-				if outcome(e) != served {
-					lost += n
+			notServed := 0
+			for i, n := range r.Tally.Requests {
+				if outcome(i) != served {
+					notServed += n
 				}
 			}
-			if share := float64(lost) / float64(r.Tally.Started); share > 0.001 {
-				t.Errorf("%d of %d requests were not served", lost, r.Tally.Started)
+			if share := float64(notServed) / float64(r.Tally.Started); share > 0.001 {
+				t.Errorf("%d of %d requests were not served", notServed, r.Tally.Started)
 			}
-			if ended := float64(r.Tally.StoppedRetries) / float64(r.Tally.Tries[refused]); ended > 0.1 {
-				t.Errorf("%.2f of the refusals ended a walk", ended)
+			if stopped := float64(r.Tally.StoppedRetries) / float64(r.Tally.Tries[refused]); stopped > 0.1 {
+				t.Errorf("%.2f of the refusals stopped retries", stopped)
 			}
 		})
 	}
 }
 
-// Two services, and a fleet cut in halves of which each hears one: for so long each
-// service's digest holds the half that reaches it, and both halves go on being told;
-// healed, each holds all again. A service that hangs delays no report to the other.
+// A network partition leaves each half of the nodes with one of two control services. Each service's
+// digest then covers the half that reaches it, and both halves follow digests. After the partition each
+// covers all nodes again.
 func TestHalvesAreToldApart(t *testing.T) {
 	s := scenario(t, `
 [fleet]
@@ -357,26 +360,26 @@
 `+twoClasses)
 	opt := build(t)
 	var mu sync.Mutex
-	halves, whole, full, nobody := [2]int{}, [2]int{}, 0, 0
+	halves, whole, views, notFollowed := [2]int{}, [2]int{}, 0, 0 // halves and whole by service
 	stop := pollServices(&opt, func(ctx context.Context, i int, addr string, at time.Duration) {
-		v, err := view(ctx, addr)
+		v, err := fetchFleet(ctx, addr)
 		mu.Lock()
 		defer mu.Unlock()
 		switch {
 		case err != nil:
-		case at > 7*time.Second && at < 9*time.Second: // words of before have aged out
-			full++
+		case at > 7*time.Second && at < 9*time.Second: // load reports from before the partition have expired
+			views++
 			if v.Digest.Nodes == 2 {
 				halves[i]++
 			}
-			told := 0
+			follow := 0
 			for _, n := range v.Nodes {
 				if n.Follows == "the cut" {
-					told++
+					follow++
 				}
 			}
-			if told < 2 && v.Digest.Cut > 0 {
-				nobody++
+			if follow < 2 && v.Digest.Threshold > 0 {
+				notFollowed++
 			}
 		case at > 13*time.Second && v.Digest.Nodes == 4:
 			whole[i]++
@@ -384,21 +387,22 @@
 	})
 	r := run(t, s, opt)
 	stop()
-	if halves[0]+halves[1] < full*9/10 || halves[0] == 0 || halves[1] == 0 || nobody > full/3 {
-		t.Errorf("of %d looks at halves %v held just their own, in %d the half did not follow", full, halves, nobody)
+	if halves[0]+halves[1] < views*9/10 || halves[0] == 0 || halves[1] == 0 || notFollowed > views/3 {
+		t.Errorf("of %d views in the partition %v covered only the service's own half, in %d it did not follow",
+			views, halves, notFollowed)
 	}
 	if whole[0] == 0 || whole[1] == 0 {
-		t.Errorf("healed, %v looks held all", whole)
+		t.Errorf("after the partition, views of all nodes by service: %v", whole)
 	}
 	before, _ := r.Between(1, 3)
 	during, _ := r.Between(5, 9)
 	if during.Utility/4 < 0.85*before.Utility/2 {
-		t.Errorf("worth %.0f a second in halves, %.0f before", during.Utility/4, before.Utility/2)
+		t.Errorf("utility %.0f a second in the partition, %.0f before", during.Utility/4, before.Utility/2)
 	}
 }
 
-// Half of the nodes are older programs without [together]: all rules hold, and the
-// fleet serves as much as one that is all of a kind, within what chance does.
+// With half of the nodes lacking [together], as older programs do, the fleet serves nearly all the utility
+// that its cores can deliver.
 func TestNodesWithoutShedding(t *testing.T) {
 	r := run(t, scenario(t, `
 [fleet]
@@ -415,14 +419,15 @@
 `+twoClasses), build(t))
 	over, _ := r.Between(4, 8)
 	if rate := over.Utility / 4; rate < 0.95*r.Capacity*1.23 {
-		t.Errorf("worth %.0f a second at twice the capacity, all cores are worth %.0f", rate, r.Capacity*1.23)
+		t.Errorf("utility %.0f a second at twice the capacity, all cores can deliver %.0f", rate, r.Capacity*1.23)
 	}
 }
 
-// A liar among the nodes, and the word of a dead incarnation, make no cut where the
-// fleet has room, and keep none from anybody.
+// False load reports, from an unknown node and from an old incarnation of a known one, cause no shedding
+// threshold while the fleet has capacity.
 func TestFalseLoadReports(t *testing.T) {
-	s := scenario(t, "[fleet]\nnodes = 3\ncores = 1\nseconds = 6\ncontrol = 1\ntogether = told\n[load]\nsteps = 0s 0.5\n"+twoClasses)
+	s := scenario(t, "[fleet]\nnodes = 3\ncores = 1\nseconds = 6\ncontrol = 1\ntogether = told\n"+
+		"[load]\nsteps = 0s 0.5\n"+twoClasses)
 	opt := build(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -432,21 +437,24 @@
 		addr := f.ControlAddrs()[0]
 		reporting.Go(func() {
 			for seq := 1; ctx.Err() == nil; seq++ {
-				for name, inc := range map[string]int{"liar": 9, "n1": 1} { // n1's is of a life long past
-					body := fmt.Sprintf(`{"addr":"127.0.0.1:9","incarnation":%d,"seq":%d,"phase":"up","healthy":true,"warm":1,"limit":1,`+
-						`"together":{"drain":0.001,"short":1,"demand":{"80":1000000},"ask":true}}`, inc, seq)
-					q, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+addr+"/nodes/"+name, strings.NewReader(body))
+				for name, incarnation := range map[string]int{"unknown": 9, "n1": 1} { // an old incarnation of n1
+					body := fmt.Sprintf(`{"addr":"127.0.0.1:9","incarnation":%d,"seq":%d,"phase":"up","healthy":true,`+
+						`"warm":1,"limit":1,"together":{"drain":0.001,"short":1,"demand":{"80":1000000},"ask":true}}`,
+						incarnation, seq)
+					request, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+addr+"/nodes/"+name,
+						strings.NewReader(body))
 					if err != nil {
 						return
 					}
-					if r, err := http.DefaultClient.Do(q); err == nil {
-						if r.StatusCode == http.StatusOK {
+					if response, err := http.DefaultClient.Do(request); err == nil {
+						if response.StatusCode == http.StatusOK {
 							accepted++
 						}
-						r.Body.Close()
+						response.Body.Close()
 					}
 				}
-				if v, err := view(ctx, addr); err == nil && v.Digest.Cut > 0 && seq > 20 { // the others have spoken
+				// From 2 s on the digest includes the reports of the real nodes.
+				if v, err := fetchFleet(ctx, addr); err == nil && v.Digest.Threshold > 0 && seq > 20 {
 					thresholds++
 				}
 				select {
@@ -460,12 +468,12 @@
 	cancel()
 	reporting.Wait()
 	if accepted < 10 {
-		t.Fatalf("%d lies were taken: nobody lied", accepted)
+		t.Fatalf("only %d false reports were accepted", accepted)
 	}
 	if thresholds > 0 {
-		t.Errorf("a cut was seen %d times", thresholds)
+		t.Errorf("%d views had a threshold", thresholds)
 	}
 	if r.ServedShare < 0.999 {
-		t.Errorf("%.4f served at half of what fits", r.ServedShare)
+		t.Errorf("%.4f served at half of the capacity", r.ServedShare)
 	}
 }
