--- a/internal/standin/fleet/recovery_test.go
+++ b/internal/standin/fleet/recovery_test.go
@@ -140,7 +140,7 @@
 steps = 0s 0.9
 [dispatchers]
 walk = 5
-[fault.night]
+[fault.killed]
 at = 4s
 for = 1s
 what = kill
