--- a/internal/standin/fleet/fleet_test.go
+++ b/internal/standin/fleet/fleet_test.go
@@ -23,12 +23,13 @@
 	err  error
 }
 
-// build builds the programs once for all tests of the package.
+// build builds the programs, once for all tests of the package, and returns the options to run them.
 func build(t *testing.T) Options {
 	t.Helper()
 	programs.once.Do(func() {
 		if programs.dir, programs.err = os.MkdirTemp("", "robinmast-programs-"); programs.err == nil {
-			out, err := exec.Command("go", "build", "-o", programs.dir, "../../../cmd/robinmast", "../../../cmd/robinmast-control").CombinedOutput()
+			out, err := exec.Command("go", "build", "-o", programs.dir,
+				"../../../cmd/robinmast", "../../../cmd/robinmast-control").CombinedOutput()
 			if err != nil {
 				programs.err = fmt.Errorf("%w: %s", err, out)
 			}
@@ -37,7 +38,9 @@
 	if programs.err != nil {
 		t.Fatal(programs.err)
 	}
-	return Options{Node: filepath.Join(programs.dir, "robinmast"), Control: filepath.Join(programs.dir, "robinmast-control")}
+	return Options{
+		Node: filepath.Join(programs.dir, "robinmast"), Control: filepath.Join(programs.dir, "robinmast-control"),
+	}
 }
 
 func TestMain(m *testing.M) {
@@ -46,7 +49,7 @@
 	os.Exit(code)
 }
 
-// scenario parses what a test plays.
+// scenario parses the text of a scenario.
 func scenario(t *testing.T, text string) *Scenario {
 	t.Helper()
 	s, err := Parse(t.Name(), []byte(text))
@@ -56,7 +59,7 @@
 	return s
 }
 
-// run plays a scenario; a broken rule fails the test.
+// run plays a scenario. A violated rule fails the test.
 func run(t *testing.T, s *Scenario, opt Options) *Report {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(s.Fleet.Seconds+60)*time.Second)
@@ -74,7 +77,7 @@
 	return r
 }
 
-// Every fault of a link does what its name says, and healing it lets bytes pass again.
+// Each fault of a link has its effect, and after its end a new connection works.
 func TestLinkFaults(t *testing.T) {
 	echo := standin.Listen(t)
 	go func() {
@@ -86,8 +89,8 @@
 			go func() { defer c.Close(); _, _ = io.Copy(c, c) }()
 		}
 	}()
-	ask := func(c net.Conn, text string, most time.Duration) (string, error) {
-		_ = c.SetDeadline(time.Now().Add(most))
+	exchange := func(c net.Conn, text string, timeout time.Duration) (string, error) {
+		_ = c.SetDeadline(time.Now().Add(timeout))
 		if _, err := io.WriteString(c, text); err != nil {
 			return "", err
 		}
@@ -95,59 +98,60 @@
 		n, err := io.ReadFull(c, b)
 		return string(b[:n]), err
 	}
-	timedOut := func(err error) bool { var ne net.Error; return errors.As(err, &ne) && ne.Timeout() }
+	isTimeout := func(err error) bool { var ne net.Error; return errors.As(err, &ne) && ne.Timeout() }
 	for _, c := range []struct {
 		name   string
 		faults Faults
 		check  func(t *testing.T, l *Link, old net.Conn)
 	}{
 		{"cut", Faults{CutUp: true, CutDown: true}, func(t *testing.T, l *Link, old net.Conn) {
-			if _, err := ask(old, "lost", 60*time.Millisecond); !timedOut(err) {
-				t.Errorf("bytes passed a cut link: %v", err)
+			if _, err := exchange(old, "lost", 60*time.Millisecond); !isTimeout(err) {
+				t.Errorf("bytes passed a link that is cut: %v", err)
 			}
-			l.Set(Faults{})
-			b := make([]byte, 4) // what was under way arrives once the link is whole
+			l.SetFaults(Faults{})
+			b := make([]byte, 4) // bytes in transit arrive when the fault ends
 			_ = old.SetDeadline(time.Now().Add(2 * time.Second))
 			if _, err := io.ReadFull(old, b); err != nil || string(b) != "lost" {
-				t.Errorf("after healing: %q, %v", b, err)
+				t.Errorf("after the fault: %q, %v", b, err)
 			}
 		}},
 		{"cut one way", Faults{CutDown: true}, func(t *testing.T, l *Link, old net.Conn) {
-			if _, err := ask(old, "gone", 60*time.Millisecond); !timedOut(err) {
-				t.Errorf("an answer passed: %v", err)
+			if _, err := exchange(old, "gone", 60*time.Millisecond); !isTimeout(err) {
+				t.Errorf("bytes passed a direction that is cut: %v", err)
 			}
 		}},
 		{"delay", Faults{Delay: 60 * time.Millisecond, Jitter: 20 * time.Millisecond}, func(t *testing.T, l *Link, old net.Conn) {
 			began := time.Now()
-			if _, err := ask(old, "slow", 2*time.Second); err != nil || time.Since(began) < 120*time.Millisecond {
-				t.Errorf("an answer after %v, %v", time.Since(began), err)
+			if _, err := exchange(old, "slow", 2*time.Second); err != nil || time.Since(began) < 120*time.Millisecond {
+				t.Errorf("answered after %v, %v; want at least 120 ms", time.Since(began), err)
 			}
 		}},
-		{"throttle", Faults{Rate: 10_000}, func(t *testing.T, l *Link, old net.Conn) {
+		{"throttle", Faults{BytesPerSecond: 10_000}, func(t *testing.T, l *Link, old net.Conn) {
 			began := time.Now()
-			if _, err := ask(old, strings.Repeat("x", 2000), 5*time.Second); err != nil || time.Since(began) < 300*time.Millisecond {
-				t.Errorf("2,000 bytes both ways at 10,000 a second took %v, %v", time.Since(began), err)
+			_, err := exchange(old, strings.Repeat("x", 2000), 5*time.Second)
+			if err != nil || time.Since(began) < 300*time.Millisecond {
+				t.Errorf("2,000 bytes each way at 10,000 a second took %v, %v", time.Since(began), err)
 			}
 		}},
-		{"mid message", Faults{After: 3} /* one has passed before */, func(t *testing.T, l *Link, old net.Conn) {
-			if got, err := ask(old, "halves", 100*time.Millisecond); got != "ha" || !timedOut(err) {
+		{"mid message", Faults{StopAfter: 3} /* one byte has passed already */, func(t *testing.T, l *Link, old net.Conn) {
+			if got, err := exchange(old, "halves", 100*time.Millisecond); got != "ha" || !isTimeout(err) {
 				t.Errorf("got %q, %v", got, err)
 			}
 		}},
 		{"reset", Faults{Reset: true}, func(t *testing.T, l *Link, old net.Conn) {
-			if _, err := ask(old, "late", time.Second); err == nil || timedOut(err) {
+			if _, err := exchange(old, "late", time.Second); err == nil || isTimeout(err) {
 				t.Errorf("an open connection: %v", err)
 			}
 			if c, err := net.Dial("tcp", l.Addr()); err == nil {
-				if _, err := ask(c, "new", time.Second); err == nil || timedOut(err) {
+				if _, err := exchange(c, "new", time.Second); err == nil || isTimeout(err) {
 					t.Errorf("a new connection: %v", err)
 				}
 				c.Close()
 			}
 		}},
 		{"half open", Faults{HalfOpen: true}, func(t *testing.T, l *Link, old net.Conn) {
-			if _, err := ask(old, "dead", 60*time.Millisecond); !timedOut(err) {
-				t.Errorf("the near side was told: %v", err)
+			if _, err := exchange(old, "dead", 60*time.Millisecond); !isTimeout(err) {
+				t.Errorf("the client was notified: %v", err)
 			}
 		}},
 	} {
@@ -162,30 +166,32 @@
 				t.Fatal(err)
 			}
 			defer conn.Close()
-			if got, err := ask(conn, "a", time.Second); got != "a" || err != nil {
+			if got, err := exchange(conn, "a", time.Second); got != "a" || err != nil {
 				t.Fatalf("before the fault: %q, %v", got, err)
 			}
-			l.Set(c.faults)
+			l.SetFaults(c.faults)
 			c.check(t, l, conn)
-			l.Set(Faults{})
+			l.SetFaults(Faults{})
 			after, err := net.Dial("tcp", l.Addr())
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer after.Close()
-			if got, err := ask(after, "well", 2*time.Second); got != "well" || err != nil {
-				t.Errorf("a new connection after healing: %q, %v", got, err)
+			if got, err := exchange(after, "well", 2*time.Second); got != "well" || err != nil {
+				t.Errorf("a new connection after the fault: %q, %v", got, err)
 			}
 		})
 	}
 }
 
-// A schedule replays by its seed, and another seed is another night.
-func TestScheduleReplays(t *testing.T) {
+// The same seed gives the same schedule and another seed another one; the load is as set.
+func TestScheduleDependsOnSeed(t *testing.T) {
 	digest := func(seed uint64) string {
 		s := Defaults()
 		s.Name, s.Fleet.Seed = "x", seed
-		s.Classes = []ClassPart{{Name: "a", Share: 1, Ms: 20, Worth: 1, Aim: time.Second, Deadline: time.Second, Effect: "safe"}}
+		s.Classes = []ClassSection{{
+			Name: "a", Share: 1, WorkMs: 20, Utility: 1, LatencyTarget: time.Second, Deadline: time.Second, Effect: "safe",
+		}}
 		if err := s.Check(); err != nil {
 			t.Fatal(err)
 		}
@@ -196,7 +202,7 @@
 			}
 		}
 		if rate := float64(n) / float64(s.Fleet.Seconds) / s.capacity(); rate < 0.85 || rate > 0.95 {
-			t.Errorf("load %.3f, asked for 0.9", rate)
+			t.Errorf("load %.3f, want 0.9", rate)
 		}
 		return text
 	}
@@ -209,18 +215,18 @@
 	}
 }
 
-// A scenario that can't be played is told by file, line and key.
+// Errors of an invalid scenario name file, line and key. All scenarios in rehearsals are valid.
 func TestScenarioFaults(t *testing.T) {
 	for text, want := range map[string]string{
-		"[fleet]\nnodes = 99":                           "f.ini:2: [fleet] nodes: 99 is not within 1 and 24",
-		"[fleet]\nnods = 3":                             "f.ini:2: [fleet] nods: unknown key; there are nodes",
-		"[fleet]\nnodes = six":                          "f.ini:2: [fleet] nodes: \"six\" can't be read",
+		"[fleet]\nnodes = 99":                           "f.ini:2: [fleet] nodes: 99 is not between 1 and 24",
+		"[fleet]\nnods = 3":                             "f.ini:2: [fleet] nods: unknown key; valid keys are nodes",
+		"[fleet]\nnodes = six":                          "f.ini:2: [fleet] nodes: invalid value \"six\"",
 		"[flet]\n":                                      "f.ini:1: [flet]",
-		"[load]\nsteps = 0s 0.9, 1s":                    "f.ini:2: [load] steps: \"1s\" is no time and load",
-		"[fault.a]\nat = 1s\nwhat = kill\non = nodes:7": "f.ini:4: [fault.a] on: \"7\" is none of the 6 nodes",
-		"[fault.a]\nat = 1s\nwhat = cut\nlink = nodes":  "f.ini:4: [fault.a] link: \"nodes\" is no link",
-		"[fault.a]\nat = 1s\nfor=2s\ntimes=2\nevery=1s\nwhat = kill\non = nodes:1.0": "f.ini:5: [fault.a] every: 1s leaves no time",
-		"[fleet]\ntogether = told": "f.ini:2: [fleet] together: told needs control",
+		"[load]\nsteps = 0s 0.9, 1s":                    "f.ini:2: [load] steps: \"1s\" is not a time and a load",
+		"[fault.a]\nat = 1s\nwhat = kill\non = nodes:7": "f.ini:4: [fault.a] on: \"7\" is not one of the 6 nodes",
+		"[fault.a]\nat = 1s\nwhat = cut\nlink = nodes":  "f.ini:4: [fault.a] link: \"nodes\" is not a link",
+		"[fault.a]\nat = 1s\nfor=2s\ntimes=2\nevery=1s\nwhat = kill\non = nodes:1.0": "f.ini:5: [fault.a] every: 1s is too short",
+		"[fleet]\ntogether = told": "f.ini:2: [fleet] together: told requires control",
 		"[class.a]\nshare = 0.5":   "f.ini:2: [class.a] share: the classes' shares add up to 0.5",
 	} {
 		if _, err := Parse("f.ini", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
@@ -229,7 +235,7 @@
 	}
 	shipped, _ := filepath.Glob("../../../rehearsals/*.ini")
 	if len(shipped) == 0 {
-		t.Error("no rehearsals are shipped")
+		t.Error("there are no scenarios in rehearsals")
 	}
 	for _, path := range shipped {
 		if _, err := Load(path); err != nil {
@@ -238,14 +244,14 @@
 	}
 }
 
-// A fleet through a crash of a third, keyed work among it: all that the outside
-// view promises to count is counted, no rule is broken, and nothing is left behind.
-func TestCrashOfAThird(t *testing.T) {
+// A third of the nodes crash, with keyed requests in flight. The report shows the loss, no rule is violated
+// and no process is left behind.
+func TestThirdOfNodesCrash(t *testing.T) {
 	opt := build(t)
 	var pids []string
-	opt.Look = func(f *Fleet) {
+	opt.OnStarted = func(f *Fleet) {
 		for _, n := range f.nodes {
-			pids = append(pids, fmt.Sprint(n.child.cmd.Process.Pid))
+			pids = append(pids, fmt.Sprint(n.process.cmd.Process.Pid))
 		}
 	}
 	r := run(t, scenario(t, `
@@ -266,18 +272,19 @@
 what = kill
 on = nodes:0.333
 `), opt)
-	if r.During > 0.95*r.Before {
-		t.Errorf("worth %.0f a second during a crash of a third, %.0f before: it did not show", r.During, r.Before)
+	if r.UtilityDuring > 0.95*r.UtilityBefore {
+		t.Errorf("utility %.0f a second during the crash, %.0f before: no loss in the report",
+			r.UtilityDuring, r.UtilityBefore)
 	}
-	if n := r.Tally.Tries[cut] + r.Tally.Tries[unreachable]; n == 0 {
-		t.Error("nobody noticed the crash")
+	if n := r.Tally.Tries[connectionLost] + r.Tally.Tries[unreachable]; n == 0 {
+		t.Error("no try was affected by the crash")
 	}
 	sum := 0
 	for _, n := range r.Tally.Requests {
 		sum += n
 	}
-	if sum == 0 || sum > r.Tally.Asked {
-		t.Errorf("%d requests ended of %d", sum, r.Tally.Asked)
+	if sum == 0 || sum > r.Tally.Started {
+		t.Errorf("%d requests ended of %d started", sum, r.Tally.Started)
 	}
 	for _, pid := range pids {
 		if _, err := os.Stat("/proc/" + pid); err == nil {
@@ -286,32 +293,33 @@
 	}
 }
 
-// The outside view sees what it is there for: a report with faults in it says so.
-func TestReportTellsWhatBroke(t *testing.T) {
-	r := &Report{Tally: tally{Lost: 1, Twice: 2}, RanTwice: 3}
-	if got := strings.Join(r.Broken(), "; "); !strings.Contains(got, "1 tries") || !strings.Contains(got, "2 answers") || !strings.Contains(got, "3 keyed") {
-		t.Errorf("told %q", got)
+// A report lists violated rules, and measures utility and recovery around faults.
+func TestReportViolations(t *testing.T) {
+	r := &Report{Tally: tally{Unanswered: 1, DuplicateAnswers: 2}, RanTwice: 3}
+	got := strings.Join(r.Broken(), "; ")
+	if !strings.Contains(got, "1 tries") || !strings.Contains(got, "2 answers") || !strings.Contains(got, "3 keyed") {
+		t.Errorf("violations: %q", got)
 	}
-	r = &Report{Marks: []Mark{{At: 1, On: true}, {At: 2}}}
-	for i := range 50 { // 10 a slice, nothing from 1 to 3.5 s, then all again
-		r.slices = append(r.slices, map[bool]float64{true: 0, false: 10}[i >= 10 && i < 35])
+	r = &Report{FaultMarks: []FaultMark{{At: 1, On: true}, {At: 2}}}
+	for i := range 50 { // utility 10 in each sample, none from 1 to 3.5 s
+		r.samples = append(r.samples, map[bool]float64{true: 0, false: 10}[i >= 10 && i < 35])
 	}
-	if r.back(); r.Back != 1.5 || r.Before != 100 || r.During != 0 {
-		t.Errorf("back after %v s, before %v, during %v", r.Back, r.Before, r.During)
+	if r.measureRecovery(); r.RecoveryTime != 1.5 || r.UtilityBefore != 100 || r.UtilityDuring != 0 {
+		t.Errorf("recovery time %v s, utility before %v, during %v", r.RecoveryTime, r.UtilityBefore, r.UtilityDuring)
 	}
 }
 
-// A child's port is given to nobody else while it is away, and the child can have it.
-func TestHeldPorts(t *testing.T) {
-	addr, held, err := holdAddr()
+// A process can listen on its reserved port again and again; while it is down nobody else does.
+func TestReservedPorts(t *testing.T) {
+	addr, held, err := reserveAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer held.Close()
-	for range 2 { // it may come back
+	for range 2 { // the second time as after a restart
 		ln, err := net.Listen("tcp", addr)
 		if err != nil {
-			t.Fatalf("a held port can't be listened on: %v", err)
+			t.Fatalf("listen on a reserved port: %v", err)
 		}
 		if err := ln.Close(); err != nil {
 			t.Fatal(err)
@@ -319,26 +327,27 @@
 	}
 	if c, err := net.Dial("tcp", addr); err == nil {
 		c.Close()
-		t.Error("somebody listens on a held port")
+		t.Error("a connection to a reserved port was accepted")
 	}
 }
 
-// A rehearsal that is cut short says so, and leaves no child and no folder behind.
-func TestCutShort(t *testing.T) {
+// A cancelled rehearsal returns the context's error, and leaves no process and no folder behind.
+func TestCancelledRun(t *testing.T) {
 	opt := build(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var f *Fleet
 	var pids []string
-	opt.Look = func(x *Fleet) {
+	opt.OnStarted = func(x *Fleet) {
 		f = x
 		for _, n := range x.nodes {
-			pids = append(pids, fmt.Sprint(n.child.cmd.Process.Pid))
+			pids = append(pids, fmt.Sprint(n.process.cmd.Process.Pid))
 		}
 		time.AfterFunc(500*time.Millisecond, cancel)
 	}
-	if _, err := Run(ctx, scenario(t, "[fleet]\nnodes = 2\ncores = 1\nseconds = 60\ncontrol = 1\n"), opt); !errors.Is(err, context.Canceled) {
-		t.Errorf("a rehearsal that was cut short ended with %v", err)
+	s := scenario(t, "[fleet]\nnodes = 2\ncores = 1\nseconds = 60\ncontrol = 1\n")
+	if _, err := Run(ctx, s, opt); !errors.Is(err, context.Canceled) {
+		t.Errorf("cancelled rehearsal: %v", err)
 	}
 	for _, pid := range pids {
 		if _, err := os.Stat("/proc/" + pid); err == nil {
