--- a/cmd/robinmastctl/try_load.go
+++ b/cmd/robinmastctl/try_load.go
@@ -49,7 +49,7 @@
 		if now := int(time.Since(start) / time.Second); now > elapsed {
 			cpu := t.nodeCPU()
 			s := second{At: elapsed + 1, Phase: phase, NodeCPU: max((cpu - previousCPU).Seconds(), 0)}
-			running, _, busy := t.pool.State()
+			running, _, busy := t.pool.Load()
 			t.mu.Lock()
 			s.Outcomes, previous = t.outcomes.minus(previous), t.outcomes
 			s.Busy, s.Running, s.Queued = busy, running, max(t.open-running, 0)
@@ -98,7 +98,7 @@
 		t.mu.Lock()
 		runs := t.runs[request.Unique]
 		switch {
-		case errors.Is(err, platform.ErrGone):
+		case errors.Is(err, platform.ErrConnectionClosed):
 			t.outcomes.ConnectionLost++
 		case err != nil:
 			t.outcomes.NotConnected++
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -256,14 +256,14 @@
 		inc := uint64(1001 + round)
 		good := g.startProxy(fmt.Sprint("good ", delta), delta, nil)
 		silent := g.startProxy(fmt.Sprint("never answers ", delta), delta, func(p *proxy.Proxy) {
-			p.Faults.NeverAnswers = true
+			p.Faults.NeverAcknowledges = true
 		})
 		g.startProxy(fmt.Sprint("reads nothing ", delta), delta, func(p *proxy.Proxy) {
-			p.Faults.Gate = func(ctx context.Context) { <-ctx.Done() }
+			p.Faults.BeforeRead = func(ctx context.Context) { <-ctx.Done() }
 		})
-		rejects := g.startProxy(fmt.Sprint("rejects ", delta), delta, func(p *proxy.Proxy) { p.Faults.Rejects = eds })
-		reconnects := g.startProxy(fmt.Sprint("cuts ", delta), delta, func(p *proxy.Proxy) { p.Faults.CutAfter = 1 })
-		forgets := g.startProxy(fmt.Sprint("forgets ", delta), delta, func(p *proxy.Proxy) { p.Faults.Forget = true })
+		rejects := g.startProxy(fmt.Sprint("rejects ", delta), delta, func(p *proxy.Proxy) { p.Faults.RejectedType = eds })
+		reconnects := g.startProxy(fmt.Sprint("cuts ", delta), delta, func(p *proxy.Proxy) { p.Faults.CloseStreamAfter = 1 })
+		forgets := g.startProxy(fmt.Sprint("forgets ", delta), delta, func(p *proxy.Proxy) { p.Faults.UnknownVersions = true })
 		g.awaitState(5, "healthy")
 		g.awaitView("the first view", good, silent, reconnects, forgets)
 		for i := range 50 {
--- a/internal/standin/fleet/dispatcher.go
+++ b/internal/standin/fleet/dispatcher.go
@@ -133,16 +133,16 @@
 	usable := n.conns[:0]
 	for _, c := range n.conns {
 		if !c.Usable() {
-			d.fleet.record(func(t *tally) { t.DuplicateAnswers += c.Twice() })
+			d.fleet.record(func(t *tally) { t.DuplicateAnswers += c.DuplicateAnswers() })
 			continue
 		}
 		usable = append(usable, c)
-		if best == nil || c.Room() > best.Room() {
+		if best == nil || c.AvailableRequests() > best.AvailableRequests() {
 			best = c
 		}
 	}
 	n.conns = usable
-	if best != nil && (best.Room() > 0 || len(n.conns)+n.dialing >= d.fleet.scenario.Dispatchers.MaxConnections) {
+	if best != nil && (best.AvailableRequests() > 0 || len(n.conns)+n.dialing >= d.fleet.scenario.Dispatchers.MaxConnections) {
 		d.mu.Unlock()
 		return best, nil
 	}
@@ -193,11 +193,11 @@
 	if answer.Word == "" {
 		return
 	}
-	if !math.IsNaN(answer.Value) {
-		n.loadFeedback, n.feedbackAt = answer.Value, now
+	if !math.IsNaN(answer.LoadFeedback) {
+		n.loadFeedback, n.feedbackAt = answer.LoadFeedback, now
 	}
-	if result == refused && d.followsAdvice && answer.Later > 0 {
-		if until := now.Add(min(answer.Later, d.fleet.scenario.Fleet.MaxRetryAfter)); until.After(n.avoidUntil) {
+	if result == refused && d.followsAdvice && answer.RetryAfter > 0 {
+		if until := now.Add(min(answer.RetryAfter, d.fleet.scenario.Fleet.MaxRetryAfter)); until.After(n.avoidUntil) {
 			n.avoidUntil = until
 		}
 	}
@@ -221,8 +221,8 @@
 		case result == served:
 			return result, 0
 		case result == refused:
-			retryAfter = answer.Later
-			if answer.GiveUp && d.followsAdvice {
+			retryAfter = answer.RetryAfter
+			if answer.StopRetrying && d.followsAdvice {
 				return result, retryAfter
 			}
 		case result != unreachable && request.class.Effect == "unsafe":
@@ -270,9 +270,9 @@
 			}
 			if result == refused {
 				switch {
-				case answer.GiveUp:
+				case answer.StopRetrying:
 					t.StoppedRetries++
-				case answer.Later > 0:
+				case answer.RetryAfter > 0:
 					t.RetryAfters++
 				}
 				if first {
@@ -311,7 +311,7 @@
 			return connectionLost, platform.Answer{} // the rehearsal ended, so this is not counted against the node
 		}
 		return timedOut, answer
-	case errors.Is(err, platform.ErrGone):
+	case errors.Is(err, platform.ErrConnectionClosed):
 		return connectionLost, answer
 	case err != nil:
 		return unreachable, answer
--- a/internal/standin/fleet/faults.go
+++ b/internal/standin/fleet/faults.go
@@ -136,7 +136,7 @@
 			f.record(func(t *tally) { t.Crashes++ })
 		}
 	case fault.Kind == "hang":
-		node.pool.Pause(on)
+		node.pool.SetPaused(on)
 		fallthrough
 	case fault.Kind == "stop":
 		node.process.signal(map[bool]syscall.Signal{true: syscall.SIGSTOP, false: syscall.SIGCONT}[on])
@@ -145,9 +145,9 @@
 	case fault.Kind == "squeeze":
 		node.process.unthrottle()
 	case fault.Kind == "slow" && on:
-		node.pool.Slow(fault.Factor)
+		node.pool.SetSlowdown(fault.Factor)
 	case fault.Kind == "slow":
-		node.pool.Slow(1)
+		node.pool.SetSlowdown(1)
 	}
 }
 
--- a/internal/standin/fleet/node.go
+++ b/internal/standin/fleet/node.go
@@ -162,7 +162,7 @@
 		return err
 	}
 	if cold {
-		node.pool.Cold(f.scenario.Fleet.ColdSpeed, f.scenario.Fleet.WarmUpTime)
+		node.pool.StartCold(f.scenario.Fleet.ColdSpeed, f.scenario.Fleet.WarmUpTime)
 	}
 	node.poolLink.SetTarget(node.pool.Addr())
 	return nil
--- a/internal/standin/fleet/report.go
+++ b/internal/standin/fleet/report.go
@@ -206,7 +206,7 @@
 	for _, d := range f.dispatchers {
 		for i := range d.nodes {
 			for _, c := range d.nodes[i].conns {
-				report.Tally.DuplicateAnswers += c.Twice()
+				report.Tally.DuplicateAnswers += c.DuplicateAnswers()
 				c.Close()
 			}
 		}
