--- a/cmd/robinmast/pools_test.go
+++ b/cmd/robinmast/pools_test.go
@@ -13,8 +13,8 @@
 
 	"robinmast/internal/settings"
 	"robinmast/internal/standin"
-	"robinmast/internal/standin/machine"
 	testplatform "robinmast/internal/standin/platform"
+	"robinmast/internal/standin/simulation"
 )
 
 // Three classes: cheap pings of little utility, texts that somebody waits for, and script steps.
@@ -51,13 +51,13 @@
 	const length, learning = 8 * time.Second, 2 * time.Second // utility counts after the node has learned the cost of its work
 	work := 1.3 * 4
 	mean := []time.Duration{6 * time.Millisecond, 30 * time.Millisecond, 80 * time.Millisecond}
-	var streams []machine.Stream
+	var streams []simulation.Stream
 	for i, part := range []float64{0.1, 0.4, 0.5} {
-		streams = append(streams, machine.Stream{Class: i, Rate: machine.Steady(work * part / mean[i].Seconds()), Work: machine.Always(mean[i])})
+		streams = append(streams, simulation.Stream{Class: i, Rate: simulation.Steady(work * part / mean[i].Seconds()), Work: simulation.Always(mean[i])})
 	}
-	arrivals := machine.Arrivals(7, length, streams...)
-	late := slices.IndexFunc(arrivals, func(a machine.Arrival) bool { return a.At >= learning })
-	best, err := machine.Best(set, arrivals[late:])
+	arrivals := simulation.Arrivals(7, length, streams...)
+	late := slices.IndexFunc(arrivals, func(a simulation.Arrival) bool { return a.At >= learning })
+	best, err := simulation.Best(set, arrivals[late:])
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/decide/pools/load_test.go
+++ b/decide/pools/load_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"robinmast/decide/pools"
-	"robinmast/internal/standin/machine"
+	"robinmast/internal/standin/simulation"
 	"robinmast/rules"
 )
 
@@ -36,12 +36,12 @@
 
 // usualMix returns the usual mix of requests; load is the work as a share of what the cores can do. The
 // cheap calls have less utility for their work than either of the others.
-func usualMix(load float64) []machine.Stream {
+func usualMix(load float64) []simulation.Stream {
 	work := load * 8 // seconds of work a second
-	return []machine.Stream{
-		{Class: cheapClass, Rate: machine.Steady(work * 0.1 / 0.006), Work: machine.Always(6 * ms)},
-		{Class: textClass, Rate: machine.Steady(work * 0.4 / 0.03), Work: machine.Always(30 * ms)},
-		{Class: scriptClass, Rate: machine.Steady(work * 0.5 / 0.08), Work: machine.Always(80 * ms)},
+	return []simulation.Stream{
+		{Class: cheapClass, Rate: simulation.Steady(work * 0.1 / 0.006), Work: simulation.Always(6 * ms)},
+		{Class: textClass, Rate: simulation.Steady(work * 0.4 / 0.03), Work: simulation.Always(30 * ms)},
+		{Class: scriptClass, Rate: simulation.Steady(work * 0.5 / 0.08), Work: simulation.Always(80 * ms)},
 	}
 }
 
@@ -61,12 +61,12 @@
 }
 
 // replay runs the arrivals through the decision module and fails the test if one of its rules is broken.
-func replay(t testing.TB, opt machine.Options, arrivals []machine.Arrival) *machine.Result {
+func replay(t testing.TB, opt simulation.Options, arrivals []simulation.Arrival) *simulation.Result {
 	t.Helper()
 	if opt.Crowd == 0 {
 		opt.Crowd = 0.02
 	}
-	res, err := machine.Replay(opt, arrivals)
+	res, err := simulation.Replay(opt, arrivals)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,7 +77,7 @@
 }
 
 // worstSecond returns the least share of a class's requests that was served in any second.
-func worstSecond(r *machine.Result, class, from, to int) float64 {
+func worstSecond(r *simulation.Result, class, from, to int) float64 {
 	least := math.Inf(1)
 	for s := from; s < to; s++ {
 		if c := r.Total(class, s, s+1); c.Arrived > 0 {
@@ -88,7 +88,7 @@
 }
 
 // servedInTime returns the share of requests that was served in time.
-func servedInTime(c machine.Count) float64 { return float64(c.InTime) / float64(max(c.Arrived, 1)) }
+func servedInTime(c simulation.Count) float64 { return float64(c.InTime) / float64(max(c.Arrived, 1)) }
 
 // between returns a rate that is in from one time to another, else out.
 func between(from, to time.Duration, in, out float64) func(time.Duration) float64 {
@@ -106,44 +106,44 @@
 // scenarios are overloads and disturbances, with what must hold in them with a reserve.
 var scenarios = []struct {
 	name    string
-	streams []machine.Stream
-	change  func(*machine.Options)
+	streams []simulation.Stream
+	change  func(*simulation.Options)
 	least   map[int]float64 // share of a class that must be served in time during the disturbance
 	served  []int           // classes of which some requests must be served in every second
 }{
 	{"overload", usualMix(1.3), nil, map[int]float64{textClass: 0.9, scriptClass: 0.65}, []int{cheapClass, textClass, scriptClass}},
-	{"flood of cheap calls", append(usualMix(0.9), machine.Stream{
-		Class: cheapClass, Rate: between(disturbanceStart, disturbanceEnd, 10*8/0.006, 0), Work: machine.Always(6 * ms),
+	{"flood of cheap calls", append(usualMix(0.9), simulation.Stream{
+		Class: cheapClass, Rate: between(disturbanceStart, disturbanceEnd, 10*8/0.006, 0), Work: simulation.Always(6 * ms),
 	}), nil, map[int]float64{textClass: 0.9, scriptClass: 0.8}, []int{cheapClass, textClass, scriptClass}},
-	{"flood of calls of high utility", append(usualMix(0.9), machine.Stream{
-		Class: cheapClass, Rate: between(disturbanceStart, disturbanceEnd, 10*8/0.006, 0), Work: machine.Always(6 * ms),
-	}), func(o *machine.Options) { o.Settings.Classes[cheapClass].Utility = 2 }, map[int]float64{textClass: 0.8, scriptClass: 0.5}, []int{cheapClass, textClass, scriptClass}},
-	{"flood of the costliest class", append(usualMix(0.9), machine.Stream{
-		Class: scriptClass, Rate: between(disturbanceStart, disturbanceEnd, 10*8/0.08, 0), Work: machine.Always(80 * ms),
+	{"flood of calls of high utility", append(usualMix(0.9), simulation.Stream{
+		Class: cheapClass, Rate: between(disturbanceStart, disturbanceEnd, 10*8/0.006, 0), Work: simulation.Always(6 * ms),
+	}), func(o *simulation.Options) { o.Settings.Classes[cheapClass].Utility = 2 }, map[int]float64{textClass: 0.8, scriptClass: 0.5}, []int{cheapClass, textClass, scriptClass}},
+	{"flood of the costliest class", append(usualMix(0.9), simulation.Stream{
+		Class: scriptClass, Rate: between(disturbanceStart, disturbanceEnd, 10*8/0.08, 0), Work: simulation.Always(80 * ms),
 	}), nil, map[int]float64{textClass: 0.7}, []int{cheapClass, textClass, scriptClass}},
-	{"flood with wrong hints", append(usualMix(0.9), machine.Stream{
-		Class: scriptClass, Rate: between(disturbanceStart, disturbanceEnd, 3*8/0.08, 0), Work: machine.Always(80 * ms),
+	{"flood with wrong hints", append(usualMix(0.9), simulation.Stream{
+		Class: scriptClass, Rate: between(disturbanceStart, disturbanceEnd, 3*8/0.08, 0), Work: simulation.Always(80 * ms),
 		Hint: func(time.Duration) time.Duration { return ms },
 	}), nil, map[int]float64{textClass: 0.7}, []int{cheapClass, textClass}},
-	{"mix is reversed", []machine.Stream{
-		{Class: cheapClass, Rate: machine.Steady(40), Work: machine.Always(6 * ms)},
-		{Class: textClass, Rate: between(disturbanceStart, time.Hour, 20, 300), Work: machine.Always(30 * ms)},
-		{Class: scriptClass, Rate: between(disturbanceStart, time.Hour, 125, 5), Work: machine.Always(80 * ms)},
+	{"mix is reversed", []simulation.Stream{
+		{Class: cheapClass, Rate: simulation.Steady(40), Work: simulation.Always(6 * ms)},
+		{Class: textClass, Rate: between(disturbanceStart, time.Hour, 20, 300), Work: simulation.Always(30 * ms)},
+		{Class: scriptClass, Rate: between(disturbanceStart, time.Hour, 125, 5), Work: simulation.Always(80 * ms)},
 	}, nil, map[int]float64{cheapClass: 0.3, scriptClass: 0.55}, []int{cheapClass, textClass, scriptClass}},
-	{"class pauses and returns", []machine.Stream{
+	{"class pauses and returns", []simulation.Stream{
 		usualMix(1.2)[cheapClass], usualMix(1.2)[scriptClass],
-		{Class: textClass, Rate: between(4*time.Second, disturbanceStart, 0, 1.2*8*0.4/0.03), Work: machine.Always(30 * ms)},
+		{Class: textClass, Rate: between(4*time.Second, disturbanceStart, 0, 1.2*8*0.4/0.03), Work: simulation.Always(30 * ms)},
 	}, nil, map[int]float64{textClass: 0.9}, []int{cheapClass, scriptClass}},
-	{"work becomes costly", []machine.Stream{
+	{"work becomes costly", []simulation.Stream{
 		usualMix(0.9)[cheapClass], usualMix(0.9)[textClass],
-		{Class: scriptClass, Rate: machine.Steady(0.9 * 8 * 0.5 / 0.08), Work: func(at time.Duration) time.Duration {
+		{Class: scriptClass, Rate: simulation.Steady(0.9 * 8 * 0.5 / 0.08), Work: func(at time.Duration) time.Duration {
 			if at >= disturbanceStart && at < disturbanceEnd {
 				return 400 * ms
 			}
 			return 80 * ms
 		}},
 	}, nil, map[int]float64{textClass: 0.85}, []int{cheapClass, textClass}},
-	{"one class hangs", usualMix(0.9), func(o *machine.Options) {
+	{"one class hangs", usualMix(0.9), func(o *simulation.Options) {
 		o.Hangs = func(at time.Duration, class int) bool {
 			return class == scriptClass && at >= disturbanceStart && at < disturbanceEnd
 		}
@@ -156,10 +156,10 @@
 func TestOverloadScenarios(t *testing.T) {
 	helped := 0
 	for _, c := range scenarios {
-		arrivals := machine.Arrivals(3, testLength, c.streams...)
+		arrivals := simulation.Arrivals(3, testLength, c.streams...)
 		var least [2]map[int]float64
 		for i, reserve := range []float64{-1, reserve} {
-			opt := machine.Options{Settings: testSettings()}
+			opt := simulation.Options{Settings: testSettings()}
 			if c.change != nil {
 				c.change(&opt)
 			}
@@ -206,19 +206,19 @@
 // second; without a reserve there are seconds without one.
 func TestOverload(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		arrivals := machine.Arrivals(seed, testLength, usualMix(1.3)...)
-		best, err := machine.Best(testSettings(), arrivals)
+		arrivals := simulation.Arrivals(seed, testLength, usualMix(1.3)...)
+		best, err := simulation.Best(testSettings(), arrivals)
 		if err != nil {
 			t.Fatal(err)
 		}
-		withReserve := replay(t, machine.Options{Settings: withPools(testSettings(), reserve)}, arrivals)
+		withReserve := replay(t, simulation.Options{Settings: withPools(testSettings(), reserve)}, arrivals)
 		if got := withReserve.Total(-1, 0, 99).Worth / best; got < 0.94 || got > 1 {
 			t.Errorf("seed %d: %.3f of the best utility", seed, got)
 		}
 		if w := worstSecond(withReserve, cheapClass, 0, 20); w <= 0 {
 			t.Errorf("seed %d: a second without a served cheap call", seed)
 		}
-		if w := worstSecond(replay(t, machine.Options{Settings: withPools(testSettings(), 0)}, arrivals), cheapClass, 0, 20); w > 0 {
+		if w := worstSecond(replay(t, simulation.Options{Settings: withPools(testSettings(), 0)}, arrivals), cheapClass, 0, 20); w > 0 {
 			t.Errorf("seed %d: without a reserve %.2f of the cheap calls are served in the worst second: the test shows nothing", seed, w)
 		}
 		if len(withReserve.Log) == 0 {
@@ -240,33 +240,33 @@
 		}
 		return s
 	}
-	spread := func(n int) (streams []machine.Stream) {
+	spread := func(n int) (streams []simulation.Stream) {
 		for i := range n {
-			streams = append(streams, machine.Stream{
-				Class: i, Rate: machine.Steady(1.2 * 8 / 0.03 / float64(n)), Work: machine.Always(30 * ms),
+			streams = append(streams, simulation.Stream{
+				Class: i, Rate: simulation.Steady(1.2 * 8 / 0.03 / float64(n)), Work: simulation.Always(30 * ms),
 			})
 		}
 		return streams
 	}
 	for name, c := range map[string]struct {
 		set     rules.Settings
-		streams []machine.Stream
-		change  func(*machine.Options)
+		streams []simulation.Stream
+		change  func(*simulation.Options)
 		served  float64
 	}{
 		"a thousand classes": {same(1000, 1), spread(1000), nil, 0.7},
 		"one class":          {same(1, 1), spread(1), nil, 0.75},
 		"equal utilities":    {same(4, 1), spread(4), nil, 0.75},
 		"utility of zero":    {same(2, 0), spread(2), nil, 0.75},
-		"cold": {testSettings(), usualMix(1.0), func(o *machine.Options) {
+		"cold": {testSettings(), usualMix(1.0), func(o *simulation.Options) {
 			o.Settings.ColdStart, o.Settings.WarmUpTime, o.Settings.ColdSpeed = true, 4*time.Second, 0.3
 		}, 0.8},
-		"drain":     {testSettings(), usualMix(0.8)[1:], func(o *machine.Options) { o.Drain, o.Length = 6*time.Second, 10*time.Second }, 0.5},
-		"once":      {testSettings(), usualMix(1.3), func(o *machine.Options) { o.Settings.Classes[scriptClass].Effect = rules.Unsafe }, 0.5},
-		"by work":   {testSettings(), usualMix(1.3), func(o *machine.Options) { o.Settings.UtilityPerWork = true }, 0.5},
-		"two cores": {testSettings(), usualMix(0.3), func(o *machine.Options) { o.Settings.Cores = 2 }, 0.6},
+		"drain":     {testSettings(), usualMix(0.8)[1:], func(o *simulation.Options) { o.Drain, o.Length = 6*time.Second, 10*time.Second }, 0.5},
+		"once":      {testSettings(), usualMix(1.3), func(o *simulation.Options) { o.Settings.Classes[scriptClass].Effect = rules.Unsafe }, 0.5},
+		"by work":   {testSettings(), usualMix(1.3), func(o *simulation.Options) { o.Settings.UtilityPerWork = true }, 0.5},
+		"two cores": {testSettings(), usualMix(0.3), func(o *simulation.Options) { o.Settings.Cores = 2 }, 0.6},
 	} {
-		opt := machine.Options{Settings: c.set}
+		opt := simulation.Options{Settings: c.set}
 		if c.change != nil {
 			c.change(&opt)
 		}
@@ -275,7 +275,7 @@
 		if opt.Drain > 0 {
 			end = opt.Drain
 		}
-		r := replay(t, opt, machine.Arrivals(5, end, c.streams...))
+		r := replay(t, opt, simulation.Arrivals(5, end, c.streams...))
 		all := r.Total(-1, 0, 99)
 		if got := float64(all.Served) / float64(all.Arrived); got < c.served || len(r.Broken) > 0 {
 			t.Errorf("%s: %.2f served, want %.2f; %v", name, got, c.served, r.Broken)
@@ -286,9 +286,9 @@
 // While all runs are stalled requests are refused as without pools, and service resumes afterwards. Of two
 // tenants in one class, the one far over its share is served less.
 func TestStallAndTenants(t *testing.T) {
-	r := replay(t, machine.Options{Settings: withPools(testSettings(), reserve), Hangs: func(at time.Duration, _ int) bool {
+	r := replay(t, simulation.Options{Settings: withPools(testSettings(), reserve), Hangs: func(at time.Duration, _ int) bool {
 		return at >= disturbanceStart && at < disturbanceEnd
-	}}, machine.Arrivals(3, testLength, usualMix(0.8)...))
+	}}, simulation.Arrivals(3, testLength, usualMix(0.8)...))
 	if c := r.Total(-1, 10, 12); c.Refused == 0 {
 		t.Errorf("nothing is refused during a stall: %+v", c)
 	}
@@ -299,9 +299,9 @@
 	set.Tenants, set.OverQuotaUtility = []rules.Tenant{{Share: 0.5, QuotaPerSecond: 133}, {Share: 0.5, QuotaPerSecond: 133}}, 0.2
 	rate := 1.5 * 8 / 0.03
 	served := map[int]int{}
-	var arrivals = machine.Arrivals(4, 10*time.Second,
-		machine.Stream{Class: textClass, Tenant: 0, Rate: machine.Steady(0.85 * rate), Work: machine.Always(30 * ms)},
-		machine.Stream{Class: textClass, Tenant: 1, Rate: machine.Steady(0.15 * rate), Work: machine.Always(30 * ms)})
+	var arrivals = simulation.Arrivals(4, 10*time.Second,
+		simulation.Stream{Class: textClass, Tenant: 0, Rate: simulation.Steady(0.85 * rate), Work: simulation.Always(30 * ms)},
+		simulation.Stream{Class: textClass, Tenant: 1, Rate: simulation.Steady(0.15 * rate), Work: simulation.Always(30 * ms)})
 	sent := map[int]int{}
 	for _, a := range arrivals {
 		sent[a.Tenant]++
@@ -311,7 +311,7 @@
 			served[arrivals[id-1].Tenant]++
 		}
 	}
-	replay(t, machine.Options{Settings: withPools(set, reserve), Action: count}, arrivals)
+	replay(t, simulation.Options{Settings: withPools(set, reserve), Action: count}, arrivals)
 	if big, small := float64(served[0])/float64(sent[0]), float64(served[1])/float64(sent[1]); small < big+0.1 {
 		t.Errorf("%.2f run of the tenant over its share, %.2f of the other", big, small)
 	}
@@ -382,7 +382,7 @@
 	}{
 		{"single-queue", func(s rules.Settings) rules.Settings { return s }},
 		{"static-split", func(s rules.Settings) rules.Settings {
-			s.NewPools = func() rules.Pools { return machine.NewSplit(len(s.Classes)) }
+			s.NewPools = func() rules.Pools { return simulation.NewSplit(len(s.Classes)) }
 			return s
 		}},
 		{"pools-no-reserve", func(s rules.Settings) rules.Settings { return withPools(s, 0) }},
@@ -393,12 +393,12 @@
 				share, least, low := 0.0, math.Inf(1), math.Inf(1)
 				const seeds = 5
 				for seed := uint64(1); seed <= seeds; seed++ {
-					arrivals := machine.Arrivals(seed, testLength, usualMix(1.3)...)
-					best, err := machine.Best(testSettings(), arrivals)
+					arrivals := simulation.Arrivals(seed, testLength, usualMix(1.3)...)
+					best, err := simulation.Best(testSettings(), arrivals)
 					if err != nil {
 						b.Fatal(err)
 					}
-					r := replay(b, machine.Options{Settings: c.set(testSettings())}, arrivals)
+					r := replay(b, simulation.Options{Settings: c.set(testSettings())}, arrivals)
 					share += r.Total(-1, 0, 99).Worth / best / seeds
 					low = min(low, worstSecond(r, cheapClass, 2, 20))
 					for s := 2; s < 20; s++ {
@@ -424,17 +424,17 @@
 				set := testSettings()
 				c := set.Classes[textClass]
 				set.Classes = nil
-				var streams []machine.Stream
+				var streams []simulation.Stream
 				for i := range n {
 					set.Classes = append(set.Classes, c)
-					streams = append(streams, machine.Stream{
-						Class: i, Rate: machine.Steady(1.2 * 8 / 0.005 / float64(n)), Work: machine.Always(5 * ms),
+					streams = append(streams, simulation.Stream{
+						Class: i, Rate: simulation.Steady(1.2 * 8 / 0.005 / float64(n)), Work: simulation.Always(5 * ms),
 					})
 				}
-				arrivals := machine.Arrivals(1, 5*time.Second, streams...)
+				arrivals := simulation.Arrivals(1, 5*time.Second, streams...)
 				b.ResetTimer()
 				for range b.N {
-					replay(b, machine.Options{Settings: withPools(set, reserve)}, arrivals)
+					replay(b, simulation.Options{Settings: withPools(set, reserve)}, arrivals)
 				}
 				b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*len(arrivals)), "ns/request")
 			})
--- a/internal/standin/machine/best.go
+++ b/internal/standin/simulation/bound.go
@@ -1,7 +1,7 @@
 // This file owns the best that could be had of a list of arrivals, and a plain
 // baseline to compare with. It must never be used to decide anything in service.
 
-package machine
+package simulation
 
 import (
 	"fmt"
--- a/internal/standin/machine/fleet.go
+++ b/internal/standin/simulation/fleet.go
@@ -4,7 +4,7 @@
 // cold. Networks are perfect here and nothing costs the nodes' own processor: what
 // that does is seen with real processes (internal/standin/fleet).
 
-package machine
+package simulation
 
 import (
 	"fmt"
--- a/internal/standin/machine/fleet_test.go
+++ b/internal/standin/simulation/fleet_test.go
@@ -1,4 +1,4 @@
-package machine
+package simulation
 
 import (
 	"flag"
@@ -11,7 +11,7 @@
 	"robinmast/rules"
 )
 
-var longFleets = flag.Bool("machine.long", false, "play fleets of 300 and 3,000 nodes, and look for fleets that stay down")
+var longFleets = flag.Bool("simulation.long", false, "play fleets of 300 and 3,000 nodes, and look for fleets that stay down")
 
 func fleetOf(nodes int, on bool) FleetOptions {
 	set := rules.Settings{
@@ -85,7 +85,7 @@
 	}
 }
 
-// Sizes that real processes don't reach. -machine.long prints the table of
+// Sizes that real processes don't reach. -simulation.long prints the table of
 // docs/results.md.
 func TestFleetSizes(t *testing.T) {
 	sizes := []int{60}
--- a/internal/standin/machine/machine.go
+++ b/internal/standin/simulation/replay.go
@@ -1,9 +1,9 @@
-// Package machine owns a stand-in for one server in virtual time: cores that
+// Package simulation owns a stand-in for one server in virtual time: cores that
 // runs share and that slow with crowding, callers whose patience ends, and the
 // decision module between them. It replays a list of arrivals, the same each
 // time, and keeps what the four rules ask for. It must never decide for the
 // module, and never read a real clock.
-package machine
+package simulation
 
 import (
 	"cmp"
