--- a/cmd/robinmast/kill_test.go
+++ b/cmd/robinmast/kill_test.go
@@ -180,7 +180,7 @@
 					failed := 0
 					for j, a := range answers {
 						switch {
-						case errs[j] == testplatform.ErrGone:
+						case errs[j] == testplatform.ErrConnectionClosed:
 							lost.Add(1)
 							first = false
 						case errs[j] != nil:
@@ -195,7 +195,7 @@
 							body = string(a.Body)
 							known.Store(unique, body)
 						case a.Word == "NAK":
-							time.Sleep(min(a.Later, 20*time.Millisecond))
+							time.Sleep(min(a.RetryAfter, 20*time.Millisecond))
 						default:
 							failed++
 							fails.Add(1)
--- a/cmd/robinmast/lifecycle_test.go
+++ b/cmd/robinmast/lifecycle_test.go
@@ -233,7 +233,7 @@
 	if got := d.Receive(); !strings.HasPrefix(got, "1 ACK") {
 		t.Errorf("%q", got)
 	}
-	if next.Began()["00000000000000aa"] != 1 {
+	if next.RunCounts()["00000000000000aa"] != 1 {
 		t.Error("not run at the new address")
 	}
 	p.signal(syscall.SIGTERM)
@@ -256,7 +256,7 @@
 				d.Send("RPC.CALL", fmt.Sprint(tag), "pay", fmt.Sprintf("txn=%016x,door=%d,lb=1,team=acme,limit=3500,ram=10,standing=0.5,unique=k%d",
 					txn, time.Now().UnixMilli(), txn), fmt.Sprint(ms))
 			}
-			began := func(txn int) int { return pool.Began()[fmt.Sprintf("%016x", txn)] }
+			began := func(txn int) int { return pool.RunCounts()[fmt.Sprintf("%016x", txn)] }
 			d := standin.Dial(t, addr)
 			call(d, 1, 1, 700)
 			standin.Eventually(t, "the run", func() bool { return began(1) == 1 })
--- a/cmd/robinmast/pools_test.go
+++ b/cmd/robinmast/pools_test.go
@@ -57,7 +57,7 @@
 	}
 	arrivals := simulation.Arrivals(7, length, streams...)
 	late := slices.IndexFunc(arrivals, func(a simulation.Arrival) bool { return a.At >= learning })
-	best, err := simulation.Best(set, arrivals[late:])
+	best, err := simulation.BestUtility(set, arrivals[late:])
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/robinmastctl/try.go
+++ b/cmd/robinmastctl/try.go
@@ -305,7 +305,7 @@
 		if now := int(time.Since(began) / time.Second); now > at {
 			is := t.cpu()
 			s := second{At: at + 1, Phase: phase, NodeCPU: max((is - cpu).Seconds(), 0)}
-			running, _, busy := t.pool.State()
+			running, _, busy := t.pool.Load()
 			t.mu.Lock()
 			s.Tally, last = t.tally.minus(last), t.tally
 			s.Busy, s.Running, s.Held = busy, running, max(t.open-running, 0)
@@ -420,7 +420,7 @@
 		t.mu.Lock()
 		was := t.runs[q.Unique]
 		switch {
-		case errors.Is(err, platform.ErrGone):
+		case errors.Is(err, platform.ErrConnectionClosed):
 			t.tally.Cut++
 		case err != nil:
 			t.tally.Unsent++
--- a/decide/pools/load_test.go
+++ b/decide/pools/load_test.go
@@ -63,14 +63,14 @@
 // replay runs the arrivals through the decision module and fails the test if one of its rules is broken.
 func replay(t testing.TB, opt simulation.Options, arrivals []simulation.Arrival) *simulation.Result {
 	t.Helper()
-	if opt.Crowd == 0 {
-		opt.Crowd = 0.02
+	if opt.ContentionFactor == 0 {
+		opt.ContentionFactor = 0.02
 	}
 	res, err := simulation.Replay(opt, arrivals)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, b := range res.Broken {
+	for _, b := range res.Violations {
 		t.Errorf("a rule is broken: %s", b)
 	}
 	return res
@@ -171,7 +171,7 @@
 				least[i][class] = servedInTime(r.Total(class, w[0], w[1]))
 			}
 			t.Logf("%-26s reserve %5.2f: utility %6.0f; in time: cheap %.2f text %.2f script %.2f; worst second: cheap %.2f text %.2f script %.2f", c.name, reserve,
-				r.Total(-1, 0, 99).Worth, least[i][cheapClass], least[i][textClass], least[i][scriptClass],
+				r.Total(-1, 0, 99).Utility, least[i][cheapClass], least[i][textClass], least[i][scriptClass],
 				worstSecond(r, cheapClass, w[0], w[1]), worstSecond(r, textClass, w[0], w[1]), worstSecond(r, scriptClass, w[0], w[1]))
 			if i == 0 {
 				continue
@@ -207,12 +207,12 @@
 func TestOverload(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		arrivals := simulation.Arrivals(seed, testLength, usualMix(1.3)...)
-		best, err := simulation.Best(testSettings(), arrivals)
+		best, err := simulation.BestUtility(testSettings(), arrivals)
 		if err != nil {
 			t.Fatal(err)
 		}
 		withReserve := replay(t, simulation.Options{Settings: withPools(testSettings(), reserve)}, arrivals)
-		if got := withReserve.Total(-1, 0, 99).Worth / best; got < 0.94 || got > 1 {
+		if got := withReserve.Total(-1, 0, 99).Utility / best; got < 0.94 || got > 1 {
 			t.Errorf("seed %d: %.3f of the best utility", seed, got)
 		}
 		if w := worstSecond(withReserve, cheapClass, 0, 20); w <= 0 {
@@ -277,8 +277,8 @@
 		}
 		r := replay(t, opt, simulation.Arrivals(5, end, c.streams...))
 		all := r.Total(-1, 0, 99)
-		if got := float64(all.Served) / float64(all.Arrived); got < c.served || len(r.Broken) > 0 {
-			t.Errorf("%s: %.2f served, want %.2f; %v", name, got, c.served, r.Broken)
+		if got := float64(all.Served) / float64(all.Arrived); got < c.served || len(r.Violations) > 0 {
+			t.Errorf("%s: %.2f served, want %.2f; %v", name, got, c.served, r.Violations)
 		}
 	}
 }
@@ -311,7 +311,7 @@
 			served[arrivals[id-1].Tenant]++
 		}
 	}
-	replay(t, simulation.Options{Settings: withPools(set, reserve), Action: count}, arrivals)
+	replay(t, simulation.Options{Settings: withPools(set, reserve), OnAction: count}, arrivals)
 	if big, small := float64(served[0])/float64(sent[0]), float64(served[1])/float64(sent[1]); small < big+0.1 {
 		t.Errorf("%.2f run of the tenant over its share, %.2f of the other", big, small)
 	}
@@ -382,7 +382,7 @@
 	}{
 		{"single-queue", func(s rules.Settings) rules.Settings { return s }},
 		{"static-split", func(s rules.Settings) rules.Settings {
-			s.NewPools = func() rules.Pools { return simulation.NewSplit(len(s.Classes)) }
+			s.NewPools = func() rules.Pools { return simulation.NewStaticSplit(len(s.Classes)) }
 			return s
 		}},
 		{"pools-no-reserve", func(s rules.Settings) rules.Settings { return withPools(s, 0) }},
@@ -394,15 +394,15 @@
 				const seeds = 5
 				for seed := uint64(1); seed <= seeds; seed++ {
 					arrivals := simulation.Arrivals(seed, testLength, usualMix(1.3)...)
-					best, err := simulation.Best(testSettings(), arrivals)
+					best, err := simulation.BestUtility(testSettings(), arrivals)
 					if err != nil {
 						b.Fatal(err)
 					}
 					r := replay(b, simulation.Options{Settings: c.set(testSettings())}, arrivals)
-					share += r.Total(-1, 0, 99).Worth / best / seeds
+					share += r.Total(-1, 0, 99).Utility / best / seeds
 					low = min(low, worstSecond(r, cheapClass, 2, 20))
 					for s := 2; s < 20; s++ {
-						least = min(least, r.Total(-1, s, s+1).Worth*testLength.Seconds()/best)
+						least = min(least, r.Total(-1, s, s+1).Utility*testLength.Seconds()/best)
 					}
 				}
 				b.ReportMetric(share, "of-best")
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -100,7 +100,7 @@
 			b.StopTimer()
 			world, delta := 0, 0
 			for _, p := range all {
-				n, _ := p.Bytes()
+				n, _ := p.Traffic()
 				if p.Delta {
 					delta += n
 				} else {
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -248,13 +248,13 @@
 	for turn, delta := range []bool{false, true} {
 		inc := uint64(1001 + turn)
 		good := g.proxy(fmt.Sprint("good ", delta), delta, nil)
-		silent := g.proxy(fmt.Sprint("never answers ", delta), delta, func(p *proxy.Proxy) { p.Faults.NeverAnswers = true })
+		silent := g.proxy(fmt.Sprint("never answers ", delta), delta, func(p *proxy.Proxy) { p.Faults.NeverAcknowledges = true })
 		g.proxy(fmt.Sprint("reads nothing ", delta), delta, func(p *proxy.Proxy) {
-			p.Faults.Gate = func(ctx context.Context) { <-ctx.Done() }
+			p.Faults.BeforeRead = func(ctx context.Context) { <-ctx.Done() }
 		})
-		rejects := g.proxy(fmt.Sprint("rejects ", delta), delta, func(p *proxy.Proxy) { p.Faults.Rejects = eds })
-		cut := g.proxy(fmt.Sprint("cuts ", delta), delta, func(p *proxy.Proxy) { p.Faults.CutAfter = 1 })
-		forgets := g.proxy(fmt.Sprint("forgets ", delta), delta, func(p *proxy.Proxy) { p.Faults.Forget = true })
+		rejects := g.proxy(fmt.Sprint("rejects ", delta), delta, func(p *proxy.Proxy) { p.Faults.RejectedType = eds })
+		cut := g.proxy(fmt.Sprint("cuts ", delta), delta, func(p *proxy.Proxy) { p.Faults.CloseStreamAfter = 1 })
+		forgets := g.proxy(fmt.Sprint("forgets ", delta), delta, func(p *proxy.Proxy) { p.Faults.UnknownVersions = true })
 		g.state(5, "healthy")
 		g.agree("the first view", good, silent, cut, forgets)
 		for i := range 50 {
--- a/internal/scgi/scgi.go
+++ b/internal/scgi/scgi.go
@@ -17,7 +17,7 @@
 )
 
 // ErrShort says that more bytes are needed to tell anything.
-var ErrShort = errors.New("scgi: more bytes are needed")
+var ErrIncomplete = errors.New("scgi: more bytes are needed")
 
 // Limits bound what is taken. A zero limit takes nothing.
 type Limits struct {
@@ -46,7 +46,7 @@
 }
 
 // digits reads a decimal number without sign, spaces or leading zeros.
-func digits(b []byte, most int64) (int64, error) {
+func parseDecimal(b []byte, most int64) (int64, error) {
 	if len(b) == 0 || len(b) > 1 && b[0] == '0' {
 		return 0, errors.New("no number")
 	}
@@ -63,42 +63,42 @@
 }
 
 // numberBytes bounds the digits of a netstring's length before anything is believed.
-const numberBytes = 10
+const maxLengthDigits = 10
 
 // ParseRequest reads the headers that begin b, and returns how many bytes they
 // take; the body follows. ErrShort asks for more bytes; with any other error the
 // connection is good for nothing more.
 func ParseRequest(b []byte, l Limits) (r Request, n int, err error) {
-	colon := bytes.IndexByte(b[:min(len(b), numberBytes+1)], ':')
+	colon := bytes.IndexByte(b[:min(len(b), maxLengthDigits+1)], ':')
 	if colon < 0 {
-		for _, c := range b[:min(len(b), numberBytes+1)] {
+		for _, c := range b[:min(len(b), maxLengthDigits+1)] {
 			if c < '0' || c > '9' {
 				return r, 0, errors.New("scgi: request does not begin with the length of its headers")
 			}
 		}
-		if len(b) > numberBytes {
+		if len(b) > maxLengthDigits {
 			return r, 0, errors.New("scgi: length of headers: too many digits")
 		}
-		return r, 0, ErrShort
+		return r, 0, ErrIncomplete
 	}
-	size, err := digits(b[:colon], int64(l.HeaderBytes))
+	size, err := parseDecimal(b[:colon], int64(l.HeaderBytes))
 	if err != nil {
 		return r, 0, fmt.Errorf("scgi: length of headers: %w", err)
 	}
 	end := colon + 1 + int(size)
 	if len(b) <= end {
-		return r, 0, ErrShort
+		return r, 0, ErrIncomplete
 	}
 	if b[end] != ',' {
 		return r, 0, errors.New("scgi: headers do not end in a comma")
 	}
-	if err := r.headers(b[colon+1:end], l); err != nil {
+	if err := r.parseHeaders(b[colon+1:end], l); err != nil {
 		return Request{}, 0, fmt.Errorf("scgi: %w", err)
 	}
 	return r, end + 1, nil
 }
 
-func (r *Request) headers(b []byte, l Limits) error {
+func (r *Request) parseHeaders(b []byte, l Limits) error {
 	seen := map[string]bool{}
 	for len(b) > 0 {
 		name, rest, ok := bytes.Cut(b, []byte{0})
@@ -121,7 +121,7 @@
 		return errors.New("CONTENT_LENGTH is not the first header")
 	}
 	var err error
-	if r.Length, err = digits([]byte(r.Headers[0].Value), l.Body); err != nil {
+	if r.Length, err = parseDecimal([]byte(r.Headers[0].Value), l.Body); err != nil {
 		return fmt.Errorf("CONTENT_LENGTH: %w", err)
 	}
 	if r.Get("SCGI") != "1" {
@@ -171,7 +171,7 @@
 			if len(b) > l.HeaderBytes {
 				return r, 0, fmt.Errorf("scgi: response headers of more than %d bytes", l.HeaderBytes)
 			}
-			return r, 0, ErrShort
+			return r, 0, ErrIncomplete
 		}
 		line := string(bytes.TrimSuffix(b[n:n+i], []byte{'\r'}))
 		if n += i + 1; n > l.HeaderBytes {
@@ -187,7 +187,7 @@
 		value = strings.Trim(value, " \t")
 		if strings.EqualFold(name, "Status") {
 			code, reason, _ := strings.Cut(value, " ")
-			status, err := digits([]byte(code), 999)
+			status, err := parseDecimal([]byte(code), 999)
 			if err != nil || status < 100 {
 				return r, 0, fmt.Errorf("scgi: status %.40q", value)
 			}
--- a/internal/scgi/scgi_test.go
+++ b/internal/scgi/scgi_test.go
@@ -18,7 +18,7 @@
 		t.Fatalf("%+v, %d, %v", r, n, err)
 	}
 	for i := range n { // cut at every byte before its end
-		if _, _, err := ParseRequest([]byte(vector[:i]), limits); !errors.Is(err, ErrShort) {
+		if _, _, err := ParseRequest([]byte(vector[:i]), limits); !errors.Is(err, ErrIncomplete) {
 			t.Errorf("cut at %d: %v", i, err)
 		}
 	}
@@ -89,7 +89,7 @@
 		t.Fatalf("%+v, %d, %v", r, n, err)
 	}
 	for i := range n {
-		if _, _, err := ParseResponse([]byte(text[:i]), limits); !errors.Is(err, ErrShort) {
+		if _, _, err := ParseResponse([]byte(text[:i]), limits); !errors.Is(err, ErrIncomplete) {
 			t.Errorf("cut at %d: %v", i, err)
 		}
 	}
@@ -98,7 +98,7 @@
 	}
 	for _, bad := range []string{"no header\r\n\r\n", ": x\r\n\r\n", "Status: 99\r\n\r\n", "Status: abc\r\n\r\n", "a b: c\r\n\r\n",
 		strings.Repeat("x", 1001), strings.Repeat("a: b\n", 11) + "\n", "A: " + strings.Repeat("x", 1000) + "\n"} {
-		if _, _, err := ParseResponse([]byte(bad), limits); err == nil || errors.Is(err, ErrShort) {
+		if _, _, err := ParseResponse([]byte(bad), limits); err == nil || errors.Is(err, ErrIncomplete) {
 			t.Errorf("%.20q: %v", bad, err)
 		}
 	}
--- a/internal/standin/fleet/caller.go
+++ b/internal/standin/fleet/caller.go
@@ -132,16 +132,16 @@
 	kept := p.conns[:0]
 	for _, c := range p.conns {
 		if !c.Usable() {
-			d.f.note(func(t *tally) { t.Twice += c.Twice() })
+			d.f.note(func(t *tally) { t.Twice += c.DuplicateAnswers() })
 			continue
 		}
 		kept = append(kept, c)
-		if best == nil || c.Room() > best.Room() {
+		if best == nil || c.AvailableRequests() > best.AvailableRequests() {
 			best = c
 		}
 	}
 	p.conns = kept
-	if best != nil && (best.Room() > 0 || len(p.conns)+p.dials >= d.f.s.Dispatchers.Connect) {
+	if best != nil && (best.AvailableRequests() > 0 || len(p.conns)+p.dials >= d.f.s.Dispatchers.Connect) {
 		d.mu.Unlock()
 		return best, nil
 	}
@@ -192,11 +192,11 @@
 	if a.Word == "" {
 		return
 	}
-	if !math.IsNaN(a.Value) {
-		p.value, p.heard = a.Value, now
+	if !math.IsNaN(a.LoadFeedback) {
+		p.value, p.heard = a.LoadFeedback, now
 	}
-	if e == refused && d.heeds && a.Later > 0 {
-		if until := now.Add(min(a.Later, d.f.s.Fleet.MaxAdvice)); until.After(p.away) {
+	if e == refused && d.heeds && a.RetryAfter > 0 {
+		if until := now.Add(min(a.RetryAfter, d.f.s.Fleet.MaxAdvice)); until.After(p.away) {
 			p.away = until
 		}
 	}
@@ -280,8 +280,8 @@
 		case e == served:
 			return e, 0
 		case e == refused:
-			later = a.Later
-			if a.GiveUp && d.heeds {
+			later = a.RetryAfter
+			if a.StopRetrying && d.heeds {
 				return e, later
 			}
 		case e != unreachable && q.class.Effect == "unsafe":
@@ -327,9 +327,9 @@
 			}
 			if e == refused {
 				switch {
-				case a.GiveUp:
+				case a.StopRetrying:
 					t.Ended++
-				case a.Later > 0:
+				case a.RetryAfter > 0:
 					t.Advised++
 				}
 				if first {
@@ -365,7 +365,7 @@
 			return cut, platform.Answer{} // the rehearsal ends: that says nothing
 		}
 		return late, a
-	case errors.Is(err, platform.ErrGone):
+	case errors.Is(err, platform.ErrConnectionClosed):
 		return cut, a
 	case err != nil:
 		return unreachable, a
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -375,7 +375,7 @@
 		return err
 	}
 	if cold {
-		n.pool.Cold(f.s.Fleet.ColdFrom, f.s.Fleet.ColdRamp)
+		n.pool.StartCold(f.s.Fleet.ColdFrom, f.s.Fleet.ColdRamp)
 	}
 	n.toPool.Aim(n.pool.Addr())
 	return nil
@@ -542,7 +542,7 @@
 			f.note(func(t *tally) { t.Crashes++ })
 		}
 	case p.What == "hang":
-		n.pool.Pause(on)
+		n.pool.SetPaused(on)
 		fallthrough
 	case p.What == "stop":
 		n.child.signal(map[bool]syscall.Signal{true: syscall.SIGSTOP, false: syscall.SIGCONT}[on])
@@ -551,9 +551,9 @@
 	case p.What == "squeeze":
 		n.child.release()
 	case p.What == "slow" && on:
-		n.pool.Slow(p.Factor)
+		n.pool.SetSlowdown(p.Factor)
 	case p.What == "slow":
-		n.pool.Slow(1)
+		n.pool.SetSlowdown(1)
 	}
 }
 
--- a/internal/standin/fleet/report.go
+++ b/internal/standin/fleet/report.go
@@ -207,7 +207,7 @@
 	for _, d := range f.dispatchers {
 		for i := range d.peers {
 			for _, c := range d.peers[i].conns {
-				r.Tally.Twice += c.Twice()
+				r.Tally.Twice += c.DuplicateAnswers()
 				c.Close()
 			}
 		}
--- a/internal/standin/platform/client.go
+++ b/internal/standin/platform/client.go
@@ -20,10 +20,10 @@
 )
 
 // MostOpen is how many requests may be open on one connection.
-const MostOpen = 32
+const MaxOpenRequests = 32
 
 // ErrGone says that the connection ended before the answer.
-var ErrGone = errors.New("the connection ended")
+var ErrConnectionClosed = errors.New("the connection ended")
 
 // Request is a call as a dispatcher sends it.
 type Request struct {
@@ -37,26 +37,26 @@
 
 // Answer is a node's answer.
 type Answer struct {
-	Word   string // ACK served, NAK refused, else failed
-	Later  time.Duration
-	GiveUp bool
-	Value  float64 // the free value, NaN = none was told
-	Body   []byte
+	Word         string // ACK served, NAK refused, else failed
+	RetryAfter   time.Duration
+	StopRetrying bool
+	LoadFeedback float64 // the free value, NaN = none was told
+	Body         []byte
 }
 
 // Client is one dispatcher's connection; its methods may be called by any goroutine.
 type Client struct {
 	number int
 	conn   net.Conn
-	free   chan struct{}
+	slots  chan struct{}
 	ended  chan struct{}
 
-	mu     sync.Mutex
-	tag    int
-	open   map[string]chan Answer
-	left   map[string]bool // cancelled; one answer to each does no harm
-	twice  int             // answers to what was answered before
-	closed bool            // by the node: nothing new may be sent
+	mu         sync.Mutex
+	tag        int
+	open       map[string]chan Answer
+	cancelled  map[string]bool // cancelled; one answer to each does no harm
+	duplicates int             // answers to what was answered before
+	closed     bool            // by the node: nothing new may be sent
 }
 
 // Dial connects dispatcher number n to a node.
@@ -65,7 +65,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Client{number: n, conn: conn, free: make(chan struct{}, MostOpen), ended: make(chan struct{}), open: map[string]chan Answer{}, left: map[string]bool{}}
+	c := &Client{number: n, conn: conn, slots: make(chan struct{}, MaxOpenRequests), ended: make(chan struct{}), open: map[string]chan Answer{}, cancelled: map[string]bool{}}
 	go c.read()
 	return c, nil
 }
@@ -81,13 +81,13 @@
 }
 
 // Room is how many more requests may be open now.
-func (c *Client) Room() int { return MostOpen - len(c.free) }
+func (c *Client) AvailableRequests() int { return MaxOpenRequests - len(c.slots) }
 
 // Twice is how many answers came to requests that had theirs.
-func (c *Client) Twice() int {
+func (c *Client) DuplicateAnswers() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.twice
+	return c.duplicates
 }
 
 // Call sends a request and waits for its answer. The error is ErrGone once the
@@ -98,11 +98,11 @@
 // ErrGone: the request may have been read.
 func (c *Client) Do(ctx context.Context, q Request) (Answer, error) {
 	select {
-	case c.free <- struct{}{}:
+	case c.slots <- struct{}{}:
 	case <-ctx.Done():
 		return Answer{}, ctx.Err()
 	}
-	defer func() { <-c.free }()
+	defer func() { <-c.slots }()
 	got := make(chan Answer, 1)
 	c.mu.Lock()
 	if c.closed {
@@ -130,7 +130,7 @@
 	err := c.write(ctx, b)
 	c.mu.Unlock()
 	if err != nil {
-		return Answer{}, ErrGone
+		return Answer{}, ErrConnectionClosed
 	}
 	select {
 	case a := <-got:
@@ -140,11 +140,11 @@
 		case a := <-got:
 			return a, nil
 		default:
-			return Answer{}, ErrGone
+			return Answer{}, ErrConnectionClosed
 		}
 	case <-ctx.Done():
 		c.cancel(tag)
-		return Answer{}, ErrGone
+		return Answer{}, ErrConnectionClosed
 	}
 }
 
@@ -169,10 +169,10 @@
 		return
 	}
 	delete(c.open, tag)
-	if len(c.left) > 4096 { // tags grow: the oldest are of no interest any more
-		clear(c.left)
+	if len(c.cancelled) > 4096 { // tags grow: the oldest are of no interest any more
+		clear(c.cancelled)
 	}
-	c.left[tag] = true
+	c.cancelled[tag] = true
 	b := redcon.AppendArray(nil, 2)
 	ctx, end := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer end()
@@ -220,28 +220,28 @@
 		}
 		got := c.open[tag]
 		delete(c.open, tag)
-		if got == nil && tag != "0" && !c.left[tag] {
-			c.twice++
+		if got == nil && tag != "0" && !c.cancelled[tag] {
+			c.duplicates++
 		}
-		delete(c.left, tag)
+		delete(c.cancelled, tag)
 		c.mu.Unlock()
 		if got == nil {
 			continue
 		}
-		a := Answer{Word: string(parts[1]), Value: math.NaN()}
+		a := Answer{Word: string(parts[1]), LoadFeedback: math.NaN()}
 		if len(parts) > 2 {
 			for _, f := range strings.Split(string(parts[2]), ",") {
 				name, value, _ := strings.Cut(f, "=")
 				switch name {
 				case "later":
 					ms, _ := strconv.ParseFloat(value, 64)
-					a.Later = time.Duration(ms * float64(time.Millisecond))
+					a.RetryAfter = time.Duration(ms * float64(time.Millisecond))
 				case "feedback":
 					if v, err := strconv.ParseFloat(value, 64); err == nil {
-						a.Value = v
+						a.LoadFeedback = v
 					}
 				case "giveup":
-					a.GiveUp = value == "1"
+					a.StopRetrying = value == "1"
 				}
 			}
 		}
@@ -253,13 +253,13 @@
 }
 
 func readArray(rd *bufio.Reader) ([][]byte, error) {
-	n, err := readHead(rd, '*')
+	n, err := readHeader(rd, '*')
 	if err != nil || n > 16 {
 		return nil, errors.Join(err, errors.New("no answer"))
 	}
 	parts := make([][]byte, n)
 	for i := range parts {
-		size, err := readHead(rd, '$')
+		size, err := readHeader(rd, '$')
 		if err != nil || size > 1<<20 {
 			return nil, errors.Join(err, errors.New("no answer"))
 		}
@@ -272,7 +272,7 @@
 	return parts, nil
 }
 
-func readHead(rd *bufio.Reader, kind byte) (int, error) {
+func readHeader(rd *bufio.Reader, kind byte) (int, error) {
 	line, err := rd.ReadString('\n')
 	if err != nil {
 		return 0, err
--- a/internal/standin/platform/members.go
+++ b/internal/standin/platform/members.go
@@ -19,9 +19,9 @@
 	ln     net.Listener
 	server *http.Server
 
-	mu     sync.Mutex
-	phases map[string]string
-	last   map[string]time.Time
+	mu       sync.Mutex
+	phases   map[string]string
+	reported map[string]time.Time
 }
 
 // StartMembers serves a membership service on loopback until Close.
@@ -30,8 +30,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("stand-in membership service: %w", err)
 	}
-	m := &Members{ln: ln, phases: map[string]string{}, last: map[string]time.Time{}}
-	m.server = &http.Server{Handler: http.HandlerFunc(m.take), ReadHeaderTimeout: time.Second}
+	m := &Members{ln: ln, phases: map[string]string{}, reported: map[string]time.Time{}}
+	m.server = &http.Server{Handler: http.HandlerFunc(m.handleReport), ReadHeaderTimeout: time.Second}
 	go func() { _ = m.server.Serve(ln) }() // ends by Close
 	return m, nil
 }
@@ -42,7 +42,7 @@
 // Close ends the service.
 func (m *Members) Close() error { return m.server.Shutdown(context.Background()) }
 
-func (m *Members) take(w http.ResponseWriter, q *http.Request) {
+func (m *Members) handleReport(w http.ResponseWriter, q *http.Request) {
 	name, ok := strings.CutPrefix(q.URL.Path, "/members/")
 	var report struct{ Phase string }
 	if !ok || q.Method != http.MethodPut || json.NewDecoder(http.MaxBytesReader(w, q.Body, 1<<10)).Decode(&report) != nil {
@@ -50,7 +50,7 @@
 		return
 	}
 	m.mu.Lock()
-	m.phases[name], m.last[name] = report.Phase, time.Now()
+	m.phases[name], m.reported[name] = report.Phase, time.Now()
 	m.mu.Unlock()
 	w.WriteHeader(http.StatusNoContent)
 }
@@ -59,5 +59,5 @@
 func (m *Members) Phase(name string) (string, time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.phases[name], m.last[name]
+	return m.phases[name], m.reported[name]
 }
--- a/internal/standin/platform/pool.go
+++ b/internal/standin/platform/pool.go
@@ -28,43 +28,43 @@
 type Work func(Run) (ms float64, end string, result []byte)
 
 // mostNotices is how many notices are kept for a new link.
-const mostNotices = 4000
+const maxNotices = 4000
 
 // Pool stands in for a worker pool: runs share its cores. It outlives the nodes
 // that link to it; runs go on while there is no link.
 type Pool struct {
-	Cores int
-	Crowd float64 // slow-down for each run a core beyond one: speed is 1/(1+Crowd*excess)
-	Work  Work
+	Cores            int
+	ContentionFactor float64 // slow-down for each run a core beyond one: speed is 1/(1+Crowd*excess)
+	Work             Work
 
-	ln     net.Listener
-	began  time.Time
-	ctx    context.Context
-	cancel context.CancelFunc
-	poke   chan struct{}
-	done   sync.WaitGroup
+	ln      net.Listener
+	started time.Time
+	ctx     context.Context
+	cancel  context.CancelFunc
+	changed chan struct{}
+	done    sync.WaitGroup
 
-	mu      sync.Mutex
-	link    net.Conn
-	notices []string // the last ones; the first has number base+1
-	base    int
-	runs    map[string]*run
-	counts  map[string]int // spawns that began a run, by ID
-	at      time.Time      // when left was last brought up to date
-	busy    float64        // smoothed share of busy cores
-	ended   int
-	paused  bool
-	cold    float64       // share of its speed that it began with, 0 = it was hot
-	ramp    time.Duration // until it is warm
-	slow    float64       // times that work takes longer, 0 = 1
+	mu         sync.Mutex
+	link       net.Conn
+	notices    []string // the last ones; the first has number base+1
+	firstSeq   int
+	runs       map[string]*run
+	counts     map[string]int // spawns that began a run, by ID
+	advanced   time.Time      // when left was last brought up to date
+	busy       float64        // smoothed share of busy cores
+	ended      int
+	paused     bool
+	coldSpeed  float64       // share of its speed that it began with, 0 = it was hot
+	warmUpTime time.Duration // until it is warm
+	slowdown   float64       // times that work takes longer, 0 = 1
 }
 
 type run struct {
 	Run
-	left   float64 // milliseconds on one core
-	began  time.Time
-	end    string
-	result []byte
+	remaining float64 // milliseconds on one core
+	started   time.Time
+	end       string
+	result    []byte
 }
 
 // StartPool serves a pool on loopback until Close.
@@ -74,12 +74,12 @@
 		return nil, fmt.Errorf("stand-in worker pool: %w", err)
 	}
 	p := &Pool{
-		Cores: cores, Crowd: crowd, Work: work, ln: ln, began: time.Now(), poke: make(chan struct{}, 1),
-		runs: map[string]*run{}, counts: map[string]int{}, at: time.Now(),
+		Cores: cores, ContentionFactor: crowd, Work: work, ln: ln, started: time.Now(), changed: make(chan struct{}, 1),
+		runs: map[string]*run{}, counts: map[string]int{}, advanced: time.Now(),
 	}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
 	p.done.Go(p.accept)
-	p.done.Go(p.turn)
+	p.done.Go(p.finishRuns)
 	return p, nil
 }
 
@@ -100,7 +100,7 @@
 }
 
 // Began tells how often a run began under each ID.
-func (p *Pool) Began() map[string]int {
+func (p *Pool) RunCounts() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	all := make(map[string]int, len(p.counts))
@@ -111,48 +111,48 @@
 }
 
 // State is the pool's load: runs in hand, ended so far, busy share of the cores.
-func (p *Pool) State() (running, ended int, busy float64) {
+func (p *Pool) Load() (running, ended int, busy float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.runs), p.ended, p.busy
 }
 
 // Renumber starts notices anew, as the platform does for a node that starts anew.
-func (p *Pool) Renumber() {
+func (p *Pool) ResetNotices() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.notices, p.base = nil, 0
+	p.notices, p.firstSeq = nil, 0
 }
 
 // Pause stops or resumes all runs.
-func (p *Pool) Pause(paused bool) {
+func (p *Pool) SetPaused(paused bool) {
 	p.mu.Lock()
 	p.advance()
 	p.paused = paused
 	p.mu.Unlock()
-	p.wake()
+	p.notifyChange()
 }
 
 // Cold lets the pool be cold as of its start: it begins at the share from of its
 // speed and is warm after ramp. It must be called before a node binds.
-func (p *Pool) Cold(from float64, ramp time.Duration) {
+func (p *Pool) StartCold(from float64, ramp time.Duration) {
 	p.mu.Lock()
-	p.cold, p.ramp = from, ramp
+	p.coldSpeed, p.warmUpTime = from, ramp
 	p.mu.Unlock()
 }
 
 // Slow lets all work take times as long from now on.
-func (p *Pool) Slow(times float64) {
+func (p *Pool) SetSlowdown(times float64) {
 	p.mu.Lock()
 	p.advance()
-	p.slow = times
+	p.slowdown = times
 	p.mu.Unlock()
-	p.wake()
+	p.notifyChange()
 }
 
-func (p *Pool) wake() {
+func (p *Pool) notifyChange() {
 	select {
-	case p.poke <- struct{}{}:
+	case p.changed <- struct{}{}:
 	default:
 	}
 }
@@ -172,7 +172,7 @@
 }
 
 // say writes a line on the link, if there is one; the lock must be held.
-func (p *Pool) say(line string) {
+func (p *Pool) send(line string) {
 	if p.link == nil {
 		return
 	}
@@ -212,54 +212,54 @@
 			}
 			p.link = c
 			state := "hot"
-			if p.cold > 0 {
+			if p.coldSpeed > 0 {
 				state = "chilly"
 			}
-			p.say(fmt.Sprintf(`{"op":"bound","end":%q,"ms":%d}`, state, time.Since(p.began).Milliseconds()))
-			for i := max(m.Seq-p.base, 0); i < len(p.notices); i++ {
-				p.say(p.notices[i])
+			p.send(fmt.Sprintf(`{"op":"bound","end":%q,"ms":%d}`, state, time.Since(p.started).Milliseconds()))
+			for i := max(m.Seq-p.firstSeq, 0); i < len(p.notices); i++ {
+				p.send(p.notices[i])
 			}
 		case "spawn":
-			p.spawn(m.ID, m.Class, m.Body)
+			p.startRun(m.ID, m.Class, m.Body)
 		case "suspend":
 			if r := p.runs[m.ID]; r != nil {
 				p.advance()
 				delete(p.runs, m.ID)
-				p.notice(r, "cancelled", nil)
+				p.recordEnd(r, "cancelled", nil)
 			}
 		case "poll":
-			p.say(fmt.Sprintf(`{"op":"polled","tag":%s,"values":[%g,%d]}`, strconv.Quote(m.Tag), p.busy, len(p.runs)))
+			p.send(fmt.Sprintf(`{"op":"polled","tag":%s,"values":[%g,%d]}`, strconv.Quote(m.Tag), p.busy, len(p.runs)))
 		}
 		p.mu.Unlock()
-		p.wake()
+		p.notifyChange()
 	}
 }
 
 // spawn begins a run, unless it runs; the lock must be held.
-func (p *Pool) spawn(id, class string, body []byte) {
+func (p *Pool) startRun(id, class string, body []byte) {
 	if p.runs[id] != nil {
 		return
 	}
 	p.advance()
 	p.counts[id]++
-	r := &run{Run: Run{ID: id, Class: class, Body: body, Count: p.counts[id]}, began: time.Now()}
-	r.left, r.end, r.result = p.Work(r.Run)
+	r := &run{Run: Run{ID: id, Class: class, Body: body, Count: p.counts[id]}, started: time.Now()}
+	r.remaining, r.end, r.result = p.Work(r.Run)
 	p.runs[id] = r
 }
 
 // notice keeps and sends the end of a run; the lock must be held.
-func (p *Pool) notice(r *run, end string, result []byte) {
+func (p *Pool) recordEnd(r *run, end string, result []byte) {
 	p.ended++
 	text, _ := json.Marshal(result) // bytes always can be
 	n := fmt.Sprintf(`{"op":"finished","seq":%d,"id":%s,"end":%q,"ms":%.3f,"body":%s}`,
-		p.base+len(p.notices)+1, strconv.Quote(r.ID), end, float64(time.Since(r.began).Microseconds())/1000, text)
+		p.firstSeq+len(p.notices)+1, strconv.Quote(r.ID), end, float64(time.Since(r.started).Microseconds())/1000, text)
 	p.notices = append(p.notices, n)
-	if len(p.notices) > mostNotices {
-		cut := len(p.notices) - mostNotices
-		p.base += cut
+	if len(p.notices) > maxNotices {
+		cut := len(p.notices) - maxNotices
+		p.firstSeq += cut
 		p.notices = append([]string(nil), p.notices[cut:]...)
 	}
-	p.say(n)
+	p.send(n)
 }
 
 // speed is how much of a core each run gets now; the lock must be held.
@@ -269,32 +269,32 @@
 		return 0
 	}
 	share := min(1, float64(p.Cores)/n)
-	return share * p.warm() / max(p.slow, 1) / (1 + p.Crowd*max(0, n/float64(p.Cores)-1))
+	return share * p.speedShare() / max(p.slowdown, 1) / (1 + p.ContentionFactor*max(0, n/float64(p.Cores)-1))
 }
 
 // warm is the share of its speed that the pool has; the lock must be held.
-func (p *Pool) warm() float64 {
-	if p.cold <= 0 {
+func (p *Pool) speedShare() float64 {
+	if p.coldSpeed <= 0 {
 		return 1
 	}
-	return p.cold + (1-p.cold)*min(1, time.Since(p.began).Seconds()/p.ramp.Seconds())
+	return p.coldSpeed + (1-p.coldSpeed)*min(1, time.Since(p.started).Seconds()/p.warmUpTime.Seconds())
 }
 
 // advance brings all runs up to now; the lock must be held.
 func (p *Pool) advance() {
 	now := time.Now()
-	passed := now.Sub(p.at)
-	p.at = now
+	passed := now.Sub(p.advanced)
+	p.advanced = now
 	done := float64(passed) / float64(time.Millisecond) * p.speed()
 	for _, r := range p.runs {
-		r.left -= done
+		r.remaining -= done
 	}
 	weight := min(1, passed.Seconds()) // the gauge is a mean over about a second
 	p.busy += weight * (min(1, float64(len(p.runs))/float64(p.Cores)) - p.busy)
 }
 
 // turn ends runs as they are done.
-func (p *Pool) turn() {
+func (p *Pool) finishRuns() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
@@ -304,7 +304,7 @@
 		for {
 			var over *run
 			for _, r := range p.runs {
-				if r.left <= 0 {
+				if r.remaining <= 0 {
 					over = r
 					break
 				}
@@ -313,13 +313,13 @@
 				break
 			}
 			delete(p.runs, over.ID)
-			p.notice(over, over.end, over.result)
+			p.recordEnd(over, over.end, over.result)
 		}
 		if v := p.speed(); v > 0 {
 			for _, r := range p.runs {
-				next = min(next, time.Duration(r.left/v*float64(time.Millisecond))+50*time.Microsecond)
+				next = min(next, time.Duration(r.remaining/v*float64(time.Millisecond))+50*time.Microsecond)
 			}
-			if p.warm() < 1 { // the speed changes meanwhile
+			if p.speedShare() < 1 { // the speed changes meanwhile
 				next = min(next, 5*time.Millisecond)
 			}
 		}
@@ -328,7 +328,7 @@
 		select {
 		case <-p.ctx.Done():
 			return
-		case <-p.poke:
+		case <-p.changed:
 		case <-timer.C:
 		}
 	}
--- a/internal/standin/proxy/proxy.go
+++ b/internal/standin/proxy/proxy.go
@@ -21,21 +21,21 @@
 	"robinmast/decide/backoff"
 )
 
-const prefix = "type.googleapis.com/envoy.config."
+const typePrefix = "type.googleapis.com/envoy.config."
 
 // The types that a proxy subscribes to, in order.
 var types = []string{
-	prefix + "cluster.v3.Cluster", prefix + "endpoint.v3.ClusterLoadAssignment",
-	prefix + "listener.v3.Listener", prefix + "route.v3.RouteConfiguration",
+	typePrefix + "cluster.v3.Cluster", typePrefix + "endpoint.v3.ClusterLoadAssignment",
+	typePrefix + "listener.v3.Listener", typePrefix + "route.v3.RouteConfiguration",
 }
 
 // Faults are what a proxy does wrong.
 type Faults struct {
-	NeverAnswers bool                      // reads, and acknowledges nothing
-	Rejects      string                    // type URL of which everything is rejected
-	CutAfter     int                       // ends its stream after so many messages, each time; 0 = never
-	Forget       bool                      // comes back with a version and a nonce that never were
-	Gate         func(ctx context.Context) // waits before each read
+	NeverAcknowledges bool                      // reads, and acknowledges nothing
+	RejectedType      string                    // type URL of which everything is rejected
+	CloseStreamAfter  int                       // ends its stream after so many messages, each time; 0 = never
+	UnknownVersions   bool                      // comes back with a version and a nonce that never were
+	BeforeRead        func(ctx context.Context) // waits before each read
 }
 
 // Endpoint is a server as the proxy was told of it.
@@ -55,21 +55,21 @@
 
 	conn *grpc.ClientConn
 
-	mu        sync.Mutex
-	versions  map[string]string            // World: by type
-	has       map[string]map[string]string // Delta: versions by type and name
-	endpoints map[string]Endpoint          // by address
-	drop      uint32
-	messages  int
-	bytes     int
-	streams   int
+	mu               sync.Mutex
+	versions         map[string]string            // World: by type
+	resourceVersions map[string]map[string]string // Delta: versions by type and name
+	endpoints        map[string]Endpoint          // by address
+	dropPerMillion   uint32
+	messages         int
+	bytes            int
+	streams          int
 }
 
 // New returns a proxy on a connection; Run runs it.
 func New(conn *grpc.ClientConn, id string, delta bool) *Proxy {
-	p := &Proxy{Delta: delta, ID: id, conn: conn, versions: map[string]string{}, has: map[string]map[string]string{}, endpoints: map[string]Endpoint{}}
+	p := &Proxy{Delta: delta, ID: id, conn: conn, versions: map[string]string{}, resourceVersions: map[string]map[string]string{}, endpoints: map[string]Endpoint{}}
 	for _, t := range types {
-		p.has[t] = map[string]string{}
+		p.resourceVersions[t] = map[string]string{}
 	}
 	return p
 }
@@ -82,14 +82,14 @@
 }
 
 // Drop is the share of requests that it was told to drop, in millionths.
-func (p *Proxy) Drop() uint32 {
+func (p *Proxy) DropPerMillion() uint32 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.drop
+	return p.dropPerMillion
 }
 
 // Bytes is how much it was sent, Streams how many streams it opened.
-func (p *Proxy) Bytes() (bytes, streams int) {
+func (p *Proxy) Traffic() (bytes, streams int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.bytes, p.streams
@@ -108,9 +108,9 @@
 		p.mu.Unlock()
 		sctx, cancel := context.WithCancel(ctx)
 		if p.Delta {
-			_ = p.delta(sctx) // whatever ended it, it is opened again
+			_ = p.runDelta(sctx) // whatever ended it, it is opened again
 		} else {
-			_ = p.world(sctx)
+			_ = p.runStateOfTheWorld(sctx)
 		}
 		cancel()
 		p.mu.Lock()
@@ -125,39 +125,39 @@
 	}
 }
 
-func (p *Proxy) self() *corev3.Node {
+func (p *Proxy) node() *corev3.Node {
 	return &corev3.Node{Id: p.ID, Locality: &corev3.Locality{Zone: p.Zone}}
 }
 
-func names(t string) []string {
+func resourceNames(t string) []string {
 	if t == types[0] || t == types[2] {
 		return nil
 	}
 	return []string{"robinmast"}
 }
 
-func refusal() *rpcstatus.Status {
+func rejection() *rpcstatus.Status {
 	return &rpcstatus.Status{Code: 3, Message: "rejected by the stand-in"}
 }
 
 // wait is before each read; it reports whether the stream is to be cut.
-func (p *Proxy) wait(ctx context.Context, read int) bool {
-	if p.Faults.Gate != nil {
-		p.Faults.Gate(ctx)
+func (p *Proxy) beforeRead(ctx context.Context, read int) bool {
+	if p.Faults.BeforeRead != nil {
+		p.Faults.BeforeRead(ctx)
 	}
-	return p.Faults.CutAfter > 0 && read >= p.Faults.CutAfter
+	return p.Faults.CloseStreamAfter > 0 && read >= p.Faults.CloseStreamAfter
 }
 
-func (p *Proxy) world(ctx context.Context) error {
+func (p *Proxy) runStateOfTheWorld(ctx context.Context) error {
 	s, err := discoveryv3.NewAggregatedDiscoveryServiceClient(p.conn).StreamAggregatedResources(ctx)
 	if err != nil {
 		return err
 	}
 	for _, t := range types {
 		p.mu.Lock()
-		q := &discoveryv3.DiscoveryRequest{Node: p.self(), TypeUrl: t, VersionInfo: p.versions[t], ResourceNames: names(t)}
+		q := &discoveryv3.DiscoveryRequest{Node: p.node(), TypeUrl: t, VersionInfo: p.versions[t], ResourceNames: resourceNames(t)}
 		p.mu.Unlock()
-		if p.Faults.Forget {
+		if p.Faults.UnknownVersions {
 			q.VersionInfo, q.ResponseNonce = "of another service", "never sent"
 		}
 		if err := s.Send(q); err != nil {
@@ -165,21 +165,21 @@
 		}
 	}
 	for read := 0; ; read++ {
-		if p.wait(ctx, read) {
+		if p.beforeRead(ctx, read) {
 			return nil
 		}
 		r, err := s.Recv()
 		if err != nil {
 			return err
 		}
-		a := &discoveryv3.DiscoveryRequest{TypeUrl: r.TypeUrl, ResponseNonce: r.Nonce, VersionInfo: r.VersionInfo, ResourceNames: names(r.TypeUrl)}
+		a := &discoveryv3.DiscoveryRequest{TypeUrl: r.TypeUrl, ResponseNonce: r.Nonce, VersionInfo: r.VersionInfo, ResourceNames: resourceNames(r.TypeUrl)}
 		p.mu.Lock()
 		p.messages++
 		for _, b := range r.Resources {
 			p.bytes += len(b.Value)
 		}
-		if r.TypeUrl == p.Faults.Rejects {
-			a.VersionInfo, a.ErrorDetail = p.versions[r.TypeUrl], refusal()
+		if r.TypeUrl == p.Faults.RejectedType {
+			a.VersionInfo, a.ErrorDetail = p.versions[r.TypeUrl], rejection()
 		} else {
 			p.versions[r.TypeUrl] = r.VersionInfo
 			for _, b := range r.Resources {
@@ -190,7 +190,7 @@
 		if err != nil {
 			return err
 		}
-		if p.Faults.NeverAnswers {
+		if p.Faults.NeverAcknowledges {
 			continue
 		}
 		if err := s.Send(a); err != nil {
@@ -199,16 +199,16 @@
 	}
 }
 
-func (p *Proxy) delta(ctx context.Context) error {
+func (p *Proxy) runDelta(ctx context.Context) error {
 	s, err := discoveryv3.NewAggregatedDiscoveryServiceClient(p.conn).DeltaAggregatedResources(ctx)
 	if err != nil {
 		return err
 	}
 	for _, t := range types {
 		p.mu.Lock()
-		q := &discoveryv3.DeltaDiscoveryRequest{Node: p.self(), TypeUrl: t, ResourceNamesSubscribe: names(t), InitialResourceVersions: maps.Clone(p.has[t])}
+		q := &discoveryv3.DeltaDiscoveryRequest{Node: p.node(), TypeUrl: t, ResourceNamesSubscribe: resourceNames(t), InitialResourceVersions: maps.Clone(p.resourceVersions[t])}
 		p.mu.Unlock()
-		if p.Faults.Forget {
+		if p.Faults.UnknownVersions {
 			q.ResponseNonce, q.InitialResourceVersions = "never sent", map[string]string{"robinmast": "of another service", "long gone": "1"}
 		}
 		if err := s.Send(q); err != nil {
@@ -216,7 +216,7 @@
 		}
 	}
 	for read := 0; ; read++ {
-		if p.wait(ctx, read) {
+		if p.beforeRead(ctx, read) {
 			return nil
 		}
 		r, err := s.Recv()
@@ -229,14 +229,14 @@
 		for _, b := range r.Resources {
 			p.bytes += len(b.Resource.Value)
 		}
-		if r.TypeUrl == p.Faults.Rejects {
-			a.ErrorDetail = refusal()
+		if r.TypeUrl == p.Faults.RejectedType {
+			a.ErrorDetail = rejection()
 		} else {
 			for _, n := range r.RemovedResources {
-				delete(p.has[r.TypeUrl], n)
+				delete(p.resourceVersions[r.TypeUrl], n)
 			}
 			for _, b := range r.Resources {
-				p.has[r.TypeUrl][b.Name] = b.Version
+				p.resourceVersions[r.TypeUrl][b.Name] = b.Version
 				err = p.apply(b.Resource)
 			}
 		}
@@ -244,7 +244,7 @@
 		if err != nil {
 			return err
 		}
-		if p.Faults.NeverAnswers {
+		if p.Faults.NeverAcknowledges {
 			continue
 		}
 		if err := s.Send(a); err != nil {
@@ -263,7 +263,7 @@
 	if !ok {
 		return nil
 	}
-	p.endpoints, p.drop = map[string]Endpoint{}, 0
+	p.endpoints, p.dropPerMillion = map[string]Endpoint{}, 0
 	for _, l := range load.Endpoints {
 		for _, e := range l.LbEndpoints {
 			a := e.GetEndpoint().GetAddress().GetSocketAddress()
@@ -273,7 +273,7 @@
 		}
 	}
 	for _, d := range load.GetPolicy().GetDropOverloads() {
-		p.drop += d.GetDropPercentage().GetNumerator()
+		p.dropPerMillion += d.GetDropPercentage().GetNumerator()
 	}
 	return nil
 }
--- a/internal/standin/simulation/bound.go
+++ b/internal/standin/simulation/bound.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	bestWindow = time.Second
-	bestSizes  = 3 // requests of a class are told apart by size, into so many parts
+	boundWindow = time.Second
+	sizeGroups  = 3 // requests of a class are told apart by size, into so many parts
 )
 
 // Best is an upper bound of the worth that any order could earn from arrivals on
 // cores that never slow: a linear programme over classes, sizes and windows, in
 // which a request's work may be done in its window or until its aim is over.
-func Best(set rules.Settings, arrivals []Arrival) (float64, error) {
+func BestUtility(set rules.Settings, arrivals []Arrival) (float64, error) {
 	type kind struct{ class, size int }
 	windows := 0
 	for _, a := range arrivals {
-		windows = max(windows, int(a.At/bestWindow)+1)
+		windows = max(windows, int(a.At/boundWindow)+1)
 	}
 	if windows == 0 {
 		return 0, nil
@@ -41,8 +41,8 @@
 			}
 		}
 		slices.Sort(work)
-		for i := 1; i < bestSizes && len(work) > 0; i++ {
-			bounds[c] = append(bounds[c], work[len(work)*i/bestSizes])
+		for i := 1; i < sizeGroups && len(work) > 0; i++ {
+			bounds[c] = append(bounds[c], work[len(work)*i/sizeGroups])
 		}
 	}
 	offered := map[kind][]float64{} // seconds of work by window
@@ -58,7 +58,7 @@
 		if offered[k] == nil {
 			offered[k] = make([]float64, windows)
 		}
-		offered[k][int(a.At/bestWindow)] += a.Work.Seconds()
+		offered[k][int(a.At/boundWindow)] += a.Work.Seconds()
 		total[k] += a.Work.Seconds()
 		count[k]++
 	}
@@ -66,8 +66,8 @@
 	for k := range offered {
 		kinds = append(kinds, k)
 	}
-	slices.SortFunc(kinds, func(a, b kind) int { return (a.class*bestSizes + a.size) - (b.class*bestSizes + b.size) })
-	late := func(k kind) int { return int(set.Classes[k.class].LatencyTarget/bestWindow) + 1 }
+	slices.SortFunc(kinds, func(a, b kind) int { return (a.class*sizeGroups + a.size) - (b.class*sizeGroups + b.size) })
+	late := func(k kind) int { return int(set.Classes[k.class].LatencyTarget/boundWindow) + 1 }
 	slots := windows
 	for _, k := range kinds {
 		slots = max(slots, windows+late(k))
@@ -101,7 +101,7 @@
 		a.Set(e.row, e.col, 1)
 	}
 	for range slots {
-		b = append(b, float64(set.Cores)*bestWindow.Seconds())
+		b = append(b, float64(set.Cores)*boundWindow.Seconds())
 	}
 	basis := make([]int, all)
 	for i := range all {
@@ -118,30 +118,30 @@
 
 // Split is a baseline: every class has a fixed part of the slots, by equal
 // shares, and lends nothing.
-type Split struct{ running []int }
+type StaticSplit struct{ running []int }
 
-var _ rules.Pools = (*Split)(nil)
+var _ rules.Pools = (*StaticSplit)(nil)
 
 // NewSplit returns a split among classes.
-func NewSplit(classes int) *Split { return &Split{running: make([]int, classes)} }
+func NewStaticSplit(classes int) *StaticSplit { return &StaticSplit{running: make([]int, classes)} }
 
 // Arrived is for rules.Pools.
-func (s *Split) Arrived(time.Duration, int, time.Duration) {}
+func (s *StaticSplit) Arrived(time.Duration, int, time.Duration) {}
 
 // Running counts the runs of a class.
-func (s *Split) RunningChanged(_ time.Duration, class, n int) { s.running[class] += n }
+func (s *StaticSplit) RunningChanged(_ time.Duration, class, n int) { s.running[class] += n }
 
 // Ran is for rules.Pools.
-func (s *Split) RunSucceeded(time.Duration, int, time.Duration) {}
+func (s *StaticSplit) RunSucceeded(time.Duration, int, time.Duration) {}
 
 // Step is for rules.Pools.
-func (s *Split) Step(time.Duration, float64) []string { return nil }
+func (s *StaticSplit) Step(time.Duration, float64) []string { return nil }
 
 // Stuck is for rules.Pools.
-func (s *Split) StalledRuns() int { return 0 }
+func (s *StaticSplit) StalledRuns() int { return 0 }
 
 // Next is the oldest of a class with a slot of its own.
-func (s *Split) Next(_ time.Duration, slots, taken int, line []rules.QueuedRequest) int {
+func (s *StaticSplit) Next(_ time.Duration, slots, taken int, line []rules.QueuedRequest) int {
 	own := max(1, slots/len(s.running))
 	for i, w := range line {
 		if s.running[w.Class] < own {
@@ -152,7 +152,7 @@
 }
 
 // Leaves is the newest of the class that holds most.
-func (s *Split) Evict(_ time.Duration, _ int, line []rules.QueuedRequest) int {
+func (s *StaticSplit) Evict(_ time.Duration, _ int, line []rules.QueuedRequest) int {
 	held := make([]int, len(s.running))
 	for _, w := range line {
 		held[w.Class]++
--- a/internal/standin/simulation/fleet_test.go
+++ b/internal/standin/simulation/fleet_test.go
@@ -27,8 +27,8 @@
 		set.NewShedder = func(now time.Duration) rules.Shedder { return shedding.New(now, false) }
 	}
 	return FleetOptions{
-		Settings: set, Nodes: nodes, Dispatchers: 20, Crowd: 0.1, Mean: 20 * time.Millisecond, Share: []float64{0.77, 0.23},
-		Load: func(time.Duration) float64 { return 0.9 }, Walk: 5, Heed: 1, Try: time.Second, Retries: 2, Backoff: 100 * time.Millisecond,
+		Settings: set, Nodes: nodes, Dispatchers: 20, ContentionFactor: 0.1, MeanWork: 20 * time.Millisecond, ClassShares: []float64{0.77, 0.23},
+		Load: func(time.Duration) float64 { return 0.9 }, FurtherTries: 5, HonouringShare: 1, TryTimeout: time.Second, DesktopRetries: 2, DesktopBackoff: 100 * time.Millisecond,
 		Length: 12 * time.Second, Seed: 1,
 	}
 }
@@ -36,22 +36,22 @@
 // sum adds up seconds from one to before another.
 func sum(all []FleetSecond, from, to int) (s FleetSecond) {
 	for _, x := range all[from:min(to, len(all))] {
-		s.Asked += x.Asked
+		s.Requests += x.Requests
 		s.InTime += x.InTime
 		s.Served += x.Served
-		s.First += x.First
+		s.FirstTries += x.FirstTries
 		s.Tries += x.Tries
 		s.Refused += x.Refused
-		s.Ended += x.Ended
-		s.HeldBack += x.HeldBack
-		s.Worth += x.Worth
+		s.StoppedByNode += x.StoppedByNode
+		s.NoNodeAvailable += x.NoNodeAvailable
+		s.Utility += x.Utility
 	}
 	return s
 }
 
 func playFleet(t testing.TB, opt FleetOptions) []FleetSecond {
 	t.Helper()
-	out, err := PlayFleet(opt)
+	out, err := SimulateFleet(opt)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,28 +59,28 @@
 }
 
 // thirdHangs lets a third of the nodes hang, or die, from 4 s to 7 s.
-func thirdHangs(nodes int, what Trouble) func(time.Duration, int) Trouble {
-	return func(at time.Duration, n int) Trouble {
+func thirdHangs(nodes int, what Fault) func(time.Duration, int) Fault {
+	return func(at time.Duration, n int) Fault {
 		if n < nodes/3 && at >= 4*time.Second && at < 7*time.Second {
 			return what
 		}
-		return Well
+		return NoFault
 	}
 }
 
 // A fleet in virtual time: the same seed plays the same; a third that hangs or dies
 // costs what it can do and not much more, and it is back soon after.
 func TestFleetInVirtualTime(t *testing.T) {
-	for _, what := range []Trouble{Hangs, Dead} {
+	for _, what := range []Fault{Hung, Down} {
 		opt := fleetOf(30, true)
-		opt.Trouble = thirdHangs(30, what)
+		opt.Fault = thirdHangs(30, what)
 		all := playFleet(t, opt)
 		if again := playFleet(t, opt); fmt.Sprint(again) != fmt.Sprint(all) {
 			t.Error("the same seed plays another night")
 		}
 		before, during, after := sum(all, 1, 4), sum(all, 5, 7), sum(all, 9, 12)
-		if during.Worth/2 < 0.55*before.Worth/3 || after.Worth < 0.95*before.Worth {
-			t.Errorf("trouble %d: worth a second %.0f before, %.0f while it lasts, %.0f after", what, before.Worth/3, during.Worth/2, after.Worth/3)
+		if during.Utility/2 < 0.55*before.Utility/3 || after.Utility < 0.95*before.Utility {
+			t.Errorf("trouble %d: worth a second %.0f before, %.0f while it lasts, %.0f after", what, before.Utility/3, during.Utility/2, after.Utility/3)
 		}
 	}
 }
@@ -95,7 +95,7 @@
 	for _, nodes := range sizes {
 		for _, on := range []bool{false, true} {
 			opt := fleetOf(nodes, on)
-			opt.Trouble = thirdHangs(nodes, Hangs)
+			opt.Fault = thirdHangs(nodes, Hung)
 			began := time.Now()
 			all := playFleet(t, opt)
 			hang := sum(all, 4, 7)
@@ -109,9 +109,9 @@
 			}
 			storm := sum(playFleet(t, opt), 4, 8)
 			t.Logf("%4d nodes, together %-5v: worth a node and second %.1f before, %.1f while a third hangs (%.2f tries), %.1f after; at 1.5 %.1f with %.3f tries; %v for both",
-				nodes, on, before.Worth/3/float64(nodes), hang.Worth/3/float64(nodes), hang.PerFirst(), after.Worth/4/float64(nodes),
-				storm.Worth/4/float64(nodes), storm.PerFirst(), time.Since(began).Round(time.Second/10))
-			if after.Worth/4 < 0.95*before.Worth/3 {
+				nodes, on, before.Utility/3/float64(nodes), hang.Utility/3/float64(nodes), hang.TriesPerFirstTry(), after.Utility/4/float64(nodes),
+				storm.Utility/4/float64(nodes), storm.TriesPerFirstTry(), time.Since(began).Round(time.Second/10))
+			if after.Utility/4 < 0.95*before.Utility/3 {
 				t.Errorf("%d nodes are not back", nodes)
 			}
 		}
@@ -135,13 +135,13 @@
 					for trigger, name := range []string{"hang", "kill", "surge", "slow"} {
 						for seed := range seeds {
 							opt := fleetOf(nodes, true)
-							opt.Seed, opt.Heed, opt.Retries, opt.Length = seed+1, heed, retries, 16*time.Second
+							opt.Seed, opt.HonouringShare, opt.DesktopRetries, opt.Length = seed+1, heed, retries, 16*time.Second
 							opt.Settings.Classes[1].Utility = 2 * dear
 							switch trigger {
 							case 0:
-								opt.Trouble = thirdHangs(nodes, Hangs)
+								opt.Fault = thirdHangs(nodes, Hung)
 							case 1:
-								opt.Trouble = thirdHangs(nodes, Dead)
+								opt.Fault = thirdHangs(nodes, Down)
 							case 2:
 								opt.Load = func(at time.Duration) float64 {
 									if at >= 4*time.Second && at < 7*time.Second {
@@ -160,7 +160,7 @@
 							all := playFleet(t, opt)
 							before, after := sum(all, 1, 4), sum(all, 12, 16)
 							played++
-							share := func(s FleetSecond) float64 { return float64(s.InTime) / float64(s.Asked) }
+							share := func(s FleetSecond) float64 { return float64(s.InTime) / float64(s.Requests) }
 							if share(after) < 0.95*share(before) {
 								stuck = append(stuck, fmt.Sprintf("%d nodes, heed %.1f, %d retries, dear %.0f, %s, seed %d: %.3f in time before, %.3f after",
 									nodes, heed, retries, dear, name, seed+1, share(before), share(after)))
--- a/internal/standin/simulation/replay.go
+++ b/internal/standin/simulation/replay.go
@@ -73,27 +73,27 @@
 
 // Options say what machine it is.
 type Options struct {
-	Settings rules.Settings
-	Crowd    float64                                // slow-down for each run a core beyond one
-	Hangs    func(at time.Duration, class int) bool // whose runs stand still
-	Action   func(at time.Duration, what string, id rules.RequestID, value float64)
-	Drain    time.Duration                                                        // when the notice to leave comes, 0 = never
-	Length   time.Duration                                                        // 0 = until the last arrival's deadline
-	Told     func(id rules.RequestID, how string, after time.Duration, last bool) // each answer, nil = nobody
+	Settings         rules.Settings
+	ContentionFactor float64                                // slow-down for each run a core beyond one
+	Hangs            func(at time.Duration, class int) bool // whose runs stand still
+	OnAction         func(at time.Duration, what string, id rules.RequestID, value float64)
+	Drain            time.Duration                                                        // when the notice to leave comes, 0 = never
+	Length           time.Duration                                                        // 0 = until the last arrival's deadline
+	OnAnswer         func(id rules.RequestID, how string, after time.Duration, last bool) // each answer, nil = nobody
 }
 
 // Count is what became of the requests of a class that arrived in one second.
 type Count struct {
 	Arrived, Served, InTime, Refused, Failed int
-	Worth                                    float64
+	Utility                                  float64
 }
 
 // Result is what a replay showed.
 type Result struct {
-	Seconds [][]Count // by second of arrival and class
-	Log     []string  // lines of the module
-	Broken  []string  // rules that were broken
-	Peak    int       // most runs at once
+	Seconds     [][]Count // by second of arrival and class
+	Log         []string  // lines of the module
+	Violations  []string  // rules that were broken
+	PeakRunning int       // most runs at once
 }
 
 // Total adds up the seconds from one to before another, a class of -1 meaning all.
@@ -106,7 +106,7 @@
 				c.InTime += x.InTime
 				c.Refused += x.Refused
 				c.Failed += x.Failed
-				c.Worth += x.Worth
+				c.Utility += x.Utility
 			}
 		}
 	}
@@ -115,36 +115,36 @@
 
 type request struct {
 	Arrival
-	id       rules.RequestID
-	left     float64 // seconds of work
-	running  bool
-	began    time.Duration
-	answered bool
-	ran      int
+	id        rules.RequestID
+	remaining float64 // seconds of work
+	running   bool
+	started   time.Duration
+	answered  bool
+	runs      int
 }
 
-type play struct {
-	opt    Options
-	m      *rules.Module
-	now    time.Duration
-	all    map[rules.RequestID]*request
-	runs   []*request // in order of their start
-	ended  []func()
-	timers []time.Duration
-	busy   float64
-	res    *Result
+type nodeSimulation struct {
+	options  Options
+	module   *rules.Module
+	now      time.Duration
+	requests map[rules.RequestID]*request
+	running  []*request // in order of their start
+	runEnds  []func()
+	timers   []time.Duration
+	cpuBusy  float64
+	result   *Result
 }
 
 const step = time.Millisecond
 
 // Replay plays the arrivals.
 func Replay(opt Options, arrivals []Arrival) (*Result, error) {
-	p := &play{opt: opt, all: map[rules.RequestID]*request{}, res: &Result{}}
+	p := &nodeSimulation{options: opt, requests: map[rules.RequestID]*request{}, result: &Result{}}
 	m, err := rules.New(0, opt.Settings, 1, host{p})
 	if err != nil {
 		return nil, err
 	}
-	p.m = m
+	p.module = m
 	end := opt.Length
 	for _, a := range arrivals {
 		end = max(end, a.At+opt.Settings.Classes[a.Class].Deadline+time.Second)
@@ -154,11 +154,11 @@
 	}
 	next := 0
 	for ; p.now < end; p.now += step {
-		p.run(step)
-		for _, f := range p.ended {
+		p.advance(step)
+		for _, f := range p.runEnds {
 			f()
 		}
-		p.ended = nil
+		p.runEnds = nil
 		if opt.Drain > 0 && p.now == opt.Drain {
 			m.Drain(p.now, 3*time.Second)
 		}
@@ -171,112 +171,112 @@
 			m.TimerFired(p.now, 1, p.gauges())
 		}
 		m.FinishBatch(p.now)
-		p.check()
+		p.checkConcurrency()
 	}
-	for _, r := range p.all {
+	for _, r := range p.requests {
 		if !r.answered {
-			p.broken("request %d was never answered", r.id)
+			p.violation("request %d was never answered", r.id)
 		}
 	}
-	return p.res, nil
+	return p.result, nil
 }
 
-func (p *play) broken(format string, args ...any) {
-	if len(p.res.Broken) < 8 {
-		p.res.Broken = append(p.res.Broken, fmt.Sprintf("%v: ", p.now)+fmt.Sprintf(format, args...))
+func (p *nodeSimulation) violation(format string, args ...any) {
+	if len(p.result.Violations) < 8 {
+		p.result.Violations = append(p.result.Violations, fmt.Sprintf("%v: ", p.now)+fmt.Sprintf(format, args...))
 	}
 }
 
-func (p *play) gauges() []float64 {
-	values := make([]float64, len(p.opt.Settings.Gauges))
-	for i, g := range p.opt.Settings.Gauges {
+func (p *nodeSimulation) gauges() []float64 {
+	values := make([]float64, len(p.options.Settings.Gauges))
+	for i, g := range p.options.Settings.Gauges {
 		switch g {
 		case "cpu_busy":
-			values[i] = p.busy
+			values[i] = p.cpuBusy
 		case "runnable":
-			values[i] = float64(len(p.runs))
+			values[i] = float64(len(p.running))
 		}
 	}
 	return values
 }
 
 // run lets the cores work for a time.
-func (p *play) run(dt time.Duration) {
-	cores := float64(p.opt.Settings.Cores)
-	work := p.runs[:0:0]
-	for _, r := range p.runs {
-		if p.opt.Hangs == nil || !p.opt.Hangs(p.now, r.Class) {
+func (p *nodeSimulation) advance(dt time.Duration) {
+	cores := float64(p.options.Settings.Cores)
+	work := p.running[:0:0]
+	for _, r := range p.running {
+		if p.options.Hangs == nil || !p.options.Hangs(p.now, r.Class) {
 			work = append(work, r)
 		}
 	}
 	n := float64(len(work))
-	p.busy += min(1, dt.Seconds()) * (min(1, n/cores) - p.busy)
-	speed := min(1, cores/max(n, 1)) / (1 + p.opt.Crowd*max(0, n/cores-1))
+	p.cpuBusy += min(1, dt.Seconds()) * (min(1, n/cores) - p.cpuBusy)
+	speed := min(1, cores/max(n, 1)) / (1 + p.options.ContentionFactor*max(0, n/cores-1))
 	for _, r := range work {
-		if r.left -= speed * dt.Seconds(); r.left <= 0 {
+		if r.remaining -= speed * dt.Seconds(); r.remaining <= 0 {
 			p.finish(r, rules.OK)
 		}
 	}
-	p.res.Peak = max(p.res.Peak, len(p.runs))
+	p.result.PeakRunning = max(p.result.PeakRunning, len(p.running))
 }
 
-func (p *play) finish(r *request, o rules.Outcome) {
-	p.runs = slices.DeleteFunc(p.runs, func(x *request) bool { return x == r })
+func (p *nodeSimulation) finish(r *request, o rules.Outcome) {
+	p.running = slices.DeleteFunc(p.running, func(x *request) bool { return x == r })
 	r.running = false
-	took := p.now - r.began
+	took := p.now - r.started
 	if o == rules.OK && !r.answered {
 		p.answer(r, "served")
 	}
-	p.ended = append(p.ended, func() { p.m.RunEnded(p.now, r.id, o, took) })
+	p.runEnds = append(p.runEnds, func() { p.module.RunEnded(p.now, r.id, o, took) })
 }
 
-func (p *play) arrive(a Arrival, id rules.RequestID) {
-	r := &request{Arrival: a, id: id, left: a.Work.Seconds()}
-	p.all[id] = r
-	p.cell(r).Arrived++
+func (p *nodeSimulation) arrive(a Arrival, id rules.RequestID) {
+	r := &request{Arrival: a, id: id, remaining: a.Work.Seconds()}
+	p.requests[id] = r
+	p.count(r).Arrived++
 	q := rules.Request{
 		ID: id, Class: a.Class, Tenant: a.Tenant, WorkHint: a.Hint, MemoryKB: 5, Rank: 0.5, Retry: a.Retry, Caller: uint32(id % 3),
-		CallerTimeout: p.opt.Settings.Classes[a.Class].Deadline,
+		CallerTimeout: p.options.Settings.Classes[a.Class].Deadline,
 	}
-	p.m.Arrive(p.now, q)
+	p.module.Arrive(p.now, q)
 }
 
-func (p *play) cell(r *request) *Count {
+func (p *nodeSimulation) count(r *request) *Count {
 	at := int(r.At / time.Second)
-	for len(p.res.Seconds) <= at {
-		p.res.Seconds = append(p.res.Seconds, make([]Count, len(p.opt.Settings.Classes)))
+	for len(p.result.Seconds) <= at {
+		p.result.Seconds = append(p.result.Seconds, make([]Count, len(p.options.Settings.Classes)))
 	}
-	return &p.res.Seconds[at][r.Class]
+	return &p.result.Seconds[at][r.Class]
 }
 
-func (p *play) answer(r *request, how string) {
+func (p *nodeSimulation) answer(r *request, how string) {
 	if r.answered {
-		p.broken("request %d was answered twice", r.id)
+		p.violation("request %d was answered twice", r.id)
 		return
 	}
 	r.answered = true
-	if p.opt.Told != nil && how != "refused" {
-		p.opt.Told(r.id, how, 0, false)
+	if p.options.OnAnswer != nil && how != "refused" {
+		p.options.OnAnswer(r.id, how, 0, false)
 	}
-	c := p.opt.Settings.Classes[r.Class]
-	x := p.cell(r)
+	c := p.options.Settings.Classes[r.Class]
+	x := p.count(r)
 	after := p.now - r.At
-	if after > c.Deadline+p.opt.Settings.AnswerSlack {
-		p.broken("request %d was answered after %v", r.id, after)
+	if after > c.Deadline+p.options.Settings.AnswerSlack {
+		p.violation("request %d was answered after %v", r.id, after)
 	}
 	switch how {
 	case "served":
 		x.Served++
 		if after <= c.LatencyTarget {
 			x.InTime++
-			x.Worth += c.Utility
+			x.Utility += c.Utility
 		} else {
-			x.Worth += c.Utility * c.LateUtilityShare
+			x.Utility += c.Utility * c.LateUtilityShare
 		}
 	case "refused":
 		x.Refused++
-		if r.ran > 0 {
-			p.broken("request %d was refused after it ran", r.id)
+		if r.runs > 0 {
+			p.violation("request %d was refused after it ran", r.id)
 		}
 	default:
 		x.Failed++
@@ -284,40 +284,40 @@
 }
 
 // check holds the crowd against what is survived.
-func (p *play) check() {
-	s := p.opt.Settings
-	if s.OverloadRunsPerCore > 0 && float64(len(p.runs)) > s.OverloadRunsPerCore*float64(s.Cores) {
-		p.broken("%d runs on %d cores", len(p.runs), s.Cores)
+func (p *nodeSimulation) checkConcurrency() {
+	s := p.options.Settings
+	if s.OverloadRunsPerCore > 0 && float64(len(p.running)) > s.OverloadRunsPerCore*float64(s.Cores) {
+		p.violation("%d runs on %d cores", len(p.running), s.Cores)
 	}
 }
 
 // host carries out what the module says.
-type host struct{ p *play }
+type host struct{ node *nodeSimulation }
 
-func (h host) note(what string, id rules.RequestID, value float64) {
-	if h.p.opt.Action != nil {
-		h.p.opt.Action(h.p.now, what, id, value)
+func (h host) record(what string, id rules.RequestID, value float64) {
+	if h.node.options.OnAction != nil {
+		h.node.options.OnAction(h.node.now, what, id, value)
 	}
 }
 
 func (h host) Run(id rules.RequestID) {
-	h.note("run", id, 0)
-	r := h.p.all[id]
+	h.record("run", id, 0)
+	r := h.node.requests[id]
 	if r.running {
 		return
 	}
-	if r.ran > 0 && h.p.opt.Settings.Classes[r.Class].Effect != rules.Safe {
-		h.p.broken("request %d runs again", id)
+	if r.runs > 0 && h.node.options.Settings.Classes[r.Class].Effect != rules.Safe {
+		h.node.violation("request %d runs again", id)
 	}
-	r.running, r.began, r.left = true, h.p.now, r.Work.Seconds()
-	r.ran++
-	h.p.runs = append(h.p.runs, r)
+	r.running, r.started, r.remaining = true, h.node.now, r.Work.Seconds()
+	r.runs++
+	h.node.running = append(h.node.running, r)
 }
 
 func (h host) Preempt(id rules.RequestID) {
-	h.note("halt", id, 0)
-	if r := h.p.all[id]; r.running && (h.p.opt.Hangs == nil || !h.p.opt.Hangs(h.p.now, r.Class)) {
-		h.p.finish(r, rules.Cancelled)
+	h.record("halt", id, 0)
+	if r := h.node.requests[id]; r.running && (h.node.options.Hangs == nil || !h.node.options.Hangs(h.node.now, r.Class)) {
+		h.node.finish(r, rules.Cancelled)
 	}
 }
 
@@ -326,30 +326,32 @@
 	if last {
 		v = -v - 1
 	}
-	h.note("refuse", id, v)
-	h.p.answer(h.p.all[id], "refused")
-	if h.p.opt.Told != nil {
-		h.p.opt.Told(id, "refused", after, last)
+	h.record("refuse", id, v)
+	h.node.answer(h.node.requests[id], "refused")
+	if h.node.options.OnAnswer != nil {
+		h.node.options.OnAnswer(id, "refused", after, last)
 	}
 }
 
 func (h host) Fail(id rules.RequestID) {
-	h.note("fail", id, 0)
-	h.p.answer(h.p.all[id], "failed")
+	h.record("fail", id, 0)
+	h.node.answer(h.node.requests[id], "failed")
 }
 
-func (h host) Call(id rules.RequestID, d time.Duration)       { h.note("call", id, d.Seconds()) }
-func (h host) SkipCall(id rules.RequestID)                    { h.note("skip", id, 0) }
-func (h host) KeepRecord(id rules.RequestID, d time.Duration) { h.note("keep", id, d.Seconds()) }
-func (h host) ForgetRecord(id rules.RequestID)                { h.note("forget", id, 0) }
-func (h host) JoinEarlier(id rules.RequestID)                 { h.note("reuse", id, 0) }
-func (h host) SetHealth(_, good bool)                         { h.note("health", 0, map[bool]float64{true: 1}[good]) }
-func (h host) PublishLoad(v float64)                          { h.note("say", 0, v) }
-func (h host) SetIdleTimeout(d time.Duration)                 { h.note("idle", 0, d.Seconds()) }
-
-func (h host) StartTimer(_ uint64, in time.Duration) { h.p.timers = append(h.p.timers, h.p.now+in) }
+func (h host) Call(id rules.RequestID, d time.Duration)       { h.record("call", id, d.Seconds()) }
+func (h host) SkipCall(id rules.RequestID)                    { h.record("skip", id, 0) }
+func (h host) KeepRecord(id rules.RequestID, d time.Duration) { h.record("keep", id, d.Seconds()) }
+func (h host) ForgetRecord(id rules.RequestID)                { h.record("forget", id, 0) }
+func (h host) JoinEarlier(id rules.RequestID)                 { h.record("reuse", id, 0) }
+func (h host) SetHealth(_, good bool)                         { h.record("health", 0, map[bool]float64{true: 1}[good]) }
+func (h host) PublishLoad(v float64)                          { h.record("say", 0, v) }
+func (h host) SetIdleTimeout(d time.Duration)                 { h.record("idle", 0, d.Seconds()) }
+
+func (h host) StartTimer(_ uint64, in time.Duration) {
+	h.node.timers = append(h.node.timers, h.node.now+in)
+}
 
 func (h host) Log(line string) {
-	h.note("log "+line, 0, 0)
-	h.p.res.Log = append(h.p.res.Log, fmt.Sprintf("%v %s", h.p.now, line))
+	h.record("log "+line, 0, 0)
+	h.node.result.Log = append(h.node.result.Log, fmt.Sprintf("%v %s", h.node.now, line))
 }
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -18,12 +18,12 @@
 )
 
 // patience is how long a test waits for what must come.
-const patience = 8 * time.Second
+const waitTimeout = 8 * time.Second
 
 // Eventually waits until ok, and fails the test if that takes too long.
 func Eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("not in time: %s", what)
 		}
@@ -94,8 +94,8 @@
 // Dispatcher is one connection of a dispatcher.
 type Dispatcher struct {
 	*net.TCPConn
-	t  *testing.T
-	rd *bufio.Reader
+	t      *testing.T
+	reader *bufio.Reader
 }
 
 // Dial connects a dispatcher to a node.
@@ -106,7 +106,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	return &Dispatcher{TCPConn: c.(*net.TCPConn), t: t, rd: bufio.NewReaderSize(c, 512)}
+	return &Dispatcher{TCPConn: c.(*net.TCPConn), t: t, reader: bufio.NewReaderSize(c, 512)}
 }
 
 // Words encodes a message.
@@ -130,8 +130,8 @@
 // ended instead.
 func (d *Dispatcher) Receive() string {
 	d.t.Helper()
-	_ = d.SetReadDeadline(time.Now().Add(patience))
-	n, err := d.number('*')
+	_ = d.SetReadDeadline(time.Now().Add(waitTimeout))
+	n, err := d.readHeader('*')
 	if err != nil {
 		if ne, ok := err.(net.Error); ok && ne.Timeout() {
 			d.t.Error("no answer")
@@ -140,13 +140,13 @@
 	}
 	parts := make([]string, n)
 	for i := range parts {
-		size, err := d.number('$')
+		size, err := d.readHeader('$')
 		if err != nil {
 			d.t.Errorf("answer cut short: %v", err)
 			return "EOF"
 		}
 		body := make([]byte, size+2)
-		if _, err := io.ReadFull(d.rd, body); err != nil || string(body[size:]) != "\r\n" {
+		if _, err := io.ReadFull(d.reader, body); err != nil || string(body[size:]) != "\r\n" {
 			d.t.Errorf("answer cut short: %v", err)
 			return "EOF"
 		}
@@ -156,8 +156,8 @@
 }
 
 // number reads a header that begins with the given byte.
-func (d *Dispatcher) number(kind byte) (n int, err error) {
-	line, err := d.rd.ReadString('\n')
+func (d *Dispatcher) readHeader(kind byte) (n int, err error) {
+	line, err := d.reader.ReadString('\n')
 	if err != nil {
 		return 0, err
 	}
--- a/rules/replay_test.go
+++ b/rules/replay_test.go
@@ -71,13 +71,13 @@
 // Without pools the module takes exactly the recorded actions.
 func TestReplaysWithoutPools(t *testing.T) {
 	for name, c := range replays {
-		opt := simulation.Options{Settings: replaySettings(), Crowd: 0.1}
+		opt := simulation.Options{Settings: replaySettings(), ContentionFactor: 0.1}
 		if c.change != nil {
 			c.change(&opt.Settings, &opt)
 		}
 		h := sha256.New()
 		n := 0
-		opt.Action = func(at time.Duration, what string, id rules.RequestID, value float64) {
+		opt.OnAction = func(at time.Duration, what string, id rules.RequestID, value float64) {
 			n++
 			fmt.Fprintf(h, "%d %s %d %.9g\n", at, what, id, value)
 		}
@@ -88,8 +88,8 @@
 		if got := hex.EncodeToString(h.Sum(nil)[:12]); got != c.digest {
 			t.Errorf("%s: %d actions, digest %s, want %s", name, n, got, c.digest)
 		}
-		if len(res.Broken) > 0 && name != "drain" {
-			t.Errorf("%s: invariants violated: %v", name, res.Broken)
+		if len(res.Violations) > 0 && name != "drain" {
+			t.Errorf("%s: invariants violated: %v", name, res.Violations)
 		}
 	}
 }
