--- a/internal/standin/simulation/bound.go
+++ b/internal/standin/simulation/bound.go
@@ -1,6 +1,3 @@
-// This file owns the best that could be had of a list of arrivals, and a plain
-// baseline to compare with. It must never be used to decide anything in service.
-
 package simulation
 
 import (
@@ -16,13 +13,15 @@
 )
 
 const (
-	boundWindow = time.Second
-	sizeGroups  = 3 // requests of a class are told apart by size, into so many parts
+	boundWindow = time.Second // length of a window of the linear programme
+	sizeGroups  = 3           // groups by size into which the requests of a class are divided
 )
 
-// Best is an upper bound of the worth that any order could earn from arrivals on
-// cores that never slow: a linear programme over classes, sizes and windows, in
-// which a request's work may be done in its window or until its aim is over.
+// BestUtility returns an upper bound of the utility that any policy could reach for the arrivals on cores that
+// do not slow down under contention. It solves a linear programme over classes, sizes and windows of one
+// second, in which the work of a request may be done from the window of its arrival until its latency target
+// has passed.
+// The error is that of the solver, and the value then NaN.
 func BestUtility(set rules.Settings, arrivals []Arrival) (float64, error) {
 	type kind struct{ class, size int }
 	windows := 0
@@ -32,7 +31,7 @@
 	if windows == 0 {
 		return 0, nil
 	}
-	bounds := make([][]time.Duration, len(set.Classes)) // of the sizes of a class
+	bounds := make([][]time.Duration, len(set.Classes)) // between size groups, by class
 	for c := range set.Classes {
 		var work []time.Duration
 		for _, a := range arrivals {
@@ -66,14 +65,16 @@
 	for k := range offered {
 		kinds = append(kinds, k)
 	}
-	slices.SortFunc(kinds, func(a, b kind) int { return (a.class*sizeGroups + a.size) - (b.class*sizeGroups + b.size) })
-	late := func(k kind) int { return int(set.Classes[k.class].LatencyTarget/boundWindow) + 1 }
-	slots := windows
+	slices.SortFunc(kinds, func(a, b kind) int {
+		return (a.class*sizeGroups + a.size) - (b.class*sizeGroups + b.size)
+	})
+	lastWindow := func(k kind) int { return int(set.Classes[k.class].LatencyTarget/boundWindow) + 1 }
+	slots := windows // windows in which work may be done
 	for _, k := range kinds {
-		slots = max(slots, windows+late(k))
+		slots = max(slots, windows+lastWindow(k))
 	}
-	// Variables: work of a kind that came in one window, done in another; then a
-	// slack for each row. Rows: what was offered, and what the cores can do.
+	// Variables: the work of a kind that arrives in one window and is done in another; then a slack variable
+	// for each row. Rows: the offered work of each kind and window, then the capacity of the cores in each window.
 	var cost, b []float64
 	type entry struct{ row, col int }
 	var ones []entry
@@ -83,7 +84,7 @@
 			if offered[k][w] == 0 {
 				continue
 			}
-			for d := 0; d <= late(k); d++ {
+			for d := 0; d <= lastWindow(k); d++ {
 				ones = append(ones, entry{rows, len(cost)}, entry{-1 - (w + d), len(cost)})
 				cost = append(cost, -set.Classes[k.class].Utility*count[k]/total[k])
 			}
@@ -111,55 +112,55 @@
 	}
 	value, _, err := lp.Simplex(cost, a, b, 1e-8, basis)
 	if err != nil {
-		return math.NaN(), fmt.Errorf("best achievable: %w", err)
+		return math.NaN(), fmt.Errorf("solve for the best achievable utility: %w", err)
 	}
 	return -value, nil
 }
 
-// Split is a baseline: every class has a fixed part of the slots, by equal
-// shares, and lends nothing.
+// StaticSplit is a baseline policy: every class has an equal, fixed share of the slots, and no class lends
+// its free slots to another.
 type StaticSplit struct{ running []int }
 
 var _ rules.Pools = (*StaticSplit)(nil)
 
-// NewSplit returns a split among classes.
+// NewStaticSplit returns a split among a number of classes.
 func NewStaticSplit(classes int) *StaticSplit { return &StaticSplit{running: make([]int, classes)} }
 
-// Arrived is for rules.Pools.
+// Arrived implements rules.Pools; it does nothing.
 func (s *StaticSplit) Arrived(time.Duration, int, time.Duration) {}
 
-// Running counts the runs of a class.
+// RunningChanged counts the runs of a class.
 func (s *StaticSplit) RunningChanged(_ time.Duration, class, n int) { s.running[class] += n }
 
-// Ran is for rules.Pools.
+// RunSucceeded implements rules.Pools; it does nothing.
 func (s *StaticSplit) RunSucceeded(time.Duration, int, time.Duration) {}
 
-// Step is for rules.Pools.
+// Step implements rules.Pools; it does nothing.
 func (s *StaticSplit) Step(time.Duration, float64) []string { return nil }
 
-// Stuck is for rules.Pools.
+// StalledRuns implements rules.Pools; it returns 0.
 func (s *StaticSplit) StalledRuns() int { return 0 }
 
-// Next is the oldest of a class with a slot of its own.
-func (s *StaticSplit) Next(_ time.Duration, slots, taken int, line []rules.QueuedRequest) int {
-	own := max(1, slots/len(s.running))
-	for i, w := range line {
-		if s.running[w.Class] < own {
+// Next returns the index of the oldest request whose class has a free slot, -1 if there is none.
+func (s *StaticSplit) Next(_ time.Duration, slots, taken int, queue []rules.QueuedRequest) int {
+	share := max(1, slots/len(s.running))
+	for i, w := range queue {
+		if s.running[w.Class] < share {
 			return i
 		}
 	}
 	return -1
 }
 
-// Leaves is the newest of the class that holds most.
-func (s *StaticSplit) Evict(_ time.Duration, _ int, line []rules.QueuedRequest) int {
-	held := make([]int, len(s.running))
-	for _, w := range line {
-		held[w.Class]++
+// Evict returns the index of the newest request of the class with the most queued requests.
+func (s *StaticSplit) Evict(_ time.Duration, _ int, queue []rules.QueuedRequest) int {
+	queued := make([]int, len(s.running))
+	for _, w := range queue {
+		queued[w.Class]++
 	}
-	worst := len(line) - 1
-	for i := len(line) - 1; i >= 0; i-- {
-		if held[line[i].Class] > held[line[worst].Class] {
+	worst := len(queue) - 1
+	for i := len(queue) - 1; i >= 0; i-- {
+		if queued[queue[i].Class] > queued[queue[worst].Class] {
 			worst = i
 		}
 	}
--- a/internal/standin/simulation/replay.go
+++ b/internal/standin/simulation/replay.go
@@ -1,8 +1,13 @@
-// Package simulation owns a stand-in for one server in virtual time: cores that
-// runs share and that slow with crowding, callers whose patience ends, and the
-// decision module between them. It replays a list of arrivals, the same each
-// time, and keeps what the four rules ask for. It must never decide for the
-// module, and never read a real clock.
+// Package simulation runs the decision module of a node, or of each node of a fleet, in virtual time.
+//
+// Replay feeds a list of arrivals to one simulated node, whose cores are shared by its runs and slow down
+// under contention, and checks that every request gets exactly one answer in time, that a refused request
+// never ran, that no request runs again unless that is safe, and that concurrency stays below the level that
+// counts as overload. SimulateFleet does the same for a fleet with dispatchers and desktops. BestUtility
+// bounds from above what any policy could reach.
+//
+// The same input gives the same result. The package takes no decision for the module, reads no real clock
+// and starts no goroutine; its types are not safe for concurrent use. It is for tests and benchmarks only.
 package simulation
 
 import (
@@ -15,41 +20,41 @@
 	"robinmast/rules"
 )
 
-// Arrival is one request to come.
+// Arrival is a request that arrives at the node.
 type Arrival struct {
 	At     time.Duration
 	Class  int
 	Tenant int
-	Work   time.Duration // on one core by itself
-	Hint   time.Duration // what its caller says of that; 0 = nothing
-	Retry  bool
+	Work   time.Duration // time that the request takes alone on one core
+	Hint   time.Duration // the caller's estimate of Work; 0 = none
+	Retry  bool          // whether the request is marked as a further try
 }
 
-// Stream is a flow of requests of one class.
+// Stream is a random flow of requests of one class and tenant.
 type Stream struct {
 	Class, Tenant int
-	Rate          func(at time.Duration) float64 // requests a second
-	Work          func(at time.Duration) time.Duration
-	Hint          func(work time.Duration) time.Duration // nil = the truth
+	Rate          func(at time.Duration) float64         // requests per second
+	Work          func(at time.Duration) time.Duration   // mean work of a request
+	Hint          func(work time.Duration) time.Duration // the caller's estimate of the work; nil = exact
 }
 
-// Steady is a rate that does not change.
+// Steady returns a constant rate, in requests per second.
 func Steady(rate float64) func(time.Duration) float64 {
 	return func(time.Duration) float64 { return rate }
 }
 
-// Always is work that does not change.
+// Always returns a constant mean work.
 func Always(w time.Duration) func(time.Duration) time.Duration {
 	return func(time.Duration) time.Duration { return w }
 }
 
-// Arrivals draws the requests of some streams: Poisson arrivals, work spread
-// around its mean by a factor from one half up.
+// Arrivals draws the requests of some streams, sorted by time. Arrivals are Poisson processes. The work is
+// the mean times 0.5 + X/2, where X is exponentially distributed with mean 1.
 func Arrivals(seed uint64, length time.Duration, streams ...Stream) []Arrival {
 	var all []Arrival
 	for i, s := range streams {
 		r := rand.New(rand.NewPCG(seed, uint64(i)))
-		due, passed := r.ExpFloat64(), 0.0 // arrivals come where the integral of the rate passes such steps
+		due, passed := r.ExpFloat64(), 0.0 // exponential steps of the integral of the rate
 		for at := time.Duration(0); at < length; at += step {
 			more := s.Rate(at) * step.Seconds()
 			for passed += more; passed >= due; due += r.ExpFloat64() {
@@ -61,7 +66,7 @@
 	return all
 }
 
-// draw makes one request.
+// draw returns a request that arrives at a time.
 func (s *Stream) draw(r *rand.Rand, at time.Duration) Arrival {
 	work := time.Duration(float64(s.Work(at)) * (0.5 + r.ExpFloat64()/2))
 	hint := work
@@ -71,32 +76,41 @@
 	return Arrival{At: at, Class: s.Class, Tenant: s.Tenant, Work: work, Hint: hint}
 }
 
-// Options say what machine it is.
+// Options describe the simulated node and its observers.
 type Options struct {
-	Settings         rules.Settings
-	ContentionFactor float64                                // slow-down for each run a core beyond one
-	Hangs            func(at time.Duration, class int) bool // whose runs stand still
-	OnAction         func(at time.Duration, what string, id rules.RequestID, value float64)
-	Drain            time.Duration                                                        // when the notice to leave comes, 0 = never
-	Length           time.Duration                                                        // 0 = until the last arrival's deadline
-	OnAnswer         func(id rules.RequestID, how string, after time.Duration, last bool) // each answer, nil = nobody
+	Settings rules.Settings
+	// ContentionFactor is the slow-down for each run per core beyond one: n runs on c cores slow each
+	// other down by 1 + ContentionFactor*(n/c-1).
+	ContentionFactor float64
+	// Hangs reports whether the runs of a class make no progress at a time; nil = never.
+	Hangs func(at time.Duration, class int) bool
+	// OnAction receives each action of the module; nil = none. The value depends on the action.
+	OnAction func(at time.Duration, what string, id rules.RequestID, value float64)
+	// Drain is the time at which the node begins to drain; 0 = never.
+	Drain time.Duration
+	// Length is the simulated time; 0 = until one second after the last deadline.
+	Length time.Duration
+	// OnAnswer receives each answer ("served", "refused" or "failed"), for a refusal with its retry-after
+	// time and whether the caller shall stop retrying; nil = none.
+	OnAnswer func(id rules.RequestID, outcome string, after time.Duration, last bool)
 }
 
-// Count is what became of the requests of a class that arrived in one second.
+// Count holds the outcomes of the requests of a class that arrived in one second.
 type Count struct {
-	Arrived, Served, InTime, Refused, Failed int
-	Utility                                  float64
+	Arrived, Served, InTime, Refused, Failed int     // InTime: served within the latency target
+	Utility                                  float64 // of the served requests
 }
 
-// Result is what a replay showed.
+// Result is the result of a replay.
 type Result struct {
-	Seconds     [][]Count // by second of arrival and class
-	Log         []string  // lines of the module
-	Violations  []string  // rules that were broken
-	PeakRunning int       // most runs at once
+	Seconds     [][]Count // by the second of arrival, then by class
+	Log         []string  // log lines of the module, with their times
+	Violations  []string  // violated invariants, at most 8
+	PeakRunning int       // highest number of concurrent runs
 }
 
-// Total adds up the seconds from one to before another, a class of -1 meaning all.
+// Total returns the sum of the counts of a class, or of all classes if class is -1, over the seconds from
+// (inclusive) to (exclusive).
 func (r *Result) Total(class, from, to int) (c Count) {
 	for s := from; s < min(to, len(r.Seconds)); s++ {
 		for k, x := range r.Seconds[s] {
@@ -113,38 +127,42 @@
 	return c
 }
 
+// request is the state of a request at the simulated node.
 type request struct {
 	Arrival
 	id        rules.RequestID
-	remaining float64 // seconds of work
+	remaining float64 // remaining work in seconds on one core
 	running   bool
 	started   time.Duration
 	answered  bool
-	runs      int
+	runs      int // how often the request was started
 }
 
+// nodeSimulation is a simulated node with its decision module.
 type nodeSimulation struct {
 	options  Options
 	module   *rules.Module
 	now      time.Duration
 	requests map[rules.RequestID]*request
-	running  []*request // in order of their start
-	runEnds  []func()
+	running  []*request // ordered by start time
+	runEnds  []func()   // pending notifications that a run ended
 	timers   []time.Duration
-	cpuBusy  float64
+	cpuBusy  float64 // smoothed share of busy cores
 	result   *Result
 }
 
+// step is the time step of a replay.
 const step = time.Millisecond
 
-// Replay plays the arrivals.
+// Replay runs the arrivals through the decision module of a simulated node. Its error is that of rules.New;
+// violated invariants are in Result.Violations.
 func Replay(opt Options, arrivals []Arrival) (*Result, error) {
-	p := &nodeSimulation{options: opt, requests: map[rules.RequestID]*request{}, result: &Result{}}
-	m, err := rules.New(0, opt.Settings, 1, host{p})
+	sim := &nodeSimulation{options: opt, requests: map[rules.RequestID]*request{}, result: &Result{}}
+	m, err := rules.New(0, opt.Settings, 1, host{sim})
 	if err != nil {
 		return nil, err
 	}
-	p.module = m
+	sim.module = m
 	end := opt.Length
 	for _, a := range arrivals {
 		end = max(end, a.At+opt.Settings.Classes[a.Class].Deadline+time.Second)
@@ -153,147 +171,157 @@
 		end = opt.Length
 	}
 	next := 0
-	for ; p.now < end; p.now += step {
-		p.advance(step)
-		for _, f := range p.runEnds {
+	for ; sim.now < end; sim.now += step {
+		sim.advance(step)
+		for _, f := range sim.runEnds {
 			f()
 		}
-		p.runEnds = nil
-		if opt.Drain > 0 && p.now == opt.Drain {
-			m.Drain(p.now, 3*time.Second)
+		sim.runEnds = nil
+		if opt.Drain > 0 && sim.now == opt.Drain {
+			m.Drain(sim.now, 3*time.Second)
 		}
-		for next < len(arrivals) && arrivals[next].At <= p.now {
-			p.arrive(arrivals[next], rules.RequestID(next+1))
+		for next < len(arrivals) && arrivals[next].At <= sim.now {
+			sim.arrive(arrivals[next], rules.RequestID(next+1))
 			next++
 		}
-		for len(p.timers) > 0 && p.timers[0] <= p.now {
-			p.timers = p.timers[1:]
-			m.TimerFired(p.now, 1, p.gauges())
+		for len(sim.timers) > 0 && sim.timers[0] <= sim.now {
+			sim.timers = sim.timers[1:]
+			m.TimerFired(sim.now, 1, sim.gauges())
 		}
-		m.FinishBatch(p.now)
-		p.checkConcurrency()
+		m.FinishBatch(sim.now)
+		sim.checkConcurrency()
 	}
-	for _, r := range p.requests {
+	for _, r := range sim.requests {
 		if !r.answered {
-			p.violation("request %d was never answered", r.id)
+			sim.violation("request %d was never answered", r.id)
 		}
 	}
-	return p.result, nil
+	return sim.result, nil
 }
 
-func (p *nodeSimulation) violation(format string, args ...any) {
-	if len(p.result.Violations) < 8 {
-		p.result.Violations = append(p.result.Violations, fmt.Sprintf("%v: ", p.now)+fmt.Sprintf(format, args...))
+// violation records a violated invariant.
+func (sim *nodeSimulation) violation(format string, args ...any) {
+	if len(sim.result.Violations) < 8 {
+		sim.result.Violations = append(sim.result.Violations,
+			fmt.Sprintf("%v: ", sim.now)+fmt.Sprintf(format, args...))
 	}
 }
 
-func (p *nodeSimulation) gauges() []float64 {
-	values := make([]float64, len(p.options.Settings.Gauges))
-	for i, g := range p.options.Settings.Gauges {
+// gauges returns the values of the configured gauges.
+func (sim *nodeSimulation) gauges() []float64 {
+	values := make([]float64, len(sim.options.Settings.Gauges))
+	for i, g := range sim.options.Settings.Gauges {
 		switch g {
 		case "cpu_busy":
-			values[i] = p.cpuBusy
+			values[i] = sim.cpuBusy
 		case "runnable":
-			values[i] = float64(len(p.running))
+			values[i] = float64(len(sim.running))
 		}
 	}
 	return values
 }
 
-// run lets the cores work for a time.
-func (p *nodeSimulation) advance(dt time.Duration) {
-	cores := float64(p.options.Settings.Cores)
-	work := p.running[:0:0]
-	for _, r := range p.running {
-		if p.options.Hangs == nil || !p.options.Hangs(p.now, r.Class) {
-			work = append(work, r)
+// advance lets the runs progress for a time.
+func (sim *nodeSimulation) advance(dt time.Duration) {
+	cores := float64(sim.options.Settings.Cores)
+	active := sim.running[:0:0] // runs that make progress
+	for _, r := range sim.running {
+		if sim.options.Hangs == nil || !sim.options.Hangs(sim.now, r.Class) {
+			active = append(active, r)
 		}
 	}
-	n := float64(len(work))
-	p.cpuBusy += min(1, dt.Seconds()) * (min(1, n/cores) - p.cpuBusy)
-	speed := min(1, cores/max(n, 1)) / (1 + p.options.ContentionFactor*max(0, n/cores-1))
-	for _, r := range work {
+	n := float64(len(active))
+	sim.cpuBusy += min(1, dt.Seconds()) * (min(1, n/cores) - sim.cpuBusy)
+	speed := min(1, cores/max(n, 1)) / (1 + sim.options.ContentionFactor*max(0, n/cores-1))
+	for _, r := range active {
 		if r.remaining -= speed * dt.Seconds(); r.remaining <= 0 {
-			p.finish(r, rules.OK)
+			sim.finish(r, rules.OK)
 		}
 	}
-	p.result.PeakRunning = max(p.result.PeakRunning, len(p.running))
+	sim.result.PeakRunning = max(sim.result.PeakRunning, len(sim.running))
 }
 
-func (p *nodeSimulation) finish(r *request, o rules.Outcome) {
-	p.running = slices.DeleteFunc(p.running, func(x *request) bool { return x == r })
+// finish ends a run; the module is notified after all runs have advanced.
+func (sim *nodeSimulation) finish(r *request, o rules.Outcome) {
+	sim.running = slices.DeleteFunc(sim.running, func(x *request) bool { return x == r })
 	r.running = false
-	took := p.now - r.started
+	took := sim.now - r.started
 	if o == rules.OK && !r.answered {
-		p.answer(r, "served")
+		sim.answer(r, "served")
 	}
-	p.runEnds = append(p.runEnds, func() { p.module.RunEnded(p.now, r.id, o, took) })
+	sim.runEnds = append(sim.runEnds, func() { sim.module.RunEnded(sim.now, r.id, o, took) })
 }
 
-func (p *nodeSimulation) arrive(a Arrival, id rules.RequestID) {
+// arrive gives a request to the module.
+func (sim *nodeSimulation) arrive(a Arrival, id rules.RequestID) {
 	r := &request{Arrival: a, id: id, remaining: a.Work.Seconds()}
-	p.requests[id] = r
-	p.count(r).Arrived++
+	sim.requests[id] = r
+	sim.count(r).Arrived++
 	q := rules.Request{
-		ID: id, Class: a.Class, Tenant: a.Tenant, WorkHint: a.Hint, MemoryKB: 5, Rank: 0.5, Retry: a.Retry, Caller: uint32(id % 3),
-		CallerTimeout: p.options.Settings.Classes[a.Class].Deadline,
+		ID: id, Class: a.Class, Tenant: a.Tenant, WorkHint: a.Hint, MemoryKB: 5, Rank: 0.5,
+		Retry: a.Retry, Caller: uint32(id % 3),
+		CallerTimeout: sim.options.Settings.Classes[a.Class].Deadline,
 	}
-	p.module.Arrive(p.now, q)
+	sim.module.Arrive(sim.now, q)
 }
 
-func (p *nodeSimulation) count(r *request) *Count {
+// count returns the counters for the second and the class of a request.
+func (sim *nodeSimulation) count(r *request) *Count {
 	at := int(r.At / time.Second)
-	for len(p.result.Seconds) <= at {
-		p.result.Seconds = append(p.result.Seconds, make([]Count, len(p.options.Settings.Classes)))
+	for len(sim.result.Seconds) <= at {
+		sim.result.Seconds = append(sim.result.Seconds, make([]Count, len(sim.options.Settings.Classes)))
 	}
-	return &p.result.Seconds[at][r.Class]
+	return &sim.result.Seconds[at][r.Class]
 }
 
-func (p *nodeSimulation) answer(r *request, how string) {
+// answer records the answer to a request and checks that it is the only one, in time, and no refusal after
+// a run.
+func (sim *nodeSimulation) answer(r *request, outcome string) {
 	if r.answered {
-		p.violation("request %d was answered twice", r.id)
+		sim.violation("request %d was answered twice", r.id)
 		return
 	}
 	r.answered = true
-	if p.options.OnAnswer != nil && how != "refused" {
-		p.options.OnAnswer(r.id, how, 0, false)
+	if sim.options.OnAnswer != nil && outcome != "refused" {
+		sim.options.OnAnswer(r.id, outcome, 0, false)
 	}
-	c := p.options.Settings.Classes[r.Class]
-	x := p.count(r)
-	after := p.now - r.At
-	if after > c.Deadline+p.options.Settings.AnswerSlack {
-		p.violation("request %d was answered after %v", r.id, after)
+	c := sim.options.Settings.Classes[r.Class]
+	counts := sim.count(r)
+	after := sim.now - r.At
+	if after > c.Deadline+sim.options.Settings.AnswerSlack {
+		sim.violation("request %d was answered after %v", r.id, after)
 	}
-	switch how {
+	switch outcome {
 	case "served":
-		x.Served++
+		counts.Served++
 		if after <= c.LatencyTarget {
-			x.InTime++
-			x.Utility += c.Utility
+			counts.InTime++
+			counts.Utility += c.Utility
 		} else {
-			x.Utility += c.Utility * c.LateUtilityShare
+			counts.Utility += c.Utility * c.LateUtilityShare
 		}
 	case "refused":
-		x.Refused++
+		counts.Refused++
 		if r.runs > 0 {
-			p.violation("request %d was refused after it ran", r.id)
+			sim.violation("request %d was refused after it ran", r.id)
 		}
 	default:
-		x.Failed++
+		counts.Failed++
 	}
 }
 
-// check holds the crowd against what is survived.
-func (p *nodeSimulation) checkConcurrency() {
-	s := p.options.Settings
-	if s.OverloadRunsPerCore > 0 && float64(len(p.running)) > s.OverloadRunsPerCore*float64(s.Cores) {
-		p.violation("%d runs on %d cores", len(p.running), s.Cores)
+// checkConcurrency checks that the concurrent runs stay below the level that counts as overload.
+func (sim *nodeSimulation) checkConcurrency() {
+	s := sim.options.Settings
+	if s.OverloadRunsPerCore > 0 && float64(len(sim.running)) > s.OverloadRunsPerCore*float64(s.Cores) {
+		sim.violation("%d concurrent runs on %d cores", len(sim.running), s.Cores)
 	}
 }
 
-// host carries out what the module says.
+// host is the rules.Host of a simulated node.
 type host struct{ node *nodeSimulation }
 
+// record passes an action to Options.OnAction. Its names are part of the digests in rules/replay_test.go.
 func (h host) record(what string, id rules.RequestID, value float64) {
 	if h.node.options.OnAction != nil {
 		h.node.options.OnAction(h.node.now, what, id, value)
@@ -307,7 +335,7 @@
 		return
 	}
 	if r.runs > 0 && h.node.options.Settings.Classes[r.Class].Effect != rules.Safe {
-		h.node.violation("request %d runs again", id)
+		h.node.violation("request %d, which is not safe to repeat, runs again", id)
 	}
 	r.running, r.started, r.remaining = true, h.node.now, r.Work.Seconds()
 	r.runs++
@@ -316,7 +344,8 @@
 
 func (h host) Preempt(id rules.RequestID) {
 	h.record("halt", id, 0)
-	if r := h.node.requests[id]; r.running && (h.node.options.Hangs == nil || !h.node.options.Hangs(h.node.now, r.Class)) {
+	hangs := h.node.options.Hangs
+	if r := h.node.requests[id]; r.running && (hangs == nil || !hangs(h.node.now, r.Class)) {
 		h.node.finish(r, rules.Cancelled)
 	}
 }
