--- a/internal/scgi/scgi.go
+++ b/internal/scgi/scgi.go
@@ -1,11 +1,10 @@
-// Package scgi owns the SCGI protocol in bytes: requests (a netstring of headers,
-// then a body) and responses (header lines, then a body), bounded in every way. It
-// must never read or write a connection, and never know what a header means
-// beyond the two that the protocol names.
+// Package scgi encodes and parses the messages of the SCGI protocol: requests (a netstring of headers, then a
+// body) and responses (header lines, then a body). Limits bound everything that is parsed. The package works on
+// byte slices and does no I/O; it interprets only the headers that the protocol defines: CONTENT_LENGTH and
+// SCGI of requests and Status of responses. Its functions are safe for concurrent use.
 //
-// Source: SCGI: A Simple Common Gateway Interface alternative, by Neil
-// Schemenauer (2008); netstrings by D. J. Bernstein (1997); the response's form is
-// that of CGI, RFC 3875 section 6.
+// Sources: SCGI: A Simple Common Gateway Interface alternative, by Neil Schemenauer (2008); netstrings by
+// D. J. Bernstein (1997); responses have the form of CGI responses, RFC 3875 section 6.
 package scgi
 
 import (
@@ -16,26 +15,26 @@
 	"strings"
 )
 
-// ErrShort says that more bytes are needed to tell anything.
-var ErrIncomplete = errors.New("scgi: more bytes are needed")
+// ErrIncomplete is returned when the message is valid so far but more bytes are needed.
+var ErrIncomplete = errors.New("scgi: incomplete message")
 
-// Limits bound what is taken. A zero limit takes nothing.
+// Limits bound the size of messages. A limit of zero admits nothing.
 type Limits struct {
-	HeaderBytes int   // of all headers, names and values with their zero bytes
-	Headers     int   // how many
-	Body        int64 // bytes
+	HeaderBytes int   // of all headers, with their NUL bytes or line ends
+	Headers     int   // number of headers
+	Body        int64 // bytes of the body of a request
 }
 
-// Header is one header, as it came.
+// Header is a header as received, or to be sent.
 type Header struct{ Name, Value string }
 
 // Request is a request without its body.
 type Request struct {
-	Headers []Header // in their order, CONTENT_LENGTH first
-	Length  int64    // of the body
+	Headers []Header // in the order received, CONTENT_LENGTH first
+	Length  int64    // of the body in bytes
 }
 
-// Get is the value of a header, "" if there is none.
+// Get returns the value of a header, "" if there is none. Names are case-sensitive.
 func (r *Request) Get(name string) string {
 	for _, h := range r.Headers {
 		if h.Name == name {
@@ -45,29 +44,29 @@
 	return ""
 }
 
-// digits reads a decimal number without sign, spaces or leading zeros.
-func parseDecimal(b []byte, most int64) (int64, error) {
+// parseDecimal parses a decimal number of at most limit without sign, spaces or leading zeros.
+func parseDecimal(b []byte, limit int64) (int64, error) {
 	if len(b) == 0 || len(b) > 1 && b[0] == '0' {
-		return 0, errors.New("no number")
+		return 0, errors.New("not a decimal number")
 	}
 	n := int64(0)
 	for _, c := range b {
 		if c < '0' || c > '9' {
-			return 0, errors.New("no number")
+			return 0, errors.New("not a decimal number")
 		}
-		if n = n*10 + int64(c-'0'); n > most {
-			return 0, fmt.Errorf("larger than %d", most)
+		if n = n*10 + int64(c-'0'); n > limit {
+			return 0, fmt.Errorf("larger than %d", limit)
 		}
 	}
 	return n, nil
 }
 
-// numberBytes bounds the digits of a netstring's length before anything is believed.
+// maxLengthDigits bounds the digits of the length of a netstring; it is checked before the number is parsed.
 const maxLengthDigits = 10
 
-// ParseRequest reads the headers that begin b, and returns how many bytes they
-// take; the body follows. ErrShort asks for more bytes; with any other error the
-// connection is good for nothing more.
+// ParseRequest parses the headers at the start of b and returns the number of bytes that they take; the body
+// follows. It returns ErrIncomplete if more bytes are needed. After any other error the connection cannot be
+// used any more.
 func ParseRequest(b []byte, l Limits) (r Request, n int, err error) {
 	colon := bytes.IndexByte(b[:min(len(b), maxLengthDigits+1)], ':')
 	if colon < 0 {
@@ -98,18 +97,19 @@
 	return r, end + 1, nil
 }
 
+// parseHeaders parses the content of the netstring.
 func (r *Request) parseHeaders(b []byte, l Limits) error {
 	seen := map[string]bool{}
 	for len(b) > 0 {
 		name, rest, ok := bytes.Cut(b, []byte{0})
-		value, after, ok2 := bytes.Cut(rest, []byte{0})
+		value, after, terminated := bytes.Cut(rest, []byte{0})
 		switch {
-		case !ok || !ok2:
-			return errors.New("a header without its end")
+		case !ok || !terminated:
+			return errors.New("unterminated header")
 		case len(name) == 0:
-			return errors.New("a header without a name")
+			return errors.New("empty header name")
 		case seen[string(name)]:
-			return fmt.Errorf("header %.40q twice", name)
+			return fmt.Errorf("duplicate header %.40q", name)
 		case len(r.Headers) >= l.Headers:
 			return fmt.Errorf("more than %d headers", l.Headers)
 		}
@@ -130,9 +130,9 @@
 	return nil
 }
 
-// AppendRequest encodes the headers of a request with a body of length bytes,
-// which the caller sends behind. CONTENT_LENGTH and SCGI are put first; names and
-// values must hold no zero byte, names must differ and not be empty.
+// AppendRequest appends the encoded headers of a request with a body of length bytes, which must follow.
+// CONTENT_LENGTH and SCGI are added first. It returns an error for an empty or duplicate name and for a name or
+// value with a NUL byte.
 func AppendRequest(b []byte, headers []Header, length int64) ([]byte, error) {
 	seen := map[string]bool{"CONTENT_LENGTH": true, "SCGI": true}
 	var h []byte
@@ -143,7 +143,7 @@
 	add("SCGI", "1")
 	for _, x := range headers {
 		if x.Name == "" || seen[x.Name] || strings.ContainsRune(x.Name, 0) || strings.ContainsRune(x.Value, 0) {
-			return b, fmt.Errorf("scgi: header %.40q can't be sent", x.Name)
+			return b, fmt.Errorf("scgi: invalid header %.40q", x.Name)
 		}
 		seen[x.Name] = true
 		add(x.Name, x.Value)
@@ -154,15 +154,15 @@
 	return append(b, ','), nil
 }
 
-// Response is a response without its body, which lasts until the connection ends.
+// Response is a response without its body, which extends to the end of the connection.
 type Response struct {
-	Status  int // 200 if the server told none
+	Status  int // 200 if the server sent none
 	Reason  string
 	Headers []Header // without Status
 }
 
-// ParseResponse reads the header lines that begin b, up to the empty line, and
-// returns how many bytes they take. Lines end in CR LF or LF.
+// ParseResponse parses the header lines at the start of b, up to the empty line, and returns the number of
+// bytes that they take. Lines end in CR LF or LF. It returns ErrIncomplete if more bytes are needed.
 func ParseResponse(b []byte, l Limits) (r Response, n int, err error) {
 	r.Status = 200
 	for {
@@ -182,14 +182,14 @@
 		}
 		name, value, ok := strings.Cut(line, ":")
 		if !ok || name == "" || strings.ContainsAny(name, " \t\x00") {
-			return r, 0, fmt.Errorf("scgi: response line %.40q is no header", line)
+			return r, 0, fmt.Errorf("scgi: invalid response header line %.40q", line)
 		}
 		value = strings.Trim(value, " \t")
 		if strings.EqualFold(name, "Status") {
 			code, reason, _ := strings.Cut(value, " ")
 			status, err := parseDecimal([]byte(code), 999)
 			if err != nil || status < 100 {
-				return r, 0, fmt.Errorf("scgi: status %.40q", value)
+				return r, 0, fmt.Errorf("scgi: invalid status %.40q", value)
 			}
 			r.Status, r.Reason = int(status), reason
 			continue
@@ -201,8 +201,9 @@
 	}
 }
 
-// AppendResponse encodes a response's headers; the body follows. Names and
-// values must hold no line break.
+// AppendResponse appends the encoded headers of a response; the body must follow. It returns an error for an
+// empty name, for a colon, blank, line break or NUL byte in a name, and for a line break or NUL byte in a
+// value.
 func AppendResponse(b []byte, r Response) ([]byte, error) {
 	b = fmt.Appendf(b, "Status: %d", r.Status)
 	if r.Reason != "" {
@@ -211,7 +212,7 @@
 	b = append(b, "\r\n"...)
 	for _, h := range r.Headers {
 		if h.Name == "" || strings.ContainsAny(h.Name, ": \t\r\n\x00") || strings.ContainsAny(h.Value, "\r\n\x00") {
-			return b, fmt.Errorf("scgi: header %.40q can't be sent", h.Name)
+			return b, fmt.Errorf("scgi: invalid header %.40q", h.Name)
 		}
 		b = append(append(append(append(b, h.Name...), ": "...), h.Value...), "\r\n"...)
 	}
--- a/internal/scgi/scgi_test.go
+++ b/internal/scgi/scgi_test.go
@@ -9,15 +9,19 @@
 
 var limits = Limits{HeaderBytes: 1000, Headers: 10, Body: 100}
 
-// vector is the example of the protocol's page.
-const vector = "70:CONTENT_LENGTH\x0027\x00SCGI\x001\x00REQUEST_METHOD\x00POST\x00REQUEST_URI\x00/deepthought\x00,What is the answer to life?"
+// vector is the example in the protocol specification.
+const vector = "70:CONTENT_LENGTH\x0027\x00SCGI\x001\x00REQUEST_METHOD\x00POST\x00REQUEST_URI\x00/deepthought\x00," +
+	"What is the answer to life?"
 
+// The example of the specification parses, is encoded again to the same bytes, and is incomplete when its
+// headers are cut anywhere.
 func TestParseRequest(t *testing.T) {
 	r, n, err := ParseRequest([]byte(vector), limits)
-	if err != nil || r.Length != 27 || r.Get("REQUEST_URI") != "/deepthought" || r.Get("NONE") != "" || vector[n:] != "What is the answer to life?" {
+	if err != nil || r.Length != 27 || r.Get("REQUEST_URI") != "/deepthought" || r.Get("NONE") != "" ||
+		vector[n:] != "What is the answer to life?" {
 		t.Fatalf("%+v, %d, %v", r, n, err)
 	}
-	for i := range n { // cut at every byte before its end
+	for i := range n { // cut before every byte of the headers
 		if _, _, err := ParseRequest([]byte(vector[:i]), limits); !errors.Is(err, ErrIncomplete) {
 			t.Errorf("cut at %d: %v", i, err)
 		}
@@ -28,13 +32,14 @@
 	}
 }
 
-func TestRejects(t *testing.T) {
+// Malformed requests and headers that cannot be encoded are rejected.
+func TestRejectsMalformedRequests(t *testing.T) {
 	wrap := func(h string) string { return string(netstring(h)) }
 	for text, want := range map[string]string{
 		"GET / HTTP/1.1\r\n": "does not begin with the length",
-		"-1:,":               "no number",
-		"007:a\x00b\x00":     "no number",
-		":,":                 "no number",
+		"-1:,":               "not a decimal number",
+		"007:a\x00b\x00":     "not a decimal number",
+		":,":                 "not a decimal number",
 		"12345678901:":       "too many digits",
 		"9999:":              "larger than 1000",
 		"99999999999999":     "too many digits",
@@ -43,13 +48,13 @@
 		wrap("SCGI\x001\x00CONTENT_LENGTH\x000\x00"):                     "CONTENT_LENGTH is not the first",
 		wrap("CONTENT_LENGTH\x000\x00"):                                  "SCGI is not 1",
 		wrap("CONTENT_LENGTH\x000\x00SCGI\x002\x00"):                     "SCGI is not 1",
-		wrap("CONTENT_LENGTH\x00-5\x00SCGI\x001\x00"):                    "CONTENT_LENGTH: no number",
+		wrap("CONTENT_LENGTH\x00-5\x00SCGI\x001\x00"):                    "CONTENT_LENGTH: not a decimal number",
 		wrap("CONTENT_LENGTH\x00101\x00SCGI\x001\x00"):                   "larger than 100",
-		wrap("CONTENT_LENGTH\x00\x00SCGI\x001\x00"):                      "CONTENT_LENGTH: no number",
-		wrap("CONTENT_LENGTH\x000\x00SCGI\x001\x00A\x00b\x00A\x00c\x00"): `header "A" twice`,
-		wrap("CONTENT_LENGTH\x000\x00SCGI\x001\x00\x00b\x00"):            "without a name",
-		wrap("CONTENT_LENGTH\x000\x00SCGI\x001"):                         "without its end",
-		wrap("CONTENT_LENGTH\x000\x00SCGI\x001\x00" + many(9)):           "more than 10 headers",
+		wrap("CONTENT_LENGTH\x00\x00SCGI\x001\x00"):                      "CONTENT_LENGTH: not a decimal number",
+		wrap("CONTENT_LENGTH\x000\x00SCGI\x001\x00A\x00b\x00A\x00c\x00"): `duplicate header "A"`,
+		wrap("CONTENT_LENGTH\x000\x00SCGI\x001\x00\x00b\x00"):            "empty header name",
+		wrap("CONTENT_LENGTH\x000\x00SCGI\x001"):                         "unterminated header",
+		wrap("CONTENT_LENGTH\x000\x00SCGI\x001\x00" + manyHeaders(9)):    "more than 10 headers",
 	} {
 		if _, _, err := ParseRequest([]byte(text), limits); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%.40q: %v, want %s", text, err, want)
@@ -57,19 +62,20 @@
 	}
 	for _, h := range []Header{{"", "v"}, {"SCGI", "1"}, {"A\x00", "v"}, {"A", "v\x00"}} {
 		if _, err := AppendRequest(nil, []Header{h}, 0); err == nil {
-			t.Errorf("%q is sent", h)
+			t.Errorf("%q is encoded", h)
 		}
 	}
 }
 
-func many(n int) (s string) {
+// manyHeaders returns n headers.
+func manyHeaders(n int) (s string) {
 	for i := range n {
 		s += string(rune('a'+i)) + "\x00v\x00"
 	}
 	return s
 }
 
-// netstring wraps headers that AppendRequest would not make.
+// netstring encodes a netstring, also of headers that AppendRequest rejects.
 func netstring(h string) []byte {
 	b := []byte{}
 	for n := len(h); ; n /= 10 {
@@ -82,10 +88,13 @@
 	return append(append(append(b, ':'), h...), ',')
 }
 
+// Responses parse with either line end and are encoded again; cut ones are incomplete, malformed ones are
+// rejected.
 func TestResponse(t *testing.T) {
 	const text = "Status: 503 Full\r\nRetry-After: 2\nX-Empty:\r\n\r\nbody"
 	r, n, err := ParseResponse([]byte(text), limits)
-	if err != nil || r.Status != 503 || r.Reason != "Full" || text[n:] != "body" || !slices.Equal(r.Headers, []Header{{"Retry-After", "2"}, {"X-Empty", ""}}) {
+	if err != nil || r.Status != 503 || r.Reason != "Full" || text[n:] != "body" ||
+		!slices.Equal(r.Headers, []Header{{"Retry-After", "2"}, {"X-Empty", ""}}) {
 		t.Fatalf("%+v, %d, %v", r, n, err)
 	}
 	for i := range n {
@@ -93,7 +102,8 @@
 			t.Errorf("cut at %d: %v", i, err)
 		}
 	}
-	if r, _, err := ParseResponse([]byte("Content-Type: text/plain\r\n\r\n"), limits); err != nil || r.Status != 200 {
+	if r, _, err := ParseResponse([]byte("Content-Type: text/plain\r\n\r\n"), limits); err != nil ||
+		r.Status != 200 {
 		t.Errorf("without a status: %+v, %v", r, err)
 	}
 	for _, bad := range []string{"no header\r\n\r\n", ": x\r\n\r\n", "Status: 99\r\n\r\n", "Status: abc\r\n\r\n", "a b: c\r\n\r\n",
@@ -107,12 +117,12 @@
 		t.Errorf("%q, %v", b, err)
 	}
 	if _, err := AppendResponse(nil, Response{Status: 200, Headers: []Header{{"A", "b\r\nC: d"}}}); err == nil {
-		t.Error("a header with a line break is sent")
+		t.Error("a header with a line break is encoded")
 	}
 }
 
-// Whatever the bytes, nothing beyond the limits is taken, what is taken can be
-// encoded again to the same bytes, and more bytes change nothing of it.
+// Whatever the bytes, nothing beyond the limits is accepted, and bytes after the headers do not change the
+// result.
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte(vector))
 	f.Add([]byte("0:,"))
@@ -131,7 +141,7 @@
 	})
 }
 
-// The same for responses.
+// Whatever the bytes, no response beyond the limits is accepted.
 func FuzzResponse(f *testing.F) {
 	f.Add([]byte("Status: 200 OK\r\nA: b\r\n\r\nbody"))
 	f.Fuzz(func(t *testing.T, b []byte) {
