--- a/internal/standin/authority.go
+++ b/internal/standin/authority.go
@@ -1,6 +1,3 @@
-// This file owns a stand-in for an authority that signs certificates. Its keys
-// live for one test.
-
 package standin
 
 import (
@@ -16,16 +13,16 @@
 	"time"
 )
 
-// Authority signs certificates for a test.
+// Authority is a certificate authority for one test. It is not safe for concurrent use.
 type Authority struct {
 	t      *testing.T
 	key    *ecdsa.PrivateKey
 	cert   *x509.Certificate
-	PEM    []byte // its certificate
-	Serial int64  // of the last certificate that it signed
+	PEM    []byte // its own certificate
+	Serial int64  // serial number of the last certificate that it signed
 }
 
-// NewAuthority makes one.
+// NewAuthority returns an authority with a new key, valid for an hour.
 func NewAuthority(t *testing.T) *Authority {
 	t.Helper()
 	a := &Authority{t: t, Serial: 1}
@@ -35,7 +32,8 @@
 	}
 	a.key = key
 	a.cert = &x509.Certificate{
-		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "test"}, NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour),
+		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "test"},
+		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour),
 		IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign,
 	}
 	der, err := x509.CreateCertificate(rand.Reader, a.cert, a.cert, &key.PublicKey, key)
@@ -46,7 +44,8 @@
 	return a
 }
 
-// Sign makes a pair that is valid until a time.
+// Sign returns a certificate for a DNS name, valid until a time for clients and servers, and its key, both PEM
+// encoded.
 func (a *Authority) Sign(name string, until time.Time) (cert, key []byte) {
 	a.t.Helper()
 	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -55,7 +54,8 @@
 	}
 	a.Serial++
 	der, err := x509.CreateCertificate(rand.Reader, &x509.Certificate{
-		SerialNumber: big.NewInt(a.Serial), DNSNames: []string{name}, NotBefore: time.Now().Add(-2 * time.Hour), NotAfter: until,
+		SerialNumber: big.NewInt(a.Serial), DNSNames: []string{name},
+		NotBefore: time.Now().Add(-2 * time.Hour), NotAfter: until,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}, a.cert, &k.PublicKey, a.key)
 	if err != nil {
@@ -65,10 +65,12 @@
 	if err != nil {
 		a.t.Fatal(err)
 	}
-	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: text})
+	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}),
+		pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: text})
 }
 
-// Client is the configuration of a client called name, without a certificate if it is empty.
+// Client returns the TLS configuration of a client that trusts the authority and expects a server's name. It
+// has a certificate for the client's name unless that is empty.
 func (a *Authority) Client(name, server string) *tls.Config {
 	a.t.Helper()
 	pool := x509.NewCertPool()
--- a/internal/standin/platform/client.go
+++ b/internal/standin/platform/client.go
@@ -1,6 +1,3 @@
-// This file owns the stand-in for a dispatcher's connection. It must never send
-// what the protocol does not have.
-
 package platform
 
 import (
@@ -19,83 +16,87 @@
 	"github.com/tidwall/redcon"
 )
 
-// MostOpen is how many requests may be open on one connection.
+// MaxOpenRequests is the maximum number of open requests on a connection.
 const MaxOpenRequests = 32
 
-// ErrGone says that the connection ended before the answer.
-var ErrConnectionClosed = errors.New("the connection ended")
+// ErrConnectionClosed is returned if the connection was closed or the context ended before the answer came:
+// the node may have read the request.
+var ErrConnectionClosed = errors.New("connection closed before the answer")
 
-// Request is a call as a dispatcher sends it.
+// Request is a request as a dispatcher sends it.
 type Request struct {
 	Txn, Class, Tenant string
-	Limit              time.Duration // how long it waits
-	HintMs             float64
-	Retry              bool
-	Unique, Item       string
+	Limit              time.Duration // how long the dispatcher waits
+	HintMs             float64       // estimated work in milliseconds
+	Retry              bool          // whether it is a further try
+	Unique, Item       string        // idempotency key and key of the item, "" = none
 	Body               []byte
 }
 
 // Answer is a node's answer.
 type Answer struct {
-	Word         string // ACK served, NAK refused, else failed
-	RetryAfter   time.Duration
-	StopRetrying bool
-	LoadFeedback float64 // the free value, NaN = none was told
+	Word         string        // ACK = served, NAK = refused, anything else = failed
+	RetryAfter   time.Duration // of a refusal, 0 = none
+	StopRetrying bool          // whether the dispatcher shall try no further node
+	LoadFeedback float64       // published load feedback, NaN = none
 	Body         []byte
 }
 
-// Client is one dispatcher's connection; its methods may be called by any goroutine.
+// Client is one connection of a dispatcher to a node. Its methods are safe for concurrent use.
 type Client struct {
-	number int
+	number int // of the dispatcher
 	conn   net.Conn
-	slots  chan struct{}
-	ended  chan struct{}
+	slots  chan struct{} // one element for each open request
+	ended  chan struct{} // closed when the connection has ended
 
 	mu         sync.Mutex
-	tag        int
-	open       map[string]chan Answer
-	cancelled  map[string]bool // cancelled; one answer to each does no harm
-	duplicates int             // answers to what was answered before
-	closed     bool            // by the node: nothing new may be sent
+	tag        int                    // of the last request
+	open       map[string]chan Answer // by tag
+	cancelled  map[string]bool        // cancelled requests, each of which may still get one answer
+	duplicates int                    // answers to requests that had been answered
+	closed     bool                   // no new requests may be sent
 }
 
-// Dial connects dispatcher number n to a node.
+// Dial connects dispatcher number n to a node within a second.
 func Dial(addr string, n int) (*Client, error) {
 	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return nil, err
 	}
-	c := &Client{number: n, conn: conn, slots: make(chan struct{}, MaxOpenRequests), ended: make(chan struct{}), open: map[string]chan Answer{}, cancelled: map[string]bool{}}
+	c := &Client{
+		number: n, conn: conn, slots: make(chan struct{}, MaxOpenRequests), ended: make(chan struct{}),
+		open: map[string]chan Answer{}, cancelled: map[string]bool{},
+	}
 	go c.read()
 	return c, nil
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Client) Close() { _ = c.conn.Close() }
 
-// Usable reports whether new requests may be sent.
+// Usable reports whether new requests may be sent: the node has neither announced the close nor closed it.
 func (c *Client) Usable() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.closed
 }
 
-// Room is how many more requests may be open now.
+// AvailableRequests returns how many more requests may be open now.
 func (c *Client) AvailableRequests() int { return MaxOpenRequests - len(c.slots) }
 
-// Twice is how many answers came to requests that had theirs.
+// DuplicateAnswers returns how many answers came for requests that had been answered.
 func (c *Client) DuplicateAnswers() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.duplicates
 }
 
-// Call sends a request and waits for its answer. The error is ErrGone once the
-// request may have been read; any other proves that it was not sent.
+// Call sends a request and waits for its answer. The error is ErrConnectionClosed if the node may have read
+// the request; any other error means that it was not sent.
 func (c *Client) Call(q Request) (Answer, error) { return c.Do(context.Background(), q) }
 
-// Do is Call for as long as ctx lasts. Then it sends a cancel and returns
-// ErrGone: the request may have been read.
+// Do is Call with a context. When ctx ends Do cancels the request at the node and returns ErrConnectionClosed,
+// as the node may have read it; before the request is sent it returns the error of ctx.
 func (c *Client) Do(ctx context.Context, q Request) (Answer, error) {
 	select {
 	case c.slots <- struct{}{}:
@@ -148,10 +149,10 @@
 	}
 }
 
-// write sends whole messages; one that can't be sent whole in time ends the
-// connection. The lock must be held.
+// write writes a whole message before the deadline of ctx and closes the connection if that fails. The lock
+// must be held.
 func (c *Client) write(ctx context.Context, b []byte) error {
-	end, _ := ctx.Deadline() // the zero time is none
+	end, _ := ctx.Deadline() // the zero time means no deadline
 	_ = c.conn.SetWriteDeadline(end)
 	_, err := c.conn.Write(b)
 	if err != nil {
@@ -161,7 +162,7 @@
 	return err
 }
 
-// cancel tells the node that nobody waits for a request.
+// cancel notifies the node that the caller of a request is gone.
 func (c *Client) cancel(tag string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -169,7 +170,7 @@
 		return
 	}
 	delete(c.open, tag)
-	if len(c.cancelled) > 4096 { // tags grow: the oldest are of no interest any more
+	if len(c.cancelled) > 4096 { // bounds the map: old tags are no longer answered
 		clear(c.cancelled)
 	}
 	c.cancelled[tag] = true
@@ -179,7 +180,8 @@
 	_ = c.write(ctx, redcon.AppendBulkString(redcon.AppendBulkString(b, "RPC.CANCEL"), tag))
 }
 
-// Probe makes one health check on a connection of its own.
+// Probe makes one health check on a connection of its own and reports whether the answer was GREEN. An error
+// means that no answer came within the timeout.
 func Probe(addr string, timeout time.Duration) (green bool, err error) {
 	conn, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
@@ -198,6 +200,7 @@
 	return err == nil && len(parts) > 1 && string(parts[1]) == "GREEN", err
 }
 
+// read receives the answers until the connection ends.
 func (c *Client) read() {
 	defer close(c.ended)
 	defer c.conn.Close()
@@ -215,7 +218,7 @@
 		}
 		tag := string(parts[0])
 		c.mu.Lock()
-		if tag == "0" {
+		if tag == "0" { // the node announces that it will close the connection
 			c.closed = true
 		}
 		got := c.open[tag]
@@ -252,16 +255,17 @@
 	}
 }
 
+// readArray reads an array of bulk strings of at most 16 parts of at most 1 MiB.
 func readArray(rd *bufio.Reader) ([][]byte, error) {
 	n, err := readHeader(rd, '*')
 	if err != nil || n > 16 {
-		return nil, errors.Join(err, errors.New("no answer"))
+		return nil, errors.Join(err, errors.New("no valid answer"))
 	}
 	parts := make([][]byte, n)
 	for i := range parts {
 		size, err := readHeader(rd, '$')
 		if err != nil || size > 1<<20 {
-			return nil, errors.Join(err, errors.New("no answer"))
+			return nil, errors.Join(err, errors.New("no valid answer"))
 		}
 		b := make([]byte, size+2)
 		if _, err := io.ReadFull(rd, b); err != nil {
@@ -272,13 +276,14 @@
 	return parts, nil
 }
 
+// readHeader reads the header line of an array or a bulk string and returns its length.
 func readHeader(rd *bufio.Reader, kind byte) (int, error) {
 	line, err := rd.ReadString('\n')
 	if err != nil {
 		return 0, err
 	}
 	if line[0] != kind {
-		return 0, fmt.Errorf("header %q", line)
+		return 0, fmt.Errorf("unexpected header %q", line)
 	}
 	return strconv.Atoi(strings.TrimSpace(line[1:]))
 }
--- a/internal/standin/platform/members.go
+++ b/internal/standin/platform/members.go
@@ -1,6 +1,3 @@
-// This file owns the stand-in for the membership service. It must never refuse
-// a report that the protocol allows.
-
 package platform
 
 import (
@@ -14,38 +11,41 @@
 	"time"
 )
 
-// Members stands in for the membership service.
+// Members is a stand-in membership service, to which nodes report their phase by HTTP. Its methods are safe
+// for concurrent use.
 type Members struct {
 	ln     net.Listener
 	server *http.Server
 
 	mu       sync.Mutex
-	phases   map[string]string
-	reported map[string]time.Time
+	phases   map[string]string    // last reported phase by node
+	reported map[string]time.Time // time of the last report by node
 }
 
-// StartMembers serves a membership service on loopback until Close.
+// StartMembers starts a membership service on loopback; it runs until Close.
 func StartMembers() (*Members, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("stand-in membership service: %w", err)
+		return nil, fmt.Errorf("start stand-in membership service: %w", err)
 	}
 	m := &Members{ln: ln, phases: map[string]string{}, reported: map[string]time.Time{}}
 	m.server = &http.Server{Handler: http.HandlerFunc(m.handleReport), ReadHeaderTimeout: time.Second}
-	go func() { _ = m.server.Serve(ln) }() // ends by Close
+	go func() { _ = m.server.Serve(ln) }() // returns on Close
 	return m, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address on which the service listens.
 func (m *Members) Addr() string { return m.ln.Addr().String() }
 
-// Close ends the service.
+// Close stops the service.
 func (m *Members) Close() error { return m.server.Shutdown(context.Background()) }
 
+// handleReport handles PUT /members/NAME with a JSON report.
 func (m *Members) handleReport(w http.ResponseWriter, q *http.Request) {
 	name, ok := strings.CutPrefix(q.URL.Path, "/members/")
 	var report struct{ Phase string }
-	if !ok || q.Method != http.MethodPut || json.NewDecoder(http.MaxBytesReader(w, q.Body, 1<<10)).Decode(&report) != nil {
+	if !ok || q.Method != http.MethodPut ||
+		json.NewDecoder(http.MaxBytesReader(w, q.Body, 1<<10)).Decode(&report) != nil {
 		http.Error(w, "no report", http.StatusBadRequest)
 		return
 	}
@@ -55,7 +55,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Phase is what a node reported last, and when.
+// Phase returns the last phase that a node reported and when; "" and the zero time if there is none.
 func (m *Members) Phase(name string) (string, time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/standin/platform/pool.go
+++ b/internal/standin/platform/pool.go
@@ -1,7 +1,6 @@
-// Package platform owns stand-ins for what a node talks to, fit for programs and
-// tests: a worker pool whose cores slow with crowding, a membership service, and
-// a dispatcher's connection. They are written from the published protocol. They
-// must never be linked into the node, and listen on loopback only.
+// Package platform has stand-ins for the peers of a node, for tests and for programs other than the node: a
+// worker pool whose cores slow down under contention, a membership service, and the client side of a
+// dispatcher's connection. They are written from the published protocol and listen on loopback only.
 package platform
 
 import (
@@ -16,25 +15,25 @@
 	"time"
 )
 
-// Run is what the pool knows of a run.
+// Run describes a run to a Work function.
 type Run struct {
 	ID, Class string
 	Body      []byte
-	Count     int // how often the pool began one under this ID
+	Count     int // how many runs were started under this ID, this one included
 }
 
-// Work says what a run takes: milliseconds on one core by itself, its end
-// ("complete", "error") and its result.
+// Work decides the course of a run: its duration in milliseconds when it runs alone on one core, how it ends
+// ("complete" or "error"), and its result. It must not call methods of the Pool.
 type Work func(Run) (ms float64, end string, result []byte)
 
-// mostNotices is how many notices are kept for a new link.
+// maxNotices is the number of notices that are stored for a new link.
 const maxNotices = 4000
 
-// Pool stands in for a worker pool: runs share its cores. It outlives the nodes
-// that link to it; runs go on while there is no link.
+// Pool is a stand-in worker pool, whose runs share its cores. It outlives the nodes that link to it; runs go on
+// while there is no link. Its methods are safe for concurrent use.
 type Pool struct {
 	Cores            int
-	ContentionFactor float64 // slow-down for each run a core beyond one: speed is 1/(1+Crowd*excess)
+	ContentionFactor float64 // n runs on Cores cores slow down by 1 + ContentionFactor*(n/Cores-1)
 	Work             Work
 
 	ln      net.Listener
@@ -46,36 +45,37 @@
 
 	mu         sync.Mutex
 	link       net.Conn
-	notices    []string // the last ones; the first has number base+1
+	notices    []string // the last ones; the first has sequence number firstSeq+1
 	firstSeq   int
 	runs       map[string]*run
-	counts     map[string]int // spawns that began a run, by ID
-	advanced   time.Time      // when left was last brought up to date
+	counts     map[string]int // runs started, by ID
+	advanced   time.Time      // when the remaining work of the runs was last updated
 	busy       float64        // smoothed share of busy cores
 	ended      int
 	paused     bool
-	coldSpeed  float64       // share of its speed that it began with, 0 = it was hot
-	warmUpTime time.Duration // until it is warm
-	slowdown   float64       // times that work takes longer, 0 = 1
+	coldSpeed  float64       // share of the full speed at the start, 0 = warm from the start
+	warmUpTime time.Duration // time until the pool has its full speed
+	slowdown   float64       // factor on the duration of all work, 0 = 1
 }
 
+// run is a run in progress.
 type run struct {
 	Run
-	remaining float64 // milliseconds on one core
+	remaining float64 // milliseconds on one core by itself
 	started   time.Time
 	end       string
 	result    []byte
 }
 
-// StartPool serves a pool on loopback until Close.
-func StartPool(cores int, crowd float64, work Work) (*Pool, error) {
+// StartPool starts a worker pool on loopback; it runs until Close.
+func StartPool(cores int, contention float64, work Work) (*Pool, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("stand-in worker pool: %w", err)
+		return nil, fmt.Errorf("start stand-in worker pool: %w", err)
 	}
 	p := &Pool{
-		Cores: cores, ContentionFactor: crowd, Work: work, ln: ln, started: time.Now(), changed: make(chan struct{}, 1),
-		runs: map[string]*run{}, counts: map[string]int{}, advanced: time.Now(),
+		Cores: cores, ContentionFactor: contention, Work: work, ln: ln, started: time.Now(),
+		changed: make(chan struct{}, 1), runs: map[string]*run{}, counts: map[string]int{}, advanced: time.Now(),
 	}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
 	p.done.Go(p.accept)
@@ -83,10 +83,10 @@
 	return p, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address on which the pool listens.
 func (p *Pool) Addr() string { return p.ln.Addr().String() }
 
-// Close ends the pool with all its runs.
+// Close stops the pool and all its runs.
 func (p *Pool) Close() error {
 	p.cancel()
 	err := p.ln.Close()
@@ -99,7 +99,7 @@
 	return err
 }
 
-// Began tells how often a run began under each ID.
+// RunCounts returns how many runs were started under each ID.
 func (p *Pool) RunCounts() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -110,21 +110,21 @@
 	return all
 }
 
-// State is the pool's load: runs in hand, ended so far, busy share of the cores.
+// Load returns the number of current runs, the number of runs that ended, and the smoothed share of busy cores.
 func (p *Pool) Load() (running, ended int, busy float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.runs), p.ended, p.busy
 }
 
-// Renumber starts notices anew, as the platform does for a node that starts anew.
+// ResetNotices discards the notices and restarts their numbers, as the platform does for a new node.
 func (p *Pool) ResetNotices() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.notices, p.firstSeq = nil, 0
 }
 
-// Pause stops or resumes all runs.
+// SetPaused pauses or resumes all runs.
 func (p *Pool) SetPaused(paused bool) {
 	p.mu.Lock()
 	p.advance()
@@ -133,23 +133,24 @@
 	p.notifyChange()
 }
 
-// Cold lets the pool be cold as of its start: it begins at the share from of its
-// speed and is warm after ramp. It must be called before a node binds.
-func (p *Pool) StartCold(from float64, ramp time.Duration) {
+// StartCold makes the pool cold as of its start: its speed grows linearly from a share of the full speed to the
+// full speed during warmUpTime. It must be called before a node binds.
+func (p *Pool) StartCold(speed float64, warmUpTime time.Duration) {
 	p.mu.Lock()
-	p.coldSpeed, p.warmUpTime = from, ramp
+	p.coldSpeed, p.warmUpTime = speed, warmUpTime
 	p.mu.Unlock()
 }
 
-// Slow lets all work take times as long from now on.
-func (p *Pool) SetSlowdown(times float64) {
+// SetSlowdown multiplies the duration of all work by a factor from now on; 1 is normal.
+func (p *Pool) SetSlowdown(factor float64) {
 	p.mu.Lock()
 	p.advance()
-	p.slowdown = times
+	p.slowdown = factor
 	p.mu.Unlock()
 	p.notifyChange()
 }
 
+// notifyChange makes finishRuns compute the next end of a run again.
 func (p *Pool) notifyChange() {
 	select {
 	case p.changed <- struct{}{}:
@@ -157,6 +158,7 @@
 	}
 }
 
+// accept accepts links until the listener is closed.
 func (p *Pool) accept() {
 	for {
 		c, err := p.ln.Accept()
@@ -171,18 +173,20 @@
 	}
 }
 
-// say writes a line on the link, if there is one; the lock must be held.
+// send writes a line to the link, if there is one. The lock must be held.
 func (p *Pool) send(line string) {
 	if p.link == nil {
 		return
 	}
 	_ = p.link.SetWriteDeadline(time.Now().Add(time.Second))
-	if _, err := p.link.Write([]byte(line + "\n")); err != nil { // the node asks again on a new link
+	if _, err := p.link.Write([]byte(line + "\n")); err != nil { // the node asks for lost notices on a new link
 		_ = p.link.Close()
 		p.link = nil
 	}
 }
 
+// serve handles the messages of one connection. A connection becomes the link, in place of the previous one,
+// when it binds.
 func (p *Pool) serve(c net.Conn) {
 	defer func() {
 		p.mu.Lock()
@@ -235,7 +239,7 @@
 	}
 }
 
-// spawn begins a run, unless it runs; the lock must be held.
+// startRun starts a run unless one with its ID is in progress. The lock must be held.
 func (p *Pool) startRun(id, class string, body []byte) {
 	if p.runs[id] != nil {
 		return
@@ -247,22 +251,23 @@
 	p.runs[id] = r
 }
 
-// notice keeps and sends the end of a run; the lock must be held.
+// recordEnd stores and sends the notice of the end of a run. The lock must be held.
 func (p *Pool) recordEnd(r *run, end string, result []byte) {
 	p.ended++
-	text, _ := json.Marshal(result) // bytes always can be
-	n := fmt.Sprintf(`{"op":"finished","seq":%d,"id":%s,"end":%q,"ms":%.3f,"body":%s}`,
-		p.firstSeq+len(p.notices)+1, strconv.Quote(r.ID), end, float64(time.Since(r.started).Microseconds())/1000, text)
-	p.notices = append(p.notices, n)
+	text, _ := json.Marshal(result) // a byte slice can always be encoded
+	line := fmt.Sprintf(`{"op":"finished","seq":%d,"id":%s,"end":%q,"ms":%.3f,"body":%s}`,
+		p.firstSeq+len(p.notices)+1, strconv.Quote(r.ID), end,
+		float64(time.Since(r.started).Microseconds())/1000, text)
+	p.notices = append(p.notices, line)
 	if len(p.notices) > maxNotices {
-		cut := len(p.notices) - maxNotices
-		p.firstSeq += cut
-		p.notices = append([]string(nil), p.notices[cut:]...)
+		excess := len(p.notices) - maxNotices
+		p.firstSeq += excess
+		p.notices = append([]string(nil), p.notices[excess:]...)
 	}
-	p.send(n)
+	p.send(line)
 }
 
-// speed is how much of a core each run gets now; the lock must be held.
+// speed returns the current speed of each run as a share of a core. The lock must be held.
 func (p *Pool) speed() float64 {
 	n := float64(len(p.runs))
 	if n == 0 || p.paused {
@@ -272,7 +277,7 @@
 	return share * p.speedShare() / max(p.slowdown, 1) / (1 + p.ContentionFactor*max(0, n/float64(p.Cores)-1))
 }
 
-// warm is the share of its speed that the pool has; the lock must be held.
+// speedShare returns the current share of the full speed of a cold pool. The lock must be held.
 func (p *Pool) speedShare() float64 {
 	if p.coldSpeed <= 0 {
 		return 1
@@ -280,7 +285,7 @@
 	return p.coldSpeed + (1-p.coldSpeed)*min(1, time.Since(p.started).Seconds()/p.warmUpTime.Seconds())
 }
 
-// advance brings all runs up to now; the lock must be held.
+// advance updates the remaining work of all runs to the current time. The lock must be held.
 func (p *Pool) advance() {
 	now := time.Now()
 	passed := now.Sub(p.advanced)
@@ -289,11 +294,11 @@
 	for _, r := range p.runs {
 		r.remaining -= done
 	}
-	weight := min(1, passed.Seconds()) // the gauge is a mean over about a second
+	weight := min(1, passed.Seconds()) // smooths the gauge over about a second
 	p.busy += weight * (min(1, float64(len(p.runs))/float64(p.Cores)) - p.busy)
 }
 
-// turn ends runs as they are done.
+// finishRuns ends runs when their work is done, until the pool is closed.
 func (p *Pool) finishRuns() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -302,24 +307,24 @@
 		p.advance()
 		next := time.Hour
 		for {
-			var over *run
+			var finished *run
 			for _, r := range p.runs {
 				if r.remaining <= 0 {
-					over = r
+					finished = r
 					break
 				}
 			}
-			if over == nil {
+			if finished == nil {
 				break
 			}
-			delete(p.runs, over.ID)
-			p.recordEnd(over, over.end, over.result)
+			delete(p.runs, finished.ID)
+			p.recordEnd(finished, finished.end, finished.result)
 		}
 		if v := p.speed(); v > 0 {
 			for _, r := range p.runs {
 				next = min(next, time.Duration(r.remaining/v*float64(time.Millisecond))+50*time.Microsecond)
 			}
-			if p.speedShare() < 1 { // the speed changes meanwhile
+			if p.speedShare() < 1 { // the speed is still growing
 				next = min(next, 5*time.Millisecond)
 			}
 		}
--- a/internal/standin/proxy/proxy.go
+++ b/internal/standin/proxy/proxy.go
@@ -1,6 +1,6 @@
-// Package proxy owns stand-ins for proxies that listen to xDS, written from the
-// protocol's public pages: one of each form, with scripted faults. It routes
-// nothing by itself; it holds what it was told. It must never be used in service.
+// Package proxy has a stand-in for a proxy that subscribes to an xDS control service over ADS, in the
+// state-of-the-world and in the delta variant, with scripted faults. It is written from the protocol's public
+// documentation. It routes no requests: it records the endpoints that it received. It is for tests only.
 package proxy
 
 import (
@@ -21,24 +21,25 @@
 	"robinmast/decide/backoff"
 )
 
+// typePrefix is the common beginning of the type URLs.
 const typePrefix = "type.googleapis.com/envoy.config."
 
-// The types that a proxy subscribes to, in order.
+// types are the type URLs to which a proxy subscribes, in order.
 var types = []string{
 	typePrefix + "cluster.v3.Cluster", typePrefix + "endpoint.v3.ClusterLoadAssignment",
 	typePrefix + "listener.v3.Listener", typePrefix + "route.v3.RouteConfiguration",
 }
 
-// Faults are what a proxy does wrong.
+// Faults are the scripted faults of a proxy.
 type Faults struct {
-	NeverAcknowledges bool                      // reads, and acknowledges nothing
-	RejectedType      string                    // type URL of which everything is rejected
-	CloseStreamAfter  int                       // ends its stream after so many messages, each time; 0 = never
-	UnknownVersions   bool                      // comes back with a version and a nonce that never were
-	BeforeRead        func(ctx context.Context) // waits before each read
+	NeverAcknowledges bool                      // reads responses but sends no ACK
+	RejectedType      string                    // type URL of which every response is rejected (NACK)
+	CloseStreamAfter  int                       // responses after which each stream is closed; 0 = never
+	UnknownVersions   bool                      // begins each stream with a nonce and versions that were never sent
+	BeforeRead        func(ctx context.Context) // called before each read of a response, nil = none
 }
 
-// Endpoint is a server as the proxy was told of it.
+// Endpoint is the last received state of a server.
 type Endpoint struct {
 	Status   corev3.HealthStatus
 	Weight   uint32
@@ -46,9 +47,10 @@
 	Priority uint32
 }
 
-// Proxy is one stand-in.
+// Proxy is a stand-in proxy. Its exported fields may be set before Run; its methods are safe for concurrent
+// use.
 type Proxy struct {
-	Delta  bool
+	Delta  bool // whether it uses the delta variant
 	ID     string
 	Zone   string
 	Faults Faults
@@ -56,79 +58,88 @@
 	conn *grpc.ClientConn
 
 	mu               sync.Mutex
-	versions         map[string]string            // World: by type
-	resourceVersions map[string]map[string]string // Delta: versions by type and name
+	versions         map[string]string            // state of the world: by type
+	resourceVersions map[string]map[string]string // delta: by type and resource name
 	endpoints        map[string]Endpoint          // by address
-	dropPerMillion   uint32
-	messages         int
-	bytes            int
-	streams          int
+	dropPerMillion   uint32                       // requests to drop of a million
+	messages         int                          // received responses
+	bytes            int                          // received bytes of resources
+	streams          int                          // opened streams
 }
 
-// New returns a proxy on a connection; Run runs it.
+// New returns a proxy that uses a connection to a control service; Run runs it.
 func New(conn *grpc.ClientConn, id string, delta bool) *Proxy {
-	p := &Proxy{Delta: delta, ID: id, conn: conn, versions: map[string]string{}, resourceVersions: map[string]map[string]string{}, endpoints: map[string]Endpoint{}}
+	p := &Proxy{
+		Delta: delta, ID: id, conn: conn, versions: map[string]string{},
+		resourceVersions: map[string]map[string]string{}, endpoints: map[string]Endpoint{},
+	}
 	for _, t := range types {
 		p.resourceVersions[t] = map[string]string{}
 	}
 	return p
 }
 
-// Endpoints is what it was told, by address, and how many messages that took.
+// Endpoints returns the received endpoints by address, and how many responses were received.
 func (p *Proxy) Endpoints() (map[string]Endpoint, int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return maps.Clone(p.endpoints), p.messages
 }
 
-// Drop is the share of requests that it was told to drop, in millionths.
+// DropPerMillion returns how many of a million requests the proxy is configured to drop.
 func (p *Proxy) DropPerMillion() uint32 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.dropPerMillion
 }
 
-// Bytes is how much it was sent, Streams how many streams it opened.
+// Traffic returns the received bytes of resources and the number of opened streams.
 func (p *Proxy) Traffic() (bytes, streams int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.bytes, p.streams
 }
 
-// Run keeps a stream until ctx ends.
+// Run keeps a stream open, with backoff between attempts, until ctx ends.
 func (p *Proxy) Run(ctx context.Context) {
-	again := backoff.New(backoff.Settings{MinWait: 10 * time.Millisecond, InitialSpan: 40 * time.Millisecond, MaxSpan: time.Second, Window: 10 * time.Second, Budget: 100},
+	retry := backoff.New(
+		backoff.Settings{
+			MinWait: 10 * time.Millisecond, InitialSpan: 40 * time.Millisecond, MaxSpan: time.Second,
+			Window: 10 * time.Second, Budget: 100,
+		},
 		rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	start := time.Now()
 	for ctx.Err() == nil {
-		again.TryStarted(time.Since(start))
+		retry.TryStarted(time.Since(start))
 		p.mu.Lock()
 		p.streams++
 		before := p.messages
 		p.mu.Unlock()
 		sctx, cancel := context.WithCancel(ctx)
 		if p.Delta {
-			_ = p.runDelta(sctx) // whatever ended it, it is opened again
+			_ = p.runDelta(sctx) // the stream is opened again whatever the error
 		} else {
 			_ = p.runStateOfTheWorld(sctx)
 		}
 		cancel()
 		p.mu.Lock()
 		if p.messages > before {
-			again.Succeeded()
+			retry.Succeeded()
 		}
 		p.mu.Unlock()
 		select {
 		case <-ctx.Done():
-		case <-time.After(again.Failed(time.Since(start))):
+		case <-time.After(retry.Failed(time.Since(start))):
 		}
 	}
 }
 
+// node returns the identity that the proxy sends.
 func (p *Proxy) node() *corev3.Node {
 	return &corev3.Node{Id: p.ID, Locality: &corev3.Locality{Zone: p.Zone}}
 }
 
+// resourceNames returns the resources to subscribe to of a type; nil = all of them.
 func resourceNames(t string) []string {
 	if t == types[0] || t == types[2] {
 		return nil
@@ -136,11 +147,12 @@
 	return []string{"robinmast"}
 }
 
+// rejection returns the error detail of a NACK (code 3 is INVALID_ARGUMENT).
 func rejection() *rpcstatus.Status {
 	return &rpcstatus.Status{Code: 3, Message: "rejected by the stand-in"}
 }
 
-// wait is before each read; it reports whether the stream is to be cut.
+// beforeRead applies the faults that precede a read; it reports whether the stream is to be closed.
 func (p *Proxy) beforeRead(ctx context.Context, read int) bool {
 	if p.Faults.BeforeRead != nil {
 		p.Faults.BeforeRead(ctx)
@@ -148,6 +160,7 @@
 	return p.Faults.CloseStreamAfter > 0 && read >= p.Faults.CloseStreamAfter
 }
 
+// runStateOfTheWorld runs one stream of the state-of-the-world variant.
 func (p *Proxy) runStateOfTheWorld(ctx context.Context) error {
 	s, err := discoveryv3.NewAggregatedDiscoveryServiceClient(p.conn).StreamAggregatedResources(ctx)
 	if err != nil {
@@ -155,7 +168,9 @@
 	}
 	for _, t := range types {
 		p.mu.Lock()
-		q := &discoveryv3.DiscoveryRequest{Node: p.node(), TypeUrl: t, VersionInfo: p.versions[t], ResourceNames: resourceNames(t)}
+		q := &discoveryv3.DiscoveryRequest{
+			Node: p.node(), TypeUrl: t, VersionInfo: p.versions[t], ResourceNames: resourceNames(t),
+		}
 		p.mu.Unlock()
 		if p.Faults.UnknownVersions {
 			q.VersionInfo, q.ResponseNonce = "of another service", "never sent"
@@ -172,7 +187,9 @@
 		if err != nil {
 			return err
 		}
-		a := &discoveryv3.DiscoveryRequest{TypeUrl: r.TypeUrl, ResponseNonce: r.Nonce, VersionInfo: r.VersionInfo, ResourceNames: resourceNames(r.TypeUrl)}
+		a := &discoveryv3.DiscoveryRequest{
+			TypeUrl: r.TypeUrl, ResponseNonce: r.Nonce, VersionInfo: r.VersionInfo, ResourceNames: resourceNames(r.TypeUrl),
+		}
 		p.mu.Lock()
 		p.messages++
 		for _, b := range r.Resources {
@@ -199,6 +216,7 @@
 	}
 }
 
+// runDelta runs one stream of the delta variant.
 func (p *Proxy) runDelta(ctx context.Context) error {
 	s, err := discoveryv3.NewAggregatedDiscoveryServiceClient(p.conn).DeltaAggregatedResources(ctx)
 	if err != nil {
@@ -206,10 +224,14 @@
 	}
 	for _, t := range types {
 		p.mu.Lock()
-		q := &discoveryv3.DeltaDiscoveryRequest{Node: p.node(), TypeUrl: t, ResourceNamesSubscribe: resourceNames(t), InitialResourceVersions: maps.Clone(p.resourceVersions[t])}
+		q := &discoveryv3.DeltaDiscoveryRequest{
+			Node: p.node(), TypeUrl: t, ResourceNamesSubscribe: resourceNames(t),
+			InitialResourceVersions: maps.Clone(p.resourceVersions[t]),
+		}
 		p.mu.Unlock()
 		if p.Faults.UnknownVersions {
-			q.ResponseNonce, q.InitialResourceVersions = "never sent", map[string]string{"robinmast": "of another service", "long gone": "1"}
+			q.ResponseNonce = "never sent"
+			q.InitialResourceVersions = map[string]string{"robinmast": "of another service", "long gone": "1"}
 		}
 		if err := s.Send(q); err != nil {
 			return err
@@ -253,11 +275,11 @@
 	}
 }
 
-// apply takes endpoints; the lock must be held. Other types only have to parse.
+// apply stores the endpoints of a resource. Resources of other types only have to parse. The lock must be held.
 func (p *Proxy) apply(b *anypb.Any) error {
 	m, err := b.UnmarshalNew()
 	if err != nil {
-		return fmt.Errorf("resource: %w", err)
+		return fmt.Errorf("decode resource: %w", err)
 	}
 	load, ok := m.(*endpointv3.ClusterLoadAssignment)
 	if !ok {
@@ -268,7 +290,8 @@
 		for _, e := range l.LbEndpoints {
 			a := e.GetEndpoint().GetAddress().GetSocketAddress()
 			p.endpoints[fmt.Sprintf("%s:%d", a.GetAddress(), a.GetPortValue())] = Endpoint{
-				Status: e.HealthStatus, Weight: e.GetLoadBalancingWeight().GetValue(), Zone: l.GetLocality().GetZone(), Priority: l.Priority,
+				Status: e.HealthStatus, Weight: e.GetLoadBalancingWeight().GetValue(),
+				Zone: l.GetLocality().GetZone(), Priority: l.Priority,
 			}
 		}
 	}
@@ -278,7 +301,7 @@
 	return nil
 }
 
-// Status is what it was told of one server.
+// Status returns the received health status of a server, UNKNOWN if there is none.
 func (p *Proxy) Status(addr string) corev3.HealthStatus {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,6 +1,6 @@
-// Package standin owns what the tests of several packages stand in with for the
-// node's peers, written from the published protocol. It must never be used by
-// anything but tests, and generates no load.
+// Package standin has helpers that the tests of several packages share: waiting for a condition, listeners on
+// loopback, a client connection of a dispatcher, and a certificate authority. The connection is written from the
+// published protocol. The package is for tests only.
 package standin
 
 import (
@@ -17,20 +17,20 @@
 	"github.com/tidwall/redcon"
 )
 
-// patience is how long a test waits for what must come.
+// waitTimeout is how long a test waits for a condition or an answer.
 const waitTimeout = 8 * time.Second
 
-// Eventually waits until ok, and fails the test if that takes too long.
+// Eventually waits until ok returns true and fails the test after waitTimeout; what names the condition.
 func Eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not in time: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-// Listen opens a listener on loopback for the test.
+// Listen opens a listener on loopback, which is closed when the test ends.
 func Listen(t *testing.T) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -41,8 +41,8 @@
 	return ln
 }
 
-// Serve takes connections on loopback for the test, each by itself, and closes it
-// once do returns.
+// Serve accepts connections on loopback until the test ends. It calls do for each in a goroutine of its own and
+// closes the connection when do returns.
 func Serve(t *testing.T, do func(net.Conn)) (addr string) {
 	t.Helper()
 	ln := Listen(t)
@@ -61,15 +61,15 @@
 	return ln.Addr().String()
 }
 
-// Away takes an address on loopback at which nobody listens until open is
-// called. The port is held meanwhile, so that no other test can take it.
+// ClosedAddress reserves an address on loopback that refuses connections until open is called, which returns
+// its listener. The port is bound meanwhile, so that no other test can get it.
 func ClosedAddress(t *testing.T) (addr string, open func() net.Listener) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := os.NewFile(uintptr(fd), "away")
+	f := os.NewFile(uintptr(fd), "closed address")
 	t.Cleanup(func() { f.Close() })
 	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
@@ -91,14 +91,14 @@
 	}
 }
 
-// Dispatcher is one connection of a dispatcher.
+// Dispatcher is one connection of a dispatcher to a node.
 type Dispatcher struct {
 	*net.TCPConn
 	t      *testing.T
 	reader *bufio.Reader
 }
 
-// Dial connects a dispatcher to a node.
+// Dial connects a dispatcher to a node; the connection is closed when the test ends.
 func Dial(t *testing.T, addr string) *Dispatcher {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -109,7 +109,7 @@
 	return &Dispatcher{TCPConn: c.(*net.TCPConn), t: t, reader: bufio.NewReaderSize(c, 512)}
 }
 
-// Words encodes a message.
+// EncodeMessage encodes a message as an array of bulk strings (RESP).
 func EncodeMessage(parts ...string) []byte {
 	b := redcon.AppendArray(nil, len(parts))
 	for _, p := range parts {
@@ -118,7 +118,7 @@
 	return b
 }
 
-// Say sends a message.
+// Send sends a message.
 func (d *Dispatcher) Send(parts ...string) {
 	d.t.Helper()
 	if _, err := d.Write(EncodeMessage(parts...)); err != nil {
@@ -126,15 +126,15 @@
 	}
 }
 
-// Hear reads one answer, its parts with spaces between; "EOF" if the connection
-// ended instead.
+// Receive reads one answer and returns its parts separated by spaces, or "EOF" if the connection ended. It
+// fails the test if nothing comes within waitTimeout or an answer is incomplete.
 func (d *Dispatcher) Receive() string {
 	d.t.Helper()
 	_ = d.SetReadDeadline(time.Now().Add(waitTimeout))
 	n, err := d.readHeader('*')
 	if err != nil {
 		if ne, ok := err.(net.Error); ok && ne.Timeout() {
-			d.t.Error("no answer")
+			d.t.Error("no answer within the timeout")
 		}
 		return "EOF"
 	}
@@ -142,12 +142,12 @@
 	for i := range parts {
 		size, err := d.readHeader('$')
 		if err != nil {
-			d.t.Errorf("answer cut short: %v", err)
+			d.t.Errorf("incomplete answer: %v", err)
 			return "EOF"
 		}
 		body := make([]byte, size+2)
 		if _, err := io.ReadFull(d.reader, body); err != nil || string(body[size:]) != "\r\n" {
-			d.t.Errorf("answer cut short: %v", err)
+			d.t.Errorf("incomplete answer: %v", err)
 			return "EOF"
 		}
 		parts[i] = string(body[:size])
@@ -155,17 +155,17 @@
 	return strings.Join(parts, " ")
 }
 
-// number reads a header that begins with the given byte.
+// readHeader reads a header line that begins with a byte and returns its number.
 func (d *Dispatcher) readHeader(kind byte) (n int, err error) {
 	line, err := d.reader.ReadString('\n')
 	if err != nil {
 		return 0, err
 	}
 	if line[0] != kind {
-		return 0, fmt.Errorf("header %q", line)
+		return 0, fmt.Errorf("unexpected header %q", line)
 	}
 	if _, err := fmt.Sscanf(line[1:], "%d\r\n", &n); err != nil || n < 0 {
-		return 0, fmt.Errorf("header %q", line)
+		return 0, fmt.Errorf("unexpected header %q", line)
 	}
 	return n, nil
 }
