--- a/cmd/robinmast-control/main.go
+++ b/cmd/robinmast-control/main.go
@@ -161,7 +161,7 @@
 		grpc.MaxConcurrentStreams(64), grpc.MaxRecvMsgSize(256<<10),
 		grpc.WriteBufferSize(16<<10), grpc.ReadBufferSize(8<<10),
 	)...)
-	loadv3.RegisterLoadReportingServiceServer(grpcServer, &control.Loads{Service: service})
+	loadv3.RegisterLoadReportingServiceServer(grpcServer, &control.LoadReporting{Service: service})
 	discoveryv3.RegisterAggregatedDiscoveryServiceServer(grpcServer, service.Streams)
 	httpServer := &http.Server{
 		Handler: service.Handler(), ReadHeaderTimeout: 2 * time.Second, ReadTimeout: 5 * time.Second,
--- a/cmd/robinmast/control.go
+++ b/cmd/robinmast/control.go
@@ -240,7 +240,7 @@
 	now, furtherTries := time.Now(), c.requests.FurtherTries.Load()
 	part := &controlRecovery{Store: c.recovery.Identity()}
 	if v := c.recovery.View(); v != nil {
-		part.State, part.Memory = v.State, v.Memory
+		part.State, part.Memory = v.State, v.Integrity
 	}
 	if seconds := now.Sub(l.at).Seconds(); !l.at.IsZero() && seconds > 0 && read > l.read {
 		part.Reads = roundTenth(float64(read-l.read) / seconds)
--- a/cmd/robinmast/counters.go
+++ b/cmd/robinmast/counters.go
@@ -31,7 +31,7 @@
 			"read", requests.Read.Load(), "served", requests.Count(exchange.EndedServed),
 			"refused", requests.Count(exchange.EndedRefused), "failed", requests.Count(exchange.EndedFailed),
 			"cancelled", requests.Count(exchange.EndedCancelled), "gone", requests.Count(exchange.EndedCallerGone),
-			"in_hand", requests.OpenRequests(), "late_answers", requests.Late.Load()),
+			"in_hand", requests.OpenRequests(), "late_answers", requests.LateAnswers.Load()),
 		slog.Group("dispatchers",
 			"calls", dispatchers.Counters.Calls.Load(), "malformed", dispatchers.Counters.Malformed.Load(),
 			"cancels", dispatchers.Counters.Cancels.Load(), "cancels_unmatched", dispatchers.Counters.Unmatched.Load(),
@@ -43,9 +43,9 @@
 			"links", workers.Counters.Links.Load(),
 			"spawned", workers.Counters.Started.Load(), "respawned", workers.Counters.Restarted.Load(),
 			"suspended", workers.Counters.Stopped.Load(),
-			"complete", workers.Counters.Finished[pool.Complete].Load(), "error", workers.Counters.Finished[pool.Error].Load(),
-			"cancelled", workers.Counters.Finished[pool.Cancelled].Load(),
-			"moot", workers.Counters.Finished[pool.NeverStarted].Load(), "rejected", workers.Counters.Rejected.Load(),
+			"complete", workers.Counters.EndedRuns[pool.Complete].Load(), "error", workers.Counters.EndedRuns[pool.Error].Load(),
+			"cancelled", workers.Counters.EndedRuns[pool.Cancelled].Load(),
+			"moot", workers.Counters.EndedRuns[pool.NeverStarted].Load(), "rejected", workers.Counters.Rejected.Load(),
 			"running", workers.OpenRuns(), "bad_lines", workers.Counters.BadLines.Load(),
 			"lost_notices", workers.Counters.LostNotices.Load(),
 			"repeated_notices", workers.Counters.RepeatedNotices.Load(),
@@ -75,7 +75,7 @@
 				"entries", p.results.Store().Len(), "batches", s.Batches.Load(), "bytes", s.Bytes.Load(),
 				"syncs", syncs, "sync_mean", time.Duration(s.SyncNanos.Load()/max(syncs, 1)), "full", s.Full.Load(),
 				"compactions", s.Compactions.Load(), "compaction_failures", s.CompactionFailures.Load(),
-				"checkpoints", s.Checkpoints.Load(), "given_up", s.GivenUp.Load(), "damaged", s.Damaged.Load()))
+				"checkpoints", s.Checkpoints.Load(), "given_up", s.AbandonedSegments.Load(), "damaged", s.Damaged.Load()))
 	}
 	if p.control != nil {
 		sent, failed := int64(0), int64(0)
@@ -88,7 +88,7 @@
 		if v := p.recovery.View(); v != nil {
 			c := &p.recovery.Counters
 			args = append(args, slog.Group("comeback",
-				"state", v.State, "asks", round(v.Ask), "warm", round(v.Warm), "memory", v.Memory, "why", v.Why,
+				"state", v.State, "asks", round(v.RequestedShare), "warm", round(v.Warm), "memory", v.Integrity, "why", v.IntegrityReason,
 				"in_doubt", c.InDoubt.Load(), "snapshots", c.Snapshots.Load(),
 				"priors_dropped", c.Dropped.Load(), "failed_writes", c.Failed.Load()))
 		}
@@ -97,7 +97,7 @@
 		if v, ok := p.node.Shedding(viewTimeout); ok {
 			args = append(args, slog.Group("together",
 				"others_refuse", round(v.PeerRefusalShare), "short", round(v.Shortage),
-				"walks_ended", round(v.StoppedRetries), "advice_spread", round(v.AdviceStretch), "trust", round(v.Trust),
+				"walks_ended", round(v.StoppedRetries), "advice_spread", round(v.RetryAfterFactor), "trust", round(v.Trust),
 				"cut", round(v.Threshold), "digest_age", v.DigestAge, "follows", v.Source+1))
 		}
 	}
@@ -138,7 +138,7 @@
 		"queued", t.Queued.Load(), "sent", t.Sent.Load(), "dropped", t.Dropped.Load(),
 	}
 	for _, e := range stream.CloseReasons() {
-		if n := t.Ended[e].Load(); n > 0 {
+		if n := t.Closed[e].Load(); n > 0 {
 			args = append(args, "end_"+e.String(), n)
 		}
 	}
--- a/cmd/robinmast/open.go
+++ b/cmd/robinmast/open.go
@@ -44,7 +44,7 @@
 		return nil, closeStore, nil
 	}
 	c := recovery.Config{
-		Own: own, Node: cfg.Name, Listens: len(cfg.own.Control.Address), Settings: cfg.set, Names: cfg.names, Log: log,
+		Options: own, Node: cfg.Name, ControlServices: len(cfg.own.Control.Address), Settings: cfg.set, Names: cfg.names, Log: log,
 	}
 	switch {
 	case results != nil:
--- a/cmd/robinmastctl/rehearse.go
+++ b/cmd/robinmastctl/rehearse.go
@@ -85,7 +85,7 @@
 		set("nodes", o.nodes != 0, func() { s.Fleet.Nodes = o.nodes }),
 		set("seconds", o.seconds != 0, func() { s.Fleet.Seconds = o.seconds }),
 		set("together", o.shedding != "", func() {
-			s.Fleet.Together = o.shedding
+			s.Fleet.Shedding = o.shedding
 			if o.shedding == "told" {
 				s.Fleet.Control = max(s.Fleet.Control, 1)
 			}
@@ -104,7 +104,7 @@
 	}
 	opt := fleet.Options{
 		Node: filepath.Join(o.programs, "robinmast"), Control: filepath.Join(o.programs, "robinmast-control"),
-		Keep: o.logs,
+		LogDir: o.logs,
 	}
 	for _, program := range []string{opt.Node, opt.Control} {
 		if _, err := os.Stat(program); err != nil {
@@ -113,9 +113,9 @@
 	}
 	if !o.json {
 		fmt.Fprintf(out, "%s: %d nodes, %d control services, together %s; seed %d\n\n",
-			path, s.Fleet.Nodes, s.Fleet.Control, s.Fleet.Together, s.Fleet.Seed)
-		fleet.Head(out)
-		opt.Tell = func(s fleet.Second) { s.Line(out) }
+			path, s.Fleet.Nodes, s.Fleet.Control, s.Fleet.Shedding, s.Fleet.Seed)
+		fleet.TableHeader(out)
+		opt.OnSecond = func(s fleet.Second) { s.Line(out) }
 	}
 	r, err := fleet.Run(ctx, s, opt)
 	if err != nil {
@@ -131,7 +131,7 @@
 	} else {
 		r.Table(out)
 	}
-	if err == nil && len(r.Broken()) > 0 {
+	if err == nil && len(r.Violations()) > 0 {
 		return errFaults
 	}
 	return err
--- a/decide/shedding/shedding.go
+++ b/decide/shedding/shedding.go
@@ -332,7 +332,7 @@
 	Threshold        float64       // of the digest: least first-try utility that the fleet has capacity for, 0 = all
 	DigestAge        time.Duration // 0 without a valid digest
 	StoppedRetries   float64       // recent share of refusals that stop retries
-	AdviceStretch    float64       // factor of the retry-after
+	RetryAfterFactor float64       // factor of the retry-after
 	Source           int           // number of the control service whose digest is followed
 }
 
@@ -340,7 +340,7 @@
 func (m *Shedder) View(now time.Duration) View {
 	v := View{
 		PeerRefusalShare: m.peerRefusalShare(), Shortage: m.shortage, Trust: m.trust(now),
-		AdviceStretch: m.stretch, StoppedRetries: m.recentStops / max(m.recentRefusals, 1),
+		RetryAfterFactor: m.stretch, StoppedRetries: m.recentStops / max(m.recentRefusals, 1),
 	}
 	if v.Trust > 0 {
 		v.Threshold, v.DigestAge, v.Source = m.digest.Threshold, now-m.digestAsOf, m.selector.current
--- a/decide/xds/xds.go
+++ b/decide/xds/xds.go
@@ -44,12 +44,12 @@
 }
 
 // Form is the protocol variant that a stream uses.
-type Form uint8
+type Variant uint8
 
 // Protocol variants.
 const (
-	World Form = iota // state-of-the-world
-	Delta             // incremental
+	StateOfTheWorld Variant = iota // state-of-the-world
+	Delta                          // incremental
 )
 
 // Request is a discovery request from a proxy.
@@ -109,7 +109,7 @@
 
 // Stream is the state of one proxy's xDS stream. It belongs to one goroutine.
 type Stream struct {
-	form          Form
+	form          Variant
 	snapshots     [NumTypes]Snapshot
 	subscriptions [NumTypes]subscription
 	responses     uint64 // number of responses sent
@@ -118,7 +118,7 @@
 
 // New returns a stream on which nothing has been sent. The nonces begin with salt, which
 // must be different for each stream.
-func New(form Form, salt string) *Stream {
+func New(form Variant, salt string) *Stream {
 	s := &Stream{form: form, noncePrefix: salt}
 	for i := range s.subscriptions {
 		s.subscriptions[i] = subscription{
@@ -148,7 +148,7 @@
 	sub.requested = true
 	if r.Nonce != "" && r.Nonce == sub.lastNonce && sub.pending != nil {
 		s.handleAnswer(sub, r)
-	} else if r.Nonce != "" && r.Nonce != sub.lastNonce && !first && s.form == World {
+	} else if r.Nonce != "" && r.Nonce != sub.lastNonce && !first && s.form == StateOfTheWorld {
 		return true // stale nonce: xDS protocol, "ACK/NACK and resource type instance version"
 	}
 	if s.form == Delta {
--- a/decide/xds/xds_test.go
+++ b/decide/xds/xds_test.go
@@ -12,7 +12,7 @@
 
 // proxy models an xDS client: the resources it has and the requests it sends.
 type proxy struct {
-	form      Form
+	form      Variant
 	resources [NumTypes]map[string]string
 	names     [NumTypes][]string
 	version   [NumTypes]string
@@ -31,7 +31,7 @@
 // firstRequest returns the first request of a type on a new stream.
 func (p *proxy) firstRequest(t Type) Request {
 	r := Request{Type: t}
-	if p.form == World {
+	if p.form == StateOfTheWorld {
 		r.Version, r.Names = p.version[t], p.names[t]
 		return r
 	}
@@ -50,7 +50,7 @@
 		answer.Error = "no"
 		return answer
 	}
-	if p.form == World {
+	if p.form == StateOfTheWorld {
 		p.resources[r.Type] = map[string]string{}
 		p.version[r.Type], answer.Version = r.Version, r.Version
 	}
@@ -63,7 +63,7 @@
 	return answer
 }
 
-func newProxy(form Form) *proxy {
+func newProxy(form Variant) *proxy {
 	p := &proxy{form: form}
 	for t := range p.resources {
 		p.resources[t] = map[string]string{}
@@ -76,7 +76,7 @@
 // at the end the proxy has exactly the published resources that it subscribed to.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		p := newProxy(Form(rapid.IntRange(0, 1).Draw(r, "form")))
+		p := newProxy(Variant(rapid.IntRange(0, 1).Draw(r, "form")))
 		all := []string{"a", "b", "c", "d"}
 		p.names[Endpoints] = []string{"a", "b"}
 		p.names[Routes] = []string{"c"}
@@ -212,7 +212,7 @@
 func TestReconnect(t *testing.T) {
 	snap := snapshotsWith(Clusters, map[string]string{"a": "1"})
 	for version, sends := range map[string]bool{snap[Clusters].Version: false, "": true, "of an earlier run": true} {
-		s := New(World, "x")
+		s := New(StateOfTheWorld, "x")
 		s.Update(snap)
 		s.Request(Request{Type: Clusters, Version: version, Nonce: "of another stream"})
 		first := s.Next()
@@ -235,7 +235,7 @@
 // A NACK leaves the accepted version as it is, is counted with its reason and does not affect
 // other types; the rejected version is not sent again. Clusters are sent first.
 func TestNack(t *testing.T) {
-	s := New(World, "x")
+	s := New(StateOfTheWorld, "x")
 	snap := snapshotsWith(Clusters, map[string]string{"a": "1"})
 	snap[Endpoints] = snapshot(Endpoints, map[string]string{"a": "1"})
 	s.Update(snap)
@@ -263,7 +263,7 @@
 
 // 50 updates while a response is pending lead to a single further response, of the latest version.
 func TestUpdatesAreCoalesced(t *testing.T) {
-	for _, form := range []Form{World, Delta} {
+	for _, form := range []Variant{StateOfTheWorld, Delta} {
 		s := New(form, "x")
 		s.Update(snapshotsWith(Clusters, map[string]string{"a": "0"}))
 		s.Request(Request{Type: Clusters})
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -444,10 +444,10 @@
 }
 
 // Places holds the line numbers of a file's sections and keys.
-type Places struct{ lines lineIndex }
+type LineIndex struct{ lines lineIndex }
 
 // Line returns the line of a key, or else of its section, or else 0.
-func (p Places) Line(section, key string) int {
+func (p LineIndex) Line(section, key string) int {
 	if n := p.lines.line(section, key); n > 0 {
 		return n
 	}
@@ -456,9 +456,9 @@
 
 // Locate returns the line numbers of the sections and keys of an INI file, which need not be
 // a node's, and the faults that the INI library accepts without an error.
-func Locate(name string, text []byte) (Places, []Fault) {
+func IndexLines(name string, text []byte) (LineIndex, []Fault) {
 	lines, faults := indexLines(name, text)
-	return Places{lines}, faults
+	return LineIndex{lines}, faults
 }
 
 // lineIndex holds line numbers, from 1.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -13,7 +13,7 @@
 func TestShippedFileMatchesTable(t *testing.T) {
 	const path = "../../deploy/robinmast.ini"
 	if os.Getenv("ROBINMAST_WRITE_INI") != "" {
-		if err := os.WriteFile(path, []byte(Default()), 0o644); err != nil {
+		if err := os.WriteFile(path, []byte(DefaultText()), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if string(text) != Default() {
+	if string(text) != DefaultText() {
 		t.Error("deploy/robinmast.ini differs from the table: run this test with ROBINMAST_WRITE_INI=1")
 	}
 	c, err := Load(path)
@@ -102,7 +102,7 @@
 
 // Any bytes are parsed without a panic, and no fault is empty.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(Default()))
+	f.Add([]byte(DefaultText()))
 	f.Add([]byte("[log]\nlevel=\"\"\"x\ny\"\"\"\n"))
 	f.Add([]byte("[results]\nbytes=1\\\n2MB\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -193,7 +193,7 @@
 
 // Default returns the text of deploy/robinmast.ini: every key with its help text, default
 // and range.
-func Default() string {
+func DefaultText() string {
 	var b strings.Builder
 	b.WriteString("# Settings of the node's own features. All features are off in this file; a key that is\n" +
 		"# left out has the value given here. Check a file with: robinmast check --config FILE\n")
--- a/internal/control/ads.go
+++ b/internal/control/ads.go
@@ -13,7 +13,7 @@
 func (s *Streams) StreamAggregatedResources(
 	server discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesServer,
 ) error {
-	x, err := s.register(server.Context(), xds.World)
+	x, err := s.register(server.Context(), xds.StateOfTheWorld)
 	if err != nil {
 		return err
 	}
--- a/internal/control/certs_test.go
+++ b/internal/control/certs_test.go
@@ -154,7 +154,7 @@
 	for i := range 3 {
 		g.setNode(i, 1000, nil)
 	}
-	loadv := &Loads{Service: g.service}
+	loadv := &LoadReporting{Service: g.service}
 	ln := standin.Listen(t)
 	server := grpc.NewServer()
 	loadv3.RegisterLoadReportingServiceServer(server, loadv)
--- a/internal/control/events.go
+++ b/internal/control/events.go
@@ -94,7 +94,7 @@
 		s.lastSavedChange = changes[n-1]
 		batch.Put(historyKey, history, 0)
 	}
-	s.cfg.Store.ApplyAsync(&batch, store.Soon, func(err error) {
+	s.cfg.Store.ApplyAsync(&batch, store.Buffered, func(err error) {
 		if err != nil {
 			s.cfg.Log.Error("events not saved", "err", err)
 		}
--- a/internal/control/loads.go
+++ b/internal/control/loads.go
@@ -19,7 +19,7 @@
 
 // Loads implements the load reporting service (LRS) of Envoy. It passes the request counts that
 // proxies report to Service, for nodes in its view only.
-type Loads struct {
+type LoadReporting struct {
 	loadv3.UnimplementedLoadReportingServiceServer
 
 	Service *Service
@@ -28,7 +28,7 @@
 }
 
 // StreamLoadStats receives the load reports of a proxy. Endpoints are mapped to nodes by address.
-func (l *Loads) StreamLoadStats(server loadv3.LoadReportingService_StreamLoadStatsServer) error {
+func (l *LoadReporting) StreamLoadStats(server loadv3.LoadReportingService_StreamLoadStatsServer) error {
 	if !l.Service.Streams.allowed(server.Context()) {
 		return status.Error(codes.PermissionDenied, "this proxy may not subscribe")
 	}
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -236,7 +236,7 @@
 	}
 	var batch store.Batch
 	batch.Put(viewKey, view, 0)
-	s.cfg.Store.ApplyAsync(&batch, store.Soon, func(err error) {
+	s.cfg.Store.ApplyAsync(&batch, store.Buffered, func(err error) {
 		if err != nil {
 			s.cfg.Log.Error("view not saved", "err", err)
 		}
--- a/internal/control/streams.go
+++ b/internal/control/streams.go
@@ -114,7 +114,7 @@
 
 	mu          sync.Mutex
 	state       *xds.Stream
-	form        xds.Form
+	form        xds.Variant
 	node        string
 	zone        string
 	peer        string
@@ -153,7 +153,7 @@
 
 // register adds a stream. It returns a gRPC status error if the proxy may not subscribe or if there
 // are too many streams.
-func (s *Streams) register(ctx context.Context, form xds.Form) (*stream, error) {
+func (s *Streams) register(ctx context.Context, form xds.Variant) (*stream, error) {
 	if !s.allowed(ctx) {
 		s.Rejected.Add(1)
 		return nil, status.Error(codes.PermissionDenied, "this proxy may not subscribe")
--- a/internal/dependency/dependency.go
+++ b/internal/dependency/dependency.go
@@ -76,11 +76,11 @@
 func (c *Client) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	raw, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, network, addr)
 	if err != nil {
-		c.Traffic.NeverOpened(err)
+		c.Traffic.CountFailedDial(err)
 		return nil, fmt.Errorf("dial downstream dependency: %w", err)
 	}
 	return stream.New(raw, stream.Bytes{}, stream.Limits{
-		In: bufferBytes, Out: bufferBytes, StallTimeout: stream.StallLimit, Linger: lingerTimeout,
+		ReadBufferBytes: bufferBytes, WriteBufferBytes: bufferBytes, StallTimeout: stream.StallLimit, Linger: lingerTimeout,
 	}, &c.Traffic, nil), nil
 }
 
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -47,7 +47,7 @@
 	Read         atomic.Int64
 	FurtherTries atomic.Int64 // requests marked as further tries
 	byState      [numFinalStates]atomic.Int64
-	Late         atomic.Int64 // answers given after the request had ended
+	LateAnswers  atomic.Int64 // answers given after the request had ended
 }
 
 // Count returns the number of requests that ended in state f.
@@ -129,7 +129,7 @@
 		state = EndedRefused
 	}
 	if !x.setFinalState(state) {
-		x.counters.Late.Add(1)
+		x.counters.LateAnswers.Add(1)
 		return false
 	}
 	x.replier.Reply(x.Tag, a)
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -126,12 +126,12 @@
 		clients: map[*client]struct{}{}, connClosed: make(chan struct{}, 1),
 		acceptingDone: make(chan struct{}),
 		limits: stream.Limits{
-			In: inRingBytes, Out: outRingBytes, StallTimeout: stream.StallLimit, Linger: lingerTimeout,
+			ReadBufferBytes: inRingBytes, WriteBufferBytes: outRingBytes, StallTimeout: stream.StallLimit, Linger: lingerTimeout,
 		},
 		finTimeout: finTimeout, partialIdleLimit: partialIdleLimit, partialMaxLimit: partialMaxLimit,
 		firstMessageLimit: firstMessageLimit,
 	}
-	s.Traffic.HeldLimit = cfg.OutBytes
+	s.Traffic.QueuedBytesLimit = cfg.OutBytes
 	s.started = time.Now()
 	if cfg.SetupCPUShare > 0 {
 		s.limiter = connlimit.New(0, cfg.SetupCPUShare)
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -105,11 +105,11 @@
 		}
 		traffic := &b.Traffic
 		standin.Eventually(t, "every queued message sent or dropped", func() bool {
-			return traffic.Queued.Load() == traffic.Sent.Load()+traffic.Dropped.Load() && traffic.Held.Load() == 0
+			return traffic.Queued.Load() == traffic.Sent.Load()+traffic.Dropped.Load() && traffic.QueuedBytes.Load() == 0
 		})
 		closed := int64(0)
 		for _, reason := range stream.CloseReasons() {
-			closed += traffic.Ended[reason].Load()
+			closed += traffic.Closed[reason].Load()
 		}
 		if closed != traffic.Opened.Load() || b.requestCounters.OpenRequests() != 0 {
 			t.Errorf("%d connections opened and %d closed, %d requests still open",
@@ -346,7 +346,7 @@
 		t.Run(name, func(t *testing.T) {
 			b = startServer(t, func(s *Server) {
 				s.partialIdleLimit, s.partialMaxLimit = 50*time.Millisecond, 100*time.Millisecond
-				s.limits.Out = 4 << 10
+				s.limits.WriteBufferBytes = 4 << 10
 			})
 			other, d := b.dial(t), b.dial(t)
 			other.Send("RPC.CALL", "1", "read", safeFields, "x")
@@ -376,7 +376,7 @@
 				if got := d.Receive(); got != "EOF" {
 					t.Errorf("then %q", got)
 				}
-				standin.Eventually(t, "the close", func() bool { return b.Traffic.Ended[c.want].Load() == 1 })
+				standin.Eventually(t, "the close", func() bool { return b.Traffic.Closed[c.want].Load() == 1 })
 				otherRequest.Answer(exchange.Answer{Kind: exchange.Served, Body: []byte("r")})
 				if got := other.Receive(); got != "1 ACK  r" {
 					t.Errorf("the other connection: %q", got)
@@ -390,7 +390,7 @@
 			if open.Answer(exchange.Answer{}) {
 				t.Error("answered after its connection was closed")
 			}
-			if n := b.Traffic.Ended[c.want].Load(); n != 1 {
+			if n := b.Traffic.Closed[c.want].Load(); n != 1 {
 				t.Errorf("%d connections closed with %v, want 1", n, c.want)
 			}
 			otherRequest.Answer(exchange.Answer{Kind: exchange.Served, Body: []byte("r")})
@@ -438,7 +438,7 @@
 					t.Errorf("request %d is %v, want %v", i+1, x.FinalState(), want)
 				}
 			}
-			if n := b.Traffic.Ended[reason].Load(); n != 1 {
+			if n := b.Traffic.Closed[reason].Load(); n != 1 {
 				t.Errorf("%d connections closed with %v, want 1", n, reason)
 			}
 			other.Send("RPC.HEALTH", "1")
@@ -465,7 +465,7 @@
 	if got := d.Receive(); got != "EOF" {
 		t.Errorf("%q", got)
 	}
-	standin.Eventually(t, "the close", func() bool { return b.Traffic.Ended[stream.PeerClosed].Load() == 1 })
+	standin.Eventually(t, "the close", func() bool { return b.Traffic.Closed[stream.PeerClosed].Load() == 1 })
 }
 
 // FIN is sent on an idle connection, which is closed if its dispatcher does not do so. One with an open request is
@@ -481,7 +481,7 @@
 	if got := d.Receive(); got != "EOF" {
 		t.Errorf("%q", got)
 	}
-	if n := b.Traffic.Ended[stream.IdleClosed].Load(); n != 1 {
+	if n := b.Traffic.Closed[stream.IdleClosed].Load(); n != 1 {
 		t.Errorf("%d closed as idle", n)
 	}
 	b.SetIdleTimeout(0) // back to the maximum
@@ -748,8 +748,8 @@
 		t.Errorf("half: %q", got)
 	}
 	d.Send("RPC.HEALTH", "2", "")
-	if got := d.Receive(); got != "2 GREEN  " || b.Traffic.Ended[stream.ReadStalled].Load() != 2 {
-		t.Errorf("%q, %d closed", got, b.Traffic.Ended[stream.ReadStalled].Load())
+	if got := d.Receive(); got != "2 GREEN  " || b.Traffic.Closed[stream.ReadStalled].Load() != 2 {
+		t.Errorf("%q, %d closed", got, b.Traffic.Closed[stream.ReadStalled].Load())
 	}
 }
 
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -147,11 +147,11 @@
 func (r *Reporter) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	raw, err := (&net.Dialer{Timeout: reportTimeout}).DialContext(ctx, network, addr)
 	if err != nil {
-		r.Traffic.NeverOpened(err)
+		r.Traffic.CountFailedDial(err)
 		return nil, err
 	}
 	return stream.New(raw, stream.Bytes{}, stream.Limits{
-		In: bufferBytes, Out: bufferBytes, StallTimeout: reportTimeout, Linger: lingerTimeout,
+		ReadBufferBytes: bufferBytes, WriteBufferBytes: bufferBytes, StallTimeout: reportTimeout, Linger: lingerTimeout,
 	}, &r.Traffic, nil), nil
 }
 
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -31,9 +31,9 @@
 		standin.Eventually(t, "every connection's end", func() bool {
 			ended := int64(0)
 			for _, e := range stream.CloseReasons() {
-				ended += r.Traffic.Ended[e].Load()
+				ended += r.Traffic.Closed[e].Load()
 			}
-			return ended == r.Traffic.Opened.Load() && r.Traffic.Held.Load() == 0
+			return ended == r.Traffic.Opened.Load() && r.Traffic.QueuedBytes.Load() == 0
 		})
 	})
 	return r
@@ -126,7 +126,7 @@
 func TestServiceUnreachable(t *testing.T) {
 	addr, open := standin.ClosedAddress(t)
 	r := startReporter(t, addr)
-	standin.Eventually(t, "refused reports", func() bool { return r.Traffic.Ended[stream.DialRefused].Load() >= 3 })
+	standin.Eventually(t, "refused reports", func() bool { return r.Traffic.Closed[stream.DialRefused].Load() >= 3 })
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })}
 	go srv.Serve(open())
 	defer srv.Close()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -251,8 +251,8 @@
 	r.wantAnswer(x, exchange.Failed, "")
 	r.endRun(x, pool.Complete, "late")
 	r.wantAnswer(x, exchange.Failed, "")
-	if r.counters.Late.Load() != 1 {
-		t.Errorf("%d late answers", r.counters.Late.Load())
+	if r.counters.LateAnswers.Load() != 1 {
+		t.Errorf("%d late answers", r.counters.LateAnswers.Load())
 	}
 	r.wantEmpty()
 }
--- a/internal/node/resultcache.go
+++ b/internal/node/resultcache.go
@@ -18,7 +18,7 @@
 	Restore(now time.Duration) ([]memory.RestoredRecord, error)
 	// Wants reports whether a request is recorded, and whether its run must wait until
 	// its intent is durable.
-	Wants(x *exchange.Exchange) (record, intent bool)
+	ShouldRecord(x *exchange.Exchange) (record, intent bool)
 	// StoreIntent writes that the request is about to run; done is called once that is
 	// durable, or with the error.
 	StoreIntent(now time.Duration, x *exchange.Exchange, expires time.Duration, done func(error))
@@ -149,7 +149,7 @@
 // callback starts it directly, without waiting for the loop's next batch.
 func (n *Node) startRun(req *openRequest) {
 	if n.cfg.ResultCache != nil {
-		if _, intent := n.cfg.ResultCache.Wants(req.x); intent {
+		if _, intent := n.cfg.ResultCache.ShouldRecord(req.x); intent {
 			req.intentGate.Store(gateWaiting)
 			n.cfg.ResultCache.StoreIntent(n.now, req.x, n.recordExpiry(req), func(err error) {
 				if err == nil && req.intentGate.CompareAndSwap(gateWaiting, gateOpen) {
@@ -207,7 +207,7 @@
 	if n.cfg.ResultCache == nil {
 		return false
 	}
-	record, _ := n.cfg.ResultCache.Wants(req.x)
+	record, _ := n.cfg.ResultCache.ShouldRecord(req.x)
 	if !record {
 		return false
 	}
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -80,7 +80,7 @@
 	Started         atomic.Int64    // runs started
 	Restarted       atomic.Int64    // of those, started again on a new link
 	Stopped         atomic.Int64    // runs stopped
-	Finished        [4]atomic.Int64 // runs by Outcome
+	EndedRuns       [4]atomic.Int64 // runs by Outcome
 	Rejected        atomic.Int64    // runs that the worker pool did not start
 	BadLines        atomic.Int64    // malformed or unexpected lines
 	LostNotices     atomic.Int64    // notices that were lost
@@ -226,7 +226,7 @@
 	r.stopped = true
 	if !r.sent {
 		delete(l.runs, x.Txn)
-		l.Counters.Finished[Cancelled].Add(1)
+		l.Counters.EndedRuns[Cancelled].Add(1)
 		l.mu.Unlock()
 		l.sink.RunEnded(x, Cancelled, 0, nil)
 		return
@@ -327,10 +327,10 @@
 func (l *Link) runLink(ctx context.Context) (stream.CloseReason, error) {
 	raw, err := l.dial(ctx)
 	if err != nil {
-		return l.Traffic.NeverOpened(err), err
+		return l.Traffic.CountFailedDial(err), err
 	}
-	c := stream.New(raw, &stream.Lines{Longest: maxLineBytes}, stream.Limits{
-		In: readBufferBytes, Out: writeBufferBytes, StallTimeout: l.bindTimeout, Linger: lingerTimeout,
+	c := stream.New(raw, &stream.Lines{MaxLength: maxLineBytes}, stream.Limits{
+		ReadBufferBytes: readBufferBytes, WriteBufferBytes: writeBufferBytes, StallTimeout: l.bindTimeout, Linger: lingerTimeout,
 	}, &l.Traffic, nil)
 	stop := context.AfterFunc(ctx, func() { c.Abort(stream.ClosedLocally) })
 	defer stop()
@@ -404,7 +404,7 @@
 			c.Abort(stream.ClosedLocally)
 			return
 		}
-		l.Traffic.NeverOpened(err)
+		l.Traffic.CountFailedDial(err)
 		select {
 		case <-ctx.Done():
 			return
@@ -582,7 +582,7 @@
 	l.log.Warn("notices from the worker pool were lost", "missed", missed, "failed", len(lost))
 	slices.SortFunc(lost, func(a, b *run) int { return cmp.Compare(a.order, b.order) })
 	for _, r := range lost {
-		l.Counters.Finished[Error].Add(1)
+		l.Counters.EndedRuns[Error].Add(1)
 		l.sink.RunEnded(r.x, Error, 0, nil)
 	}
 }
@@ -609,7 +609,7 @@
 		l.sink.UnknownRunEnded(n.ID, outcome, n.Body)
 		return
 	}
-	l.Counters.Finished[outcome].Add(1)
+	l.Counters.EndedRuns[outcome].Add(1)
 	l.sink.RunEnded(r.x, outcome, clampMillis(n.Ms), n.Body)
 }
 
@@ -638,7 +638,7 @@
 	}
 	if r := l.removeRun(n.ID); r != nil {
 		l.Counters.Rejected.Add(1)
-		l.Counters.Finished[NeverStarted].Add(1)
+		l.Counters.EndedRuns[NeverStarted].Add(1)
 		l.sink.RunEnded(r.x, NeverStarted, 0, nil) // Error would count as progress of a hanging worker pool
 	}
 }
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -105,14 +105,14 @@
 		}
 		ended := int64(0)
 		for _, e := range stream.CloseReasons() {
-			ended += l.Traffic.Ended[e].Load()
+			ended += l.Traffic.Closed[e].Load()
 		}
 		if ended != l.Traffic.Opened.Load() || l.Traffic.Queued.Load() != l.Traffic.Sent.Load()+l.Traffic.Dropped.Load() {
 			t.Errorf("links or commands don't add up: %d opened, %d ended", l.Traffic.Opened.Load(), ended)
 		}
 		over := int64(0)
-		for i := range l.Counters.Finished {
-			over += l.Counters.Finished[i].Load()
+		for i := range l.Counters.EndedRuns {
+			over += l.Counters.EndedRuns[i].Load()
 		}
 		if l.Counters.Started.Load() != over+int64(l.OpenRuns()) {
 			t.Errorf("%d started, %d ended, %d running", l.Counters.Started.Load(), over, l.OpenRuns())
@@ -384,7 +384,7 @@
 			standin.Eventually(t, "link", func() bool { l.mu.Lock(); defer l.mu.Unlock(); return l.ready })
 			c.do(w)
 			w.bind(2, 0)
-			if l.Traffic.Ended[c.want].Load() != 1 {
+			if l.Traffic.Closed[c.want].Load() != 1 {
 				t.Errorf("the link did not end as %v", c.want)
 			}
 		})
@@ -397,7 +397,7 @@
 	w.accept(0)
 	w.bind(2, 0)
 	standin.Eventually(t, "link", func() bool { l.mu.Lock(); defer l.mu.Unlock(); return l.ready })
-	if l.Traffic.Ended[stream.ReadStalled].Load() != 1 {
+	if l.Traffic.Closed[stream.ReadStalled].Load() != 1 {
 		t.Error("the first link did not end as stalled")
 	}
 }
@@ -409,7 +409,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { l.Run(ctx); close(done) }()
-	standin.Eventually(t, "tries", func() bool { return l.Traffic.Ended[stream.DialRefused].Load() >= 2 })
+	standin.Eventually(t, "tries", func() bool { return l.Traffic.Closed[stream.DialRefused].Load() >= 2 })
 	w := &stubPool{t: t, ln: open()}
 	w.bind(1, 0)
 	l.PollGauges()
@@ -432,7 +432,7 @@
 		l := New("", sink, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		near, far := net.Pipe()
 		go io.Copy(io.Discard, far)
-		c := stream.New(near, &stream.Lines{Longest: maxLineBytes}, stream.Limits{In: readBufferBytes, Out: writeBufferBytes, StallTimeout: time.Second}, &l.Traffic, nil)
+		c := stream.New(near, &stream.Lines{MaxLength: maxLineBytes}, stream.Limits{ReadBufferBytes: readBufferBytes, WriteBufferBytes: writeBufferBytes, StallTimeout: time.Second}, &l.Traffic, nil)
 		defer func() { c.Close(); far.Close(); <-c.Done() }()
 		l.conn = c
 		l.StartRun(request("a", true))
--- a/internal/recovery/keeper.go
+++ b/internal/recovery/keeper.go
@@ -47,16 +47,16 @@
 
 // Config is the configuration of a Keeper.
 type Config struct {
-	Own      config.Recovery // the [comeback] section
-	Store    *store.Store    // nil = nothing is stored
-	Recovery store.Recovery  // what opening the store found
-	Results  bool            // the store holds the result cache, so lost records put requests in doubt
-	Node     string          // name of the node
-	Listens  int             // control services that can be asked for earlier incarnations
-	Settings rules.Settings
-	Names    settings.Names
-	Log      *slog.Logger
-	Wall     func() int64 // Unix milliseconds, nil = the system's
+	Options         config.Recovery // the [comeback] section
+	Store           *store.Store    // nil = nothing is stored
+	Recovery        store.Recovery  // what opening the store found
+	Results         bool            // the store holds the result cache, so lost records put requests in doubt
+	Node            string          // name of the node
+	ControlServices int             // control services that can be asked for earlier incarnations
+	Settings        rules.Settings
+	Names           settings.Names
+	Log             *slog.Logger
+	Wall            func() int64 // Unix milliseconds, nil = the system's
 }
 
 // Keeper manages the recovery of one incarnation of a node. Its methods belong to the node's loop,
@@ -88,11 +88,11 @@
 
 // View is the state of a node's recovery, for reports and counters.
 type View struct {
-	State  string  // name of the recovery.State
-	Ask    float64 // requested share of the load in full service
-	Warm   float64 // share of its usual speed that the node has reached
-	Memory string  // name of the recovery.Integrity, "" without a result cache
-	Why    string  // reason for Memory
+	State           string  // name of the recovery.State
+	RequestedShare  float64 // requested share of the load in full service
+	Warm            float64 // share of its usual speed that the node has reached
+	Integrity       string  // name of the recovery.Integrity, "" without a result cache
+	IntegrityReason string  // reason for Memory
 }
 
 // Open reads what earlier incarnations stored and begins a new one; processStart is when the process
@@ -139,7 +139,7 @@
 		k.log.Error("this life can't be noted in the store: after the next start requests will be in doubt",
 			"err", err)
 	}
-	if cfg.Own.Snapshot {
+	if cfg.Options.Snapshot {
 		k.loadSnapshot()
 	}
 	return k, nil
@@ -196,7 +196,7 @@
 		panic(err)
 	}
 	b.Put(key, text, 0)
-	k.cfg.Store.ApplyAsync(&b, store.Soon, func(err error) {
+	k.cfg.Store.ApplyAsync(&b, store.Buffered, func(err error) {
 		if err != nil {
 			k.Counters.Failed.Add(1)
 		} else if checkpoint, ok := v.(decide.Checkpoint); ok {
@@ -225,7 +225,7 @@
 	if k.identity.CompleteSince != 0 {
 		k.found.CompleteSince = time.Duration(k.identity.CompleteSince-k.zeroUnix) * time.Millisecond
 	}
-	k.check = decide.NewStoreCheck(processStart, k.found, k.cfg.Listens)
+	k.check = decide.NewStoreCheck(processStart, k.found, k.cfg.ControlServices)
 	k.storedSince = k.found.CompleteSince
 	if integrity, _ := k.check.Integrity(now); integrity != decide.Intact {
 		k.reportIntegrity(k.check.Describe())
@@ -307,7 +307,7 @@
 	if c.Effect == rules.Unsafe { // nothing links its tries: one may come as long as its caller waits
 		window = c.Deadline
 	}
-	if c.Effect == rules.Keyed && k.cfg.Own.RunKeyed || c.Effect == rules.Unsafe && k.cfg.Own.RunUnsafe {
+	if c.Effect == rules.Keyed && k.cfg.Options.RunKeyed || c.Effect == rules.Unsafe && k.cfg.Options.RunUnsafe {
 		return false
 	}
 	if !k.check.MayHaveRun(now, c.Effect, window, key, furtherTry, age) {
@@ -348,10 +348,10 @@
 	}
 	speed = k.startup.Speed(now)
 	state, _ := k.startup.State()
-	view := View{State: state.String(), Ask: share, Warm: speed}
+	view := View{State: state.String(), RequestedShare: share, Warm: speed}
 	if k.check != nil {
 		integrity, reason := k.check.Integrity(now)
-		view.Memory, view.Why = integrity.String(), reason
+		view.Integrity, view.IntegrityReason = integrity.String(), reason
 	}
 	k.view.Store(&view)
 	if k.cfg.Store == nil || now-k.lastCheckpoint < checkpointInterval {
@@ -359,7 +359,7 @@
 	}
 	k.lastCheckpoint = now
 	k.checkpoint()
-	if k.cfg.Own.Snapshot {
+	if k.cfg.Options.Snapshot {
 		if figures := learned(); k.pacer.Due(now, &figures) {
 			k.storeSnapshot(figures)
 		}
@@ -394,7 +394,7 @@
 		return
 	}
 	k.checkpoint()
-	if k.cfg.Own.Snapshot && len(learned.Classes) > 0 {
+	if k.cfg.Options.Snapshot && len(learned.Classes) > 0 {
 		k.storeSnapshot(learned)
 	}
 }
--- a/internal/recovery/keeper_test.go
+++ b/internal/recovery/keeper_test.go
@@ -53,8 +53,8 @@
 	}
 	n.log.Reset()
 	k, err = Open(Config{
-		Own: config.Recovery{Enabled: true, Snapshot: snapshot}, Store: s, Recovery: rec, Results: true,
-		Node: n.name, Listens: 1, Settings: n.settings, Names: settings.Names{Classes: []string{"a", "b", "c"}},
+		Options: config.Recovery{Enabled: true, Snapshot: snapshot}, Store: s, Recovery: rec, Results: true,
+		Node: n.name, ControlServices: 1, Settings: n.settings, Names: settings.Names{Classes: []string{"a", "b", "c"}},
 		Log: slog.New(slog.NewTextHandler(&n.log, nil)), Wall: func() int64 { return n.wall },
 	}, time.Now())
 	if err != nil {
--- a/internal/resultcache/cache.go
+++ b/internal/resultcache/cache.go
@@ -144,8 +144,8 @@
 	}
 	c.module = decide.New(settings)
 	c.store, c.recovery, err = store.Open(cfg.Results.Dir, store.Options{
-		FS: cfg.FS, Segment: cfg.Store.Segment, Interval: cfg.Store.Interval,
-		CompactionRate: cfg.Store.CompactionRate, Spread: cfg.Spread, Now: c.storeTime,
+		FS: cfg.FS, SlackBytes: cfg.Store.Segment, Interval: cfg.Store.Interval,
+		CompactionRate: cfg.Store.CompactionRate, MaintenanceDelay: cfg.Spread, Now: c.storeTime,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("results: %w", err)
@@ -224,10 +224,10 @@
 		}
 		var record decide.Record
 		reason := decide.PossiblyOutdated
-		if entry.Doubt {
+		if entry.InDoubt {
 			possiblyOutdated++
 		}
-		if !entry.Doubt || stored.Effect != rules.Safe { // an older intent or result of keyed work still holds
+		if !entry.InDoubt || stored.Effect != rules.Safe { // an older intent or result of keyed work still holds
 			record, reason = c.module.Restore(now, stored.record())
 		}
 		dropped[reason]++
@@ -249,7 +249,7 @@
 		return nil, fmt.Errorf("results: restore: %w", err)
 	}
 	if batch.Len() > 0 {
-		if err := c.store.Apply(&batch, store.Soon); err != nil {
+		if err := c.store.Apply(&batch, store.Buffered); err != nil {
 			c.logFailure(err) // the next start will discard them again
 		}
 	}
@@ -313,7 +313,7 @@
 }
 
 // Wants reports whether x is recorded, and whether its run must wait for a stored intent.
-func (c *Cache) Wants(x *exchange.Exchange) (record, intent bool) {
+func (c *Cache) ShouldRecord(x *exchange.Exchange) (record, intent bool) {
 	return c.module.ShouldRecord(c.cfg.Settings.Classes[x.Class].Effect, c.RequestKey(x).Name != "")
 }
 
@@ -463,7 +463,7 @@
 	if c.batch.Len() == 0 {
 		return
 	}
-	batch, pending, durability := c.batch, c.pending, store.Soon
+	batch, pending, durability := c.batch, c.pending, store.Buffered
 	if c.needsSync {
 		durability = store.Durable
 	}
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -28,11 +28,11 @@
 // Options are the settings of a rehearsal beside its scenario.
 type Options struct {
 	Node, Control string                           // paths of the programs
-	Tell          func(Second)                     // called at the end of each second; may be nil
+	OnSecond      func(Second)                     // called at the end of each second; may be nil
 	OnStarted     func(f *Fleet)                   // called once when all processes are up; may be nil
 	NodeSettings  map[string]string                // further lines of the nodes' INI file, by section
 	Prepare       func(node int, dir string) error // called before a node's first start; may be nil
-	Keep          string                           // folder that the logs are copied to, "" = none
+	LogDir        string                           // folder that the logs are copied to, "" = none
 }
 
 // Fleet is a running rehearsal.
@@ -127,7 +127,7 @@
 	if err := ctx.Err(); err != nil {
 		return report, fmt.Errorf("rehearsal cancelled: %w", err)
 	}
-	if opt.Keep != "" {
+	if opt.LogDir != "" {
 		err = f.copyLogs()
 	}
 	return report, err
@@ -257,7 +257,7 @@
 func (f *Fleet) runSchedule() *Report {
 	report := &Report{
 		Scenario: f.scenario.Name, Seed: f.scenario.Fleet.Seed, Nodes: f.scenario.Fleet.Nodes,
-		Capacity: f.scenario.capacity(), Together: f.scenario.Fleet.Together,
+		Capacity: f.scenario.capacity(), Together: f.scenario.Fleet.Shedding,
 	}
 	f.began = time.Now()
 	for _, d := range f.dispatchers {
@@ -291,7 +291,7 @@
 
 // copyLogs copies the processes' logs to Options.Keep, at most 16 MiB of each.
 func (f *Fleet) copyLogs() error {
-	if err := os.MkdirAll(f.options.Keep, 0o755); err != nil {
+	if err := os.MkdirAll(f.options.LogDir, 0o755); err != nil {
 		return err
 	}
 	logs, err := filepath.Glob(filepath.Join(f.dir, "*.log"))
@@ -303,7 +303,7 @@
 		if err != nil {
 			return err
 		}
-		target, err := os.Create(filepath.Join(f.options.Keep, filepath.Base(path)))
+		target, err := os.Create(filepath.Join(f.options.LogDir, filepath.Base(path)))
 		if err == nil {
 			_, err = io.Copy(target, io.LimitReader(source, 16<<20))
 			err = errors.Join(err, target.Close())
--- a/internal/standin/fleet/fleet_test.go
+++ b/internal/standin/fleet/fleet_test.go
@@ -71,7 +71,7 @@
 	var table strings.Builder
 	r.Table(&table)
 	t.Log(table.String())
-	for _, b := range r.Broken() {
+	for _, b := range r.Violations() {
 		t.Error(b)
 	}
 	return r
@@ -296,7 +296,7 @@
 // A report lists violated rules, and measures utility and recovery around faults.
 func TestReportViolations(t *testing.T) {
 	r := &Report{Tally: tally{Unanswered: 1, DuplicateAnswers: 2}, RanTwice: 3}
-	got := strings.Join(r.Broken(), "; ")
+	got := strings.Join(r.Violations(), "; ")
 	if !strings.Contains(got, "1 tries") || !strings.Contains(got, "2 answers") || !strings.Contains(got, "3 keyed") {
 		t.Errorf("violations: %q", got)
 	}
--- a/internal/standin/fleet/mutants_test.go
+++ b/internal/standin/fleet/mutants_test.go
@@ -180,9 +180,9 @@
 func reconnectsSpread(t *testing.T, opt Options) (bool, string) {
 	s := scenario(t, "[fleet]\nnodes = 6\ncores = 1\nseconds = 10\ncontrol = 1\n[load]\nsteps = 0s 0.2\n"+
 		"[fault.lost]\nat = 1s\nfor = 4s\nwhat = kill\non = control\n")
-	opt.Keep = t.TempDir()
+	opt.LogDir = t.TempDir()
 	run(t, s, opt)
-	spread := reconnectSpread(t, opt.Keep, 6)
+	spread := reconnectSpread(t, opt.LogDir, 6)
 	return spread.Seconds() > 0.3, fmt.Sprintf("six nodes reconnect within %v", spread)
 }
 
@@ -192,17 +192,17 @@
 }
 
 func oldCopyIsDetected(t *testing.T, opt Options) (bool, string) {
-	opt.Keep = t.TempDir()
+	opt.LogDir = t.TempDir()
 	run(t, scenario(t, fmt.Sprintf(lostResults, 1, "on", "old")), opt)
-	logged := grep(nodeLog(t, opt.Keep, 0), "memory lost")
+	logged := grep(nodeLog(t, opt.LogDir, 0), "memory lost")
 	return logged != "", "the node logged " + logged
 }
 
 func eventIsRecorded(t *testing.T, opt Options) (bool, string) {
-	opt.Keep = t.TempDir()
+	opt.LogDir = t.TempDir()
 	run(t, scenario(t, "[fleet]\nnodes = 4\ncontrol = 1\ncomeback = on\nseconds = 8\n[load]\nsteps = 0s 0.4\n"+
 		"[fault.killed]\nat = 3s\nfor = 1s\nwhat = kill\non = nodes:0.5\n"+twoClasses), opt)
-	text, err := os.ReadFile(filepath.Join(opt.Keep, "control1.log"))
+	text, err := os.ReadFile(filepath.Join(opt.LogDir, "control1.log"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standin/fleet/node.go
+++ b/internal/standin/fleet/node.go
@@ -222,8 +222,8 @@
 	if len(control) > 0 {
 		fmt.Fprintf(&settings, "[control]\naddress = %s\nadvertise = %s\n", strings.Join(control, ", "), listen)
 	}
-	if s.Fleet.Together != "off" && !plain {
-		fmt.Fprintf(&settings, "[together]\nenabled = true\ntold = %v\n", s.Fleet.Together == "told")
+	if s.Fleet.Shedding != "off" && !plain {
+		fmt.Fprintf(&settings, "[together]\nenabled = true\ntold = %v\n", s.Fleet.Shedding == "told")
 	}
 	if s.Fleet.Recovery != "off" && !plain {
 		fmt.Fprintf(&settings, "[comeback]\nenabled = true\nsnapshot = %v\n", s.Fleet.Recovery == "snapshot")
--- a/internal/standin/fleet/output.go
+++ b/internal/standin/fleet/output.go
@@ -24,7 +24,7 @@
 }
 
 // Head prints the header of the lines of seconds.
-func Head(out io.Writer) {
+func TableHeader(out io.Writer) {
 	fmt.Fprintf(out, "%4s %6s %8s %8s %6s %7s %7s %7s %6s %6s %6s %6s %5s %5s %5s\n",
 		"s", "asked", "offered", "worth", "tries",
 		"served", "refused", "failed", "late", "cut", "held", "ended", "cpu", "us", "MB")
@@ -61,7 +61,7 @@
 		}
 	}
 	_ = w.Flush() // an error means that the reader has closed the output
-	if broken := r.Broken(); len(broken) > 0 {
+	if broken := r.Violations(); len(broken) > 0 {
 		fmt.Fprintf(out, "\nBROKEN: %s\n", strings.Join(broken, "; "))
 	} else {
 		fmt.Fprintln(out, "\nNo rule was broken.")
--- a/internal/standin/fleet/recovery_test.go
+++ b/internal/standin/fleet/recovery_test.go
@@ -80,10 +80,10 @@
 			opt := opt
 			var log string
 			opt.OnStarted = func(started *Fleet) { f = started }
-			opt.Keep = t.TempDir()
+			opt.LogDir = t.TempDir()
 			r := run(t, scenario(t, fmt.Sprintf(lostResults, c.nodes, "on", c.folder)), opt)
 			for i := range f.Nodes() {
-				log += nodeLog(t, opt.Keep, i)
+				log += nodeLog(t, opt.LogDir, i)
 			}
 			if r.RanAgainAfterRestart > 0 || !strings.Contains(log, c.logged) {
 				t.Errorf("%d requests ran again; the nodes logged %s", r.RanAgainAfterRestart, grep(log, "memory"))
@@ -93,9 +93,9 @@
 	t.Run("keep", func(t *testing.T) {
 		t.Parallel()
 		opt := opt
-		opt.Keep = t.TempDir()
+		opt.LogDir = t.TempDir()
 		r := run(t, scenario(t, fmt.Sprintf(lostResults, 1, "on", "keep")), opt)
-		if log := nodeLog(t, opt.Keep, 0); r.RanAgainAfterRestart > 0 || strings.Contains(log, "memory lost") {
+		if log := nodeLog(t, opt.LogDir, 0); r.RanAgainAfterRestart > 0 || strings.Contains(log, "memory lost") {
 			t.Errorf("%d requests ran again; the node logged %s", r.RanAgainAfterRestart, grep(log, "memory"))
 		}
 	})
@@ -147,7 +147,7 @@
 on = nodes
 `+twoClasses)
 	opt := build(t)
-	opt.Keep = t.TempDir()
+	opt.LogDir = t.TempDir()
 	var last []eventView
 	stop := pollServices(&opt, func(ctx context.Context, _ int, addr string, _ time.Duration) {
 		if v, err := fetch[[]eventView](ctx, addr, "/events"); err == nil {
@@ -157,7 +157,7 @@
 	r := run(t, s, opt)
 	stop()
 	for i := range s.Fleet.Nodes {
-		if n := len(fullServiceLine.FindAllString(nodeLog(t, opt.Keep, i), -1)); n != 2 {
+		if n := len(fullServiceLine.FindAllString(nodeLog(t, opt.LogDir, i), -1)); n != 2 {
 			t.Errorf("node %d logged %d times that it is back in full service, want 2", i+1, n)
 		}
 	}
@@ -208,10 +208,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			opt := opt
-			opt.Keep = t.TempDir()
+			opt.LogDir = t.TempDir()
 			run(t, scenario(t, fmt.Sprintf(text, c.from, c.ramp, c.fault)), opt)
 			for i := range 2 {
-				log := nodeLog(t, opt.Keep, i)
+				log := nodeLog(t, opt.LogDir, i)
 				if !strings.Contains(log, c.logged) || c.notLogged != "" && strings.Contains(log, c.notLogged) {
 					t.Errorf("node %d logged %s", i+1, grep(log, "snapshot"))
 				}
@@ -234,11 +234,11 @@
 // previous incarnation, and until the node receives that, it holds repeats in doubt.
 func TestControlServiceReturnsLater(t *testing.T) {
 	opt := build(t)
-	opt.Keep = t.TempDir()
+	opt.LogDir = t.TempDir()
 	text := fmt.Sprintf(lostResults, 1, "on", "empty") +
 		"[fault.control]\nat = 2900ms\nfor = 1s\nwhat = kill\non = control\n"
 	r := run(t, scenario(t, text), opt)
-	log := nodeLog(t, opt.Keep, 0)
+	log := nodeLog(t, opt.LogDir, 0)
 	if r.RanAgainAfterRestart > 0 || !strings.Contains(log, "an earlier life was heard") {
 		t.Errorf("%d requests ran again; the node logged %s", r.RanAgainAfterRestart, grep(log, "memory"))
 	}
@@ -252,13 +252,13 @@
 		t.Fatal(err)
 	}
 	opt := build(t)
-	opt.Keep = t.TempDir()
+	opt.LogDir = t.TempDir()
 	r := run(t, s, opt)
 	if r.ServedShare < 0.95 || r.RecoveryTime < 0 || r.RecoveryTime > 2 {
 		t.Errorf("%.3f served, recovered after %.1f s", r.ServedShare, r.RecoveryTime)
 	}
 	for i := range s.Fleet.Nodes {
-		lines := strings.Split(strings.TrimSpace(nodeLog(t, opt.Keep, i)), "\n")
+		lines := strings.Split(strings.TrimSpace(nodeLog(t, opt.LogDir, i)), "\n")
 		if text := strings.Join(lines[max(len(lines)-40, 0):], "\n"); !fullServiceLine.MatchString(text) {
 			t.Errorf("node %d is not back in full service at the end", i+1)
 		}
@@ -277,7 +277,7 @@
 		"[class.pay]\nshare = 0.5\nms = 20\neffect = keyed\n[class.read]\nshare = 0.5\nms = 20\n"+
 		"[fault.killed]\nat = 3s\nfor = 200ms\nwhat = kill\non = nodes\n", nodes))
 	opt := build(t)
-	opt.Keep = t.TempDir()
+	opt.LogDir = t.TempDir()
 	// A node whose result cache is full of keyed records accepts no further ones.
 	opt.NodeSettings = map[string]string{"results": "entries = 400000\nbytes = 256MB"}
 	opt.Prepare = func(_ int, dir string) error { return fillResults(filepath.Join(dir, "results"), results) }
@@ -285,7 +285,7 @@
 	restored := regexp.MustCompile(`"remembered results".* kept=(\d+) .*recovery=(\S+) restore=(\S+)`)
 	var slowest time.Duration
 	for i := range nodes {
-		starts := restored.FindAllStringSubmatch(nodeLog(t, opt.Keep, i), -1)
+		starts := restored.FindAllStringSubmatch(nodeLog(t, opt.LogDir, i), -1)
 		if len(starts) != 2 {
 			t.Fatalf("node %d logged %d times how many results it restored, want 2", i+1, len(starts))
 		}
@@ -307,7 +307,7 @@
 
 // fillResults writes n results that expire in an hour into a store, as a result cache does.
 func fillResults(dir string, n int) error {
-	s, _, err := store.Open(dir, store.Options{Segment: 256 << 10})
+	s, _, err := store.Open(dir, store.Options{SlackBytes: 256 << 10})
 	if err != nil {
 		return err
 	}
@@ -326,7 +326,7 @@
 			b.Put("m/"+id.Text(), record, expires)
 			b.Put("b/"+id.Text(), make([]byte, 100), expires)
 		}
-		if err := s.Apply(&b, store.Soon); err != nil {
+		if err := s.Apply(&b, store.Buffered); err != nil {
 			return err
 		}
 	}
@@ -337,11 +337,11 @@
 // key count of the last checkpoint, and no keyed request runs again.
 func TestHalfOfStoreFilesMissing(t *testing.T) {
 	opt := build(t)
-	opt.Keep = t.TempDir()
+	opt.LogDir = t.TempDir()
 	opt.NodeSettings = map[string]string{"store": "segment = 256KB"}
 	opt.Prepare = func(_ int, dir string) error { return fillResults(filepath.Join(dir, "results"), 3000) }
 	r := run(t, scenario(t, fmt.Sprintf(lostResults, 1, "on", "half")), opt)
-	log := nodeLog(t, opt.Keep, 0)
+	log := nodeLog(t, opt.LogDir, 0)
 	if r.RanAgainAfterRestart > 0 || !strings.Contains(log, "memory lost") {
 		t.Errorf("%d requests ran again; the node logged %s", r.RanAgainAfterRestart, log)
 	}
--- a/internal/standin/fleet/report.go
+++ b/internal/standin/fleet/report.go
@@ -123,7 +123,7 @@
 }
 
 // Broken lists the violations of rules that hold in every rehearsal.
-func (r *Report) Broken() (list []string) {
+func (r *Report) Violations() (list []string) {
 	for what, n := range map[string]int{
 		"tries without an answer within their timeout, with no fault on the way": r.Tally.Unanswered,
 		"answers to requests that had been answered":                             r.Tally.DuplicateAnswers,
@@ -187,8 +187,8 @@
 			s.MemoryKB = max(s.MemoryKB, n.process.residentKB())
 		}
 		report.Seconds = append(report.Seconds, s)
-		if f.options.Tell != nil {
-			f.options.Tell(s)
+		if f.options.OnSecond != nil {
+			f.options.OnSecond(s)
 		}
 		sum = tally{}
 	}
--- a/internal/standin/fleet/scenario.go
+++ b/internal/standin/fleet/scenario.go
@@ -32,7 +32,7 @@
 	Nodes          int           `ini:"nodes"`         // 1 to 24
 	Cores          int           `ini:"cores"`         // of each worker pool, 1 to 16
 	Control        int           `ini:"control"`       // control services, 0 to 5
-	Together       string        `ini:"together"`      // load shedding: off, alone, or told (with digests)
+	Shedding       string        `ini:"together"`      // load shedding: off, alone, or told (with digests)
 	Recovery       string        `ini:"comeback"`      // off, on, or snapshot (with a warm start)
 	PlainNodes     int           `ini:"plain"`         // nodes without [together] and [comeback], as older programs
 	ResultCache    bool          `ini:"results"`       // each node has a result cache in its own folder
@@ -122,7 +122,7 @@
 func Defaults() *Scenario {
 	return &Scenario{
 		Fleet: FleetSection{
-			Nodes: 6, Cores: 2, Together: "off", Recovery: "off", Seconds: 12, Seed: 1, Contention: 0.1,
+			Nodes: 6, Cores: 2, Shedding: "off", Recovery: "off", Seconds: 12, Seed: 1, Contention: 0.1,
 			ColdSpeed: 0.33, WarmUpTime: 3 * time.Second, NodeCores: 1, MemoryMB: 96,
 			MaxRetryAfter: 2 * time.Second,
 		},
@@ -156,7 +156,7 @@
 // fault found.
 func Parse(name string, text []byte) (*Scenario, error) {
 	s := Defaults()
-	lines, faults := config.Locate(name, text)
+	lines, faults := config.IndexLines(name, text)
 	options := ini.LoadOptions{
 		IgnoreContinuation: true, SpaceBeforeInlineComment: true, SkipUnrecognizableLines: true,
 	}
--- a/internal/standin/fleet/shedding_test.go
+++ b/internal/standin/fleet/shedding_test.go
@@ -244,9 +244,9 @@
 on = control
 `, nodes, outage+6, outage))
 	opt := build(t)
-	opt.Keep = t.TempDir()
+	opt.LogDir = t.TempDir()
 	run(t, s, opt)
-	spread := reconnectSpread(t, opt.Keep, nodes)
+	spread := reconnectSpread(t, opt.LogDir, nodes)
 	if spread < minSpread {
 		t.Errorf("%d nodes reconnected within %v, want at least %v", nodes, spread, minSpread)
 	}
--- a/internal/standin/fleet/validate.go
+++ b/internal/standin/fleet/validate.go
@@ -47,9 +47,9 @@
 	inRange("fleet", "cold_ramp", f.WarmUpTime.Seconds(), 0.01, 600)
 	inRange("fleet", "node_cores", f.NodeCores, 0.1, 4)
 	inRange("fleet", "memory_mb", float64(f.MemoryMB), 32, 512)
-	oneOf("fleet", "together", f.Together, "off", "alone", "told")
+	oneOf("fleet", "together", f.Shedding, "off", "alone", "told")
 	oneOf("fleet", "comeback", f.Recovery, "off", "on", "snapshot")
-	if f.Together == "told" && f.Control == 0 {
+	if f.Shedding == "told" && f.Control == 0 {
 		fault("fleet", "together", "told requires control = 1 or more")
 	}
 	inRange("dispatchers", "count", float64(d.Count), 1, 32)
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -23,7 +23,7 @@
 	value := make([]byte, 256)
 	for _, writers := range []int{1, 16, 256} {
 		b.Run(fmt.Sprintf("writers=%d", writers), func(b *testing.B) {
-			s, _, err := Open(filepath.Join(b.TempDir(), "store"), Options{Segment: 1 << 30})
+			s, _, err := Open(filepath.Join(b.TempDir(), "store"), Options{SlackBytes: 1 << 30})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -76,7 +76,7 @@
 func BenchmarkMillion(b *testing.B) {
 	const n = 1_000_000
 	dir := filepath.Join(b.TempDir(), "store")
-	s, _, err := Open(dir, Options{Segment: 64 << 20})
+	s, _, err := Open(dir, Options{SlackBytes: 64 << 20})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -86,7 +86,7 @@
 		for j := range 100 {
 			batch.Put(fmt.Sprintf("tenant/class/%08d", i+j), value, 0)
 		}
-		if err := s.Apply(&batch, Soon); err != nil {
+		if err := s.Apply(&batch, Buffered); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -126,7 +126,7 @@
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		r, rec, err := Open(copied, Options{Segment: 64 << 20})
+		r, rec, err := Open(copied, Options{SlackBytes: 64 << 20})
 		if err != nil || rec.Entries != n {
 			b.Fatalf("%+v, %v", rec, err)
 		}
--- a/internal/store/concurrent_test.go
+++ b/internal/store/concurrent_test.go
@@ -17,7 +17,7 @@
 func TestConcurrent(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "store")
 	for incarnation := range 3 {
-		s, rec, err := Open(dir, Options{Segment: 64 << 10})
+		s, rec, err := Open(dir, Options{SlackBytes: 64 << 10})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -101,7 +101,7 @@
 		if err := s.Close(); err != nil {
 			t.Fatal(err)
 		}
-		s, _, err = Open(dir, Options{Segment: 64 << 10, ignoreCheckpoint: incarnation%2 == 0})
+		s, _, err = Open(dir, Options{SlackBytes: 64 << 10, ignoreCheckpoint: incarnation%2 == 0})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/store/maintenance.go
+++ b/internal/store/maintenance.go
@@ -31,8 +31,8 @@
 	// Stores on one disk that are opened together should not compact together, unless disk use
 	// is over its bound.
 	startAt := time.Time{}
-	if s.opt.Spread > 0 {
-		startAt = time.Now().Add(time.Duration(s.opt.Salt() % uint64(s.opt.Spread)))
+	if s.opt.MaintenanceDelay > 0 {
+		startAt = time.Now().Add(time.Duration(s.opt.Salt() % uint64(s.opt.MaintenanceDelay)))
 	}
 	for {
 		select {
@@ -63,7 +63,7 @@
 		}
 		due := false
 		_ = s.runInWriter(func() error {
-			due = s.bytesSinceCheckpoint > max(4*s.opt.Segment, s.checkpointBytes)
+			due = s.bytesSinceCheckpoint > max(4*s.opt.SlackBytes, s.checkpointBytes)
 			return nil
 		})
 		if due && ctx.Err() == nil {
@@ -76,7 +76,7 @@
 func (s *Store) overDiskBound() bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.diskBytes > 2*s.liveBytes+s.opt.Segment
+	return s.diskBytes > 2*s.liveBytes+s.opt.SlackBytes
 }
 
 // throttle waits as long as n more bytes take at Options.CompactionRate, unless disk use is
@@ -86,7 +86,7 @@
 		return ctx.Err()
 	}
 	s.mu.RLock()
-	urgent := s.diskBytes > 2*s.liveBytes+s.opt.Segment/2
+	urgent := s.diskBytes > 2*s.liveBytes+s.opt.SlackBytes/2
 	s.mu.RUnlock()
 	if urgent {
 		return ctx.Err()
--- a/internal/store/read.go
+++ b/internal/store/read.go
@@ -78,10 +78,10 @@
 
 // Entry is a key with its value.
 type Entry struct {
-	Key    string
-	Value  []byte
-	Expiry int64 // Unix milliseconds, 0 = never
-	Doubt  bool  // the newest record may be unreadable, and this value an older one: see InDoubt
+	Key     string
+	Value   []byte
+	Expiry  int64 // Unix milliseconds, 0 = never
+	InDoubt bool  // the newest record may be unreadable, and this value an older one: see InDoubt
 }
 
 // Scan calls f for every key that begins with prefix, in order of the keys, on a snapshot
@@ -121,7 +121,7 @@
 			err = rerr
 			return false
 		}
-		err = f(Entry{Key: it.key, Value: v, Expiry: it.expiry, Doubt: it.seq < s.uncertainBefore})
+		err = f(Entry{Key: it.key, Value: v, Expiry: it.expiry, InDoubt: it.seq < s.uncertainBefore})
 		return err == nil
 	})
 	return err
--- a/internal/store/rotate.go
+++ b/internal/store/rotate.go
@@ -39,7 +39,7 @@
 // the last successful sync is unknown, and a repeated sync would not tell. The next segment
 // voids those bytes and holds the acknowledged writes among them again.
 func (s *Store) abandonSegment(g *segment) {
-	s.Stats.GivenUp.Add(1)
+	s.Stats.AbandonedSegments.Add(1)
 	s.voidRanges = append(s.voidRanges, voidRange{g.id, g.syncedEnd})
 	s.unsynced = true // until it is written to the next segment
 	s.seal(g)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -58,22 +58,22 @@
 
 // The levels of durability of a write.
 const (
-	Soon    Durability = iota // once written; it is synced within Options.Interval
-	Durable                   // once synced; concurrent writers share a sync
+	Buffered Durability = iota // once written; it is synced within Options.Interval
+	Durable                    // once synced; concurrent writers share a sync
 )
 
 // Options are a store's settings. The zero value is usable.
 type Options struct {
-	FS             vfs.FS        // nil = the operating system's file system
-	Segment        int64         // bytes of disk allowed beyond twice the live data; 0 = 8 MiB
-	Interval       time.Duration // maximum time until a Soon write is synced; 0 = 20 ms
-	CompactionRate int64         // bytes per second while disk use is within its bound; 0 = no limit
-	QueueBytes     int64         // maximum bytes of queued writes; 0 = 32 MiB
-	Now            func() int64  // Unix time in milliseconds; nil = the system's clock
-	Spread         time.Duration // maximum random delay of maintenance after opening; 0 = none
-	Salt           func() uint64 // random numbers for file names; nil = math/rand/v2
-	ReadOnly       bool          // change nothing on the disk
-	Manual         bool          // compaction, checkpoints and sweeps only on request: for tests
+	FS               vfs.FS        // nil = the operating system's file system
+	SlackBytes       int64         // bytes of disk allowed beyond twice the live data; 0 = 8 MiB
+	Interval         time.Duration // maximum time until a Soon write is synced; 0 = 20 ms
+	CompactionRate   int64         // bytes per second while disk use is within its bound; 0 = no limit
+	QueueBytes       int64         // maximum bytes of queued writes; 0 = 32 MiB
+	Now              func() int64  // Unix time in milliseconds; nil = the system's clock
+	MaintenanceDelay time.Duration // maximum random delay of maintenance after opening; 0 = none
+	Salt             func() uint64 // random numbers for file names; nil = math/rand/v2
+	ReadOnly         bool          // change nothing on the disk
+	Manual           bool          // compaction, checkpoints and sweeps only on request: for tests
 
 	ignoreCheckpoint bool // read the whole log even if there is a valid checkpoint
 }
@@ -83,7 +83,7 @@
 	if o.FS == nil {
 		o.FS = vfs.OS{}
 	}
-	o.Segment = cmp.Or(o.Segment, 8<<20)
+	o.SlackBytes = cmp.Or(o.SlackBytes, 8<<20)
 	o.Interval = cmp.Or(o.Interval, 20*time.Millisecond)
 	o.QueueBytes = cmp.Or(o.QueueBytes, 32<<20)
 	if o.Now == nil {
@@ -98,7 +98,7 @@
 // segmentSize is the size in bytes at which a segment file is sealed and the next one
 // is created: a quarter of the disk space allowed beyond twice the live data, so that the
 // active segment, one being written by compaction and some garbage fit into it.
-func (o Options) segmentSize() int64 { return max(o.Segment/4, 512) }
+func (o Options) segmentSize() int64 { return max(o.SlackBytes/4, 512) }
 
 // segment is one file of the log.
 type segment struct {
@@ -172,12 +172,12 @@
 
 // Stats are a store's counters.
 type Stats struct {
-	Batches, Bytes, Syncs, SyncNanos  atomic.Int64 // written, and the syncs they took
-	Failures, Full                    atomic.Int64 // failed batches, and those of them that met a full disk
-	Compactions, Reclaimed, Rewritten atomic.Int64 // passes; bytes freed, and bytes written, by them
-	CompactionFailures, GivenUp       atomic.Int64 // failed passes; segments abandoned after a failed sync
-	Checkpoints, CheckpointFailures   atomic.Int64
-	Swept, Damaged                    atomic.Int64 // expired entries removed; reads that found damage
+	Batches, Bytes, Syncs, SyncNanos      atomic.Int64 // written, and the syncs they took
+	Failures, Full                        atomic.Int64 // failed batches, and those of them that met a full disk
+	Compactions, Reclaimed, Rewritten     atomic.Int64 // passes; bytes freed, and bytes written, by them
+	CompactionFailures, AbandonedSegments atomic.Int64 // failed passes; segments abandoned after a failed sync
+	Checkpoints, CheckpointFailures       atomic.Int64
+	Swept, Damaged                        atomic.Int64 // expired entries removed; reads that found damage
 }
 
 // Info describes the state of a store.
@@ -199,7 +199,7 @@
 	defer s.mu.RUnlock()
 	info := Info{
 		Segments: len(s.segments), DiskBytes: s.diskBytes, LiveBytes: s.liveBytes,
-		Bound: 2*s.liveBytes + s.opt.Segment, LastSeq: s.seq,
+		Bound: 2*s.liveBytes + s.opt.SlackBytes, LastSeq: s.seq,
 	}
 	now := s.opt.Now()
 	s.index.Ascend(func(it item) bool {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -36,7 +36,7 @@
 
 func (h *harness) options() Options {
 	return Options{
-		FS: h.disk, Segment: 4 << 10, Manual: true, Now: func() int64 { return h.now },
+		FS: h.disk, SlackBytes: 4 << 10, Manual: true, Now: func() int64 { return h.now },
 		Salt: func() uint64 { h.salt += 0x9e3779b97f4a7c15; return h.salt },
 	}
 }
@@ -145,7 +145,7 @@
 	for i := range batches {
 		durability := Durable
 		if withSoon && random.IntN(3) > 0 {
-			durability = Soon
+			durability = Buffered
 		}
 		k := fmt.Sprintf("k%02d", random.IntN(12))
 		v := fmt.Sprintf("v%d-%s", i, strings.Repeat("x", random.IntN(40)))
@@ -207,7 +207,7 @@
 	t.Helper()
 	salt := uint64(now) * 977
 	s, rec, err := Open(dir, Options{
-		FS: disk, Segment: 4 << 10, Manual: true,
+		FS: disk, SlackBytes: 4 << 10, Manual: true,
 		Now: func() int64 { return now }, Salt: func() uint64 { salt++; return salt },
 	})
 	if err != nil {
@@ -347,7 +347,7 @@
 		unreadable := 0
 		err := s.Scan("", func(string, error) { unreadable++ }, func(e Entry) error {
 			got[e.Key] = string(e.Value)
-			inDoubt[e.Key] = e.Doubt
+			inDoubt[e.Key] = e.InDoubt
 			return nil
 		})
 		if err != nil {
@@ -527,7 +527,7 @@
 	for _, truncates := range []bool{true, false} {
 		h := newHarness(t)
 		h.apply(Durable, "a", "1")
-		h.apply(Soon, "b", "2")
+		h.apply(Buffered, "b", "2")
 		var file string
 		h.disk.Fail(func(o vfs.Op) error {
 			if o.Kind == vfs.OpSync && (file == "" || o.Name == file) {
@@ -546,7 +546,7 @@
 			t.Fatalf("Get of a returned %q, %v", v, err)
 		}
 		h.apply(Durable, "c", "3")
-		if h.s.Stats.GivenUp.Load() != 1 {
+		if h.s.Stats.AbandonedSegments.Load() != 1 {
 			t.Error("the segment was not abandoned")
 		}
 		h.disk.Fail(nil)
@@ -608,7 +608,7 @@
 // On the operating system's file system, concurrent writers must share syncs, and disk use
 // must stay within its bound while all keys are overwritten repeatedly.
 func TestGroupCommitAndBound(t *testing.T) {
-	s, _, err := Open(filepath.Join(t.TempDir(), "store"), Options{Segment: 256 << 10})
+	s, _, err := Open(filepath.Join(t.TempDir(), "store"), Options{SlackBytes: 256 << 10})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -216,7 +216,7 @@
 	s.bytesSinceCheckpoint += size
 	s.Stats.Batches.Add(int64(len(group)))
 	s.Stats.Bytes.Add(size)
-	if s.bytesSinceCheckpoint > max(4*s.opt.Segment, s.checkpointBytes) && !s.opt.Manual {
+	if s.bytesSinceCheckpoint > max(4*s.opt.SlackBytes, s.checkpointBytes) && !s.opt.Manual {
 		s.wakeMaintenance()
 	}
 	return nil
@@ -251,7 +251,7 @@
 	}
 	for range 8 {
 		s.mu.RLock()
-		over := s.diskBytes+size > 2*(s.liveBytes+size)+s.opt.Segment
+		over := s.diskBytes+size > 2*(s.liveBytes+size)+s.opt.SlackBytes
 		s.mu.RUnlock()
 		if !over || s.compactionFailing.Load() { // a full disk must not delay writes: they fail, or still fit
 			return
--- a/internal/stream/close.go
+++ b/internal/stream/close.go
@@ -246,10 +246,10 @@
 	c.closeReason = reason
 	c.traffic.Dropped.Add(int64(len(c.messageEnds)))
 	c.messageEnds = nil
-	c.traffic.Held.Add(-c.heldBytes)
+	c.traffic.QueuedBytes.Add(-c.heldBytes)
 	c.heldBytes = 0
 	c.mu.Unlock()
-	c.traffic.Ended[reason].Add(1)
+	c.traffic.Closed[reason].Add(1)
 	c.wakeWriter()
 	select {
 	case c.recheck <- struct{}{}: // wakes a reader that waits only for answers
--- a/internal/stream/conn.go
+++ b/internal/stream/conn.go
@@ -23,9 +23,9 @@
 
 // Limits bound the memory of a connection and how long it waits.
 type Limits struct {
-	In           int           // bytes of the input ring, more than any message
-	Out          int           // bytes of the output ring
-	StallTimeout time.Duration // how long the peer may accept no data
+	ReadBufferBytes  int           // bytes of the input ring, more than any message
+	WriteBufferBytes int           // bytes of the output ring
+	StallTimeout     time.Duration // how long the peer may accept no data
 
 	// Linger is how long input of a closed connection is read and discarded while the peer has not closed
 	// its side. 0 closes the descriptor at once.
@@ -36,26 +36,26 @@
 
 // Traffic counts connections, bytes and messages. It is safe for concurrent use.
 type Traffic struct {
-	Opened    atomic.Int64 // connections, failed attempts to connect included
-	BytesIn   atomic.Int64
-	BytesOut  atomic.Int64
-	Queued    atomic.Int64                  // messages passed to Send
-	Sent      atomic.Int64                  // of those, wholly written to the network
-	Dropped   atomic.Int64                  // of those, lost with their connection
-	Held      atomic.Int64                  // bytes of memory in output rings
-	HeldLimit int64                         // bound of Held in bytes, 0 = none
-	Discarded atomic.Int64                  // bytes read and discarded, since the connection was closed or took no more requests
-	Ended     [numCloseReasons]atomic.Int64 // connections, by close reason
+	Opened           atomic.Int64 // connections, failed attempts to connect included
+	BytesIn          atomic.Int64
+	BytesOut         atomic.Int64
+	Queued           atomic.Int64                  // messages passed to Send
+	Sent             atomic.Int64                  // of those, wholly written to the network
+	Dropped          atomic.Int64                  // of those, lost with their connection
+	QueuedBytes      atomic.Int64                  // bytes of memory in output rings
+	QueuedBytesLimit int64                         // bound of Held in bytes, 0 = none
+	Discarded        atomic.Int64                  // bytes read and discarded, since the connection was closed or took no more requests
+	Closed           [numCloseReasons]atomic.Int64 // connections, by close reason
 }
 
 // NeverOpened counts a failed attempt to connect and returns the reason that err stands for.
-func (t *Traffic) NeverOpened(err error) CloseReason {
+func (t *Traffic) CountFailedDial(err error) CloseReason {
 	reason := CloseReasonOf(err, DialFailed)
 	if reason.Outcome() != rules.ConnectFailed {
 		reason = DialFailed
 	}
 	t.Opened.Add(1)
-	t.Ended[reason].Add(1)
+	t.Closed[reason].Add(1)
 	return reason
 }
 
@@ -104,7 +104,7 @@
 func New(c net.Conn, frame Framer, l Limits, t *Traffic, onClose func(CloseReason)) *Conn {
 	t.Opened.Add(1)
 	s := &Conn{
-		Conn: c, traffic: t, limits: l, frame: frame, in: NewRing(l.In), out: NewRing(l.Out),
+		Conn: c, traffic: t, limits: l, frame: frame, in: NewRing(l.ReadBufferBytes), out: NewRing(l.WriteBufferBytes),
 		writerWake: make(chan struct{}, 1), recheck: make(chan struct{}, 1),
 		writerDone: make(chan struct{}), descriptorClosed: make(chan struct{}), onClose: onClose,
 	}
@@ -210,7 +210,7 @@
 	}
 	ok := c.out.Append(msg)
 	c.updateHeld()
-	if limit := c.traffic.HeldLimit; !ok || limit > 0 && c.out.Cap() > minRingBytes && c.traffic.Held.Load() > limit {
+	if limit := c.traffic.QueuedBytesLimit; !ok || limit > 0 && c.out.Cap() > minRingBytes && c.traffic.QueuedBytes.Load() > limit {
 		if ok {
 			c.messageEnds = append(c.messageEnds, c.queuedBytes+uint64(len(msg)))
 		} else {
@@ -237,7 +237,7 @@
 // updateHeld updates the memory of all output rings in Traffic; c.mu must be held.
 func (c *Conn) updateHeld() {
 	if now := int64(c.out.Cap()); now != c.heldBytes {
-		c.traffic.Held.Add(now - c.heldBytes)
+		c.traffic.QueuedBytes.Add(now - c.heldBytes)
 		c.heldBytes = now
 	}
 }
--- a/internal/stream/conn_test.go
+++ b/internal/stream/conn_test.go
@@ -29,19 +29,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := New(raw, &Lines{Longest: 4 << 10}, l, tr, onClose)
+	c := New(raw, &Lines{MaxLength: 4 << 10}, l, tr, onClose)
 	t.Cleanup(func() { peer.Close(); c.Close(); <-c.Done() })
 	return c, peer.(*net.TCPConn)
 }
 
-var defaultLimits = Limits{In: 8 << 10, Out: 64 << 10, StallTimeout: 10 * time.Second}
+var defaultLimits = Limits{ReadBufferBytes: 8 << 10, WriteBufferBytes: 64 << 10, StallTimeout: 10 * time.Second}
 
 // checkBalanced returns an error unless each queued message was sent or dropped and no output is held.
 func (t *Traffic) checkBalanced() error {
 	if q, s, d := t.Queued.Load(), t.Sent.Load(), t.Dropped.Load(); q != s+d {
 		return fmt.Errorf("%d messages queued, %d sent, %d dropped", q, s, d)
 	}
-	if h := t.Held.Load(); h != 0 {
+	if h := t.QueuedBytes.Load(); h != 0 {
 		return fmt.Errorf("%d bytes still held", h)
 	}
 	return nil
@@ -134,7 +134,7 @@
 // Whatever closes a connection, it closes once, with the right reason, and every queued message is counted as
 // sent or dropped.
 func TestEnds(t *testing.T) {
-	small := Limits{In: 8 << 10, Out: 2 << 10, StallTimeout: 200 * time.Millisecond}
+	small := Limits{ReadBufferBytes: 8 << 10, WriteBufferBytes: 2 << 10, StallTimeout: 200 * time.Millisecond}
 	flood := make([]byte, 1<<10)
 	for name, c := range map[string]struct {
 		limits Limits
@@ -150,7 +150,7 @@
 			for c.Send(flood) {
 			}
 		}, Overflow},
-		"takes nothing": {Limits{In: 8 << 10, Out: 32 << 20, StallTimeout: 200 * time.Millisecond}, func(c *Conn, _ *net.TCPConn) {
+		"takes nothing": {Limits{ReadBufferBytes: 8 << 10, WriteBufferBytes: 32 << 20, StallTimeout: 200 * time.Millisecond}, func(c *Conn, _ *net.TCPConn) {
 			for range 16 << 10 {
 				c.Send(flood)
 			}
@@ -185,7 +185,7 @@
 			}
 			conn.Abort(DialFailed) // the first reason counts
 			<-conn.Done()
-			if conn.CloseReason() != c.want || tr.Ended[c.want].Load() != 1 || tr.Ended[DialFailed].Load() != 0 || len(reasons) != 0 {
+			if conn.CloseReason() != c.want || tr.Closed[c.want].Load() != 1 || tr.Closed[DialFailed].Load() != 0 || len(reasons) != 0 {
 				t.Errorf("closed again: %v", conn.CloseReason())
 			}
 			if conn.Send([]byte("late\n")) {
@@ -200,8 +200,8 @@
 
 // All connections together stay within HeldLimit: the one that exceeds it is closed, the others keep working.
 func TestSharedMemoryBound(t *testing.T) {
-	tr := &Traffic{HeldLimit: 256 << 10}
-	limits := Limits{In: 8 << 10, Out: 8 << 20, StallTimeout: 10 * time.Second}
+	tr := &Traffic{QueuedBytesLimit: 256 << 10}
+	limits := Limits{ReadBufferBytes: 8 << 10, WriteBufferBytes: 8 << 20, StallTimeout: 10 * time.Second}
 	slow, _ := pair(t, limits, tr, nil)
 	other, peer := pair(t, limits, tr, nil)
 	chunk := make([]byte, 16<<10)
@@ -301,7 +301,7 @@
 			c, peer := pair(t, defaultLimits, &Traffic{}, nil)
 			c.frame = &RESP{}
 			if name == "without an end" {
-				c.frame = &Lines{Longest: 4 << 10}
+				c.frame = &Lines{MaxLength: 4 << 10}
 			}
 			c.AnswersPending = func() bool { return false }
 			read := make(chan error, 1)
--- a/internal/stream/frame.go
+++ b/internal/stream/frame.go
@@ -19,7 +19,7 @@
 
 // Lines frames messages that end in a line feed and are at most Longest bytes without it.
 type Lines struct {
-	Longest   int
+	MaxLength int
 	openBytes int // bytes of the incomplete line
 }
 
@@ -31,14 +31,14 @@
 		if i < 0 {
 			break
 		}
-		if l.openBytes+i > l.Longest {
+		if l.openBytes+i > l.MaxLength {
 			return whole, TooLong
 		}
 		whole += i + 1
 		l.openBytes = 0
 	}
 	l.openBytes += len(p) - whole
-	if l.openBytes > l.Longest {
+	if l.openBytes > l.MaxLength {
 		return whole, TooLong
 	}
 	return whole, StillOpen
--- a/internal/stream/frame_test.go
+++ b/internal/stream/frame_test.go
@@ -42,7 +42,7 @@
 }
 
 func TestLinesScan(t *testing.T) {
-	f := Lines{Longest: 4}
+	f := Lines{MaxLength: 4}
 	for _, c := range []struct {
 		in     string
 		whole  int
@@ -52,7 +52,7 @@
 			t.Errorf("%q: %d bytes whole and %v, want %d and %v", c.in, whole, reason, c.whole, c.reason)
 		}
 	}
-	if _, reason := (&Lines{Longest: 4}).Scan([]byte("abcde\n")); reason != TooLong {
+	if _, reason := (&Lines{MaxLength: 4}).Scan([]byte("abcde\n")); reason != TooLong {
 		t.Errorf("a whole line over the limit: %v", reason)
 	}
 }
@@ -105,7 +105,7 @@
 	f.Add([]byte("no end"), uint8(1))
 	f.Fuzz(func(t *testing.T, in []byte, cut uint8) {
 		const longest = 12
-		f := Lines{Longest: longest}
+		f := Lines{MaxLength: longest}
 		whole, reason := 0, StillOpen
 		for at := 0; at < len(in) && reason == StillOpen; {
 			n := min(int(cut)+1, len(in)-at)
