--- a/internal/store/open.go
+++ b/internal/store/open.go
@@ -1,7 +1,3 @@
-// This file owns opening: what the files hold is told apart into what counts, a
-// torn tail, damage, and files of another version. It must never drop a record
-// that was acknowledged and can be read, and never delete what is damaged.
-
 package store
 
 import (
@@ -24,18 +20,19 @@
 const (
 	tempSuffix = ".tmp"
 	lockName   = "LOCK"
-	treeDegree = 48
+	treeDegree = 48 // of the index
 )
 
-// Fault is one thing wrong with a file.
+// Fault describes unreadable bytes of a file.
 type Fault struct {
 	File   string `json:"file"`
-	Offset int64  `json:"offset"`
-	Size   int64  `json:"size"` // bytes that can't be read as records
+	Offset int64  `json:"offset"` // bytes
+	Size   int64  `json:"size"`   // bytes that can't be read as records
 	Reason string `json:"reason"`
-	Torn   bool   `json:"torn"` // the end of a write that was never acknowledged: no loss
+	Torn   bool   `json:"torn"` // the remains of a write that was never acknowledged: nothing is lost
 }
 
+// String returns the file, the place, the size and the reason.
 func (f Fault) String() string {
 	return fmt.Sprintf("%s: offset %d: %d bytes: %s", f.File, f.Offset, f.Size, f.Reason)
 }
@@ -44,32 +41,34 @@
 	return cmp.Or(strings.Compare(f.File, g.File), cmp.Compare(f.Offset, g.Offset))
 }
 
-// Recovery tells what opening found.
+// Recovery describes what Open found.
 type Recovery struct {
-	Entries    int           // keys that count and have not expired
-	Expired    int           // keys that have
-	Segments   int           //
+	Entries    int           // keys that have not expired
+	Expired    int           // keys that have expired
+	Segments   int           // segment files in use
 	Read       int64         // bytes of segments that were read
-	Checkpoint bool          // a checkpoint spared the rest
-	Torn       []Fault       // ends of writes that were never acknowledged, cut
-	Damaged    []Fault       // bytes that can't be read; all other records are served
-	InDoubt    int           // entries whose newest record may be among them: an older value is served
-	Took       time.Duration //
+	Checkpoint bool          // a checkpoint was used, and only what followed it was read
+	Torn       []Fault       // remains of writes that were never acknowledged; they are truncated
+	Damaged    []Fault       // unreadable bytes; all other records are served
+	InDoubt    int           // entries whose newest record may be among Damaged: an older value is served
+	Took       time.Duration // duration of Open
 }
 
-// Open opens the store in a folder, and makes it if it is missing. The errors
-// are vfs.ErrLocked, a *VersionError, or what the disk said.
+// Open opens the store in a directory, and creates it if it does not exist. It never drops
+// an acknowledged record that can be read, and never deletes damaged data. The error is
+// vfs.ErrLocked, a *VersionError, or that of the file system.
 func Open(dir string, opt Options) (*Store, Recovery, error) {
 	began := time.Now()
-	opt = opt.filled()
+	opt = opt.withDefaults()
 	s := &Store{
 		dir: strings.TrimSuffix(dir, "/"), opt: opt, fs: opt.FS,
-		index: btree.NewG(treeDegree, func(a, b item) bool { return a.key < b.key }),
-		segs:  map[uint32]*segment{}, poke: make(chan struct{}, 1), maintain: make(chan struct{}, 1), passed: make(chan struct{}, 1),
-		limiter: rate.NewLimiter(rate.Inf, copyChunk),
+		index:      btree.NewG(treeDegree, func(a, b item) bool { return a.key < b.key }),
+		segments:   map[uint32]*segment{},
+		writerWake: make(chan struct{}, 1), maintenanceWake: make(chan struct{}, 1), passDone: make(chan struct{}, 1),
+		limiter: rate.NewLimiter(rate.Inf, copyChunkSize),
 	}
 	if opt.CompactionRate > 0 {
-		s.limiter = rate.NewLimiter(rate.Limit(opt.CompactionRate), max(copyChunk, int(opt.CompactionRate/4)))
+		s.limiter = rate.NewLimiter(rate.Limit(opt.CompactionRate), max(copyChunkSize, int(opt.CompactionRate/4)))
 	}
 	if !opt.ReadOnly {
 		if err := s.fs.MkdirAll(s.dir); err != nil {
@@ -81,53 +80,53 @@
 		return nil, Recovery{}, fmt.Errorf("open store %s: %w", dir, err)
 	}
 	s.lock = lock
-	rec, err := s.recover()
+	rec, err := s.recoverIndex()
 	if err != nil {
-		for _, g := range s.segs {
+		for _, g := range s.segments {
 			_ = g.file.Close()
 		}
 		_ = lock.Close()
-		return nil, rec, fmt.Errorf("open store %s: %w", dir, full(err))
+		return nil, rec, fmt.Errorf("open store %s: %w", dir, wrapDiskFull(err))
 	}
 	if !opt.ReadOnly {
 		var ctx context.Context
-		ctx, s.stop = context.WithCancel(context.Background())
-		s.done.Add(1)
-		go s.write()
+		ctx, s.cancel = context.WithCancel(context.Background())
+		s.background.Add(1)
+		go s.runWriter()
 		if !opt.Manual {
-			s.done.Add(1)
-			go s.keep(ctx)
-			s.poked()
+			s.background.Add(1)
+			go s.runMaintenance(ctx)
+			s.wakeMaintenance()
 		}
 	}
 	rec.Took = time.Since(began)
 	return s, rec, nil
 }
 
-// found is a segment file at opening.
-type found struct {
+// segmentFile is a segment file as found at opening.
+type segmentFile struct {
 	*segment
-	head   header
-	headOK bool
-	size   int64
-	packed bool // made by compaction
-	newest bool // no segment that grew record by record is younger
+	header   header
+	headerOK bool  // the header is intact and matches the file name
+	size     int64 // bytes
+	packed   bool  // written by compaction
+	newest   bool  // the last one that was appended to
 }
 
-// recover reads the folder into the index.
-func (s *Store) recover() (rec Recovery, err error) {
+// recoverIndex builds the index from the files of the directory.
+func (s *Store) recoverIndex() (rec Recovery, err error) {
 	names, err := s.fs.List(s.dir)
 	if err != nil {
 		return rec, err
 	}
-	var all []found
+	var all []segmentFile
 	for _, name := range names {
 		if strings.HasSuffix(name, tempSuffix) && !s.opt.ReadOnly {
 			if err := s.fs.Remove(vfs.Join(s.dir, name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 				return rec, err
 			}
 		}
-		if id, _, ok := parseName(name, asideSuffix); ok {
+		if id, _, ok := parseName(name, damagedSuffix); ok {
 			s.nextID = max(s.nextID, id)
 		}
 		id, salt, ok := parseName(name, segmentSuffix)
@@ -144,11 +143,11 @@
 		}
 		g := &segment{id: id, salt: salt, name: name, file: f, sealed: true, minSeq: ^uint64(0)}
 		g.refs.Store(1)
-		if was := s.segs[uint32(id)]; was != nil {
+		if other := s.segments[uint32(id)]; other != nil {
 			_ = f.Close()
-			return rec, fmt.Errorf("%s and %s have one number", was.name, name)
+			return rec, fmt.Errorf("segments %s and %s have the same number", other.name, name)
 		}
-		s.segs[uint32(id)] = g
+		s.segments[uint32(id)] = g
 		s.nextID = max(s.nextID, id)
 		size, err := f.Size()
 		if err != nil {
@@ -165,23 +164,25 @@
 			version.File = name
 			return rec, version
 		}
-		all = append(all, found{segment: g, head: h, headOK: err == nil && h.id == id && h.salt == salt, size: size, packed: packed})
+		all = append(all, segmentFile{
+			segment: g, header: h, headerOK: err == nil && h.id == id && h.salt == salt, size: size, packed: packed,
+		})
 	}
-	slices.SortFunc(all, func(a, b found) int { return cmp.Compare(a.id, b.id) })
+	slices.SortFunc(all, func(a, b segmentFile) int { return cmp.Compare(a.id, b.id) })
 	for i := len(all) - 1; i >= 0; i-- {
 		if !all[i].packed {
 			all[i].newest = true
 			break
 		}
 	}
-	ends := map[uint64]int64{} // what later headers and checkpoints say was synced of earlier segments
+	ends := map[uint64]int64{} // synced size of segments, according to later headers and checkpoints
 	for _, f := range all {
-		if f.headOK && f.head.prev != 0 {
-			ends[f.head.prev] = int64(f.head.prevEnd)
+		if f.headerOK && f.header.prev != 0 {
+			ends[f.header.prev] = int64(f.header.prevEnd)
 		}
 	}
 	var covered map[uint64]int64
-	if s.opt.noIndex { // only what it says of the segments counts
+	if s.opt.ignoreCheckpoint { // only the synced sizes that it records are used
 		covered, err := s.loadCheckpoint(all, names, ends)
 		if err != nil {
 			return rec, err
@@ -196,21 +197,22 @@
 		}
 	}
 	rec.Checkpoint = covered != nil
-	// Void records may stand in any later segment: they are looked for first.
-	scans := make([]*scan, len(all))
+	// A void record may be in any later segment, so all segments are scanned before any
+	// is replayed.
+	scans := make([]*scanResult, len(all))
 	voids := map[uint64]int64{}
 	for i, f := range all {
 		from := int64(0)
 		if c, ok := covered[f.id]; ok {
 			from = c
 		}
-		sc, err := s.scan(f, from)
+		result, err := s.scanSegment(f, from)
 		if err != nil {
 			return rec, err
 		}
-		scans[i] = sc
-		for seg, from := range sc.voids {
-			if was, ok := voids[seg]; !ok || from < was {
+		scans[i] = result
+		for seg, from := range result.voids {
+			if other, ok := voids[seg]; !ok || from < other {
 				voids[seg] = from
 			}
 		}
@@ -220,337 +222,64 @@
 			return rec, err
 		}
 	}
-	s.settleDoubt(&rec)
+	s.computeUncertainty(&rec)
 	s.prune(&rec)
-	rec.Segments = len(s.segs)
-	return rec, s.settleLast(all)
+	rec.Segments = len(s.segments)
+	return rec, s.syncNewest(all)
 }
 
-// holed notes that the end of a segment, or any part of one that compaction made, is
-// missing: what stood there is older than whatever grew later.
-func (s *Store) holed(g *segment) {
-	if s.holes == nil {
-		s.holes = map[uint64]bool{}
+// noteMissingEnd records that the end of a segment, or any part of a segment written by
+// compaction, is missing. What it held is older than all that was appended to later segments.
+func (s *Store) noteMissingEnd(g *segment) {
+	if s.missingEnds == nil {
+		s.missingEnds = map[uint64]bool{}
 	}
-	s.holes[g.id] = true
+	s.missingEnds[g.id] = true
 }
 
-// settleDoubt works out up to which sequence number an entry's newest record may be
-// among what can't be read: records are numbered in the order of their segments, and
+// computeUncertainty determines the sequence number below which the newest record of an
+// entry may be unreadable. Records are numbered in the order of their segments, and
 // compaction keeps their numbers.
-func (s *Store) settleDoubt(rec *Recovery) {
-	for id := range s.holes {
+func (s *Store) computeUncertainty(rec *Recovery) {
+	for id := range s.missingEnds {
 		before := ^uint64(0)
-		for _, g := range s.segs {
+		for _, g := range s.segments {
 			if g.id > id && g.minSeq > 0 && !strings.HasSuffix(g.name, packSuffix) {
 				before = min(before, g.minSeq)
 			}
 		}
-		s.doubtBefore = max(s.doubtBefore, before)
+		s.uncertainBefore = max(s.uncertainBefore, before)
 	}
-	s.holes = nil
-	if s.doubtBefore == 0 {
+	s.missingEnds = nil
+	if s.uncertainBefore == 0 {
 		return
 	}
 	s.index.Ascend(func(it item) bool {
-		if !it.gone() && it.seq < s.doubtBefore {
+		if !it.deleted() && it.seq < s.uncertainBefore {
 			rec.InDoubt++
 		}
 		return true
 	})
 }
 
-// settleLast makes what was read of the newest segment durable before anything
-// builds on it: after a crash of the process alone, its end may be only in the
-// system's memory.
-func (s *Store) settleLast(all []found) error {
+// syncNewest syncs the newest segment before anything is written that depends on it: after
+// a crash of the process, its end may be only in the page cache.
+func (s *Store) syncNewest(all []segmentFile) error {
 	if s.opt.ReadOnly {
 		return nil
 	}
 	for i := len(all) - 1; i >= 0; i-- {
 		g := all[i].segment
-		if s.segs[uint32(g.id)] != g || all[i].headOK && all[i].head.end > 0 {
+		if s.segments[uint32(g.id)] != g || all[i].headerOK && all[i].header.end > 0 {
 			continue
 		}
 		if len(g.faults) == 0 {
 			if err := g.file.Sync(); err != nil {
 				return fmt.Errorf("sync %s: %w", g.name, err)
 			}
-			s.last = g
+			s.previous = g
 		}
 		return nil
 	}
 	return nil
 }
-
-// span is a part of a segment that holds records without a break.
-type span struct{ from, to int64 }
-
-// scan is what reading a segment found.
-type scan struct {
-	from   int64 // where it began: the rest was covered by a checkpoint
-	spans  []span
-	holes  []span // between and behind them
-	synced int64  // what the records say was synced
-	voids  map[uint64]int64
-	reason string // what is wrong where the first hole begins
-}
-
-// window reads a file through a buffer that only grows for a long record.
-type window struct {
-	f    vfs.File
-	size int64
-	off  int64 // of buf
-	buf  []byte
-}
-
-// at returns up to n bytes from off, fewer only at the file's end.
-func (w *window) at(off int64, n int) ([]byte, error) {
-	n = int(min(int64(n), w.size-off))
-	if n <= 0 {
-		return nil, nil
-	}
-	if off < w.off || off+int64(n) > w.off+int64(len(w.buf)) {
-		want := int(min(int64(max(n, readChunk)), w.size-off))
-		if cap(w.buf) < want {
-			w.buf = make([]byte, want)
-		}
-		w.buf, w.off = w.buf[:want], off
-		m, err := w.f.ReadAt(w.buf, off)
-		if err != nil && err != io.EOF {
-			return nil, err
-		}
-		w.buf = w.buf[:m]
-		n = min(n, m)
-	}
-	i := int(off - w.off)
-	return w.buf[i : i+n], nil
-}
-
-const readChunk = 1 << 20
-
-// scan finds the records of a segment. Where there is none it looks, byte by
-// byte, for the next one.
-func (s *Store) scan(f found, from int64) (*scan, error) {
-	sc := &scan{from: from, voids: map[uint64]int64{}}
-	w := &window{f: f.file, size: f.size}
-	off := from
-	if off == 0 {
-		off = headerSize
-		if !f.headOK {
-			sc.reason = "header damaged"
-			if f.size < headerSize {
-				sc.reason = "header cut short"
-			}
-		}
-	}
-	open := span{off, off}
-	for off < f.size {
-		head, err := w.at(off, recordHead)
-		if err != nil {
-			return nil, fmt.Errorf("read %s at %d: %w", f.name, off, err)
-		}
-		r, _, ok := decodeHead(head, f.salt, off)
-		var why error
-		if ok {
-			b, err := w.at(off, int(r.size))
-			if err != nil {
-				return nil, fmt.Errorf("read %s at %d: %w", f.name, off, err)
-			}
-			if r, why = decodeRecord(b, f.salt, off); why == nil {
-				if open.to != off { // behind a hole
-					if open.to > open.from {
-						sc.spans = append(sc.spans, open)
-					}
-					sc.holes = append(sc.holes, span{open.to, off})
-					open = span{off, off}
-				}
-				if r.kind == recordVoid {
-					if seg, at, err := r.void(); err == nil {
-						sc.voids[seg] = at
-					}
-				}
-				sc.synced = max(sc.synced, r.synced)
-				off += r.size
-				open.to = off
-				continue
-			}
-		}
-		if sc.reason == "" {
-			switch {
-			case why != nil:
-				sc.reason = why.Error()
-			case f.size-off < recordHead:
-				sc.reason = errTorn.Error()
-			default:
-				sc.reason = "no record"
-			}
-		}
-		off++
-	}
-	if open.to > open.from {
-		sc.spans = append(sc.spans, open)
-	}
-	if open.to < f.size {
-		sc.holes = append(sc.holes, span{open.to, f.size})
-	}
-	return sc, nil
-}
-
-// replay takes the records that a scan found into the index, and says what the
-// holes are. A hole that something later calls synced is damage; so is a file
-// shorter than the next segment's header says. Everything else was never
-// acknowledged, as nothing is before its sync.
-func (s *Store) replay(f found, sc *scan, ends, voids map[uint64]int64, rec *Recovery) error {
-	g := f.segment
-	end, known := ends[g.id]
-	if f.headOK && f.head.end > 0 {
-		end, known = int64(f.head.end), true
-	}
-	stop := f.size
-	if v, ok := voids[g.id]; ok {
-		stop = min(stop, v)
-	}
-	w := &window{f: g.file, size: f.size}
-	firsts := map[int64]uint64{} // the first sequence number of each span
-	for _, sp := range sc.spans {
-		for off := sp.from; off < min(sp.to, stop); {
-			head, err := w.at(off, recordHead)
-			if err != nil {
-				return fmt.Errorf("read %s at %d: %w", g.name, off, err)
-			}
-			r, _, ok := decodeHead(head, g.salt, off)
-			if !ok {
-				return fmt.Errorf("read %s at %d: it changed while it was read", g.name, off)
-			}
-			b, err := w.at(off, int(r.size))
-			if err != nil {
-				return fmt.Errorf("read %s at %d: %w", g.name, off, err)
-			}
-			if int64(len(b)) < r.size {
-				return fmt.Errorf("read %s at %d: it changed while it was read", g.name, off)
-			}
-			r.body = b[recordHead:r.size]
-			rec.Read += r.size
-			if r.kind == recordBatch {
-				err := r.each(func(o op, at, over int64) error {
-					if _, known := firsts[sp.from]; !known {
-						firsts[sp.from] = o.seq
-					}
-					s.found(g, &o, at, over)
-					return nil
-				})
-				if err != nil { // its checksum holds: another program wrote it
-					g.faults = append(g.faults, Fault{File: g.name, Offset: off, Size: r.size, Reason: err.Error()})
-				}
-			}
-			off += r.size
-		}
-	}
-	g.end = f.size
-	good := int64(headerSize) // end of what counts
-	if n := len(sc.spans); n > 0 {
-		good = sc.spans[n-1].to
-	} else if sc.from > 0 {
-		good = sc.from
-	}
-	if !f.headOK && (len(sc.spans) > 0 || known && end > 0 || f.packed || !f.newest) {
-		g.faults = append(g.faults, Fault{File: g.name, Size: headerSize, Reason: sc.reason})
-	} else if !f.headOK && len(sc.holes) == 0 {
-		rec.Torn = append(rec.Torn, Fault{File: g.name, Size: headerSize, Reason: sc.reason, Torn: true})
-	}
-	for _, h := range sc.holes {
-		if h.from >= stop {
-			continue // it never counted
-		}
-		fault := Fault{File: g.name, Offset: h.from, Size: h.to - h.from, Reason: sc.reason}
-		fault.Torn = h.from >= sc.synced && (!known || h.from >= end)
-		if fault.Torn {
-			rec.Torn = append(rec.Torn, fault)
-			g.torn = true
-			continue
-		}
-		g.faults = append(g.faults, fault)
-		if before := firsts[h.to]; before > 0 && !f.packed {
-			s.doubtBefore = max(s.doubtBefore, before)
-		} else {
-			s.holed(g)
-		}
-	}
-	if v, ok := voids[g.id]; ok {
-		end = min(end, v)
-	}
-	if known && f.size < end && len(sc.holes) == 0 {
-		g.faults = append(g.faults, Fault{File: g.name, Offset: f.size, Size: end - f.size, Reason: "cut short"})
-		s.holed(g)
-	}
-	if len(g.faults) == 0 && good < f.size && f.headOK && !s.opt.ReadOnly && len(sc.spans) <= 1 && sc.from < f.size {
-		if err := g.file.Truncate(good); err == nil { // else it is read as torn again next time
-			g.end = good
-		}
-	}
-	if !f.headOK && f.size > headerSize && len(g.faults) == 0 {
-		g.faults = append(g.faults, Fault{File: g.name, Size: f.size, Reason: sc.reason})
-	}
-	rec.Damaged = append(rec.Damaged, g.faults...)
-	empty := len(sc.spans) == 0 && sc.from == 0 && len(g.faults) == 0
-	if empty && !s.opt.ReadOnly { // made, and nothing acknowledged in it
-		delete(s.segs, uint32(g.id))
-		_ = g.file.Close()
-		return s.fs.Remove(vfs.Join(s.dir, g.name))
-	}
-	g.synced = g.end
-	s.total += g.end
-	return nil
-}
-
-// found takes a record of a segment into the index. Deletions are kept until
-// all segments were read: what they hide may come later.
-func (s *Store) found(g *segment, o *op, at, over int64) {
-	it := item{key: o.key, expiry: o.expiry, seq: o.seq, seg: uint32(g.id), off: uint32(at), meta: newMeta(o, over)}
-	g.minSeq = min(g.minSeq, o.seq)
-	s.seq = max(s.seq, clampSeq(o.seq))
-	was, had := s.index.Get(it)
-	if had && (was.seq > it.seq || was.seq == it.seq && (was.gone() || !it.gone())) {
-		if !it.gone() {
-			was.stale++
-			s.index.ReplaceOrInsert(was)
-		}
-		return
-	}
-	if had {
-		it.stale = was.stale
-		if !was.gone() {
-			it.stale++
-		}
-	}
-	s.index.ReplaceOrInsert(it)
-}
-
-// prune drops deletions that hide nothing, and counts what is live.
-func (s *Store) prune(rec *Recovery) {
-	now := s.opt.Now()
-	var drop []item
-	for _, g := range s.segs {
-		g.live = 0
-	}
-	s.live = 0
-	s.index.Ascend(func(it item) bool {
-		if it.gone() && it.stale == 0 || s.segs[it.seg] == nil {
-			drop = append(drop, it)
-			return true
-		}
-		s.count(&it, 1)
-		switch {
-		case it.gone():
-		case it.dead(now):
-			rec.Expired++
-		default:
-			rec.Entries++
-		}
-		return true
-	})
-	for _, it := range drop {
-		s.index.Delete(it)
-	}
-}
