--- a/cmd/robinmast/lifecycle_test.go
+++ b/cmd/robinmast/lifecycle_test.go
@@ -289,7 +289,7 @@
 				t.Errorf("%q", got)
 			}
 			standin.Eventually(t, "the notice about the previous process's run", func() bool {
-				return strings.Contains(successor.out.String(), "end of a run that was not asked for")
+				return strings.Contains(successor.out.String(), "end of an unknown run")
 			})
 			call(d, 2, 3, 30)
 			if got := d.Receive(); !strings.HasSuffix(got, fmt.Sprintf("%016x ran 30", 3)) {
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -201,7 +201,7 @@
 			}
 			r.Sent.Add(1)
 			if failing {
-				r.log.Info("reports to the " + r.service + " are taken again")
+				r.log.Info("reports to the " + r.service + " are accepted again")
 			}
 			wait = backoffMin
 		}
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -508,7 +508,7 @@
 	l.mu.Lock()
 	if l.ready {
 		l.mu.Unlock()
-		l.logBadLine("bound twice on one link")
+		l.logBadLine("worker pool sent bound twice on one link")
 		return
 	}
 	sendCommand(c, command{Op: "poll", Tag: l.replayTag()})
@@ -600,12 +600,12 @@
 func (l *Link) handleFinished(n notice) {
 	outcome, ok := outcomeByWord[n.End]
 	if !ok {
-		l.logBadLine("unknown end of a run", "end", clip(n.End))
+		l.logBadLine("unknown run outcome from the worker pool", "end", clip(n.End))
 		outcome = Error
 	}
 	r := l.removeRun(n.ID)
 	if r == nil {
-		l.logBadLine("end of a run that was not asked for", "id", clip(n.ID))
+		l.logBadLine("end of an unknown run", "id", clip(n.ID))
 		l.sink.UnknownRunEnded(n.ID, outcome, n.Body)
 		return
 	}
@@ -623,7 +623,7 @@
 	}
 	l.mu.Unlock()
 	if r == nil {
-		l.logBadLine("call of a run that was not asked for", "id", clip(n.ID))
+		l.logBadLine("downstream call of an unknown run", "id", clip(n.ID))
 		return
 	}
 	l.sink.CallNeeded(r.x, n.Body)
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -108,7 +108,7 @@
 		return Batch{}, fmt.Errorf("%d records do not fit a frame of %d bytes", count, len(body))
 	}
 	if math.IsNaN(clock) || math.IsInf(clock, 0) {
-		return Batch{}, errors.New("the clock is not a number")
+		return Batch{}, errors.New("clock is not a finite number")
 	}
 	n := count * EventSize
 	return Batch{Clock: Duration(clock), Count: count, records: rest[:n], tail: rest[n:]}, nil
--- a/internal/standin/fleet/shedding_test.go
+++ b/internal/standin/fleet/shedding_test.go
@@ -256,7 +256,7 @@
 // reconnectSpread returns the time between the first and the last node's reconnect, by their logs.
 func reconnectSpread(t *testing.T, dir string, nodes int) time.Duration {
 	t.Helper()
-	stamp := regexp.MustCompile(`time=(\S+) .*reports to the control service are taken again`)
+	stamp := regexp.MustCompile(`time=(\S+) .*reports to the control service are accepted again`)
 	var reconnects []time.Time
 	for i := range nodes {
 		if m := stamp.FindStringSubmatch(nodeLog(t, dir, i)); m != nil {
