--- a/cmd/simhost/fleet.go
+++ b/cmd/simhost/fleet.go
@@ -10,7 +10,7 @@
 	"robinmast/rules"
 )
 
-// outcomes maps the wire's outcome codes.
+// outcomes maps the wire's outcome codes to the module's outcomes.
 var outcomes = map[byte]rules.Outcome{
 	0: rules.OK, 255: rules.Failed, 254: rules.CallRejected, 253: rules.TimedOut,
 	252: rules.ConnectFailed, 251: rules.ConnectionReset, 250: rules.Cancelled, 249: rules.NeverStarted,
@@ -23,14 +23,14 @@
 	module  *rules.Module
 	actions simwire.Actions
 	gauges  []float64
-	touched bool
+	active  bool // has events in the present batch
 }
 
 // fleet holds the instances of this process, which share no state.
 type fleet struct {
 	cfg         *config.Config
 	instances   map[uint16]*instance
-	touched     []*instance // those with events in this batch, in order
+	active      []*instance // those with events in the present batch, in order
 	reply       simwire.Reply
 	settingsErr error // invalid settings of an instance
 }
@@ -41,7 +41,7 @@
 
 // handleBatch applies a batch and returns the reply to write.
 func (f *fleet) handleBatch(b simwire.Batch) (*simwire.Reply, error) {
-	f.touched = f.touched[:0]
+	f.active = f.active[:0]
 	f.reply.Reset()
 	var id uint16
 	var addressed bool
@@ -54,50 +54,50 @@
 		if !addressed {
 			return nil, fmt.Errorf("event code %d before any At", rec.Code())
 		}
-		if err := f.event(b, id, rec); err != nil {
+		if err := f.handleEvent(b, id, rec); err != nil {
 			return nil, err
 		}
 	}
-	for _, n := range f.touched {
-		if !n.touched { // its process ended within the batch
+	for _, n := range f.active {
+		if !n.active { // its process ended within the batch
 			continue
 		}
 		n.run(func() error { n.module.FinishBatch(b.Clock); return nil })
 		f.reply.Add(n.id, &n.actions)
 		n.actions.Reset()
-		n.touched = false
+		n.active = false
 	}
 	return &f.reply, nil
 }
 
-// event passes one event record to its instance.
-func (f *fleet) event(b simwire.Batch, id uint16, rec simwire.Record) error {
+// handleEvent passes one event record to its instance.
+func (f *fleet) handleEvent(b simwire.Batch, id uint16, rec simwire.Record) error {
 	n := f.instances[id]
 	switch code := rec.Code(); {
 	case code < simwire.EvEnlist || code > simwire.EvDemand:
 		return fmt.Errorf("unknown event code %d", code)
 	case code == simwire.EvEnlist:
 		if n != nil {
-			n.touched = false
+			n.active = false
 		}
 		return f.start(b, id, rec)
 	case n == nil:
 		return fmt.Errorf("event code %d for instance %d, which was never started", code, id)
 	case code == simwire.EvExit:
-		n.touched = false
+		n.active = false
 		delete(f.instances, id)
 		return nil
 	}
-	f.touch(n)
-	n.run(func() error { return n.event(b, rec) })
+	f.markActive(n)
+	n.run(func() error { return n.handleEvent(b, rec) })
 	return nil
 }
 
-// touch notes that an instance has events in this batch.
-func (f *fleet) touch(n *instance) {
-	if !n.touched {
-		n.touched = true
-		f.touched = append(f.touched, n)
+// markActive records that an instance has events in the present batch.
+func (f *fleet) markActive(n *instance) {
+	if !n.active {
+		n.active = true
+		f.active = append(f.active, n)
 	}
 }
 
@@ -109,7 +109,7 @@
 	}
 	n := &instance{id: id}
 	f.instances[id] = n
-	f.touch(n)
+	f.markActive(n)
 	n.protect(func() error {
 		set, names, err := settings.ParseNamed(text)
 		if err == nil {
@@ -154,8 +154,8 @@
 	n.actions.Text(simwire.AcInternalError, text)
 }
 
-// event calls the module's method for one event.
-func (n *instance) event(b simwire.Batch, rec simwire.Record) error {
+// handleEvent calls the module's method for one event.
+func (n *instance) handleEvent(b simwire.Batch, rec simwire.Record) error {
 	now, m, id := b.Clock, n.module, rules.RequestID(rec.U64(1))
 	switch rec.Code() {
 	case simwire.EvDemand:
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -14,6 +14,7 @@
 const settingsJSON = `{"tickMs": 2, "groupSize": 2, "lanes": [{"aimMs": 1000, "deadlineMs": 4000, "effect": "idempotent",
 	"worth": 1}], "extra": {"cpus": 2, "ramKb": 100000, "runFactor": 4}, "obligations": {"fallMultiple": 4}}`
 
+// record returns an event record whose fields are set by fill.
 func record(code byte, fill func([]byte)) []byte {
 	r := make([]byte, simwire.EventSize)
 	r[0] = code
@@ -40,6 +41,7 @@
 	return record(simwire.EvDemand, func(r []byte) { binary.BigEndian.PutUint64(r[1:], id) })
 }
 
+// frame encodes a batch of events.
 func frame(clock float64, tail string, recs ...[]byte) []byte {
 	body := binary.BigEndian.AppendUint32(nil, uint32(len(recs)))
 	body = binary.BigEndian.AppendUint64(body, math.Float64bits(clock))
@@ -133,7 +135,7 @@
 
 func TestPanicReportsInternalError(t *testing.T) {
 	n := &instance{id: 1}
-	n.protect(func() error { panic("odd") })
+	n.protect(func() error { panic("defect") })
 	if n.module != nil || n.actions.Len() != 1 {
 		t.Errorf("a panic left %d actions", n.actions.Len())
 	}
--- a/internal/dependency/dependency.go
+++ b/internal/dependency/dependency.go
@@ -30,11 +30,11 @@
 	neverStartedHeader = "Never-Started"        // in a response: the statement was not started
 
 	dialTimeout    = time.Second
-	idleTimeout    = 20 * time.Second
+	idleTimeout    = 20 * time.Second       // of an unused connection
 	lingerTimeout  = 100 * time.Millisecond // for the database to close its side
-	bufferBytes    = 8 << 10
-	maxResultBytes = 64 << 10 // a longer result fails the call
-	logInterval    = 5 * time.Second
+	bufferBytes    = 8 << 10                // of each ring of a connection
+	maxResultBytes = 64 << 10               // a longer result fails the call
+	logInterval    = 5 * time.Second        // between log lines about failed calls
 )
 
 // Client makes calls to one database.
@@ -46,8 +46,8 @@
 	url        atomic.Pointer[string]
 	http       *http.Client
 	log        *slog.Logger
-	lastLogged atomic.Int64
-	ctx        context.Context
+	lastLogged atomic.Int64    // Unix time of the last log line, nanoseconds
+	ctx        context.Context // ends all calls
 }
 
 // New returns a client of the database at addr that opens at most conns connections. All
@@ -72,7 +72,7 @@
 	}
 }
 
-// dial opens a connection that is buffered and counted like all others.
+// dial opens a connection that is wrapped by package stream, which counts it in Traffic.
 func (c *Client) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	raw, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, network, addr)
 	if err != nil {
@@ -84,7 +84,7 @@
 	}, &c.Traffic, nil), nil
 }
 
-// Call makes a downstream call for the run ref. done is called once, by another
+// Call makes a downstream call for the run with the transaction name ref. done is called once, by another
 // goroutine, with the outcome and the result; after cancel it is not called.
 func (c *Client) Call(ref string, statement []byte, timeout time.Duration,
 	done func(o rules.Outcome, result []byte, took time.Duration)) (cancel func()) {
@@ -113,7 +113,8 @@
 	}
 }
 
-// exec makes one HTTP request and returns its outcome.
+// exec makes one HTTP request and returns its outcome, with the result if it is OK and the
+// cause of a failure if there is one.
 func (c *Client) exec(
 	ctx context.Context, ref string, statement []byte, timeout time.Duration,
 ) (rules.Outcome, []byte, error) {
@@ -159,7 +160,7 @@
 	return rules.ConnectionReset
 }
 
-// outcomeNames are the names of the outcomes in the log.
+// outcomeNames has the names of the outcomes in the log.
 var outcomeNames = [...]string{
 	rules.OK: "ok", rules.Failed: "failed", rules.CallRejected: "full", rules.TimedOut: "timed_out",
 	rules.ConnectFailed: "connect_failed", rules.ConnectionReset: "reset", rules.Cancelled: "given_up", rules.NeverStarted: "moot",
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -27,7 +27,7 @@
 	Last       bool          // Refused: stop retrying across the node list
 }
 
-// FinalState is how a request ended.
+// FinalState is how a request ended, or Open while it has not.
 type FinalState uint32
 
 // The final states of a request.
@@ -44,20 +44,20 @@
 // Counters counts requests by final state. Read is always the sum of the requests in all
 // final states and of the open ones.
 type Counters struct {
-	Read         atomic.Int64
+	Read         atomic.Int64 // requests read from connections
 	FurtherTries atomic.Int64 // requests marked as further tries
 	byState      [numFinalStates]atomic.Int64
 	LateAnswers  atomic.Int64 // answers given after the request had ended
 }
 
 // Count returns the number of requests that ended in state f.
-func (l *Counters) Count(f FinalState) int64 { return l.byState[f].Load() }
+func (c *Counters) Count(f FinalState) int64 { return c.byState[f].Load() }
 
 // OpenRequests returns the number of requests that have not ended.
-func (l *Counters) OpenRequests() int64 {
-	open := l.Read.Load()
+func (c *Counters) OpenRequests() int64 {
+	open := c.Read.Load()
 	for state := EndedServed; state < numFinalStates; state++ {
-		open -= l.byState[state].Load()
+		open -= c.byState[state].Load()
 	}
 	return open
 }
@@ -74,24 +74,24 @@
 	ClassName     string
 	TenantName    string // "" if the configuration has no tenants
 	Body          []byte
-	Class         int
-	Tenant        int
-	Caller        uint32
+	Class         int     // index into the settings' classes
+	Tenant        int     // index into the settings' tenants, 0 if there are none
+	Caller        uint32  // number of the dispatcher that sent it
 	ArrivedUnixMs float64 // when it reached the host, Unix milliseconds
 	TimeoutMs     float64 // how long its dispatcher waits from then, milliseconds, 0 = not known
 	HintMs        float64 // expected work, milliseconds, 0 = not known
-	MemoryKB      float64
-	Rank          float64
-	Retry         bool
-	Item          string // the item that a read is about, "" = not known
-	Unique        string // idempotency key shared by the tries of a keyed request, "" = none
-	Safe          bool   // may run any number of times
+	MemoryKB      float64 // memory of the request, kilobytes
+	Rank          float64 // as in rules.Request
+	Retry         bool    // marked as a further try
+	Item          string  // the item that a read is about, "" = not known
+	Unique        string  // idempotency key shared by the tries of a keyed request, "" = none
+	Safe          bool    // may run any number of times
 }
 
 // Exchange is one request and its final state.
 type Exchange struct {
 	Request
-	Tag      uint64
+	Tag      uint64 // names the request to replier
 	replier  Replier
 	counters *Counters
 	state    atomic.Uint32
@@ -109,7 +109,7 @@
 // FinalState returns how the request ended, Open if it has not.
 func (x *Exchange) FinalState() FinalState { return FinalState(x.state.Load()) }
 
-// setFinalState ends the request, unless it has ended before.
+// setFinalState ends the request and counts it. It returns false if the request has ended before.
 func (x *Exchange) setFinalState(state FinalState) bool {
 	if !x.state.CompareAndSwap(uint32(Open), uint32(state)) {
 		return false
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -13,11 +13,11 @@
 // However answers, cancellations and connection losses race, a request ends once and the
 // counters add up.
 func TestExchangeEndsOnce(t *testing.T) {
-	var l Counters
+	var counters Counters
 	const requests = 300
 	for i := range requests {
 		replier := &replyCounter{}
-		x := New(&l, replier, uint64(i+1), Request{})
+		x := New(&counters, replier, uint64(i+1), Request{})
 		var ended atomic.Int64
 		var wg sync.WaitGroup
 		for _, end := range []func() bool{
@@ -41,19 +41,20 @@
 	}
 	sum := int64(0)
 	for f := EndedServed; f < numFinalStates; f++ {
-		sum += l.Count(f)
+		sum += counters.Count(f)
 	}
-	if sum != requests || l.Read.Load() != requests || l.OpenRequests() != 0 {
-		t.Errorf("%d ends of %d requests, %d open", sum, l.Read.Load(), l.OpenRequests())
+	if sum != requests || counters.Read.Load() != requests || counters.OpenRequests() != 0 {
+		t.Errorf("%d ends of %d requests, %d open", sum, counters.Read.Load(), counters.OpenRequests())
 	}
 }
 
+// OpenRequests counts the requests that have not ended.
 func TestOpenRequests(t *testing.T) {
-	var l Counters
-	x := New(&l, &replyCounter{}, 1, Request{})
-	New(&l, &replyCounter{}, 2, Request{})
+	var counters Counters
+	x := New(&counters, &replyCounter{}, 1, Request{})
+	New(&counters, &replyCounter{}, 2, Request{})
 	x.Answer(Answer{})
-	if l.OpenRequests() != 1 {
-		t.Errorf("%d open, want 1", l.OpenRequests())
+	if counters.OpenRequests() != 1 {
+		t.Errorf("%d open, want 1", counters.OpenRequests())
 	}
 }
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -26,11 +26,11 @@
 // Times and limits of the reports. The membership service drops a node 3 s after its last
 // report, so that two reports in a row may fail.
 const (
-	reportInterval = 700 * time.Millisecond
-	reportTimeout  = 900 * time.Millisecond
-	backoffMin     = 50 * time.Millisecond
-	backoffMax     = reportInterval
-	logInterval    = 5 * time.Second
+	reportInterval = 700 * time.Millisecond // between the starts of two reports
+	reportTimeout  = 900 * time.Millisecond // for a report and its answer
+	backoffMin     = 50 * time.Millisecond  // wait after a failed report
+	backoffMax     = reportInterval         // the same after many in a row
+	logInterval    = 5 * time.Second        // between log lines while reports fail
 
 	// All nodes lose a control service at the same moment: they reconnect spread over
 	// controlMaxWait, and each makes at most controlBudget tries per controlWindow. A
@@ -55,7 +55,7 @@
 	OnAnswer func(sent time.Time, body []byte)
 
 	scheme       string
-	name         string
+	name         string        // the node's name
 	service      string        // the service's name for the log
 	path         string        // URL path before the node's name
 	body         func() string // makes a report of the present state
@@ -64,8 +64,8 @@
 	log          *slog.Logger
 	interval     time.Duration    // the constant, shorter in tests
 	retryBackoff *backoff.Backoff // after failures, nil = doubling waits
-	outOfService atomic.Bool
-	reportNow    chan struct{}
+	outOfService atomic.Bool      // the phase is OUT
+	reportNow    chan struct{}    // signalled to report at once
 }
 
 // New returns a reporter to the membership service at addr for the node called name. It
@@ -89,8 +89,8 @@
 	}, rnd)
 }
 
-// NewControl returns a reporter to the control service at addr; body makes a
-// report and must not block. tlsConfig, if set, makes the reports go over TLS.
+// NewControl returns a reporter to the control service at addr for the node called name. body
+// returns the JSON of a report and must not block. With tlsConfig the reports are sent over TLS.
 func NewControl(addr, name string, tlsConfig *tls.Config, body func() string, log *slog.Logger) *Reporter {
 	r := newReporter(addr, name, "/nodes/", "control service", log)
 	r.body = body
@@ -143,7 +143,7 @@
 	}
 }
 
-// dial opens a connection that is buffered and counted like all others.
+// dial opens a connection that is wrapped by package stream, which counts it in Traffic.
 func (r *Reporter) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	raw, err := (&net.Dialer{Timeout: reportTimeout}).DialContext(ctx, network, addr)
 	if err != nil {
@@ -155,7 +155,7 @@
 	}, &r.Traffic, nil), nil
 }
 
-// ReportNow makes a report be sent at once.
+// ReportNow makes Run send a report at once; it does not wait for it.
 func (r *Reporter) ReportNow() { r.triggerReport() }
 
 // SetServing sets the phase, UP or OUT, and reports it at once if it changed.
@@ -214,7 +214,8 @@
 	}
 }
 
-// report sends one report and waits for the answer.
+// report sends one report and waits for the answer. Any status but 204, or 200 if OnAnswer is
+// set, is an error.
 func (r *Reporter) report(ctx context.Context) error {
 	sent := time.Now()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPut, *r.url.Load(), strings.NewReader(r.body()))
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -18,6 +18,7 @@
 	"robinmast/internal/stream"
 )
 
+// startReporter runs a Reporter until the end of the test, and then checks that each connection was closed.
 func startReporter(t *testing.T, addr string) *Reporter {
 	t.Helper()
 	r := New(addr, "n3", slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -135,8 +136,8 @@
 
 // Two reports in a row may fail, even by timeout, before the service would drop the node.
 func TestIntervalAllowsTwoFailures(t *testing.T) {
-	const lapse = 3 * time.Second
-	if worst := reportInterval + 2*reportTimeout + backoffMin + 2*backoffMin; worst > lapse-300*time.Millisecond {
+	const dropTimeout = 3 * time.Second
+	if worst := reportInterval + 2*reportTimeout + backoffMin + 2*backoffMin; worst > dropTimeout-300*time.Millisecond {
 		t.Errorf("two reports may be %v apart", worst)
 	}
 }
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -21,45 +21,45 @@
 	maxFrameSize    = 1 << 30
 )
 
-// Event codes.
+// Event codes, under their names on the wire page.
 const (
-	EvEnlist   = 1
-	EvLameDuck = 2
-	EvAt       = 3
-	EvAtCall   = 4
-	EvTickDue  = 5
-	EvEnded    = 6
-	EvExit     = 7
-	EvCameBack = 8
-	EvHangup   = 9
-	EvDemand   = 10
+	EvEnlist   = 1  // an instance starts, with its settings
+	EvLameDuck = 2  // drain notice
+	EvAt       = 3  // the events that follow are for this instance
+	EvAtCall   = 4  // a run waits for a downstream call
+	EvTickDue  = 5  // a timer fired
+	EvEnded    = 6  // a run ended
+	EvExit     = 7  // an instance's process ended
+	EvCameBack = 8  // a downstream call ended
+	EvHangup   = 9  // a caller is gone
+	EvDemand   = 10 // a request arrived
 )
 
-// Action codes.
+// Action codes, under their names on the wire page.
 const (
-	AcLaunch        = 1
-	AcPushBack      = 2
-	AcFail          = 3
-	AcYank          = 4
-	AcCallDep       = 5
-	AcSkip          = 6
-	AcKeep          = 7
-	AcReleaseKey    = 8
-	AcReuse         = 9
-	AcSetHealth     = 10
-	AcSignal        = 11
-	AcIdleLimit     = 12
-	AcAfter         = 13
-	AcWriteLog      = 14
-	AcInternalError = 15
-	AcContext       = 16
+	AcLaunch        = 1  // start a run
+	AcPushBack      = 2  // refuse a request
+	AcFail          = 3  // fail a request
+	AcYank          = 4  // preempt a run
+	AcCallDep       = 5  // make the downstream call
+	AcSkip          = 6  // continue without the call
+	AcKeep          = 7  // keep an idempotency record
+	AcReleaseKey    = 8  // remove an idempotency record
+	AcReuse         = 9  // join the earlier request
+	AcSetHealth     = 10 // set the health
+	AcSignal        = 11 // publish the load feedback
+	AcIdleLimit     = 12 // set the idle timeout of connections
+	AcAfter         = 13 // start a timer
+	AcWriteLog      = 14 // write a log line
+	AcInternalError = 15 // the instance has failed
+	AcContext       = 16 // the actions that follow are of this instance
 )
 
 // Bits of the opts field of a Demand.
 const (
-	OptHint  = 1
-	OptRetry = 2
-	OptWrite = 4
+	OptHint  = 1 // the expected work is given
+	OptRetry = 2 // a further try
+	OptWrite = 4 // a write
 )
 
 // Batch is one frame of events.
@@ -67,7 +67,7 @@
 	Clock   time.Duration // the simulator's clock
 	Count   int           // event records
 	records []byte
-	tail    []byte
+	tail    []byte // texts that records refer to
 }
 
 // Record is one event record; fields are addressed by the offsets of the wire page.
@@ -117,7 +117,8 @@
 // Record returns event record i, counted from 0.
 func (b Batch) Record(i int) Record { return Record(b.records[i*EventSize : (i+1)*EventSize]) }
 
-// Tail resolves a tail reference at the given offset of a record.
+// Tail returns the bytes of the batch's tail to which the reference at the given offset of a record points. It
+// returns an error if they lie beyond the tail.
 func (b Batch) Tail(r Record, offset int) ([]byte, error) {
 	start, n := uint64(r.U32(offset)), uint64(r.U32(offset+4))
 	if start+n > uint64(len(b.tail)) {
@@ -130,25 +131,25 @@
 func (r Record) Code() byte { return r[0] }
 
 // U8 reads one byte.
-func (r Record) U8(at int) byte { return r[at] }
+func (r Record) U8(offset int) byte { return r[offset] }
 
 // U16 reads a two-byte number.
-func (r Record) U16(at int) uint16 { return binary.BigEndian.Uint16(r[at:]) }
+func (r Record) U16(offset int) uint16 { return binary.BigEndian.Uint16(r[offset:]) }
 
 // U32 reads a four-byte number.
-func (r Record) U32(at int) uint32 { return binary.BigEndian.Uint32(r[at:]) }
+func (r Record) U32(offset int) uint32 { return binary.BigEndian.Uint32(r[offset:]) }
 
 // U64 reads an eight-byte number.
-func (r Record) U64(at int) uint64 { return binary.BigEndian.Uint64(r[at:]) }
+func (r Record) U64(offset int) uint64 { return binary.BigEndian.Uint64(r[offset:]) }
 
 // F32 reads a four-byte float; NaN and infinities read as 0.
-func (r Record) F32(at int) float64 {
-	return finiteOrZero(float64(math.Float32frombits(binary.BigEndian.Uint32(r[at:]))))
+func (r Record) F32(offset int) float64 {
+	return finiteOrZero(float64(math.Float32frombits(binary.BigEndian.Uint32(r[offset:]))))
 }
 
 // Time reads a time in milliseconds; NaN and infinities read as 0.
-func (r Record) Time(at int) time.Duration {
-	return Duration(finiteOrZero(math.Float64frombits(binary.BigEndian.Uint64(r[at:]))))
+func (r Record) Time(offset int) time.Duration {
+	return Duration(finiteOrZero(math.Float64frombits(binary.BigEndian.Uint64(r[offset:]))))
 }
 
 // finiteOrZero returns x, or 0 if x is NaN or infinite.
@@ -190,25 +191,25 @@
 	return a.records[len(a.records)-ActionSize:]
 }
 
-// ID adds an action that only names a request.
+// ID adds an action whose only field is a request.
 func (a *Actions) ID(code byte, id uint64) { binary.BigEndian.PutUint64(a.add(code)[1:], id) }
 
-// IDTime adds an action that names a request, or a token, and a time.
+// IDTime adds an action whose fields are a request, or a timer's token, and a duration.
 func (a *Actions) IDTime(code byte, id uint64, d time.Duration) {
 	r := a.add(code)
 	binary.BigEndian.PutUint64(r[1:], id)
 	binary.BigEndian.PutUint64(r[9:], math.Float64bits(milliseconds(d)))
 }
 
-// PushBack adds a refusal.
-func (a *Actions) PushBack(id uint64, holdOff time.Duration, last bool) {
-	a.IDTime(AcPushBack, id, holdOff)
+// PushBack adds a refusal; last tells the caller to stop retrying.
+func (a *Actions) PushBack(id uint64, retryAfter time.Duration, last bool) {
+	a.IDTime(AcPushBack, id, retryAfter)
 	if last {
 		a.records[len(a.records)-ActionSize+17] = 1
 	}
 }
 
-// SetHealth adds a health setting.
+// SetHealth adds a change of the health; stored is passed on from rules.Host.
 func (a *Actions) SetHealth(stored, on bool) {
 	r := a.add(AcSetHealth)
 	r[1], r[2] = boolByte(stored), boolByte(on)
@@ -221,7 +222,7 @@
 	return 0
 }
 
-// Signal adds a load feedback value.
+// Signal adds the publication of a load feedback value.
 func (a *Actions) Signal(x float64) {
 	binary.BigEndian.PutUint32(a.add(AcSignal)[1:], math.Float32bits(float32(x)))
 }
@@ -263,8 +264,8 @@
 	p.buf = append(p.buf, ctx[:]...)
 	base := len(p.buf)
 	p.buf = append(p.buf, a.records...)
-	for _, at := range a.logRefs {
-		ref := p.buf[base+at:]
+	for _, offset := range a.logRefs {
+		ref := p.buf[base+offset:]
 		binary.BigEndian.PutUint32(ref, binary.BigEndian.Uint32(ref)+uint32(len(p.tail)))
 	}
 	p.tail = append(p.tail, a.tail...)
--- a/internal/stream/close.go
+++ b/internal/stream/close.go
@@ -41,6 +41,7 @@
 // CloseAfterAnswers takes no more requests, and closes the connection once those already read are answered.
 func (c *Conn) CloseAfterAnswers(reason CloseReason) { c.planClose(closeAfterAnswers, reason) }
 
+// planClose plans a close, unless one of a higher value is planned or the connection is closed.
 func (c *Conn) planClose(p closePlan, reason CloseReason) {
 	c.mu.Lock()
 	if c.closeReason == StillOpen && uint32(p) > c.plan.Load() {
@@ -93,7 +94,7 @@
 func (c *Conn) HasSent() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.queuedBytes > 0
+	return c.totalQueued > 0
 }
 
 // StopLingering ends the linger phase of a closed connection now, to free its descriptor.
@@ -246,8 +247,8 @@
 	c.closeReason = reason
 	c.traffic.Dropped.Add(int64(len(c.messageEnds)))
 	c.messageEnds = nil
-	c.traffic.QueuedBytes.Add(-c.heldBytes)
-	c.heldBytes = 0
+	c.traffic.QueuedBytes.Add(-c.ringBytes)
+	c.ringBytes = 0
 	c.mu.Unlock()
 	c.traffic.Closed[reason].Add(1)
 	c.wakeWriter()
--- a/internal/stream/closereason.go
+++ b/internal/stream/closereason.go
@@ -80,12 +80,13 @@
 	return true
 }
 
-// Error is a CloseReason as an error, with its cause, which may be nil.
+// Error is the error of a connection that was closed or cannot be read further.
 type Error struct {
 	Reason CloseReason
-	Cause  error
+	Cause  error // nil = none
 }
 
+// Error returns the name of the reason, and the cause if there is one.
 func (e *Error) Error() string {
 	if e.Cause == nil {
 		return e.Reason.String()
@@ -96,8 +97,8 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// CloseReasonOf returns the CloseReason that an error of a connection stands for, or other if the error itself
-// does not tell.
+// CloseReasonOf returns the CloseReason that an error of a connection stands for, StillOpen if err is nil, and
+// other if err identifies none.
 func CloseReasonOf(err error, other CloseReason) CloseReason {
 	var own *Error
 	switch {
--- a/internal/stream/conn.go
+++ b/internal/stream/conn.go
@@ -43,12 +43,12 @@
 	Sent             atomic.Int64                  // of those, wholly written to the network
 	Dropped          atomic.Int64                  // of those, lost with their connection
 	QueuedBytes      atomic.Int64                  // bytes of memory in output rings
-	QueuedBytesLimit int64                         // bound of Held in bytes, 0 = none
+	QueuedBytesLimit int64                         // bound of QueuedBytes, 0 = none
 	Discarded        atomic.Int64                  // bytes read and discarded, since the connection was closed or took no more requests
 	Closed           [numCloseReasons]atomic.Int64 // connections, by close reason
 }
 
-// NeverOpened counts a failed attempt to connect and returns the reason that err stands for.
+// CountFailedDial counts a failed attempt to connect and returns the reason that err stands for.
 func (t *Traffic) CountFailedDial(err error) CloseReason {
 	reason := CloseReasonOf(err, DialFailed)
 	if reason.Outcome() != rules.ConnectFailed {
@@ -68,13 +68,13 @@
 	frame           Framer
 	in              *Ring         // owned by the reader
 	readyBytes      int           // bytes at the front of in that are whole messages
-	inputError      CloseReason   // why the bytes after those are not a message
+	inputError      CloseReason   // why the bytes after those are not a message, StillOpen = no error
 	peerClosed      bool          // the peer has closed its side
 	discarded       int           // bytes read and discarded
 	readCloseReason atomic.Uint32 // why reading ended, for Close
 	partialSince    atomic.Int64  // when an incomplete message began, by sinceClockStart; 0 = none
 
-	// AnswersPending reports whether requests that were read are still to be answered. CloseIfIdle,
+	// AnswersPending, if set, reports whether requests that were read are still to be answered. CloseIfIdle,
 	// CloseWhenIdle and CloseAfterAnswers need it. It is set before the first Read; it may take locks, but
 	// must not send.
 	AnswersPending func() bool
@@ -87,10 +87,10 @@
 
 	mu               sync.Mutex
 	out              *Ring
-	queuedBytes      uint64      // total bytes queued
-	sentBytes        uint64      // total bytes sent
-	messageEnds      []uint64    // ends of the queued messages, as values of queuedBytes, oldest first
-	heldBytes        int64       // this connection's share of traffic.Held
+	totalQueued      uint64      // bytes queued since the connection was opened
+	totalSent        uint64      // bytes written to the network since then
+	messageEnds      []uint64    // ends of the queued messages, as values of totalQueued, oldest first
+	ringBytes        int64       // this connection's share of traffic.QueuedBytes
 	plannedReason    CloseReason // close reason of the plan
 	closeReason      CloseReason
 	writerWake       chan struct{}
@@ -209,10 +209,10 @@
 		return false
 	}
 	ok := c.out.Append(msg)
-	c.updateHeld()
+	c.updateRingBytes()
 	if limit := c.traffic.QueuedBytesLimit; !ok || limit > 0 && c.out.Cap() > minRingBytes && c.traffic.QueuedBytes.Load() > limit {
 		if ok {
-			c.messageEnds = append(c.messageEnds, c.queuedBytes+uint64(len(msg)))
+			c.messageEnds = append(c.messageEnds, c.totalQueued+uint64(len(msg)))
 		} else {
 			c.traffic.Dropped.Add(1)
 		}
@@ -220,8 +220,8 @@
 		c.Abort(Overflow)
 		return false
 	}
-	c.queuedBytes += uint64(len(msg))
-	c.messageEnds = append(c.messageEnds, c.queuedBytes)
+	c.totalQueued += uint64(len(msg))
+	c.messageEnds = append(c.messageEnds, c.totalQueued)
 	c.mu.Unlock()
 	c.wakeWriter()
 	return true
@@ -234,11 +234,11 @@
 	}
 }
 
-// updateHeld updates the memory of all output rings in Traffic; c.mu must be held.
-func (c *Conn) updateHeld() {
-	if now := int64(c.out.Cap()); now != c.heldBytes {
-		c.traffic.QueuedBytes.Add(now - c.heldBytes)
-		c.heldBytes = now
+// updateRingBytes updates traffic.QueuedBytes with the present size of the output ring; c.mu must be held.
+func (c *Conn) updateRingBytes() {
+	if now := int64(c.out.Cap()); now != c.ringBytes {
+		c.traffic.QueuedBytes.Add(now - c.ringBytes)
+		c.ringBytes = now
 	}
 }
 
@@ -256,7 +256,7 @@
 	return c.closeReason
 }
 
-// Write is Send as an io.Writer. It returns net.ErrClosed if p could not be queued.
+// Write is Send as an io.Writer. It never blocks, and returns net.ErrClosed if p could not be queued.
 func (c *Conn) Write(p []byte) (int, error) {
 	if !c.Send(p) {
 		return 0, net.ErrClosed
@@ -330,10 +330,10 @@
 		return
 	}
 	c.out.Discard(n)
-	c.updateHeld()
-	c.sentBytes += uint64(n)
+	c.updateRingBytes()
+	c.totalSent += uint64(n)
 	whole := 0
-	for whole < len(c.messageEnds) && c.messageEnds[whole] <= c.sentBytes {
+	for whole < len(c.messageEnds) && c.messageEnds[whole] <= c.totalSent {
 		whole++
 	}
 	c.traffic.Sent.Add(int64(whole))
--- a/internal/stream/conn_test.go
+++ b/internal/stream/conn_test.go
@@ -36,19 +36,19 @@
 
 var defaultLimits = Limits{ReadBufferBytes: 8 << 10, WriteBufferBytes: 64 << 10, StallTimeout: 10 * time.Second}
 
-// checkBalanced returns an error unless each queued message was sent or dropped and no output is held.
+// checkBalanced returns an error unless each queued message was sent or dropped and no output is queued.
 func (t *Traffic) checkBalanced() error {
 	if q, s, d := t.Queued.Load(), t.Sent.Load(), t.Dropped.Load(); q != s+d {
 		return fmt.Errorf("%d messages queued, %d sent, %d dropped", q, s, d)
 	}
 	if h := t.QueuedBytes.Load(); h != 0 {
-		return fmt.Errorf("%d bytes still held", h)
+		return fmt.Errorf("%d bytes still queued", h)
 	}
 	return nil
 }
 
 // Read returns whole messages only. Otherwise the parser behind it would buffer partial ones without a bound.
-func TestReadHandsOnWholeMessages(t *testing.T) {
+func TestReadReturnsWholeMessages(t *testing.T) {
 	c, peer := pair(t, defaultLimits, &Traffic{}, nil)
 	go func() {
 		for _, s := range []string{"one\ntw", "o\nthr", "ee", "\n"} {
@@ -78,7 +78,7 @@
 }
 
 // An incomplete message has an age until it is whole.
-func TestPartial(t *testing.T) {
+func TestPartialAge(t *testing.T) {
 	c, peer := pair(t, defaultLimits, &Traffic{}, nil)
 	read := make(chan int)
 	go func() {
@@ -198,7 +198,7 @@
 	}
 }
 
-// All connections together stay within HeldLimit: the one that exceeds it is closed, the others keep working.
+// All connections together stay within QueuedBytesLimit: the one that exceeds it is closed, the others keep working.
 func TestSharedMemoryBound(t *testing.T) {
 	tr := &Traffic{QueuedBytesLimit: 256 << 10}
 	limits := Limits{ReadBufferBytes: 8 << 10, WriteBufferBytes: 8 << 20, StallTimeout: 10 * time.Second}
@@ -226,7 +226,7 @@
 	}{
 		{nil, StillOpen}, {io.EOF, PeerClosed}, {fmt.Errorf("x: %w", syscall.ECONNRESET), PeerReset},
 		{syscall.EPIPE, PeerReset}, {io.ErrClosedPipe, PeerReset}, {net.ErrClosed, ClosedLocally},
-		{syscall.ECONNREFUSED, DialRefused}, {&Error{Reason: TooLong}, TooLong}, {errors.New("odd"), WriteFailed},
+		{syscall.ECONNREFUSED, DialRefused}, {&Error{Reason: TooLong}, TooLong}, {errors.New("other error"), WriteFailed},
 	} {
 		if got := CloseReasonOf(c.err, WriteFailed); got != c.want {
 			t.Errorf("%v is %v, want %v", c.err, got, c.want)
--- a/internal/stream/frame.go
+++ b/internal/stream/frame.go
@@ -17,9 +17,9 @@
 // Scan accepts all bytes.
 func (Bytes) Scan(p []byte) (int, CloseReason) { return len(p), StillOpen }
 
-// Lines frames messages that end in a line feed and are at most Longest bytes without it.
+// Lines frames messages that end in a line feed and have at most MaxLength bytes before it.
 type Lines struct {
-	MaxLength int
+	MaxLength int // bytes
 	openBytes int // bytes of the incomplete line
 }
 
@@ -44,12 +44,12 @@
 	return whole, StillOpen
 }
 
-// The bounds of a RESP message: array elements, bytes of an element, bytes of a message. They are far above
-// what the protocol allows, so that a request that is merely too big is still answered.
+// Bounds of a RESP message. They are far above what the protocol allows, so that a request that is merely too
+// big is still answered.
 const (
-	maxRESPParts        = 16
-	maxRESPPartBytes    = 8 << 10
-	maxRESPMessageBytes = 12 << 10
+	maxRESPParts        = 16       // array elements
+	maxRESPPartBytes    = 8 << 10  // of an element
+	maxRESPMessageBytes = 12 << 10 // of a message
 )
 
 // RESP frames arrays of bulk strings, the form of requests in the Redis protocol, and rejects everything else.
@@ -58,8 +58,8 @@
 type RESP struct {
 	state        respState
 	number       int // value of the current header
-	digits       int
-	partsLeft    int // still to come
+	digits       int // digits of it read so far
+	partsLeft    int // array elements still to come, -1 = in the array header
 	skipBytes    int // bytes of the bulk string still to come
 	messageBytes int // bytes of the message so far
 }
--- a/internal/stream/ring.go
+++ b/internal/stream/ring.go
@@ -9,8 +9,8 @@
 // appended.
 type Ring struct {
 	buf         []byte
-	head, count int
-	limit       int
+	head, count int // index of the oldest byte, and number of bytes queued
+	limit       int // bytes
 }
 
 // NewRing returns an empty ring for at most limit bytes.
@@ -57,6 +57,7 @@
 	return true
 }
 
+// grow enlarges the buffer to hold need bytes, but not beyond the limit.
 func (q *Ring) grow(need int) {
 	size := max(len(q.buf), minRingBytes)
 	for size < need {
