--- a/internal/front/client.go
+++ b/internal/front/client.go
@@ -21,11 +21,11 @@
 	server *Server
 
 	mu        sync.Mutex
-	open      map[uint64]*exchange.Exchange
-	lastUsed  time.Time // when it last carried a message
-	sentValid bool      // a valid message of the protocol was received
-	finSentAt time.Time // when FIN was sent on it, so that no new request comes
-	closedAt  time.Time // when it was closed
+	open      map[uint64]*exchange.Exchange // nil once the connection is closed
+	lastUsed  time.Time                     // when it last carried a message
+	sentValid bool                          // a valid message of the protocol was received
+	finSentAt time.Time                     // when FIN was sent on it, so that no new request comes
+	closedAt  time.Time                     // when it was closed
 }
 
 // Write discards what redcon itself sends, which is only replies to broken framing. Those connections are closed
@@ -101,8 +101,8 @@
 	}
 }
 
-// reject answers a message that could not be parsed as a request with FAIL, and with tag 0 if its own is not
-// valid. It is not refused, since it is unknown what its dispatcher would conclude from a refusal.
+// reject answers a message that could not be parsed as a request with FAIL, and with tag 0 if its own tag
+// is not valid. It is not refused, since it is unknown what its dispatcher would conclude from a refusal.
 func (c *client) reject(tag []byte) {
 	if _, err := parseTag(tag); err != nil {
 		tag = []byte("0")
@@ -110,6 +110,7 @@
 	c.Send(message(tag, "FAIL", nil, nil))
 }
 
+// call handles RPC.CALL: it passes a valid request to the sink and answers any other with FAIL.
 func (c *client) call(tagText []byte, args [][]byte) {
 	tag, err := parseTag(tagText)
 	var call exchange.Request
@@ -124,8 +125,8 @@
 		}
 	}
 	c.mu.Lock()
-	gone := c.open == nil
-	if err == nil && !gone {
+	closed := c.open == nil
+	if err == nil && !closed {
 		if len(c.open) >= maxOpenRequests {
 			err = fmt.Errorf("more than %d requests open on the connection", maxOpenRequests)
 		} else if c.open[tag] != nil {
@@ -133,9 +134,9 @@
 		}
 	}
 	c.lastUsed = time.Now()
-	if err != nil || gone {
+	if err != nil || closed {
 		c.mu.Unlock()
-		if gone { // the connection was closed before this was read
+		if closed { // the connection was closed before this was read
 			return
 		}
 		c.server.Counters.Calls.Add(1)
@@ -158,8 +159,10 @@
 	tag []byte
 }
 
+// Reply answers with FAIL, whatever the answer.
 func (r rejecter) Reply(uint64, exchange.Answer) { r.c.reject(r.tag) }
 
+// cancel handles RPC.CANCEL: it abandons the request with this tag, if it is open.
 func (c *client) cancel(tagText []byte) {
 	tag, _ := parseTag(tagText) // an invalid tag gives 0, which is never open
 	c.mu.Lock()
@@ -179,6 +182,7 @@
 	}
 }
 
+// health handles RPC.HEALTH: it answers GREEN or RED.
 func (c *client) health(tag []byte) {
 	c.mu.Lock()
 	c.lastUsed, c.sentValid = time.Now(), true
@@ -191,11 +195,11 @@
 	c.server.awaitAdmission(context.Background(), connlimit.HealthCheck)
 	start := time.Now()
 	defer c.server.chargeAdmission(connlimit.HealthCheck, start)
-	word := "RED"
+	color := "RED"
 	if c.server.healthy.Load() {
-		word = "GREEN"
+		color = "GREEN"
 	}
-	c.Send(message(tag, word, c.server.fields(nil, exchange.Answer{}), nil))
+	c.Send(message(tag, color, c.server.fields(nil, exchange.Answer{}), nil))
 }
 
 // fields appends an answer's fields to b: the published load feedback, retry-after and the stop-retrying flag.
@@ -206,18 +210,18 @@
 	if a.RetryAfter <= 0 && !a.Last {
 		return b
 	}
-	add := func(name string) {
+	addField := func(name string) {
 		if len(b) > 0 {
 			b = append(b, ',')
 		}
 		b = append(b, name...)
 	}
 	if a.RetryAfter > 0 {
-		add("later=")
+		addField("later=")
 		b = strconv.AppendInt(b, max(a.RetryAfter.Milliseconds(), 1), 10)
 	}
 	if a.Last {
-		add("giveup=1")
+		addField("giveup=1")
 	}
 	return b
 }
@@ -264,4 +268,5 @@
 	}
 }
 
+// finMessage is `0 FIN` as a RESP array of two bulk strings.
 var finMessage = redcon.AppendBulkString(redcon.AppendBulkString(redcon.AppendArray(nil, 2), "0"), "FIN")
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -2,7 +2,7 @@
 // checks with redcon, and sends answers through each connection's output ring.
 //
 // A Server passes requests to its Sink, which decides about them and answers through the exchange. The package
-// makes no decision about a request, runs none, and keeps nothing of one beyond its connection. One goroutine
+// makes no decision about a request, runs none, and keeps no request longer than its connection. One goroutine
 // for each connection reads it; answers may come from any goroutine.
 package front
 
@@ -65,10 +65,10 @@
 // Config configures a Server.
 type Config struct {
 	Settings      rules.Settings
-	Names         settings.Names
-	MaxConns      int     // connections open at once, 0 = no limit; more wait to be accepted
-	OutBytes      int64   // bytes of memory of all output rings together
-	SetupCPUShare float64 // share of a core for new connections and health checks, 0 = no limit
+	Names         settings.Names // of the classes and tenants
+	MaxConns      int            // connections open at once, 0 = no limit; more wait to be accepted
+	OutBytes      int64          // bytes of memory of all output rings together
+	SetupCPUShare float64        // share of a core for new connections and health checks, 0 = no limit
 	Log           *slog.Logger
 }
 
@@ -94,29 +94,29 @@
 	requestCounters *exchange.Counters
 
 	// Set from the constants above; tests change them.
-	limits                                                           stream.Limits
+	limits                                                           stream.Limits // of each connection
 	finTimeout, partialIdleLimit, partialMaxLimit, firstMessageLimit time.Duration
 
 	healthy     atomic.Bool
-	feedback    atomic.Pointer[string]
-	idleTimeout atomic.Int64 // nanoseconds, 0 = none
+	feedback    atomic.Pointer[string] // published load feedback as a field, nil = none yet
+	idleTimeout atomic.Int64           // nanoseconds, 0 = none
 
 	mu            sync.Mutex
 	clients       map[*client]struct{}
 	connClosed    chan struct{} // signalled when a connection's descriptor is closed
 	finAnnounced  bool          // FIN is sent on every connection
 	draining      bool          // connections close as soon as no answer is pending
-	baseListener  net.Listener
+	baseListener  net.Listener  // passed to Serve, nil before
 	acceptingDone chan struct{} // closed when no more connections are accepted
 
-	stopAccepting atomic.Bool
+	stopAccepting atomic.Bool // StopListening was called
 
 	started   time.Time
 	limiterMu sync.Mutex
 	limiter   *connlimit.Limiter // nil = no limit
 
-	lastWarning atomic.Int64
-	suppressed  atomic.Int64
+	lastWarning atomic.Int64 // Unix time of the last warning, nanoseconds
+	suppressed  atomic.Int64 // warnings suppressed since
 }
 
 // New returns a Server that passes requests to sink and counts them in requestCounters.
@@ -159,7 +159,7 @@
 	s.idleTimeout.Store(int64(after))
 }
 
-// Serve accepts connections from ln until ctx is cancelled or StopListening is called.
+// Serve accepts connections from ln until ctx is cancelled or StopListening is called, and then returns nil.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
 	s.mu.Lock()
 	s.baseListener = ln
@@ -183,6 +183,8 @@
 	ctx    context.Context
 }
 
+// Accept returns the next connection as a *client, once there is a free slot and the limiter admits it. It
+// retries after errors until the listener is closed.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.next()
@@ -246,12 +248,12 @@
 
 // awaitAdmission waits until the limiter admits an event, or ctx is cancelled. Requests on open connections are
 // not delayed.
-func (s *Server) awaitAdmission(ctx context.Context, k connlimit.Kind) {
+func (s *Server) awaitAdmission(ctx context.Context, kind connlimit.Kind) {
 	if s.limiter == nil {
 		return
 	}
 	s.limiterMu.Lock()
-	wait := s.limiter.Delay(time.Since(s.started), k)
+	wait := s.limiter.Delay(time.Since(s.started), kind)
 	s.limiterMu.Unlock()
 	if wait <= 0 {
 		return
@@ -262,14 +264,14 @@
 	}
 }
 
-// chargeAdmission reports the cost of an event to the limiter.
-func (s *Server) chargeAdmission(k connlimit.Kind, start time.Time) {
+// chargeAdmission charges the limiter with the time since start, the cost of an event.
+func (s *Server) chargeAdmission(kind connlimit.Kind, start time.Time) {
 	if s.limiter == nil {
 		return
 	}
 	cost := time.Since(start)
 	s.limiterMu.Lock()
-	s.limiter.Charge(k, cost)
+	s.limiter.Charge(kind, cost)
 	s.limiterMu.Unlock()
 }
 
@@ -283,6 +285,7 @@
 	return s.limiter.Delayed[connlimit.Connect], s.limiter.Delayed[connlimit.HealthCheck]
 }
 
+// atCapacity reports whether Config.MaxConns connections are open.
 func (s *Server) atCapacity() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/front/request.go
+++ b/internal/front/request.go
@@ -17,8 +17,8 @@
 const (
 	maxBodyBytes = 2 << 10
 	maxMemoryKB  = 2000 // exclusive
-	txnDigits    = 16
-	maxTagDigits = 18 // so that every tag fits into a uint64
+	txnDigits    = 16   // hexadecimal digits of a transaction name
+	maxTagDigits = 18   // so that every tag fits into a uint64
 
 	maxFields = 64 // the protocol defines twelve; fields it does not define are ignored
 )
@@ -26,11 +26,12 @@
 // requestParser parses requests and resolves the names of classes and tenants in them. It is read-only and safe
 // for concurrent use. Parsed requests hold no reference to the bytes of the message.
 type requestParser struct {
-	classes  map[string]int
-	tenants  map[string]int
+	classes  map[string]int // indices by name
+	tenants  map[string]int // indices by name, empty without tenants
 	settings rules.Settings
 }
 
+// newRequestParser returns a parser for the classes and tenants of the settings.
 func newRequestParser(set rules.Settings, names settings.Names) requestParser {
 	p := requestParser{classes: map[string]int{}, tenants: map[string]int{}, settings: set}
 	for i, n := range names.Classes {
@@ -60,7 +61,7 @@
 	return n, nil
 }
 
-// parseCall parses a request's class, fields and body. All strings are copied.
+// parseCall parses a request's class, fields and body, which it copies. The error says what is invalid.
 func (p *requestParser) parseCall(class, fields, body []byte) (exchange.Request, error) {
 	c := exchange.Request{Class: -1, Tenant: -1}
 	i, known := p.classes[string(class)]
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -36,23 +36,22 @@
 	fleetCapacityReceived // the fleet's present capacity
 )
 
-// event is one input of the loop. Fields that belong to some kinds only name them;
-// duration is how long the run or the call took, or how long ago the event happened.
+// event is one input of the loop. A field whose comment names a kind is set for that kind only.
 type event struct {
 	kind        eventKind
-	x           *exchange.Exchange
-	outcome     pool.Outcome
-	duration    time.Duration
-	body        []byte
-	cold        bool
-	recorded    bool              // runEnded: the result cache was notified
-	stored      bool              // runEnded: the result cache holds the result
-	answered    bool              // runEnded: the answer was sent
-	err         error             // intentCompleted
-	runID       string            // unknownRunEnded
-	poolViews   chan []pools.View // viewRequested
-	callOutcome rules.Outcome     // callEnded
-	callNumber  uint64            // callEnded: which one
+	x           *exchange.Exchange // the request, if the event is about one
+	outcome     pool.Outcome       // runEnded, unknownRunEnded
+	duration    time.Duration      // how long the run or the call took, or how long ago the event happened
+	body        []byte             // result of the run or the call; callNeeded: the statement
+	cold        bool               // workerPoolUp: it started cold
+	recorded    bool               // runEnded: the result cache needs no further call
+	stored      bool               // runEnded: the result cache holds the result
+	answered    bool               // runEnded: the answer was sent
+	err         error              // intentCompleted
+	runID       string             // unknownRunEnded
+	poolViews   chan []pools.View  // viewRequested
+	callOutcome rules.Outcome      // callEnded
+	callNumber  uint64             // callEnded: number of the call
 
 	sheddingView  chan shedding.View      // viewRequested
 	digest        *shedding.Digest        // digestReceived
@@ -79,8 +78,8 @@
 func (n *Node) CallerGone(x *exchange.Exchange) { n.post(event{kind: callerGone, x: x}) }
 
 // RunEnded delivers the end of a run; result is set if it is complete.
-func (n *Node) RunEnded(x *exchange.Exchange, end pool.Outcome, took time.Duration, result []byte) {
-	n.post(event{kind: runEnded, x: x, outcome: end, duration: took, body: result})
+func (n *Node) RunEnded(x *exchange.Exchange, outcome pool.Outcome, took time.Duration, result []byte) {
+	n.post(event{kind: runEnded, x: x, outcome: outcome, duration: took, body: result})
 }
 
 // WorkerPoolUp notifies the node that the worker pool has been up for since, and
@@ -137,8 +136,8 @@
 	case viewRequested:
 		n.sendView(e)
 	case digestReceived:
-		if t := n.shedder(); t != nil {
-			t.ReceiveDigestFrom(n.now, n.now-e.duration, e.service, *e.digest)
+		if s := n.shedder(); s != nil {
+			s.ReceiveDigestFrom(n.now, n.now-e.duration, e.service, *e.digest)
 		}
 	case fleetCapacityReceived:
 		if n.cfg.Recovery != nil {
@@ -168,7 +167,7 @@
 	}
 	n.isPoolUp = true
 	waiting := n.inArrivalOrder()
-	// An earlier start makes no difference.
+	// At this age a pool is warm and the overload window is full: an older one makes no difference.
 	up := min(e.duration, n.cfg.Settings.WarmUpTime+n.cfg.Settings.OverloadWindow)
 	if err := n.buildModule(n.now-up, e.cold); err != nil {
 		panic(err) // the same settings were accepted before
--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -44,7 +44,7 @@
 	h.answer(id, exchange.Answer{Kind: exchange.Refused, RetryAfter: retryAfter, Last: last})
 }
 
-// Fail answers without a promise whether the request ran.
+// Fail answers without saying whether the request ran.
 func (h host) Fail(id rules.RequestID) { h.answer(id, exchange.Answer{Kind: exchange.Failed}) }
 
 // answer gives a request its final answer.
@@ -63,12 +63,12 @@
 		return
 	}
 	req.cancelOpenCall()
-	h.lastCall++
-	call := h.lastCall
-	req.callNumber = call
+	h.lastCallNumber++
+	number := h.lastCallNumber
+	req.callNumber = number
 	req.cancelCall = h.cfg.Calls.Call(req.x.Txn, req.statement, timeout,
 		func(o rules.Outcome, result []byte, took time.Duration) {
-			h.post(event{kind: callEnded, x: req.x, callOutcome: o, body: result, duration: took, callNumber: call})
+			h.post(event{kind: callEnded, x: req.x, callOutcome: o, body: result, duration: took, callNumber: number})
 		})
 }
 
@@ -79,7 +79,7 @@
 	}
 }
 
-// KeepRecord creates or renews the idempotency record of a request.
+// KeepRecord creates the idempotency record of a request, or renews it, to expire after span.
 func (h host) KeepRecord(id rules.RequestID, span time.Duration) {
 	req := h.requests[id]
 	if req == nil {
@@ -119,7 +119,8 @@
 	}
 }
 
-// SetHealth sets the state that health checks and the membership service see.
+// SetHealth sets the health that health checks and the membership service get. The module
+// always passes true as the first argument.
 func (h host) SetHealth(_, good bool) {
 	h.front.SetHealth(good)
 	if h.cfg.Health != nil {
@@ -136,7 +137,7 @@
 // SetIdleTimeout sets the idle timeout of connections.
 func (h host) SetIdleTimeout(after time.Duration) { h.front.SetIdleTimeout(after) }
 
-// StartTimer starts a timer.
+// StartTimer starts a timer that fires after in, and passes token to the module then.
 func (h host) StartTimer(token uint64, in time.Duration) {
 	at := h.now + in
 	i := len(h.timers)
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -17,8 +17,8 @@
 
 // timer is a timer of the module.
 type timer struct {
-	at    time.Duration
-	token uint64
+	at    time.Duration // when it fires
+	token uint64        // the module's name for it
 }
 
 // Run restores the idempotency records of previous incarnations and runs the loop until
@@ -153,7 +153,9 @@
 	step()
 }
 
-// buildModule creates the module as of the time when the worker pool came up.
+// buildModule creates the module as of the time when the worker pool came up, so that a pool
+// that started cold has been warming up since then. It returns an error if the settings are
+// invalid.
 func (n *Node) buildModule(poolUpSince time.Duration, cold bool) error {
 	n.timers, n.gaugesPolled, n.poolUpSince = nil, false, poolUpSince
 	n.cfg.Settings.ColdStart = cold
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -18,7 +18,7 @@
 	"robinmast/rules"
 )
 
-// Front is the server side towards dispatchers. Its methods must not block.
+// Front is the server that dispatchers connect to. Its methods must not block.
 type Front interface {
 	SetHealth(good bool)
 	PublishLoad(value float64)
@@ -44,11 +44,11 @@
 // Config configures a Node.
 type Config struct {
 	Settings    rules.Settings
-	Seed        uint64
-	ResultBytes int // bound for results held in memory, bytes
-	Health      func(good bool)
-	Load        func(Load)                               // called at each timer, nil = not reported
-	LoadReport  func(shedding.LoadReport, shedding.View) // the same, with fleet-aware load shedding
+	Seed        uint64                                   // of the module's random numbers
+	ResultBytes int                                      // bound for results held in memory, bytes
+	Health      func(good bool)                          // called when the module sets the health, may be nil
+	Load        func(Load)                               // called at each timer of the module, nil = not reported
+	LoadReport  func(shedding.LoadReport, shedding.View) // called after Load if the settings have a load shedder
 	Calls       Calls                                    // downstream dependency, nil = none
 	ResultCache ResultCache                              // persistent result cache, nil = none
 	Recovery    Recovery                                 // recovery to full service, nil = not tracked
@@ -80,29 +80,29 @@
 	unixMillis func() float64       // Unix time, milliseconds
 
 	mu     sync.Mutex
-	events []event
-	gauges []float64
-	wake   chan struct{}
+	events []event       // for the next batch
+	gauges []float64     // read last
+	wake   chan struct{} // signalled when an event is queued
 
 	// The fields below are used by the loop's goroutine only.
-	module        decisionModule
-	isPoolUp      bool
-	poolUpSince   time.Duration
-	now           time.Duration
-	nextID        rules.RequestID
-	lastCall      uint64 // number of the last downstream call
-	requests      map[rules.RequestID]*openRequest
-	byExchange    map[*exchange.Exchange]*openRequest
-	byTxn         map[string]struct{}
-	timers        []timer // by time
-	gaugesPolled  bool    // the gauges were polled for the first timer
-	records       recordTable
-	followUps     []event // produced by the loop itself, for its next batch
-	restored      []*restoredRequest
-	restoredByRun map[string]*restoredRequest // the restored requests whose run may still end
-	draining      bool
-	drainSince    time.Duration // when the drain notice came
-	drainTime     time.Duration // from then until the process stops
+	module         decisionModule
+	isPoolUp       bool
+	poolUpSince    time.Duration // the start that the module assumes, by clock
+	now            time.Duration
+	nextID         rules.RequestID
+	lastCallNumber uint64 // of downstream calls
+	requests       map[rules.RequestID]*openRequest
+	byExchange     map[*exchange.Exchange]*openRequest
+	byTxn          map[string]struct{} // transaction names of the open requests
+	timers         []timer             // earliest first
+	gaugesPolled   bool                // the gauges were polled for the earliest timer
+	records        recordTable
+	followUps      []event                     // produced by the loop itself, for its next batch
+	restored       []*restoredRequest          // requests of previous incarnations
+	restoredByRun  map[string]*restoredRequest // the restored requests whose run may still end
+	draining       bool
+	drainSince     time.Duration // when the drain notice came
+	drainTime      time.Duration // from then until the process stops
 
 	// Recovery: the share of its full load that the node asks for, the share of its
 	// speed that it has reached, and the load feedback before scaling by loadShare.
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -14,8 +14,8 @@
 	"robinmast/rules"
 )
 
-// sides stands in for the server, the worker pool and the dispatchers.
-type sides struct {
+// stubPeers stands in for the server, the worker pool and the dispatchers, and records what it receives.
+type stubPeers struct {
 	mu                 sync.Mutex // the result cache starts runs and answers from goroutines of its own
 	started, stopped   []string
 	continued, skipped []string
@@ -25,21 +25,21 @@
 	published          float64
 }
 
-func (s *sides) StartRun(x *exchange.Exchange) {
+func (s *stubPeers) StartRun(x *exchange.Exchange) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.started = append(s.started, x.Txn)
 }
-func (s *sides) StopRun(x *exchange.Exchange)         { s.stopped = append(s.stopped, x.Txn) }
-func (s *sides) ContinueWithout(x *exchange.Exchange) { s.skipped = append(s.skipped, x.Txn) }
-func (s *sides) ContinueWithResult(x *exchange.Exchange, result []byte) {
+func (s *stubPeers) StopRun(x *exchange.Exchange)         { s.stopped = append(s.stopped, x.Txn) }
+func (s *stubPeers) ContinueWithout(x *exchange.Exchange) { s.skipped = append(s.skipped, x.Txn) }
+func (s *stubPeers) ContinueWithResult(x *exchange.Exchange, result []byte) {
 	s.continued = append(s.continued, x.Txn+" "+string(result))
 }
-func (s *sides) PollGauges()                  { s.polls++ }
-func (s *sides) SetHealth(good bool)          { s.healthy = good }
-func (s *sides) PublishLoad(v float64)        { s.published = v }
-func (s *sides) SetIdleTimeout(time.Duration) {}
-func (s *sides) Reply(tag uint64, a exchange.Answer) {
+func (s *stubPeers) PollGauges()                  { s.polls++ }
+func (s *stubPeers) SetHealth(good bool)          { s.healthy = good }
+func (s *stubPeers) PublishLoad(v float64)        { s.published = v }
+func (s *stubPeers) SetIdleTimeout(time.Duration) {}
+func (s *stubPeers) Reply(tag uint64, a exchange.Answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.answers[tag] = append(s.answers[tag], a)
@@ -48,7 +48,7 @@
 // rig is a node whose batches the test runs itself.
 type rig struct {
 	*Node
-	*sides
+	*stubPeers
 	t        *testing.T
 	counters exchange.Counters
 	tag      uint64
@@ -79,12 +79,12 @@
 
 func newRigWith(t *testing.T, cfg Config, poolUp bool) *rig {
 	t.Helper()
-	r := &rig{t: t, sides: &sides{answers: map[uint64][]exchange.Answer{}}}
+	r := &rig{t: t, stubPeers: &stubPeers{answers: map[uint64][]exchange.Answer{}}}
 	cfg.ResultBytes, cfg.Log = 1<<10, slog.New(slog.NewTextHandler(io.Discard, nil))
 	r.Node = New(cfg)
 	r.clock = func() time.Duration { return r.elapsed }
 	r.unixMillis = r.unixMs
-	r.Attach(r.sides, r.sides)
+	r.Attach(r.stubPeers, r.stubPeers)
 	r.readClock()
 	if err := r.restore(); err != nil {
 		t.Fatal(err)
@@ -117,7 +117,7 @@
 	if more != nil {
 		more(&c)
 	}
-	x := exchange.New(&r.counters, r.sides, r.tag, c)
+	x := exchange.New(&r.counters, r.stubPeers, r.tag, c)
 	r.Arrived(x)
 	r.runBatches()
 	return x
@@ -225,7 +225,7 @@
 // A request that is cancelled before the loop handles its arrival does not run.
 func TestCallerGoneBeforeArrival(t *testing.T) {
 	r := newRig(t, defaultSettings(), true)
-	x := exchange.New(&r.counters, r.sides, 1, exchange.Request{Txn: "x", ArrivedUnixMs: r.unixMs(), MemoryKB: 1, Safe: true})
+	x := exchange.New(&r.counters, r.stubPeers, 1, exchange.Request{Txn: "x", ArrivedUnixMs: r.unixMs(), MemoryKB: 1, Safe: true})
 	r.Arrived(x)
 	x.Abandon(exchange.EndedCancelled)
 	r.CallerGone(x)
@@ -505,7 +505,7 @@
 	r.module = faultyModule{r.module}
 	first.Abandon(exchange.EndedCallerGone)
 	r.CallerGone(first)
-	behind := exchange.New(&r.counters, r.sides, 77, exchange.Request{Txn: "behind", ArrivedUnixMs: r.unixMs(), TimeoutMs: 5000, MemoryKB: 1, Safe: true})
+	behind := exchange.New(&r.counters, r.stubPeers, 77, exchange.Request{Txn: "behind", ArrivedUnixMs: r.unixMs(), TimeoutMs: 5000, MemoryKB: 1, Safe: true})
 	r.Arrived(behind)
 	r.runBatches()
 	if r.ModuleResets.Load() != 1 {
@@ -587,7 +587,7 @@
 	go func() { r.loop(ctx); close(done) }()
 	const requests = 200
 	for i := range requests {
-		r.Arrived(exchange.New(&r.counters, r.sides, uint64(i+1), exchange.Request{Txn: fmt.Sprint(i), ArrivedUnixMs: r.unixMs(), Safe: true, MemoryKB: 1}))
+		r.Arrived(exchange.New(&r.counters, r.stubPeers, uint64(i+1), exchange.Request{Txn: fmt.Sprint(i), ArrivedUnixMs: r.unixMs(), Safe: true, MemoryKB: 1}))
 		time.Sleep(100 * time.Microsecond)
 	}
 	time.Sleep(20 * time.Millisecond)
--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -18,7 +18,7 @@
 // record is one idempotency record. The newest try for which the module called
 // KeepRecord holds it.
 type record struct {
-	key          string
+	key          string // in recordTable.byKey
 	bodyHash     uint64 // of the body of the request that created it, 0 = not known
 	holder       rules.RequestID
 	expires      time.Duration
@@ -28,17 +28,17 @@
 	stored       bool // the result can be fetched from the result cache, under storeKey
 	failRepeats  bool // of a previous incarnation: a repeat must not run, even if it is safe
 	storeKey     string
-	waitUntil    time.Duration // how long to wait for the end of a previous incarnation's run, 0 = not waiting
-	result       []byte
-	waiting      []*openRequest
+	waitUntil    time.Duration  // how long to wait for the end of a previous incarnation's run, 0 = not waiting
+	result       []byte         // held in memory, nil = not held
+	waiting      []*openRequest // requests that joined it before its run ended
 }
 
 // recordTable holds the idempotency records, and their results within a bound.
 type recordTable struct {
 	byKey       map[string]*record
 	results     []*record // records that hold a result, oldest first
-	resultBytes int
-	resultLimit int
+	resultBytes int       // bytes of these results
+	resultLimit int       // bound of resultBytes
 	lastSweep   time.Duration
 }
 
@@ -49,17 +49,19 @@
 
 var hashSeed = maphash.MakeSeed()
 
-// hashKey converts an item's name to the module's key; 0 means none.
-func hashKey(item string) uint64 {
-	if item == "" {
+// hashKey hashes an item's name or a record's key for the module, which takes 0 as none. It
+// returns 0 for "" only.
+func hashKey(name string) uint64 {
+	if name == "" {
 		return 0
 	}
-	return maphash.String(hashSeed, item) | 1
+	return maphash.String(hashSeed, name) | 1
 }
 
 // recordKey returns the key that all tries of a request share, "" if there is none.
 // Nothing in the protocol keeps two tenants from using one key, so the tenant's name is
-// part of it and no result crosses tenants.
+// part of it and no result crosses tenants. The first letter is "u" for an idempotency key and
+// "i" for the item of a read.
 func recordKey(x *exchange.Exchange, settings rules.Settings) string {
 	switch {
 	case settings.Classes[x.Class].Effect == rules.Keyed:
@@ -179,11 +181,11 @@
 
 // endJoined ends a request that joined an earlier one, in the loop's next batch.
 func (n *Node) endJoined(req *openRequest, succeeded bool, result []byte) {
-	end := pool.Error
+	outcome := pool.Error
 	if succeeded {
-		end = pool.Complete
+		outcome = pool.Complete
 	}
 	n.followUps = append(n.followUps, event{
-		kind: runEnded, x: req.x, outcome: end, duration: n.cfg.Settings.BatchInterval, body: result,
+		kind: runEnded, x: req.x, outcome: outcome, duration: n.cfg.Settings.BatchInterval, body: result,
 	})
 }
--- a/internal/node/recovery.go
+++ b/internal/node/recovery.go
@@ -12,26 +12,26 @@
 // asks for, which requests are in doubt, and the learned state for a warm start. Its
 // methods are called by the loop's goroutine only and must not block.
 type Recovery interface {
-	// Begin notes the start of the node.
+	// Begin is called once, before anything else, when the node starts.
 	Begin(now time.Duration)
 	// WorkerPoolUp returns the learned state for a warm start of the module, nil = none,
-	// with its weight and the speed reached.
+	// with its weight and the share of full speed to start at, both from 0 to 1.
 	WorkerPoolUp(now, since time.Duration, cold bool) (l *rules.Learned, weight, speed float64)
-	// InDoubt reports whether a request without an idempotency record may have run. retry
-	// marks a further try.
+	// InDoubt reports whether a request without an idempotency record may have run in a
+	// previous incarnation. key is that of its record, 0 = none; retry marks a further try.
 	InDoubt(now time.Duration, class int, key uint64, retry bool, age time.Duration) bool
 	// Arrived counts a request; retry marks a further try.
 	Arrived(now time.Duration, retry bool)
-	// RunSucceeded observes a run; it reports whether the module's warm start is to be
-	// discarded.
-	RunSucceeded(now time.Duration, class int, took, hint time.Duration) (forget bool)
+	// RunSucceeded observes a successful run, how long it took and the work that its request
+	// expected (0 = not known). It reports whether the module's warm start is to be discarded.
+	RunSucceeded(now time.Duration, class int, took, hint time.Duration) (discardWarmStart bool)
 	// Step runs at each timer of the module. short means that the fleet is short of
 	// capacity. It returns the share of its full load that the node asks for, and the share
 	// of its full speed that it has reached.
 	Step(now time.Duration, short bool, learned func() rules.Learned) (loadShare, speed float64)
-	// ObservePrevious takes what a control service observed of previous incarnations.
-	ObservePrevious(now time.Duration, h *recovery.PreviousStore)
-	// FleetCapacity takes the present share of the fleet's usual capacity.
+	// ObservePrevious takes what a control service observed of previous incarnations, nil = of none.
+	ObservePrevious(now time.Duration, previous *recovery.PreviousStore)
+	// FleetCapacity takes the present share of the fleet's usual capacity, as of since.
 	FleetCapacity(since time.Duration, share float64)
 	// Close stores the learned state for the next start.
 	Close(l rules.Learned)
@@ -46,8 +46,8 @@
 
 // ObservePrevious delivers what a control service observed of previous incarnations of
 // this node's name, nil = of none.
-func (n *Node) ObservePrevious(h *recovery.PreviousStore) {
-	n.post(event{kind: previousObserved, previous: h})
+func (n *Node) ObservePrevious(previous *recovery.PreviousStore) {
+	n.post(event{kind: previousObserved, previous: previous})
 }
 
 // FleetCapacity delivers the present share of the fleet's usual capacity, as of since.
@@ -74,8 +74,8 @@
 		return
 	}
 	short := false
-	if t := n.shedder(); t != nil {
-		short = t.View(n.now).Shortage > 0.5
+	if s := n.shedder(); s != nil {
+		short = s.View(n.now).Shortage > 0.5
 	}
 	loadShare, speed := n.cfg.Recovery.Step(n.now, short, n.learned)
 	n.speed = speed
@@ -121,9 +121,9 @@
 // a recovering node could never show that it is healthy.
 const minLoadShare = 0.05
 
-// observeRun passes a successful run to the recovery.
-func (n *Node) observeRun(req *openRequest, e event, reused bool) {
-	if n.cfg.Recovery == nil || reused || e.duration <= 0 {
+// observeRun passes a successful run to the recovery, unless the request only joined another one's run.
+func (n *Node) observeRun(req *openRequest, e event, joined bool) {
+	if n.cfg.Recovery == nil || joined || e.duration <= 0 {
 		return
 	}
 	hint := time.Duration(req.x.HintMs * float64(time.Millisecond))
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -12,13 +12,13 @@
 
 // openRequest is a request that has no final answer yet, or whose run is not over.
 type openRequest struct {
-	id      rules.RequestID // the module's name for it
+	id      rules.RequestID // its name in the module
 	x       *exchange.Exchange
 	running bool    // a run was started and is not over
 	joined  bool    // waits for the result of the earlier request that it repeats
 	record  *record // the idempotency record that it holds
 
-	statement  []byte // of the downstream call that its run waits for
+	statement  []byte // of the downstream call that its run needs
 	callNumber uint64 // the number of the call in flight, 0 = none
 	cancelCall func() // cancels the call in flight
 
@@ -41,7 +41,7 @@
 	if x.FinalState() != exchange.Open { // its caller left before this batch
 		return
 	}
-	if _, twice := n.byTxn[x.Txn]; twice { // the worker pool could not distinguish them
+	if _, duplicate := n.byTxn[x.Txn]; duplicate { // the worker pool could not distinguish them
 		x.Answer(exchange.Answer{Kind: exchange.Failed})
 		return
 	}
@@ -70,7 +70,7 @@
 	n.module.Arrive(n.now, q)
 }
 
-// maxClockSpan bounds the spans computed from the clocks of two programs.
+// maxClockSpan bounds the times computed from the clocks of two programs, which may differ by any amount.
 const maxClockSpan = time.Hour
 
 // moduleRequest converts a request to the module's form; unix is the Unix time in milliseconds.
@@ -88,8 +88,8 @@
 	return q
 }
 
-// handleCallEnd handles the end of a downstream call. The run continues with its result,
-// if there is one.
+// handleCallEnd handles the end of a downstream call. The run continues with its result if
+// it succeeded; otherwise the module decides.
 func (n *Node) handleCallEnd(e event) {
 	req := n.byExchange[e.x]
 	if req == nil || req.callNumber != e.callNumber { // its run ended meanwhile
--- a/internal/node/resultcache.go
+++ b/internal/node/resultcache.go
@@ -6,7 +6,7 @@
 	"robinmast/decide/resultcache"
 	"robinmast/internal/exchange"
 	"robinmast/internal/pool"
-	memory "robinmast/internal/resultcache"
+	cache "robinmast/internal/resultcache"
 	"robinmast/rules"
 )
 
@@ -15,50 +15,49 @@
 type ResultCache interface {
 	// Restore returns the records of previous incarnations; it is called once, before
 	// anything else.
-	Restore(now time.Duration) ([]memory.RestoredRecord, error)
-	// Wants reports whether a request is recorded, and whether its run must wait until
+	Restore(now time.Duration) ([]cache.RestoredRecord, error)
+	// ShouldRecord reports whether a request is recorded, and whether its run must wait until
 	// its intent is durable.
 	ShouldRecord(x *exchange.Exchange) (record, intent bool)
 	// StoreIntent writes that the request is about to run; done is called once that is
 	// durable, or with the error.
 	StoreIntent(now time.Duration, x *exchange.Exchange, expires time.Duration, done func(error))
-	// RunsUnrecorded reports whether a run whose intent could not be written starts all
-	// the same.
+	// RunsUnrecorded reports whether a run whose intent failed with err starts all the same.
 	RunsUnrecorded(err error) bool
-	// RunEnded stores how a run ended; done receives whether the result is stored.
-	RunEnded(now time.Duration, x *exchange.Exchange, expires time.Duration, good bool, body []byte,
+	// RunEnded stores how a run ended; done, which may be nil, receives whether the result
+	// is stored.
+	RunEnded(now time.Duration, x *exchange.Exchange, expires time.Duration, succeeded bool, body []byte,
 		done func(stored bool))
 	// Withdraw removes the intent of a request that did not run.
 	Withdraw(x *exchange.Exchange)
 	// LateRunEnded stores how a run of a previous incarnation ended.
-	LateRunEnded(now time.Duration, r memory.RestoredRecord, good bool, body []byte)
-	// DecideRepeat decides how repeats of a restored request are treated; pool is when
-	// the worker pool came up.
-	DecideRepeat(r memory.RestoredRecord, pool time.Duration) resultcache.RepeatAction
+	LateRunEnded(now time.Duration, r cache.RestoredRecord, succeeded bool, body []byte)
+	// DecideRepeat decides how repeats of a restored request are treated.
+	DecideRepeat(r cache.RestoredRecord, poolUpSince time.Duration) resultcache.RepeatAction
 	// CountRepeat counts a repeat of a restored request, answered with a result or failed.
 	CountRepeat(served bool)
 	// Fetch reads a stored result.
 	Fetch(key string, done func(body []byte, err error))
-	// Flush is called at the end of each batch.
+	// Flush is called at the end of each batch, to write what it collected.
 	Flush(now time.Duration)
 	// Close writes what is left and closes the store.
 	Close(now time.Duration) error
 }
 
-// States of openRequest.intentGate. The one that moves it out of gateWaiting decides: the
-// store, which starts the run, or the loop, which stops it.
+// States of openRequest.intentGate. The store's callback, which starts the run, and the
+// loop, which may stop it, race to move it out of gateWaiting; the first one decides.
 const (
-	noGate uint32 = iota
-	gateWaiting
-	gateOpen
-	gateStopped
+	noGate      uint32 = iota // the run does not wait for an intent
+	gateWaiting               // it waits until its intent is durable
+	gateOpen                  // the callback started it
+	gateStopped               // the loop stopped it before it started
 )
 
 // restoredRequest is a request of a previous incarnation, from its stored record.
 type restoredRequest struct {
-	memory.RestoredRecord
-	id     rules.RequestID // the module's name for the request that created it
-	record *record
+	cache.RestoredRecord
+	id     rules.RequestID // its name in the module
+	record *record         // in the record table, nil = none
 }
 
 // restore loads the records of previous incarnations.
@@ -73,10 +72,10 @@
 	n.restoredByRun = map[string]*restoredRequest{}
 	for _, r := range list {
 		n.nextID++
-		e := &restoredRequest{RestoredRecord: r, id: n.nextID}
-		n.restored = append(n.restored, e)
+		restored := &restoredRequest{RestoredRecord: r, id: n.nextID}
+		n.restored = append(n.restored, restored)
 		if r.Record.Kind == resultcache.Intent {
-			n.restoredByRun[r.Record.Run] = e
+			n.restoredByRun[r.Record.Run] = restored
 		}
 	}
 	// Until the worker pool reports its start, it may have outlived the previous incarnation.
@@ -172,7 +171,7 @@
 	n.pool.StopRun(req.x)
 }
 
-// recordExpiry returns until when repeats of the request may come.
+// recordExpiry returns until when repeats of the request may arrive.
 func (n *Node) recordExpiry(req *openRequest) time.Duration {
 	if req.record != nil {
 		return req.record.expires
@@ -180,7 +179,7 @@
 	return n.now + n.cfg.Settings.Classes[req.x.Class].Deadline
 }
 
-// handleIntent handles an intent whose run was not started. A request whose intent could
+// handleIntent handles an intent after whose write the run was not started. A request whose intent could
 // not be written fails, and may be tried again: nothing ran.
 func (n *Node) handleIntent(e event) {
 	req := n.byExchange[e.x]
@@ -213,11 +212,11 @@
 	}
 	switch e.outcome {
 	case pool.Complete:
-		n.cfg.ResultCache.RunEnded(n.now, req.x, n.recordExpiry(req), true, e.body, func(has bool) {
-			stored := e
-			stored.recorded, stored.stored, stored.answered = true, has, true
+		n.cfg.ResultCache.RunEnded(n.now, req.x, n.recordExpiry(req), true, e.body, func(hasResult bool) {
+			followUp := e
+			followUp.recorded, followUp.stored, followUp.answered = true, hasResult, true
 			e.x.Answer(exchange.Answer{Kind: exchange.Served, Body: e.body})
-			n.post(stored)
+			n.post(followUp)
 		})
 		return true
 	case pool.Error:
@@ -246,20 +245,20 @@
 }
 
 // UnknownRunEnded delivers the end of a run that this incarnation did not start.
-func (n *Node) UnknownRunEnded(run string, end pool.Outcome, result []byte) {
-	n.post(event{kind: unknownRunEnded, runID: run, outcome: end, body: result})
+func (n *Node) UnknownRunEnded(run string, outcome pool.Outcome, result []byte) {
+	n.post(event{kind: unknownRunEnded, runID: run, outcome: outcome, body: result})
 }
 
 // fetchResult serves a request from a result that is only on the disk.
 func (n *Node) fetchResult(req *openRequest, rec *record) {
 	x := req.x
 	n.cfg.ResultCache.Fetch(rec.storeKey, func(body []byte, err error) {
-		end := pool.Complete
+		outcome := pool.Complete
 		if err != nil {
-			end = pool.Error
+			outcome = pool.Error
 		}
 		n.cfg.ResultCache.CountRepeat(err == nil)
-		n.post(event{kind: runEnded, x: x, outcome: end, duration: n.cfg.Settings.BatchInterval, body: body})
+		n.post(event{kind: runEnded, x: x, outcome: outcome, duration: n.cfg.Settings.BatchInterval, body: body})
 	})
 }
 
--- a/internal/node/resultcache_test.go
+++ b/internal/node/resultcache_test.go
@@ -77,8 +77,8 @@
 }
 
 func (l *incarnation) hasRun(x *exchange.Exchange) bool {
-	l.sides.mu.Lock()
-	defer l.sides.mu.Unlock()
+	l.stubPeers.mu.Lock()
+	defer l.stubPeers.mu.Unlock()
 	for _, txn := range l.started {
 		if txn == x.Txn {
 			return true
@@ -88,8 +88,8 @@
 }
 
 func (l *incarnation) hasAnswer(x *exchange.Exchange) bool {
-	l.sides.mu.Lock()
-	defer l.sides.mu.Unlock()
+	l.stubPeers.mu.Lock()
+	defer l.stubPeers.mu.Unlock()
 	return len(l.answers[x.Tag]) > 0
 }
 
@@ -107,7 +107,7 @@
 func TestCrashAtEveryDiskOperation(t *testing.T) {
 	disk := vfs.NewMem(true)
 	a := startIncarnation(t, disk, 1000, time.Hour, nil)
-	began := disk.Ops()
+	idle := disk.Ops()
 	release := blockDisk(disk)
 	x := a.send(1, withKey("k"))
 	ranEarly := a.hasRun(x)
@@ -121,10 +121,10 @@
 	a.eventually("the answer", func() bool { return a.hasAnswer(x) })
 	a.wantAnswer(x, exchange.Served, "result")
 	done := disk.Ops()
-	if ran <= began || done <= ran {
-		t.Fatalf("operations: %d before, %d at the run, %d at the answer", began, ran, done)
+	if ran <= idle || done <= ran {
+		t.Fatalf("operations: %d before, %d at the run, %d at the answer", idle, ran, done)
 	}
-	for n := began; n <= done; n++ {
+	for n := idle; n <= done; n++ {
 		cuts := []vfs.Cut{vfs.KeepAll, vfs.KeepNone}
 		if o := disk.OpAt(max(n-1, 0)); o.Kind == vfs.OpWrite {
 			for i := range len(o.Data) {
@@ -266,8 +266,8 @@
 		set := func(r *config.Results, _ *rules.Settings) { r.FailUnknown = fail }
 		disk := vfs.NewMem(false)
 		a := startIncarnation(t, disk, 1000, time.Hour, set)
-		x, cut := a.send(0, withItem("i")), a.send(0, withItem("cut"))
-		a.eventually("both runs", func() bool { return a.hasRun(x) && a.hasRun(cut) })
+		x, interrupted := a.send(0, withItem("i")), a.send(0, withItem("interrupted"))
+		a.eventually("both runs", func() bool { return a.hasRun(x) && a.hasRun(interrupted) })
 		a.RunEnded(x, pool.Complete, time.Millisecond, []byte("read"))
 		a.eventually("the answer", func() bool { return a.hasAnswer(x) })
 		b := startIncarnation(t, disk.Clone(), 1300, 0, set)
@@ -276,7 +276,7 @@
 		b.wantAnswer(y, exchange.Served, "read")
 		other := b.send(0, func(c *exchange.Request) { c.Item, c.TenantName = "i", "other" })
 		b.eventually("another tenant's run", func() bool { return b.hasRun(other) })
-		z := b.send(0, withItem("cut"))
+		z := b.send(0, withItem("interrupted"))
 		b.eventually("a run or an answer", func() bool { return b.hasRun(z) || b.hasAnswer(z) })
 		if b.hasRun(z) == fail {
 			t.Errorf("running at the crash, FailUnknown %v: ran %v", fail, b.hasRun(z))
@@ -350,7 +350,7 @@
 		t.Error("it ran before its intent was written")
 	}
 	a.eventually("the run", func() bool { return a.hasRun(x) })
-	cut := disk.Clone()
+	crashed := disk.Clone() // the disk of a node that crashes during the run
 	a.RunEnded(x, pool.Complete, time.Millisecond, []byte("done"))
 	a.eventually("the answer", func() bool { return a.hasAnswer(x) })
 	a.runBatches()
@@ -358,15 +358,16 @@
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
-		disk  *vfs.Mem
-		named bool
-	}{{cut, true}, {disk.Clone(), false}} {
+		disk   *vfs.Mem
+		logged bool
+	}{{crashed, true}, {disk.Clone(), false}} {
 		var log bytes.Buffer
 		cacheLog = slog.New(slog.NewTextHandler(&log, nil))
 		b := startIncarnation(t, c.disk, 1010, time.Hour, set)
 		cacheLog = slog.New(slog.NewTextHandler(io.Discard, nil))
-		if named := strings.Contains(log.String(), "unsafe work that may have run") && strings.Contains(log.String(), x.Txn); named != c.named || len(b.restored) != 0 {
-			t.Errorf("running at the crash %v: logged %v, %d records: %s", c.named, named, len(b.restored), log.String())
+		logged := strings.Contains(log.String(), "unsafe work that may have run") && strings.Contains(log.String(), x.Txn)
+		if logged != c.logged || len(b.restored) != 0 {
+			t.Errorf("running at the crash %v: logged %v, %d records: %s", c.logged, logged, len(b.restored), log.String())
 		}
 	}
 }
--- a/internal/node/views.go
+++ b/internal/node/views.go
@@ -10,9 +10,9 @@
 
 // Load is the node's present load, for the reports to the control service.
 type Load struct {
-	Running  int
+	Running  int     // runs
 	Limit    float64 // concurrency limit, runs
-	Pressure float64
+	Pressure float64 // as the module's Load returns it
 	Warm     float64 // share of its full speed that a cold node has reached
 	State    string  // recovery state, "" = not tracked
 }
@@ -37,12 +37,12 @@
 	if n.cfg.LoadReport == nil {
 		return
 	}
-	if t := n.shedder(); t != nil {
-		n.cfg.LoadReport(t.LoadReport(), t.View(n.now))
+	if s := n.shedder(); s != nil {
+		n.cfg.LoadReport(s.LoadReport(), s.View(n.now))
 	}
 }
 
-// shedder returns the module's fleet-aware load shedder, nil if it is off.
+// shedder returns the module's fleet-aware load shedder, nil if it has none.
 func (n *Node) shedder() *shedding.Shedder {
 	m, ok := n.module.(interface {
 		Inspect() (rules.Pools, []rules.QueuedRequest, rules.Shedder)
@@ -50,9 +50,9 @@
 	if !ok {
 		return nil
 	}
-	_, _, t := m.Inspect()
-	together, _ := t.(*shedding.Shedder)
-	return together
+	_, _, inspected := m.Inspect()
+	shedder, _ := inspected.(*shedding.Shedder)
+	return shedder
 }
 
 // Shedding returns the state of fleet-aware load shedding; false if it is off or the
@@ -87,8 +87,8 @@
 		e.poolViews <- n.poolViews()
 	}
 	if e.sheddingView != nil {
-		if t := n.shedder(); t != nil {
-			e.sheddingView <- t.View(n.now)
+		if s := n.shedder(); s != nil {
+			e.sheddingView <- s.View(n.now)
 		}
 		close(e.sheddingView)
 	}
@@ -102,8 +102,8 @@
 	if !ok {
 		return nil
 	}
-	p, queued, _ := m.Inspect()
-	if p, ok := p.(*pools.Pools); ok {
+	inspected, queued, _ := m.Inspect()
+	if p, ok := inspected.(*pools.Pools); ok {
 		return p.Views(queued)
 	}
 	return nil
