--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -32,7 +32,7 @@
 	writeBufferBytes   = 2 << 20                // write buffer: commands of five hundred requests
 	dialTimeout        = time.Second            // per attempt
 	backoffMin         = 10 * time.Millisecond  // between attempts to connect
-	backoffMax         = 500 * time.Millisecond // the same after many
+	backoffMax         = 500 * time.Millisecond // the same after many failures
 	silenceTimeout     = 2 * time.Second        // without a line, with polls outstanding, the link is replaced
 	bindTimeout        = 15 * time.Second       // the same before the worker pool is bound
 	badLineLogInterval = 2 * time.Second        // between log lines about malformed input
@@ -41,7 +41,7 @@
 	unreadWindow       = 100 * time.Millisecond // commands sent this shortly before a link ended may be unread
 )
 
-// Outcome is how a run ended.
+// Outcome is how a run ended, as the worker pool reports it.
 type Outcome uint8
 
 // The outcomes of a run.
@@ -52,7 +52,7 @@
 	NeverStarted                // nothing was started, as the request had ended
 )
 
-// outcomeByWord maps the words of the worker pool's protocol.
+// outcomeByWord maps the words of the worker pool's protocol to outcomes.
 var outcomeByWord = map[string]Outcome{
 	"complete": Complete, "error": Error, "cancelled": Cancelled, "unknown": NeverStarted,
 }
@@ -60,18 +60,18 @@
 // Sink receives the worker pool's notices. Its methods must not block.
 type Sink interface {
 	// WorkerPoolUp notifies that the worker pool has been up for since, and whether it
-	// started cold. It is called for each link.
+	// started cold. It is called for each link that the worker pool binds.
 	WorkerPoolUp(cold bool, since time.Duration)
 	// RunEnded notifies that a run is over; result is set if it is Complete.
-	RunEnded(x *exchange.Exchange, end Outcome, took time.Duration, result []byte)
+	RunEnded(x *exchange.Exchange, outcome Outcome, took time.Duration, result []byte)
 	// CallNeeded notifies that a run waits for a downstream call with this statement,
 	// until ContinueWithResult or ContinueWithout.
 	CallNeeded(x *exchange.Exchange, statement []byte)
-	// GaugesRead delivers the gauges.
+	// GaugesRead delivers the gauges that the worker pool measured.
 	GaugesRead(values []float64)
 	// UnknownRunEnded notifies of the end of a run that this process did not start: one
 	// of a previous incarnation, if the worker pool outlived it.
-	UnknownRunEnded(run string, end Outcome, result []byte)
+	UnknownRunEnded(run string, outcome Outcome, result []byte)
 }
 
 // Counters are the link's counters besides its traffic.
@@ -90,10 +90,10 @@
 // run is a run that was started and is not known to be over.
 type run struct {
 	x       *exchange.Exchange
-	order   uint64
+	order   uint64    // number of the run, in the order of StartRun
 	sent    bool      // the command may have reached the worker pool
 	sentAt  time.Time // when it was sent last
-	stopped bool
+	stopped bool      // StopRun was called
 
 	continuation       *command  // the command after its last call, nil = none yet
 	continuationSentAt time.Time // when that was sent last, zero = never
@@ -113,21 +113,21 @@
 
 	mu        sync.Mutex
 	addr      string
-	nextConn  net.Conn     // connected to a new addr, for the next link
-	conn      *stream.Conn // nil while there is no link
-	ready     bool         // the replay has ended: commands may be sent
-	runs      map[string]*run
-	lastOrder uint64
-	readOrder uint64    // the worker pool has read the commands of runs up to this order
-	linkEnded time.Time // when the last link ended
-	lastSeq   int64     // number of the last notice read
-	links     int       // links so far, part of the replay's tag
+	nextConn  net.Conn        // connected to a changed addr, for the next link; nil = none
+	conn      *stream.Conn    // nil while there is no link
+	ready     bool            // the replay has ended: commands may be sent
+	runs      map[string]*run // by transaction name
+	lastOrder uint64          // order of the last run started
+	readOrder uint64          // the worker pool has read the commands of runs up to this order
+	linkEnded time.Time       // when the last link ended
+	lastSeq   int64           // number of the last notice read
+	links     int             // links opened so far, part of the replay's tag
 
-	lastBadLineLog time.Time
-	mutedLines     int
+	lastBadLineLog  time.Time
+	suppressedLines int // not logged since
 }
 
-// New returns a link to the worker pool at addr; Run brings it up.
+// New returns a link to the worker pool at addr that passes notices to sink; Run brings it up.
 func New(addr string, sink Sink, log *slog.Logger) *Link {
 	return &Link{
 		addr: addr, sink: sink, log: log, addressChanged: make(chan struct{}, 1),
@@ -159,30 +159,31 @@
 	}
 }
 
-// command is a message to the worker pool.
+// command is a message to the worker pool, one line of JSON.
 type command struct {
 	Op    string  `json:"op"`
-	Seq   *int64  `json:"seq,omitempty"`
-	ID    string  `json:"id,omitempty"`
+	Seq   *int64  `json:"seq,omitempty"` // bind: number of the last notice read
+	ID    string  `json:"id,omitempty"`  // transaction name of the run
 	Class string  `json:"class,omitempty"`
-	Body  *[]byte `json:"body,omitempty"`
-	Tag   string  `json:"tag,omitempty"`
+	Body  *[]byte `json:"body,omitempty"` // spawn: of the request; supply: result of the call
+	Tag   string  `json:"tag,omitempty"`  // poll: comes back in its answer
 }
 
-// notice is a message from the worker pool.
+// notice is a message from the worker pool, one line of JSON.
 type notice struct {
 	Op     string    `json:"op"`
-	End    string    `json:"end"`
-	Ms     float64   `json:"ms"`
-	Seq    int64     `json:"seq"`
-	ID     string    `json:"id"`
-	Body   []byte    `json:"body"`
+	End    string    `json:"end"`  // finished: outcome; bound: how the pool started; unknown: op of the command
+	Ms     float64   `json:"ms"`   // finished: how long the run took; bound: how long the pool has been up
+	Seq    int64     `json:"seq"`  // number of a notice that is replayed on a new link, from 1
+	ID     string    `json:"id"`   // transaction name of the run
+	Body   []byte    `json:"body"` // finished: result; blocked: statement of the call
 	Tag    string    `json:"tag"`
 	Values []float64 `json:"values"`
 }
 
-// sendCommand queues a command; the lock must be held. If that fails, the link ends and
-// the command is sent again on the next one.
+// sendCommand queues a command. If that fails, the link ends and the command is sent again on
+// the next one. The lock must be held, so that commands are queued in one order, except for
+// bind, which is the first command of a link.
 func sendCommand(c *stream.Conn, cmd command) {
 	line, err := json.Marshal(cmd)
 	if err != nil { // every value of the type can be encoded
@@ -191,7 +192,7 @@
 	c.Send(append(line, '\n'))
 }
 
-// StartRun starts a run.
+// StartRun starts the run of a request, once the link is ready.
 func (l *Link) StartRun(x *exchange.Exchange) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -275,12 +276,12 @@
 	}
 }
 
-// Run keeps the link up until ctx ends.
+// Run keeps the link up until ctx ends. It must be called once.
 func (l *Link) Run(ctx context.Context) {
 	defer l.closeNextConn()
 	wait, loggedLinks, loggedAt, start := backoffMin, int64(-1), time.Time{}, time.Now()
 	for ctx.Err() == nil {
-		before := l.Counters.Links.Load()
+		linksBefore := l.Counters.Links.Load()
 		if l.retryBackoff != nil {
 			l.retryBackoff.TryStarted(time.Since(start))
 		}
@@ -288,7 +289,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if l.Counters.Links.Load() != before { // it was up, however shortly
+		if l.Counters.Links.Load() != linksBefore { // it was up, however shortly
 			wait = backoffMin
 			if l.retryBackoff != nil {
 				l.retryBackoff.Succeeded()
@@ -323,7 +324,7 @@
 	return len(l.runs)
 }
 
-// runLink opens a link and reads from it until it ends.
+// runLink opens a link and reads from it until it ends. It returns the close reason and its cause.
 func (l *Link) runLink(ctx context.Context) (stream.CloseReason, error) {
 	raw, err := l.dial(ctx)
 	if err != nil {
@@ -450,16 +451,16 @@
 	return l.ready
 }
 
-// logBadLine counts a bad line and logs it at a bounded rate.
-func (l *Link) logBadLine(what string, args ...any) {
+// logBadLine counts a malformed or unexpected line and logs it at a bounded rate.
+func (l *Link) logBadLine(message string, args ...any) {
 	l.Counters.BadLines.Add(1)
 	if time.Since(l.lastBadLineLog) < badLineLogInterval {
-		l.mutedLines++
+		l.suppressedLines++
 		return
 	}
 	l.lastBadLineLog = time.Now()
-	l.log.Warn(what, append(args, "muted", l.mutedLines)...)
-	l.mutedLines = 0
+	l.log.Warn(message, append(args, "muted", l.suppressedLines)...)
+	l.suppressedLines = 0
 }
 
 // handleLine handles one line; text is valid only during the call.
@@ -494,7 +495,7 @@
 	case "unknown":
 		l.handleRejected(n)
 	default:
-		l.logBadLine("unknown op from the worker pool", "op", clip(n.Op))
+		l.logBadLine("unknown op from the worker pool", "op", truncate(n.Op))
 	}
 }
 
@@ -587,7 +588,7 @@
 	}
 }
 
-// removeRun removes and returns a run, nil if it is unknown.
+// removeRun removes the run with this transaction name and returns it, nil if it is unknown.
 func (l *Link) removeRun(id string) *run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -600,12 +601,12 @@
 func (l *Link) handleFinished(n notice) {
 	outcome, ok := outcomeByWord[n.End]
 	if !ok {
-		l.logBadLine("unknown run outcome from the worker pool", "end", clip(n.End))
+		l.logBadLine("unknown run outcome from the worker pool", "end", truncate(n.End))
 		outcome = Error
 	}
 	r := l.removeRun(n.ID)
 	if r == nil {
-		l.logBadLine("end of an unknown run", "id", clip(n.ID))
+		l.logBadLine("end of an unknown run", "id", truncate(n.ID))
 		l.sink.UnknownRunEnded(n.ID, outcome, n.Body)
 		return
 	}
@@ -623,7 +624,7 @@
 	}
 	l.mu.Unlock()
 	if r == nil {
-		l.logBadLine("downstream call of an unknown run", "id", clip(n.ID))
+		l.logBadLine("downstream call of an unknown run", "id", truncate(n.ID))
 		return
 	}
 	l.sink.CallNeeded(r.x, n.Body)
@@ -632,7 +633,7 @@
 // handleRejected handles the notice that a command was not carried out. A rejected spawn
 // has no run and will never have one.
 func (l *Link) handleRejected(n notice) {
-	l.logBadLine("command rejected by the worker pool", "op", clip(n.End), "id", clip(n.ID))
+	l.logBadLine("command rejected by the worker pool", "op", truncate(n.End), "id", truncate(n.ID))
 	if n.End != "spawn" {
 		return
 	}
@@ -643,8 +644,8 @@
 	}
 }
 
-// clip bounds a text of the worker pool for the log.
-func clip(s string) string { return s[:min(len(s), 24)] }
+// truncate shortens a text of the worker pool for a log line.
+func truncate(s string) string { return s[:min(len(s), 24)] }
 
 // clampMillis converts milliseconds from the worker pool, clamped to 0 to 1e12.
 func clampMillis(ms float64) time.Duration {
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -19,6 +19,7 @@
 	"robinmast/internal/stream"
 )
 
+// endedRun is a call of RunEnded.
 type endedRun struct {
 	x    *exchange.Exchange
 	end  Outcome
@@ -26,6 +27,7 @@
 	body string
 }
 
+// stubSink records the notices that it receives.
 type stubSink struct {
 	mu         sync.Mutex
 	coldStarts []bool
@@ -35,41 +37,42 @@
 	gauges     []float64
 }
 
-func (r *stubSink) WorkerPoolUp(cold bool, since time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.coldStarts, r.upSince = append(r.coldStarts, cold), since
+func (s *stubSink) WorkerPoolUp(cold bool, since time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.coldStarts, s.upSince = append(s.coldStarts, cold), since
 }
 
-func (r *stubSink) RunEnded(x *exchange.Exchange, end Outcome, took time.Duration, result []byte) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.ended = append(r.ended, endedRun{x, end, took, string(result)})
+func (s *stubSink) RunEnded(x *exchange.Exchange, end Outcome, took time.Duration, result []byte) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.ended = append(s.ended, endedRun{x, end, took, string(result)})
 }
 
-func (r *stubSink) CallNeeded(x *exchange.Exchange, statement []byte) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.calls = append(r.calls, x.Txn+" "+string(statement))
+func (s *stubSink) CallNeeded(x *exchange.Exchange, statement []byte) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.calls = append(s.calls, x.Txn+" "+string(statement))
 }
 
-func (r *stubSink) callsNeeded() []string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return append([]string(nil), r.calls...)
+func (s *stubSink) callsNeeded() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return append([]string(nil), s.calls...)
 }
 
-func (r *stubSink) UnknownRunEnded(string, Outcome, []byte) {}
-func (r *stubSink) GaugesRead(v []float64) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.gauges = v
+func (s *stubSink) UnknownRunEnded(string, Outcome, []byte) {}
+
+func (s *stubSink) GaugesRead(v []float64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.gauges = v
 }
 
-func (r *stubSink) endedRuns() []endedRun {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return append([]endedRun(nil), r.ended...)
+func (s *stubSink) endedRuns() []endedRun {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return append([]endedRun(nil), s.ended...)
 }
 
 // stubPool stands in for the worker pool, according to the published protocol: the test
@@ -81,6 +84,7 @@
 	rd *bufio.Reader
 }
 
+// startLink runs a Link to a stubPool until the end of the test, and then checks that all counters add up.
 func startLink(t *testing.T) (*Link, *stubSink, *stubPool) {
 	return startLinkWith(t, time.Minute, time.Minute)
 }
@@ -108,7 +112,7 @@
 			ended += l.Traffic.Closed[e].Load()
 		}
 		if ended != l.Traffic.Opened.Load() || l.Traffic.Queued.Load() != l.Traffic.Sent.Load()+l.Traffic.Dropped.Load() {
-			t.Errorf("links or commands don't add up: %d opened, %d ended", l.Traffic.Opened.Load(), ended)
+			t.Errorf("links or commands do not add up: %d opened, %d ended", l.Traffic.Opened.Load(), ended)
 		}
 		over := int64(0)
 		for i := range l.Counters.EndedRuns {
@@ -345,11 +349,11 @@
 	w.expect(spawnLine("a"))
 	w.expect(spawnLine("b"))
 	w.send(`not JSON`, `[]`, `{}`, ``, `{"op":"sing"}`, `{"op":7}`, `{"op":"bound","end":"hot","ms":5}`,
-		`{"op":"finished","seq":1,"id":"nobody","end":"complete","ms":1}`,
+		`{"op":"finished","seq":1,"id":"unknown","end":"complete","ms":1}`,
 		`{"op":"finished","seq":1,"id":"a","end":"error","ms":1}`, // a repeated number
 		`{"op":"finished","id":"a","end":"error","ms":1}`,
 		`{"op":"finished","seq":2,"id":"a","end":"complete","ms":1,"body":"***"}`, // the result is not base64
-		`{"op":"unknown","end":"spawn","id":"nobody"}`, `{"op":"unknown","end":"suspend","id":"a"}`,
+		`{"op":"unknown","end":"spawn","id":"unknown"}`, `{"op":"unknown","end":"suspend","id":"a"}`,
 		`{"op":"unknown","end":"spawn","id":"b"}`,
 		`{"op":"finished","seq":2,"id":"a","end":"complete","ms":-5,"body":"cg=="}`)
 	standin.Eventually(t, "ends", func() bool { return len(sink.endedRuns()) == 2 })
@@ -439,7 +443,7 @@
 		l.handleLine(c, line)
 		var n notice
 		if json.Unmarshal(line, &n) != nil && len(sink.ended) > 0 {
-			t.Fatal("a line that can't be read ended a run")
+			t.Fatal("a malformed line ended a run")
 		}
 		if l.OpenRuns()+len(sink.ended) != 1 {
 			t.Fatalf("%d runs, %d ended", l.OpenRuns(), len(sink.ended))
@@ -477,7 +481,7 @@
 		l.StartRun(x)
 		w.expect(spawnLine(x.Txn))
 	}
-	w.send(blockedLine(1, "a", "q1"), blockedLine(2, "b", "q2"), blockedLine(3, "c", "q3"), blockedLine(4, "stranger", "q"), blockedLine(2, "b", "again"))
+	w.send(blockedLine(1, "a", "q1"), blockedLine(2, "b", "q2"), blockedLine(3, "c", "q3"), blockedLine(4, "unknown", "q"), blockedLine(2, "b", "again"))
 	standin.Eventually(t, "three calls", func() bool { return len(sink.callsNeeded()) == 3 })
 	if got := strings.Join(sink.callsNeeded(), ","); got != "a q1,b q2,c q3" {
 		t.Errorf("calls %s", got)
