--- a/internal/front/accept_test.go
+++ b/internal/front/accept_test.go
@@ -66,7 +66,7 @@
 // At MaxConns the node closes the connection that has been idle for longest, so that requests on connections in
 // the kernel's accept queue get read. Connections with open requests stay; if there are no others, a new
 // connection waits.
-func TestRoomForConnections(t *testing.T) {
+func TestFullServerClosesIdleConnection(t *testing.T) {
 	b := startServer(t, func(s *Server) { s.cfg.MaxConns = 2 })
 	busy, idle := b.dial(t), b.dial(t)
 	busy.Send("RPC.CALL", "1", "read", safeFields, "x")
--- a/internal/front/close_test.go
+++ b/internal/front/close_test.go
@@ -53,7 +53,7 @@
 
 // A request or half of one arrives between the last check for input on an idle connection and its FIN. It is not
 // passed on, since it could not be answered, and the connection is not reset because of it.
-func TestInputInTheInstantOfTheEnd(t *testing.T) {
+func TestInputBetweenLastCheckAndFIN(t *testing.T) {
 	whole := standin.EncodeMessage("RPC.CALL", "2", "read", safeFields, "x")
 	for name, late := range map[string][]byte{
 		"a request": whole, "half a request": whole[:40], "many": []byte(strings.Repeat(string(whole), 200)),
@@ -96,7 +96,7 @@
 
 // A request is in the kernel's receive buffer, not yet read, when an idle connection is to be closed: the close is
 // cancelled and the request is answered.
-func TestRetiredWithARequestUnread(t *testing.T) {
+func TestUnreadRequestCancelsIdleClose(t *testing.T) {
 	b := startServer(t, nil)
 	b.sink.gate = make(chan struct{})
 	d := b.dial(t)
@@ -123,7 +123,7 @@
 
 // Drain is called while one connection has an open request and an unread one, and another receives half a message
 // just before its FIN: both requests are answered and each connection ends in order.
-func TestLeaveAnswersWhatCame(t *testing.T) {
+func TestDrainAnswersRequestsReceived(t *testing.T) {
 	var mu sync.Mutex
 	var half *standin.Dispatcher
 	b := startServer(t, func(s *Server) {
@@ -179,7 +179,7 @@
 
 // An idle peer, and one that sends without end, delay the close no longer than the linger timeout and the bound
 // in bytes.
-func TestEndIsBounded(t *testing.T) {
+func TestLingerIsBounded(t *testing.T) {
 	b := startServer(t, func(s *Server) { s.limits.Linger = 50 * time.Millisecond })
 	idle, flooding := b.dial(t), b.dial(t)
 	idle.Send("RPC.HEALTH", "1", "")
@@ -203,7 +203,7 @@
 
 // Malformed input after a request, in the same segment or later, does not reset the connection before the answer
 // to the request is read.
-func TestBrokenInputBehindARequest(t *testing.T) {
+func TestMalformedInputAfterARequest(t *testing.T) {
 	b := startServer(t, nil)
 	d := b.dial(t)
 	d.Write(append(standin.EncodeMessage("RPC.CALL", "1", "read", safeFields, "x"), strings.Repeat("FROB\r\n", 10<<10)...))
@@ -222,7 +222,7 @@
 }
 
 // Connections in the kernel's accept queue may carry requests when the node stops listening: all are answered.
-func TestStopListeningTakesWhatIsAccepted(t *testing.T) {
+func TestStopListeningServesAcceptQueue(t *testing.T) {
 	b := startServer(t, func(s *Server) { s.cfg.MaxConns = 1 })
 	busy := b.dial(t)
 	busy.Send("RPC.CALL", "1", "read", safeFields, "x")
@@ -306,7 +306,7 @@
 
 // After CloseAfterAnswers a connection takes no more requests, not even the rest of a message of which half was
 // read, and open requests are still answered.
-func TestStoppedTakesNoMore(t *testing.T) {
+func TestCloseAfterAnswersTakesNoMoreRequests(t *testing.T) {
 	b := startServer(t, nil)
 	d := b.dial(t)
 	c := b.onlyConnection(t)
@@ -333,7 +333,7 @@
 
 // A dispatcher resets its connection at each stage of a request. Nothing of its requests is left open, and a
 // request on another connection is served.
-func TestResetAtEachPoint(t *testing.T) {
+func TestResetAtEachStage(t *testing.T) {
 	whole := standin.EncodeMessage("RPC.CALL", "1", "read", safeFields, "x")
 	b := startServer(t, nil)
 	other := b.dial(t)
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -298,7 +298,7 @@
 
 // For each reason that can close an open connection: open requests are abandoned once, requests that have ended
 // keep their final state, and other connections are not affected.
-func TestEveryEnd(t *testing.T) {
+func TestRequestsAfterEachCloseReason(t *testing.T) {
 	for _, reason := range stream.CloseReasons() {
 		if reason.Outcome() == rules.ConnectFailed { // never opened, so it had no requests
 			continue
--- a/internal/stream/conn_test.go
+++ b/internal/stream/conn_test.go
@@ -133,7 +133,7 @@
 
 // Whatever closes a connection, it closes once, with the right reason, and every queued message is counted as
 // sent or dropped.
-func TestEnds(t *testing.T) {
+func TestEachCloseReason(t *testing.T) {
 	small := Limits{ReadBufferBytes: 8 << 10, WriteBufferBytes: 2 << 10, StallTimeout: 200 * time.Millisecond}
 	flood := make([]byte, 1<<10)
 	for name, c := range map[string]struct {
@@ -252,7 +252,7 @@
 
 // Once a connection is closed, input is discarded and its reader returns at once. Otherwise the reader and the
 // discarding loop would each read part of the input, and the reader would pass on messages with gaps.
-func TestNothingIsHandedOnAfterTheEnd(t *testing.T) {
+func TestNoInputIsReadAfterClose(t *testing.T) {
 	var tr Traffic
 	limits := defaultLimits
 	limits.Linger = time.Minute // longer than the timeouts of the test
@@ -295,7 +295,7 @@
 
 // The reader of a connection that was closed for malformed input returns. A reader that kept asking for input
 // after the close would spin and use a whole core.
-func TestReaderOfBrokenBytesIsLetGo(t *testing.T) {
+func TestReaderReturnsOnMalformedInput(t *testing.T) {
 	for name, bytes := range map[string][]byte{"no message": []byte("FROB\r\n"), "without an end": make([]byte, 32<<10)} {
 		t.Run(name, func(t *testing.T) {
 			c, peer := pair(t, defaultLimits, &Traffic{}, nil)
