--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -28,7 +28,7 @@
 	stored       bool // the result can be fetched from the result cache, under storeKey
 	failRepeats  bool // of a previous incarnation: a repeat must not run, even if it is safe
 	storeKey     string
-	waitUntil    time.Duration  // how long to wait for the end of a previous incarnation's run, 0 = not waiting
+	waitUntil    time.Duration  // when to stop waiting for the end of a previous incarnation's run, 0 = not waiting
 	result       []byte         // held in memory, nil = not held
 	waiting      []*openRequest // requests that joined it before its run ended
 }
--- a/internal/node/views.go
+++ b/internal/node/views.go
@@ -12,7 +12,7 @@
 type Load struct {
 	Running  int     // runs
 	Limit    float64 // concurrency limit, runs
-	Pressure float64 // as the module's Load returns it
+	Pressure float64 // of overload, from 0 to 1
 	Warm     float64 // share of its full speed that a cold node has reached
 	State    string  // recovery state, "" = not tracked
 }
