--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -2,21 +2,18 @@
 // checks with redcon, and sends answers through each connection's output ring.
 //
 // A Server passes requests to its Sink, which decides about them and answers through the exchange. The package
-// makes no decision about a request, runs none, and keeps nothing of one beyond its connection. One goroutine
+// makes no decision about a request, runs none, and keeps no request longer than its connection. One goroutine
 // for each connection reads it; answers may come from any goroutine.
 package front
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"log/slog"
 	"net"
-	"os"
 	"strconv"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"time"
 
 	"github.com/tidwall/redcon"
@@ -65,10 +62,10 @@
 // Config configures a Server.
 type Config struct {
 	Settings      rules.Settings
-	Names         settings.Names
-	MaxConns      int     // connections open at once, 0 = no limit; more wait to be accepted
-	OutBytes      int64   // bytes of memory of all output rings together
-	SetupCPUShare float64 // share of a core for new connections and health checks, 0 = no limit
+	Names         settings.Names // of the classes and tenants
+	MaxConns      int            // connections open at once, 0 = no limit; more wait to be accepted
+	OutBytes      int64          // bytes of memory of all output rings together
+	SetupCPUShare float64        // share of a core for new connections and health checks, 0 = no limit
 	Log           *slog.Logger
 }
 
@@ -94,29 +91,29 @@
 	requestCounters *exchange.Counters
 
 	// Set from the constants above; tests change them.
-	limits                                                           stream.Limits
+	limits                                                           stream.Limits // of each connection
 	finTimeout, partialIdleLimit, partialMaxLimit, firstMessageLimit time.Duration
 
 	healthy     atomic.Bool
-	feedback    atomic.Pointer[string]
-	idleTimeout atomic.Int64 // nanoseconds, 0 = none
+	feedback    atomic.Pointer[string] // published load feedback as a field, nil = none yet
+	idleTimeout atomic.Int64           // nanoseconds, 0 = none
 
 	mu            sync.Mutex
 	clients       map[*client]struct{}
 	connClosed    chan struct{} // signalled when a connection's descriptor is closed
 	finAnnounced  bool          // FIN is sent on every connection
 	draining      bool          // connections close as soon as no answer is pending
-	baseListener  net.Listener
+	baseListener  net.Listener  // passed to Serve, nil before
 	acceptingDone chan struct{} // closed when no more connections are accepted
 
-	stopAccepting atomic.Bool
+	stopAccepting atomic.Bool // StopListening was called
 
 	started   time.Time
 	limiterMu sync.Mutex
 	limiter   *connlimit.Limiter // nil = no limit
 
-	lastWarning atomic.Int64
-	suppressed  atomic.Int64
+	lastWarning atomic.Int64 // Unix time of the last warning, nanoseconds
+	suppressed  atomic.Int64 // warnings suppressed since
 }
 
 // New returns a Server that passes requests to sink and counts them in requestCounters.
@@ -159,7 +156,7 @@
 	s.idleTimeout.Store(int64(after))
 }
 
-// Serve accepts connections from ln until ctx is cancelled or StopListening is called.
+// Serve accepts connections from ln until ctx is cancelled or StopListening is called, and then returns nil.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
 	s.mu.Lock()
 	s.baseListener = ln
@@ -175,182 +172,6 @@
 	return nil
 }
 
-// listener wraps accepted connections, so that all bytes pass through their rings, and hides accept errors from
-// redcon, which would retry at once and for ever.
-type listener struct {
-	net.Listener
-	server *Server
-	ctx    context.Context
-}
-
-func (l *listener) Accept() (net.Conn, error) {
-	for {
-		c, err := l.next()
-		switch {
-		case err == nil:
-			for l.ctx.Err() == nil && l.server.atCapacity() {
-				l.server.freeConnectionSlot()
-				select {
-				case <-l.server.connClosed:
-				case <-l.ctx.Done():
-				case <-time.After(acceptRetryDelay):
-				}
-			}
-			l.server.awaitAdmission(l.ctx, connlimit.Connect)
-			start := time.Now()
-			cl := l.server.newClient(c)
-			l.server.chargeAdmission(connlimit.Connect, start)
-			if l.ctx.Err() != nil { // cancelled while it waited
-				cl.Abort(stream.ClosedLocally)
-			}
-			return cl, nil
-		case errors.Is(err, net.ErrClosed):
-			return nil, err
-		}
-		l.server.Counters.AcceptFailures.Add(1)
-		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
-			l.server.warnLimited("no file descriptor for a new connection", err)
-		} else {
-			l.server.warnLimited("accept failed", err)
-		}
-		select {
-		case <-l.ctx.Done():
-			return nil, net.ErrClosed
-		case <-time.After(acceptRetryDelay):
-		}
-	}
-}
-
-// next accepts one connection. After StopListening it still accepts the connections in the kernel's accept
-// queue, which may carry requests already, before it closes the listener, since closing resets them.
-func (l *listener) next() (net.Conn, error) {
-	d, ok := l.Listener.(interface{ SetDeadline(time.Time) error })
-	for timeouts := 0; ; {
-		final := ok && l.server.stopAccepting.Load()
-		if final {
-			_ = d.SetDeadline(time.Now().Add(finalAcceptTimeout))
-		}
-		c, err := l.Listener.Accept()
-		if err == nil || !errors.Is(err, os.ErrDeadlineExceeded) {
-			return c, err
-		}
-		if !final {
-			continue // StopListening was called during Accept
-		}
-		if timeouts++; timeouts >= finalAcceptTimeouts {
-			_ = l.Listener.Close()
-			return nil, net.ErrClosed
-		}
-	}
-}
-
-// awaitAdmission waits until the limiter admits an event, or ctx is cancelled. Requests on open connections are
-// not delayed.
-func (s *Server) awaitAdmission(ctx context.Context, k connlimit.Kind) {
-	if s.limiter == nil {
-		return
-	}
-	s.limiterMu.Lock()
-	wait := s.limiter.Delay(time.Since(s.started), k)
-	s.limiterMu.Unlock()
-	if wait <= 0 {
-		return
-	}
-	select {
-	case <-ctx.Done():
-	case <-time.After(wait):
-	}
-}
-
-// chargeAdmission reports the cost of an event to the limiter.
-func (s *Server) chargeAdmission(k connlimit.Kind, start time.Time) {
-	if s.limiter == nil {
-		return
-	}
-	cost := time.Since(start)
-	s.limiterMu.Lock()
-	s.limiter.Charge(k, cost)
-	s.limiterMu.Unlock()
-}
-
-// Delayed returns how many connections and health checks had to wait for admission.
-func (s *Server) Delayed() (connects, healthChecks int) {
-	if s.limiter == nil {
-		return 0, 0
-	}
-	s.limiterMu.Lock()
-	defer s.limiterMu.Unlock()
-	return s.limiter.Delayed[connlimit.Connect], s.limiter.Delayed[connlimit.HealthCheck]
-}
-
-func (s *Server) atCapacity() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.cfg.MaxConns > 0 && len(s.clients) >= s.cfg.MaxConns
-}
-
-// freeConnectionSlot starts to close the connection that has been idle for longest and has no open request, and
-// reports whether there was one. Connections that never sent a valid message go first, those with an incomplete
-// message last. It makes room for connections in the kernel's accept queue, which may carry requests already
-// that nobody would answer.
-func (s *Server) freeConnectionSlot() bool {
-	var victim *client
-	var victimUsed time.Time
-	victimRank, lingering := 0, 0
-	now := time.Now()
-	for _, c := range s.connections() {
-		c.mu.Lock()
-		idle, used, rank, closedAt := len(c.open) == 0, c.lastUsed, 0, c.closedAt
-		if c.sentValid {
-			rank = 1
-		}
-		c.mu.Unlock()
-		if c.Closing() {
-			lingering++
-			if !closedAt.IsZero() && now.Sub(closedAt) >= minLinger {
-				c.StopLingering()
-			}
-			continue
-		}
-		partial := c.PartialAge(now) > 0
-		if !idle || c.Unsent() > 0 || partial && now.Sub(used) < partialCloseAfter {
-			continue
-		}
-		if partial {
-			rank = 2
-		}
-		if victim == nil || rank < victimRank || rank == victimRank && used.Before(victimUsed) {
-			victim, victimUsed, victimRank = c, used, rank
-		}
-	}
-	if victim == nil || lingering >= maxLingering {
-		return false
-	}
-	if !victim.HasSent() { // a reset cannot destroy an answer
-		victim.StopLingering()
-	}
-	victim.CloseIfIdle(stream.IdleClosed)
-	return true
-}
-
-// newClient wraps an accepted connection and registers it.
-func (s *Server) newClient(c net.Conn) *client {
-	cl := &client{server: s, open: map[uint64]*exchange.Exchange{}, lastUsed: time.Now()}
-	cl.Conn = stream.New(c, &stream.RESP{}, s.limits, &s.Traffic, cl.onClose)
-	cl.AnswersPending, cl.OnDescriptorClosed = cl.hasOpen, cl.onDescriptorClosed
-	s.mu.Lock()
-	s.clients[cl] = struct{}{}
-	finAnnounced, draining := s.finAnnounced, s.draining
-	s.mu.Unlock()
-	if finAnnounced {
-		cl.sendFin()
-	}
-	if draining {
-		cl.CloseWhenIdle(stream.ClosedLocally)
-	}
-	return cl
-}
-
 // warnLimited logs a warning, at most one every warnInterval, with the number of warnings suppressed before.
 func (s *Server) warnLimited(message string, err error, args ...any) {
 	now, last := time.Now().UnixNano(), s.lastWarning.Load()
@@ -364,24 +185,6 @@
 	s.cfg.Log.Warn(message, append(args, "muted", s.suppressed.Swap(0))...)
 }
 
-// redconAccepted attaches the client to redcon's connection.
-func (s *Server) redconAccepted(conn redcon.Conn) bool {
-	cl, ok := conn.NetConn().(*client)
-	if !ok {
-		return false
-	}
-	conn.SetContext(cl)
-	return true
-}
-
-// redconClosed is called when redcon stops reading a connection. By then the connection is closed, unless
-// redcon rejects input that the framing accepted.
-func (s *Server) redconClosed(conn redcon.Conn, _ error) {
-	if c, ok := conn.Context().(*client); ok {
-		c.Abort(stream.BadFraming)
-	}
-}
-
 // sweep looks for connections to close, until ctx is cancelled.
 func (s *Server) sweep(ctx context.Context) {
 	tick := time.NewTicker(sweepInterval)
