--- a/cmd/robinmast-control/main_test.go
+++ b/cmd/robinmast-control/main_test.go
@@ -93,7 +93,7 @@
 		args = append(args, "--cert", put("control.cert", cert), "--key", put("control.key", key), "--ca", ca)
 		cert, key = a.Sign("n3.node", time.Now().Add(time.Hour))
 		ini += "cert = " + put("node.cert", cert) + "\nkey = " + put("node.key", key) + "\nca = " + ca + "\nserver_name = control\n"
-		operator, creds = a.Client("somebody.operators", "control"), credentials.NewTLS(a.Client("p.proxy", "control"))
+		operator, creds = a.ClientTLS("somebody.operators", "control"), credentials.NewTLS(a.ClientTLS("p.proxy", "control"))
 	}
 	startService := func() *exec.Cmd {
 		c := exec.Command(service, args...)
--- a/cmd/robinmast/bench_test.go
+++ b/cmd/robinmast/bench_test.go
@@ -154,9 +154,9 @@
 					defer c.Close()
 					for i := next.Add(1); i <= int64(b.N); i = next.Add(1) {
 						began := time.Now()
-						a, err := c.Call(testplatform.Request{Txn: fmt.Sprintf("%016x", i), Class: "pay", Tenant: "acme", Limit: 4 * time.Second,
-							Unique: fmt.Sprint("k", i), Body: make([]byte, 256)})
-						if err != nil || a.Word != "ACK" {
+						a, err := c.Call(testplatform.Request{Txn: fmt.Sprintf("%016x", i), Class: "pay", Tenant: "acme", Timeout: 4 * time.Second,
+							IdempotencyKey: fmt.Sprint("k", i), Body: make([]byte, 256)})
+						if err != nil || a.Status != "ACK" {
 							bad.Add(1)
 						}
 						mu.Lock()
@@ -233,9 +233,9 @@
 					}
 					mu.Unlock()
 					began := time.Now()
-					a, err := c.Call(testplatform.Request{Txn: fmt.Sprintf("%016x", txns.Add(1)), Class: "read", Tenant: "acme", Limit: time.Second,
-						Item: item, Body: []byte(item), Retry: more, HintMs: workMs})
-					return err == nil && a.Word == "ACK" && time.Since(began) < time.Second
+					a, err := c.Call(testplatform.Request{Txn: fmt.Sprintf("%016x", txns.Add(1)), Class: "read", Tenant: "acme", Timeout: time.Second,
+						ItemKey: item, Body: []byte(item), Retry: more, WorkHintMs: workMs})
+					return err == nil && a.Status == "ACK" && time.Since(began) < time.Second
 				}
 				began := time.Now()
 				next := began
--- a/cmd/robinmast/kill_test.go
+++ b/cmd/robinmast/kill_test.go
@@ -144,7 +144,7 @@
 			limit = 60 * time.Millisecond
 		}
 		return (*client).Call(testplatform.Request{
-			Txn: fmt.Sprintf("%016x", txns.Add(1)), Class: "pay", Tenant: "acme", Limit: limit, Unique: unique,
+			Txn: fmt.Sprintf("%016x", txns.Add(1)), Class: "pay", Tenant: "acme", Timeout: limit, IdempotencyKey: unique,
 			Body: []byte(unique), Retry: more,
 		})
 	}
@@ -184,7 +184,7 @@
 							lost.Add(1)
 							first = false
 						case errs[j] != nil:
-						case a.Word == "ACK":
+						case a.Status == "ACK":
 							acks.Add(1)
 							if body != "" {
 								repeats.Add(1)
@@ -194,7 +194,7 @@
 							}
 							body = string(a.Body)
 							known.Store(unique, body)
-						case a.Word == "NAK":
+						case a.Status == "NAK":
 							time.Sleep(min(a.RetryAfter, 20*time.Millisecond))
 						default:
 							failed++
@@ -238,8 +238,8 @@
 	checked := 0
 	known.Range(func(unique, body any) bool {
 		a, err := ask(&last, 99, unique.(string), false)
-		if err != nil || a.Word != "ACK" || string(a.Body) != body {
-			t.Errorf("%s: was answered %q, finally %s %q, %v", unique, body, a.Word, a.Body, err)
+		if err != nil || a.Status != "ACK" || string(a.Body) != body {
+			t.Errorf("%s: was answered %q, finally %s %q, %v", unique, body, a.Status, a.Body, err)
 		}
 		checked++
 		return checked < 1000
--- a/cmd/robinmast/pools_test.go
+++ b/cmd/robinmast/pools_test.go
@@ -80,19 +80,19 @@
 		wg.Go(func() {
 			sent := time.Now()
 			got, err := clients[i%len(clients)].Call(testplatform.Request{
-				Txn: fmt.Sprintf("%016x", i+1), Class: names.Classes[a.Class], Tenant: "acme", Limit: 1500 * time.Millisecond,
-				HintMs: float64(a.Hint) / 1e6, Body: strconv.AppendFloat(nil, float64(a.Work)/1e6, 'f', 3, 64),
+				Txn: fmt.Sprintf("%016x", i+1), Class: names.Classes[a.Class], Tenant: "acme", Timeout: 1500 * time.Millisecond,
+				WorkHintMs: float64(a.Hint) / 1e6, Body: strconv.AppendFloat(nil, float64(a.Work)/1e6, 'f', 3, 64),
 			})
 			mu.Lock()
 			defer mu.Unlock()
 			after := time.Since(sent)
-			words[got.Word]++
+			words[got.Status]++
 			switch {
 			case err != nil:
 				t.Errorf("request %d: %v", i, err)
 			case after > 1700*time.Millisecond:
 				t.Errorf("request %d was answered after %v", i, after)
-			case got.Word == "ACK":
+			case got.Status == "ACK":
 				if a.Class == 0 {
 					pings[a.At/time.Second]++
 				}
--- a/cmd/robinmastctl/try_load.go
+++ b/cmd/robinmastctl/try_load.go
@@ -68,18 +68,18 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.txn++
-	request := platform.Request{Txn: fmt.Sprintf("%016x", t.txn), Tenant: "acme", Limit: tryTimeout}
+	request := platform.Request{Txn: fmt.Sprintf("%016x", t.txn), Tenant: "acme", Timeout: tryTimeout}
 	pick := t.random.Float64()
 	for _, c := range tryClasses {
 		if pick -= c.share; pick > 0 {
 			continue
 		}
 		ms := c.ms * (0.5 + t.random.ExpFloat64()/2)
-		request.Class, request.HintMs = c.name, ms
+		request.Class, request.WorkHintMs = c.name, ms
 		request.Body = strconv.AppendFloat(nil, ms, 'f', 3, 64)
 		if c.keyed {
-			request.Unique = "k" + request.Txn
-			request.Body = append(append(request.Body, ' '), request.Unique...)
+			request.IdempotencyKey = "k" + request.Txn
+			request.Body = append(append(request.Body, ' '), request.IdempotencyKey...)
 		}
 		break
 	}
@@ -96,31 +96,31 @@
 		answer, err := t.sendOnce(request)
 		lost := err != nil
 		t.mu.Lock()
-		runs := t.runs[request.Unique]
+		runs := t.runs[request.IdempotencyKey]
 		switch {
 		case errors.Is(err, platform.ErrConnectionClosed):
 			t.outcomes.ConnectionLost++
 		case err != nil:
 			t.outcomes.NotConnected++
-		case time.Since(start) > request.Limit+tryAnswerSlack:
+		case time.Since(start) > request.Timeout+tryAnswerSlack:
 			t.outcomes.Late++
-		case answer.Word == "ACK":
+		case answer.Status == "ACK":
 			t.outcomes.Served++
-			if request.Unique != "" {
-				if earlier, ok := t.results[request.Unique]; ok && earlier != string(answer.Body) {
+			if request.IdempotencyKey != "" {
+				if earlier, ok := t.results[request.IdempotencyKey]; ok && earlier != string(answer.Body) {
 					t.accounting.ResultChanged++
 				}
-				t.results[request.Unique] = string(answer.Body)
+				t.results[request.IdempotencyKey] = string(answer.Body)
 				if request.Retry && runs == 1 {
 					t.accounting.AnsweredByCache++
 				}
 			}
-		case answer.Word == "NAK":
+		case answer.Status == "NAK":
 			t.outcomes.Refused++
 		default:
 			t.outcomes.Failed++
 		}
-		retry := lost && request.Unique != "" && tries < tryMaxTries
+		retry := lost && request.IdempotencyKey != "" && tries < tryMaxTries
 		if retry {
 			t.outcomes.FurtherTries++
 			t.txn++
--- a/internal/control/certs_test.go
+++ b/internal/control/certs_test.go
@@ -63,7 +63,7 @@
 	defer h.Close()
 
 	put := func(as, name string) int {
-		c := &http.Client{Transport: &http.Transport{TLSClientConfig: a.Client(as, "control"), DisableKeepAlives: true}}
+		c := &http.Client{Transport: &http.Transport{TLSClientConfig: a.ClientTLS(as, "control"), DisableKeepAlives: true}}
 		url := "https://" + reports.Addr().String() + "/members/" + name
 		q, _ := http.NewRequest(http.MethodPut, url, strings.NewReader(`{"phase":"UP"}`))
 		r, err := c.Do(q)
@@ -82,7 +82,7 @@
 		}
 	}
 	subscribe := func(as string) (discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesClient, error) {
-		creds := credentials.NewTLS(a.Client(as, "control"))
+		creds := credentials.NewTLS(a.ClientTLS(as, "control"))
 		conn, err := grpc.NewClient(xds.Addr().String(), grpc.WithTransportCredentials(creds))
 		if err != nil {
 			return nil, err
@@ -107,7 +107,7 @@
 		}
 	}
 	serial := func() int64 {
-		c, err := tls.Dial("tcp", reports.Addr().String(), a.Client("n1.node", "control"))
+		c, err := tls.Dial("tcp", reports.Addr().String(), a.ClientTLS("n1.node", "control"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -141,7 +141,7 @@
 		t.Errorf("the stream did not survive the rotation: %v", err)
 	}
 	if c, err := tls.Dial("tcp", reports.Addr().String(), &tls.Config{
-		RootCAs: a.Client("", "").RootCAs, ServerName: "control", MaxVersion: tls.VersionTLS12,
+		RootCAs: a.ClientTLS("", "").RootCAs, ServerName: "control", MaxVersion: tls.VersionTLS12,
 	}); err == nil {
 		c.Close()
 		t.Error("TLS 1.2 is accepted")
--- a/internal/standin/authority.go
+++ b/internal/standin/authority.go
@@ -69,9 +69,9 @@
 		pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: text})
 }
 
-// Client returns the TLS configuration of a client that trusts the authority and expects a server's name. It
+// ClientTLS returns the TLS configuration of a client that trusts the authority and expects a server's name. It
 // has a certificate for the client's name unless that is empty.
-func (a *Authority) Client(name, server string) *tls.Config {
+func (a *Authority) ClientTLS(name, server string) *tls.Config {
 	a.t.Helper()
 	pool := x509.NewCertPool()
 	pool.AppendCertsFromPEM(a.PEM)
--- a/internal/standin/fleet/desktop.go
+++ b/internal/standin/fleet/desktop.go
@@ -34,7 +34,7 @@
 		if f.scenario.Desktops.Jitter {
 			pause = time.Duration((0.5 + request.random.Float64()) * float64(backoff))
 		}
-		if f.scenario.Desktops.FollowAdvice {
+		if f.scenario.Desktops.HonourRetryAfter {
 			pause = max(pause, retryAfter)
 		}
 		backoff *= 2
--- a/internal/standin/fleet/dispatcher.go
+++ b/internal/standin/fleet/dispatcher.go
@@ -190,7 +190,7 @@
 			n.failures = maxFailures - 1 // after the ejection a single further failure ejects it again
 		}
 	}
-	if answer.Word == "" {
+	if answer.Status == "" {
 		return
 	}
 	if !math.IsNaN(answer.LoadFeedback) {
@@ -293,11 +293,11 @@
 	}
 	body := strconv.AppendFloat(nil, request.workMs, 'f', 3, 64)
 	message := platform.Request{
-		Txn: d.fleet.newTransaction(), Class: request.class.Name, Tenant: "acme", Limit: timeout,
-		HintMs: request.workMs, Retry: !first,
+		Txn: d.fleet.newTransaction(), Class: request.class.Name, Tenant: "acme", Timeout: timeout,
+		WorkHintMs: request.workMs, Retry: !first,
 	}
 	if request.class.Effect != "safe" {
-		message.Unique = request.idempotencyKey
+		message.IdempotencyKey = request.idempotencyKey
 		body = append(append(body, ' '), request.idempotencyKey...)
 	}
 	message.Body = body
@@ -317,9 +317,9 @@
 		return unreachable, answer
 	case time.Since(sent) > timeout+answerSlack:
 		return timedOut, answer
-	case answer.Word == "ACK":
+	case answer.Status == "ACK":
 		return served, answer
-	case answer.Word == "NAK":
+	case answer.Status == "NAK":
 		return refused, answer
 	}
 	return failed, answer
--- a/internal/standin/fleet/faults.go
+++ b/internal/standin/fleet/faults.go
@@ -31,7 +31,7 @@
 			return
 		}
 		f.mu.Lock()
-		mark := FaultMark{At: change.at.Seconds(), Fault: change.fault.Name, On: change.begins}
+		mark := FaultMark{At: change.at.Seconds(), Fault: change.fault.Name, Begins: change.begins}
 		f.faultMarks = append(f.faultMarks, mark)
 		f.mu.Unlock()
 		f.applyFault(change.fault, change.begins)
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -189,7 +189,7 @@
 	}
 	random := rand.New(rand.NewPCG(f.scenario.Fleet.Seed, 4))
 	order := random.Perm(f.scenario.Dispatchers.Count)
-	followers := int(f.scenario.Dispatchers.FollowShare*float64(f.scenario.Dispatchers.Count) + 0.5)
+	followers := int(f.scenario.Dispatchers.HonouringShare*float64(f.scenario.Dispatchers.Count) + 0.5)
 	for d := range f.scenario.Dispatchers.Count {
 		var links []*Link
 		for i, n := range f.nodes {
@@ -257,7 +257,7 @@
 func (f *Fleet) runSchedule() *Report {
 	report := &Report{
 		Scenario: f.scenario.Name, Seed: f.scenario.Fleet.Seed, Nodes: f.scenario.Fleet.Nodes,
-		Capacity: f.scenario.capacity(), Together: f.scenario.Fleet.Shedding,
+		Capacity: f.scenario.capacity(), Shedding: f.scenario.Fleet.Shedding,
 	}
 	f.began = time.Now()
 	for _, d := range f.dispatchers {
--- a/internal/standin/fleet/fleet_test.go
+++ b/internal/standin/fleet/fleet_test.go
@@ -300,7 +300,7 @@
 	if !strings.Contains(got, "1 tries") || !strings.Contains(got, "2 answers") || !strings.Contains(got, "3 keyed") {
 		t.Errorf("violations: %q", got)
 	}
-	r = &Report{FaultMarks: []FaultMark{{At: 1, On: true}, {At: 2}}}
+	r = &Report{FaultMarks: []FaultMark{{At: 1, Begins: true}, {At: 2}}}
 	for i := range 50 { // utility 10 in each sample, none from 1 to 3.5 s
 		r.samples = append(r.samples, map[bool]float64{true: 0, false: 10}[i >= 10 && i < 35])
 	}
--- a/internal/standin/fleet/output.go
+++ b/internal/standin/fleet/output.go
@@ -75,7 +75,7 @@
 // suffix of the path selects the format: .svg, .png or .pdf.
 func (r *Report) Plot(path string) error {
 	chart := plot.New()
-	chart.Title.Text = fmt.Sprintf("%s, %d nodes, together %s, seed %d", r.Scenario, r.Nodes, r.Together, r.Seed)
+	chart.Title.Text = fmt.Sprintf("%s, %d nodes, together %s, seed %d", r.Scenario, r.Nodes, r.Shedding, r.Seed)
 	chart.X.Label.Text, chart.Y.Label.Text = "seconds", "tries and worth a second"
 	chart.Y.Min = 0
 	chart.Legend.Top = true
@@ -103,10 +103,10 @@
 		if err != nil {
 			return fmt.Errorf("plot: %w", err)
 		}
-		l.Color = map[bool]color.Color{true: color.RGBA{R: 200, A: 255}, false: color.RGBA{G: 140, A: 255}}[m.On]
+		l.Color = map[bool]color.Color{true: color.RGBA{R: 200, A: 255}, false: color.RGBA{G: 140, A: 255}}[m.Begins]
 		l.Dashes = []vg.Length{vg.Points(3), vg.Points(3)}
 		chart.Add(l)
-		if m.On {
+		if m.Begins {
 			label, err := plotter.NewLabels(plotter.XYLabels{
 				XYs: plotter.XYs{{X: m.At, Y: top}}, Labels: []string{m.Fault},
 			})
--- a/internal/standin/fleet/report.go
+++ b/internal/standin/fleet/report.go
@@ -84,9 +84,9 @@
 
 // FaultMark is the begin or end of a fault.
 type FaultMark struct {
-	At    float64 `json:"at"` // seconds since the start
-	Fault string  `json:"fault"`
-	On    bool    `json:"on"` // it begins
+	At     float64 `json:"at"` // seconds since the start
+	Fault  string  `json:"fault"`
+	Begins bool    `json:"on"` // it begins
 }
 
 // Report is the outcome of a rehearsal, as measured by clients and stand-ins.
@@ -94,7 +94,7 @@
 	Scenario   string      `json:"scenario"`
 	Seed       uint64      `json:"seed"`
 	Nodes      int         `json:"nodes"`
-	Together   string      `json:"together"`
+	Shedding   string      `json:"together"`
 	Capacity   float64     `json:"capacity"` // requests a second that keep all cores busy
 	Seconds    []Second    `json:"seconds"`
 	FaultMarks []FaultMark `json:"marks"`
--- a/internal/standin/fleet/scenario.go
+++ b/internal/standin/fleet/scenario.go
@@ -63,7 +63,7 @@
 type DispatcherSection struct {
 	Count          int           `ini:"count"`   // 1 to 32
 	FurtherNodes   int           `ini:"walk"`    // further nodes to try after a refusal or failure, 0 to 24
-	FollowShare    float64       `ini:"heed"`    // share of the dispatchers that follow the nodes' advice
+	HonouringShare float64       `ini:"heed"`    // share of the dispatchers that follow the nodes' advice
 	ProbeInterval  time.Duration `ini:"probe"`   // between health checks of a node, 0 = no checks
 	TryTimeout     time.Duration `ini:"try"`     // of one try
 	Routing        string        `ini:"route"`   // random, or least: of two the one with fewer open tries
@@ -72,10 +72,10 @@
 
 // DesktopSection is [desktops]: the clients behind the dispatchers.
 type DesktopSection struct {
-	Retries      int           `ini:"retries"` // 0 to 5
-	Backoff      time.Duration `ini:"backoff"` // before the first retry; it doubles with each
-	Jitter       bool          `ini:"jitter"`  // varies the backoff from half to one and a half
-	FollowAdvice bool          `ini:"heed"`    // waits at least the retry-after of a refusal
+	Retries          int           `ini:"retries"` // 0 to 5
+	Backoff          time.Duration `ini:"backoff"` // before the first retry; it doubles with each
+	Jitter           bool          `ini:"jitter"`  // varies the backoff from half to one and a half
+	HonourRetryAfter bool          `ini:"heed"`    // waits at least the retry-after of a refusal
 }
 
 // ClassSection is [class.NAME]: a class of requests.
@@ -128,10 +128,10 @@
 		},
 		Load: LoadSection{Steps: "0s 0.9"},
 		Dispatchers: DispatcherSection{
-			Count: 4, FurtherNodes: 2, FollowShare: 1, ProbeInterval: time.Second, TryTimeout: time.Second,
+			Count: 4, FurtherNodes: 2, HonouringShare: 1, ProbeInterval: time.Second, TryTimeout: time.Second,
 			Routing: "random", MaxConnections: 4,
 		},
-		Desktops: DesktopSection{Retries: 2, Backoff: 100 * time.Millisecond, Jitter: true, FollowAdvice: true},
+		Desktops: DesktopSection{Retries: 2, Backoff: 100 * time.Millisecond, Jitter: true, HonourRetryAfter: true},
 	}
 }
 
--- a/internal/standin/fleet/validate.go
+++ b/internal/standin/fleet/validate.go
@@ -54,7 +54,7 @@
 	}
 	inRange("dispatchers", "count", float64(d.Count), 1, 32)
 	inRange("dispatchers", "walk", float64(d.FurtherNodes), 0, 24)
-	inRange("dispatchers", "heed", d.FollowShare, 0, 1)
+	inRange("dispatchers", "heed", d.HonouringShare, 0, 1)
 	inRange("dispatchers", "connect", float64(d.MaxConnections), 1, 16)
 	inRange("dispatchers", "try", d.TryTimeout.Seconds(), 0.01, 60)
 	oneOf("dispatchers", "route", d.Routing, "random", "least")
--- a/internal/standin/platform/client.go
+++ b/internal/standin/platform/client.go
@@ -25,17 +25,17 @@
 
 // Request is a request as a dispatcher sends it.
 type Request struct {
-	Txn, Class, Tenant string
-	Limit              time.Duration // how long the dispatcher waits
-	HintMs             float64       // estimated work in milliseconds
-	Retry              bool          // whether it is a further try
-	Unique, Item       string        // idempotency key and key of the item, "" = none
-	Body               []byte
+	Txn, Class, Tenant      string
+	Timeout                 time.Duration // how long the dispatcher waits
+	WorkHintMs              float64       // estimated work in milliseconds
+	Retry                   bool          // whether it is a further try
+	IdempotencyKey, ItemKey string        // idempotency key and key of the item, "" = none
+	Body                    []byte
 }
 
 // Answer is a node's answer.
 type Answer struct {
-	Word         string        // ACK = served, NAK = refused, anything else = failed
+	Status       string        // ACK = served, NAK = refused, anything else = failed
 	RetryAfter   time.Duration // of a refusal, 0 = none
 	StopRetrying bool          // whether the dispatcher shall try no further node
 	LoadFeedback float64       // published load feedback, NaN = none
@@ -114,15 +114,15 @@
 	tag := strconv.Itoa(c.tag)
 	c.open[tag] = got
 	fields := fmt.Sprintf("txn=%s,door=%d,lb=%d,team=%s,limit=%d,cpu=%.2f,ram=10,standing=0.5",
-		q.Txn, time.Now().UnixMilli(), c.number, q.Tenant, q.Limit.Milliseconds(), q.HintMs)
+		q.Txn, time.Now().UnixMilli(), c.number, q.Tenant, q.Timeout.Milliseconds(), q.WorkHintMs)
 	if q.Retry {
 		fields += ",second=1"
 	}
-	if q.Unique != "" {
-		fields += ",unique=" + q.Unique
+	if q.IdempotencyKey != "" {
+		fields += ",unique=" + q.IdempotencyKey
 	}
-	if q.Item != "" {
-		fields += ",item=" + q.Item
+	if q.ItemKey != "" {
+		fields += ",item=" + q.ItemKey
 	}
 	b := redcon.AppendArray(nil, 5)
 	for _, part := range [][]byte{[]byte("RPC.CALL"), []byte(tag), []byte(q.Class), []byte(fields), q.Body} {
@@ -231,7 +231,7 @@
 		if got == nil {
 			continue
 		}
-		a := Answer{Word: string(parts[1]), LoadFeedback: math.NaN()}
+		a := Answer{Status: string(parts[1]), LoadFeedback: math.NaN()}
 		if len(parts) > 2 {
 			for _, f := range strings.Split(string(parts[2]), ",") {
 				name, value, _ := strings.Cut(f, "=")
