--- a/internal/standin/authority.go
+++ b/internal/standin/authority.go
@@ -44,8 +44,8 @@
 	return a
 }
 
-// Sign returns a certificate for a DNS name, valid until a time for clients and servers, and its key, both PEM
-// encoded.
+// Sign returns a certificate for a DNS name and its key, both PEM encoded. The certificate is valid for clients
+// and servers until the given time.
 func (a *Authority) Sign(name string, until time.Time) (cert, key []byte) {
 	a.t.Helper()
 	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -69,8 +69,8 @@
 		pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: text})
 }
 
-// ClientTLS returns the TLS configuration of a client that trusts the authority and expects a server's name. It
-// has a certificate for the client's name unless that is empty.
+// ClientTLS returns the TLS configuration of a client that trusts the authority and expects the server to have
+// the name server. It includes a certificate for the client's name unless that is empty.
 func (a *Authority) ClientTLS(name, server string) *tls.Config {
 	a.t.Helper()
 	pool := x509.NewCertPool()
--- a/internal/standin/fleet/desktop.go
+++ b/internal/standin/fleet/desktop.go
@@ -52,7 +52,7 @@
 	})
 }
 
-// utility returns what a request is worth if it is served within its latency target.
+// utility returns the utility of a request that is served within its latency target.
 func (f *Fleet) utility(request *request) float64 {
 	if f.scenario.Fleet.UtilityPerWork {
 		return request.class.Utility * request.workMs
--- a/internal/standin/fleet/dispatcher.go
+++ b/internal/standin/fleet/dispatcher.go
@@ -20,8 +20,8 @@
 	loadFeedbackTTL        = time.Second            // of a node's published load feedback
 	membershipPollInterval = 500 * time.Millisecond // between reads of the membership list
 	membershipTTL          = 3 * time.Second        // for which a node is listed after its last report
-	answerSlack            = 110 * time.Millisecond // over a try's timeout, which the rules allow an answer
-	minTryTime             = 20 * time.Millisecond  // with less time left no try is made
+	answerSlack            = 110 * time.Millisecond // time beyond its timeout by which a try must be answered
+	minTryTime             = 20 * time.Millisecond  // with less time until the deadline no try is made
 )
 
 // outcome is how a try or a request ended.
@@ -46,7 +46,7 @@
 type dispatcher struct {
 	fleet         *Fleet
 	number        int
-	followsAdvice bool // obeys load feedback, retry-after and refusals that must not be retried
+	honoursAdvice bool // honours load feedback, retry-after and refusals that must not be retried
 
 	mu    sync.Mutex
 	nodes []nodeState
@@ -66,9 +66,9 @@
 	listed       bool // in the membership list
 }
 
-func newDispatcher(f *Fleet, number int, followsAdvice bool) *dispatcher {
+func newDispatcher(f *Fleet, number int, honoursAdvice bool) *dispatcher {
 	d := &dispatcher{
-		fleet: f, number: number, followsAdvice: followsAdvice, nodes: make([]nodeState, len(f.nodes)),
+		fleet: f, number: number, honoursAdvice: honoursAdvice, nodes: make([]nodeState, len(f.nodes)),
 	}
 	for i := range d.nodes {
 		d.nodes[i] = nodeState{addr: f.nodeLinks[number][i].Addr(), loadFeedback: 1, listed: true}
@@ -90,7 +90,7 @@
 				if tried&(1<<i) != 0 || !n.listed || now.Before(n.avoidUntil) || healthy == n.unhealthy {
 					return 0
 				}
-				if !d.followsAdvice || now.Sub(n.feedbackAt) > loadFeedbackTTL {
+				if !d.honoursAdvice || now.Sub(n.feedbackAt) > loadFeedbackTTL {
 					return 1
 				}
 				return max(n.loadFeedback, 0.01)
@@ -124,8 +124,8 @@
 	return node, node >= 0
 }
 
-// connection returns a connection to a node that has room for a request. It opens one if all are full,
-// up to the limit of connections to a node.
+// connection returns the connection to a node on which the most requests can be sent. It opens a new one if none
+// has capacity for a request and MaxConnections allows it.
 func (d *dispatcher) connection(node int) (*platform.Client, error) {
 	d.mu.Lock()
 	n := &d.nodes[node]
@@ -196,15 +196,15 @@
 	if !math.IsNaN(answer.LoadFeedback) {
 		n.loadFeedback, n.feedbackAt = answer.LoadFeedback, now
 	}
-	if result == refused && d.followsAdvice && answer.RetryAfter > 0 {
+	if result == refused && d.honoursAdvice && answer.RetryAfter > 0 {
 		if until := now.Add(min(answer.RetryAfter, d.fleet.scenario.Fleet.MaxRetryAfter)); until.After(n.avoidUntil) {
 			n.avoidUntil = until
 		}
 	}
 }
 
-// send tries a request at one node after another, up to FurtherNodes further ones. retryAfter is the
-// last advice received; without a try, the time until the first node may be tried.
+// send tries a request at one node after another, up to FurtherNodes further ones. retryAfter is that of the
+// last refusal; if no try was made, it is the time until the first node may be tried.
 func (d *dispatcher) send(request *request, deadline time.Time) (result outcome, retryAfter time.Duration) {
 	result = notSent
 	for further, tried := 0, uint64(0); further <= d.fleet.scenario.Dispatchers.FurtherNodes; further++ {
@@ -222,7 +222,7 @@
 			return result, 0
 		case result == refused:
 			retryAfter = answer.RetryAfter
-			if answer.StopRetrying && d.followsAdvice {
+			if answer.StopRetrying && d.honoursAdvice {
 				return result, retryAfter
 			}
 		case result != unreachable && request.class.Effect == "unsafe":
@@ -277,12 +277,12 @@
 				}
 				if first {
 					t.refusalTimes = append(t.refusalTimes, took)
-					if took > promptRefusal {
+					if took > promptRefusalTime {
 						t.SlowRefusals++
 					}
 				}
 			}
-			if result == timedOut && noFault { // a fault on the way would explain it
+			if result == timedOut && noFault { // a fault on the path would explain it
 				t.Unanswered++
 			}
 		})
--- a/internal/standin/fleet/faults.go
+++ b/internal/standin/fleet/faults.go
@@ -27,7 +27,7 @@
 // runFaults begins and ends the faults at their times.
 func (f *Fleet) runFaults() {
 	for _, change := range f.scenario.faultChanges() {
-		if f.sleep(max(time.Until(f.began.Add(change.at)), 0)) != nil {
+		if f.sleep(max(time.Until(f.startedAt.Add(change.at)), 0)) != nil {
 			return
 		}
 		f.mu.Lock()
@@ -40,13 +40,13 @@
 
 // trackFault records the begin or end of a fault between a dispatcher (-1 = all) and a node. The end
 // counts after TryTimeout and 2 s more, since requests in flight may still be affected.
-func (f *Fleet) trackFault(dispatcher, node int, on bool) {
+func (f *Fleet) trackFault(dispatcher, node int, begins bool) {
 	add := func(delta int) {
 		f.mu.Lock()
 		f.activeFaults[[2]int{dispatcher, node}] += delta
 		f.mu.Unlock()
 	}
-	if on {
+	if begins {
 		add(1)
 		return
 	}
@@ -54,44 +54,44 @@
 }
 
 // applyFault begins or ends a fault.
-func (f *Fleet) applyFault(fault *FaultSection, on bool) {
+func (f *Fleet) applyFault(fault *FaultSection, begins bool) {
 	switch {
 	case slices.Contains(processFaults, fault.Kind):
 		targets, _ := f.scenario.selectMembers(fault.Targets, "nodes", "control") // validated before
 		var changes sync.WaitGroup
-		for _, i := range targets.index {
+		for _, i := range targets.indexes {
 			changes.Go(func() {
 				if targets.group == "control" {
-					f.applyToControlService(fault, i, on)
+					f.applyToControlService(fault, i, begins)
 					return
 				}
-				f.trackFault(-1, i, on)
-				f.applyToNode(fault, i, on)
+				f.trackFault(-1, i, begins)
+				f.applyToNode(fault, i, begins)
 			})
 		}
 		changes.Wait()
 	case slices.Contains(linkFaults, fault.Kind):
-		from, to, _ := f.scenario.linkEnds(fault.Link)
+		from, to, _ := f.scenario.parseLink(fault.Link)
 		for _, l := range f.links[from.group+"->"+to.group] {
 			if !from.contains(from.group, l.from) || !to.contains(to.group, l.to) {
 				continue
 			}
 			switch {
 			case from.group == "dispatchers":
-				f.trackFault(l.from, l.to, on)
+				f.trackFault(l.from, l.to, begins)
 			case to.group == "pools":
-				f.trackFault(-1, l.from, on)
+				f.trackFault(-1, l.from, begins)
 			}
-			l.SetFaults(fault.linkFaults(on))
+			l.SetFaults(fault.linkFaults(begins))
 		}
 	default:
-		f.applyToClients(fault, on)
+		f.applyToClients(fault, begins)
 	}
 }
 
 // linkFaults returns the faults that f sets on a link, none when it ends.
-func (f *FaultSection) linkFaults(on bool) (faults Faults) {
-	if !on {
+func (f *FaultSection) linkFaults(begins bool) (faults Faults) {
+	if !begins {
 		return faults
 	}
 	switch f.Kind {
@@ -115,10 +115,10 @@
 }
 
 // applyToNode begins or ends a fault of node i.
-func (f *Fleet) applyToNode(fault *FaultSection, i int, on bool) {
+func (f *Fleet) applyToNode(fault *FaultSection, i int, begins bool) {
 	node := f.nodes[i]
 	switch {
-	case fault.Kind == "kill" && on, fault.Kind == "term" && on:
+	case fault.Kind == "kill" && begins, fault.Kind == "term" && begins:
 		if fault.Kind == "term" {
 			node.process.terminate(3 * time.Second)
 		} else {
@@ -126,7 +126,7 @@
 		}
 		_ = node.pool.Close()
 		node.poolLink.SetTarget("")
-	case fault.Kind == "late" && on:
+	case fault.Kind == "late" && begins:
 	case fault.Kind == "kill", fault.Kind == "term", fault.Kind == "late":
 		f.prepareResults(node, fault.ResultsState)
 		if fault.Kind != "late" && f.startPool(i, true) != nil {
@@ -136,22 +136,22 @@
 			f.record(func(t *tally) { t.Crashes++ })
 		}
 	case fault.Kind == "hang":
-		node.pool.SetPaused(on)
+		node.pool.SetPaused(begins)
 		fallthrough
 	case fault.Kind == "stop":
-		node.process.signal(map[bool]syscall.Signal{true: syscall.SIGSTOP, false: syscall.SIGCONT}[on])
-	case fault.Kind == "squeeze" && on:
+		node.process.signal(map[bool]syscall.Signal{true: syscall.SIGSTOP, false: syscall.SIGCONT}[begins])
+	case fault.Kind == "squeeze" && begins:
 		node.process.throttle(fault.Factor)
 	case fault.Kind == "squeeze":
 		node.process.unthrottle()
-	case fault.Kind == "slow" && on:
+	case fault.Kind == "slow" && begins:
 		node.pool.SetSlowdown(fault.Factor)
 	case fault.Kind == "slow":
 		node.pool.SetSlowdown(1)
 	}
 }
 
-// prepareResults puts a node's results folder into the state that FaultSection.ResultsState describes.
+// prepareResults puts a node's results directory into the state that FaultSection.ResultsState describes.
 func (f *Fleet) prepareResults(node *fleetNode, state string) {
 	results := filepath.Join(node.dir, "results")
 	if state == "keep" {
@@ -161,12 +161,12 @@
 		files, _ := filepath.Glob(filepath.Join(results, "*-*")) // the pattern is valid
 		for i, file := range files {
 			if i%2 == 0 {
-				_ = os.Remove(file) // within the rehearsal's own folder
+				_ = os.Remove(file) // within the rehearsal's own directory
 			}
 		}
 		return
 	}
-	_ = os.RemoveAll(results) // within the rehearsal's own folder
+	_ = os.RemoveAll(results) // within the rehearsal's own directory
 	switch {
 	case state == "old" && node.resultsCopy != "":
 		_ = os.CopyFS(results, os.DirFS(node.resultsCopy))
@@ -178,10 +178,10 @@
 }
 
 // applyToControlService begins or ends a fault of control service i.
-func (f *Fleet) applyToControlService(fault *FaultSection, i int, on bool) {
+func (f *Fleet) applyToControlService(fault *FaultSection, i int, begins bool) {
 	process := f.controlServices[i].process
 	switch {
-	case (fault.Kind == "kill" || fault.Kind == "term") && on:
+	case (fault.Kind == "kill" || fault.Kind == "term") && begins:
 		process.kill()
 	case fault.Kind == "kill", fault.Kind == "term", fault.Kind == "late":
 		if fault.ResultsState == "empty" {
@@ -191,26 +191,26 @@
 			f.record(func(t *tally) { t.Crashes++ })
 		}
 	default:
-		process.signal(map[bool]syscall.Signal{true: syscall.SIGSTOP, false: syscall.SIGCONT}[on])
+		process.signal(map[bool]syscall.Signal{true: syscall.SIGSTOP, false: syscall.SIGCONT}[begins])
 	}
 }
 
 // applyToClients begins or ends a fault of dispatchers or desktops.
-func (f *Fleet) applyToClients(fault *FaultSection, on bool) {
+func (f *Fleet) applyToClients(fault *FaultSection, begins bool) {
 	switch {
 	case fault.Kind == "probe":
 		f.mu.Lock()
-		f.probeFactor = map[bool]float64{true: fault.Factor, false: 1}[on]
+		f.probeFactor = map[bool]float64{true: fault.Factor, false: 1}[begins]
 		f.mu.Unlock()
-	case fault.Kind == "reconnect" && on:
+	case fault.Kind == "reconnect" && begins:
 		targets, err := f.scenario.selectMembers(fault.Targets, "dispatchers")
 		if err != nil {
 			targets, _ = f.scenario.selectMembers("dispatchers", "dispatchers")
 		}
-		for _, d := range targets.index {
+		for _, d := range targets.indexes {
 			f.dispatchers[d].reconnect()
 		}
-	case fault.Kind == "return" && on: // all desktops at once: as many requests as fill all cores for a second
+	case fault.Kind == "return" && begins: // all desktops at once: as many requests as keep all cores busy for a second
 		random := rand.New(rand.NewPCG(f.scenario.Fleet.Seed, 6))
 		for range int(f.scenario.capacity()) {
 			a := arrival{
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -2,7 +2,7 @@
 // control service processes. Stand-ins take the place of the worker pools, the membership service,
 // the dispatchers and the desktops, and every link goes through a proxy that can inject faults.
 //
-// Parse reads a scenario and Run plays it. The Report holds what clients and stand-ins measured
+// Parse reads a scenario and Run executes it. The Report holds what clients and stand-ins measured
 // from outside the programs. The same seed gives the same schedule of requests and faults.
 //
 // The package listens on loopback only and ends only processes that it started. Among the programs
@@ -27,15 +27,15 @@
 
 // Options are the settings of a rehearsal beside its scenario.
 type Options struct {
-	Node, Control string                           // paths of the programs
+	Node, Control string                           // paths of the programs of the nodes and the control services
 	OnSecond      func(Second)                     // called at the end of each second; may be nil
 	OnStarted     func(f *Fleet)                   // called once when all processes are up; may be nil
 	NodeSettings  map[string]string                // further lines of the nodes' INI file, by section
 	Prepare       func(node int, dir string) error // called before a node's first start; may be nil
-	LogDir        string                           // folder that the logs are copied to, "" = none
+	LogDir        string                           // directory to which the logs are copied; "" = none
 }
 
-// Fleet is a running rehearsal.
+// Fleet is a running rehearsal with its processes, links and stand-ins.
 type Fleet struct {
 	scenario *Scenario
 	options  Options
@@ -50,7 +50,7 @@
 	dispatchers     []*dispatcher
 	nodeLinks       [][]*Link // by dispatcher and node
 	lastTransaction atomic.Uint64
-	heldPorts       []*os.File             // reserved ports of the processes
+	reservedPorts   []*os.File             // reserved ports of the processes
 	links           map[string][]groupLink // by their groups, "from->to"
 
 	mu                sync.Mutex
@@ -61,8 +61,8 @@
 	firstIncarnation  map[string]int // pool incarnation in which a key ran first, by node and key
 	rerunAfterRestart int            // runs of keys that had run in an earlier incarnation of the node
 	faultMarks        []FaultMark
-	began             time.Time
-	running           sync.WaitGroup
+	startedAt         time.Time
+	goroutines        sync.WaitGroup
 }
 
 // groupLink is the link between two members of groups, numbered from 0.
@@ -98,8 +98,8 @@
 	return counts
 }
 
-// Run plays a scenario and reports the outcome. An error means that the scenario could not be
-// played to its end; rules that were violated in it are part of the report.
+// Run executes a scenario and reports the outcome. An error means that the scenario did not run to its end or
+// that files could not be written or removed. Violations of rules are part of the report.
 func Run(ctx context.Context, scenario *Scenario, opt Options) (report *Report, err error) {
 	f := &Fleet{
 		scenario: scenario, options: opt, links: map[string][]groupLink{}, activeFaults: map[[2]int]int{},
@@ -122,7 +122,7 @@
 	}
 	report = f.runSchedule()
 	f.cancel()
-	f.running.Wait()
+	f.goroutines.Wait()
 	f.summarize(report)
 	if err := ctx.Err(); err != nil {
 		return report, fmt.Errorf("rehearsal cancelled: %w", err)
@@ -155,8 +155,8 @@
 	if f.members != nil {
 		_ = f.members.Close()
 	}
-	f.running.Wait()
-	for _, h := range f.heldPorts {
+	f.goroutines.Wait()
+	for _, h := range f.reservedPorts {
 		_ = h.Close()
 	}
 }
@@ -187,30 +187,10 @@
 			return err
 		}
 	}
-	random := rand.New(rand.NewPCG(f.scenario.Fleet.Seed, 4))
-	order := random.Perm(f.scenario.Dispatchers.Count)
-	followers := int(f.scenario.Dispatchers.HonouringShare*float64(f.scenario.Dispatchers.Count) + 0.5)
-	for d := range f.scenario.Dispatchers.Count {
-		var links []*Link
-		for i, n := range f.nodes {
-			l, err := f.addLink("dispatchers", d, "nodes", i, n.addr)
-			if err != nil {
-				return err
-			}
-			links = append(links, l)
-		}
-		f.nodeLinks = append(f.nodeLinks, links)
-		f.dispatchers = append(f.dispatchers, newDispatcher(f, d, order[d] < followers))
-	}
-	startsLate := map[int]bool{}
-	for i := range f.scenario.Faults {
-		if fault := &f.scenario.Faults[i]; fault.Kind == "late" {
-			targets, _ := f.scenario.selectMembers(fault.Targets, "nodes", "control") // validated before
-			for _, j := range targets.index {
-				startsLate[j] = startsLate[j] || targets.group == "nodes"
-			}
-		}
+	if err := f.addDispatchers(); err != nil {
+		return err
 	}
+	startsLate := f.lateNodes()
 	for i, n := range f.nodes {
 		if startsLate[i] {
 			continue
@@ -230,18 +210,52 @@
 	if f.scenario.Fleet.ResultCache {
 		for _, n := range f.nodes {
 			n.resultsCopy = filepath.Join(n.dir, "old")
-			// The node may be writing to the folder, as when an operator copies it. An incomplete copy is intended.
+			// The node may be writing to the directory, as when an operator copies it. An incomplete copy is intended.
 			_ = os.CopyFS(n.resultsCopy, os.DirFS(filepath.Join(n.dir, "results")))
 		}
 	}
 	return nil
 }
 
+// addDispatchers adds the dispatchers with their links to the nodes.
+func (f *Fleet) addDispatchers() error {
+	random := rand.New(rand.NewPCG(f.scenario.Fleet.Seed, 4))
+	order := random.Perm(f.scenario.Dispatchers.Count)
+	honouring := int(f.scenario.Dispatchers.HonouringShare*float64(f.scenario.Dispatchers.Count) + 0.5)
+	for d := range f.scenario.Dispatchers.Count {
+		var links []*Link
+		for i, n := range f.nodes {
+			l, err := f.addLink("dispatchers", d, "nodes", i, n.addr)
+			if err != nil {
+				return err
+			}
+			links = append(links, l)
+		}
+		f.nodeLinks = append(f.nodeLinks, links)
+		f.dispatchers = append(f.dispatchers, newDispatcher(f, d, order[d] < honouring))
+	}
+	return nil
+}
+
+// lateNodes returns the numbers, from 0, of the nodes that a fault of the kind late starts.
+func (f *Fleet) lateNodes() (startsLate map[int]bool) {
+	startsLate = map[int]bool{}
+	for i := range f.scenario.Faults {
+		if fault := &f.scenario.Faults[i]; fault.Kind == "late" {
+			targets, _ := f.scenario.selectMembers(fault.Targets, "nodes", "control") // validated before
+			for _, j := range targets.indexes {
+				startsLate[j] = startsLate[j] || targets.group == "nodes"
+			}
+		}
+	}
+	return startsLate
+}
+
 // reservePort reserves a port for a process until the rehearsal is over.
 func (f *Fleet) reservePort() (string, error) {
 	addr, port, err := reserveAddr()
 	if err == nil {
-		f.heldPorts = append(f.heldPorts, port)
+		f.reservedPorts = append(f.reservedPorts, port)
 	}
 	return addr, err
 }
@@ -259,19 +273,19 @@
 		Scenario: f.scenario.Name, Seed: f.scenario.Fleet.Seed, Nodes: f.scenario.Fleet.Nodes,
 		Capacity: f.scenario.capacity(), Shedding: f.scenario.Fleet.Shedding,
 	}
-	f.began = time.Now()
+	f.startedAt = time.Now()
 	for _, d := range f.dispatchers {
-		d.startProbes(&f.running)
+		d.startProbes(&f.goroutines)
 	}
 	var faults sync.WaitGroup
 	faults.Go(f.runFaults)
 	var seconds sync.WaitGroup
 	seconds.Go(func() { f.countSeconds(report) })
 	for a := range f.scenario.arrivals {
-		if f.sleep(max(time.Until(f.began.Add(a.at)), 0)) != nil {
+		if f.sleep(max(time.Until(f.startedAt.Add(a.at)), 0)) != nil {
 			break
 		}
-		f.startRequest(a, f.began.Add(a.at))
+		f.startRequest(a, f.startedAt.Add(a.at))
 	}
 	seconds.Wait()
 	f.cancel()
@@ -286,10 +300,10 @@
 		startedAt: began, idempotencyKey: fmt.Sprintf("k%016x", a.seed),
 	}
 	f.record(func(t *tally) { t.Started++; t.UtilityOffered += f.utility(request) })
-	f.running.Go(func() { f.runRequest(request) })
+	f.goroutines.Go(func() { f.runRequest(request) })
 }
 
-// copyLogs copies the processes' logs to Options.Keep, at most 16 MiB of each.
+// copyLogs copies the processes' logs to Options.LogDir, at most 16 MiB of each.
 func (f *Fleet) copyLogs() error {
 	if err := os.MkdirAll(f.options.LogDir, 0o755); err != nil {
 		return err
--- a/internal/standin/fleet/fleet_test.go
+++ b/internal/standin/fleet/fleet_test.go
@@ -59,7 +59,7 @@
 	return s
 }
 
-// run plays a scenario. A violated rule fails the test.
+// run executes a scenario. A violated rule fails the test.
 func run(t *testing.T, s *Scenario, opt Options) *Report {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(s.Fleet.Seconds+60)*time.Second)
@@ -184,9 +184,9 @@
 	}
 }
 
-// The same seed gives the same schedule and another seed another one; the load is as set.
+// The same seed gives the same schedule and another seed another one. The load is that of the scenario.
 func TestScheduleDependsOnSeed(t *testing.T) {
-	digest := func(seed uint64) string {
+	schedule := func(seed uint64) string {
 		s := Defaults()
 		s.Name, s.Fleet.Seed = "x", seed
 		s.Classes = []ClassSection{{
@@ -206,11 +206,11 @@
 		}
 		return text
 	}
-	one := digest(1)
-	if again := digest(1); again != one {
+	one := schedule(1)
+	if again := schedule(1); again != one {
 		t.Error("the same seed gave two schedules")
 	}
-	if one == digest(2) {
+	if one == schedule(2) {
 		t.Error("two seeds gave one schedule")
 	}
 }
@@ -309,13 +309,13 @@
 	}
 }
 
-// A process can listen on its reserved port again and again; while it is down nobody else does.
+// A process can listen on its reserved port again after a restart, and the port refuses connections meanwhile.
 func TestReservedPorts(t *testing.T) {
-	addr, held, err := reserveAddr()
+	addr, port, err := reserveAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer held.Close()
+	defer port.Close()
 	for range 2 { // the second time as after a restart
 		ln, err := net.Listen("tcp", addr)
 		if err != nil {
@@ -331,7 +331,7 @@
 	}
 }
 
-// A cancelled rehearsal returns the context's error, and leaves no process and no folder behind.
+// A cancelled rehearsal returns the context's error, and leaves no process and no directory behind.
 func TestCancelledRun(t *testing.T) {
 	opt := build(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -355,6 +355,6 @@
 		}
 	}
 	if _, err := os.Stat(f.dir); !errors.Is(err, os.ErrNotExist) || len(pids) != 2 {
-		t.Errorf("%d nodes ran; their folder: %v", len(pids), err)
+		t.Errorf("%d nodes ran; their directory: %v", len(pids), err)
 	}
 }
--- a/internal/standin/fleet/link.go
+++ b/internal/standin/fleet/link.go
@@ -15,7 +15,7 @@
 	CutUp, CutDown bool          // no bytes pass to the target, or back; connections stay open
 	Delay, Jitter  time.Duration // each way; jitter is a uniformly random addition, 0 up to Jitter
 	BytesPerSecond int           // each way and connection, 0 = unlimited
-	StopAfter      int           // bytes each way and connection after which none pass, 0 = unlimited
+	StopAfter      int           // bytes each way and connection after which no more pass, 0 = unlimited
 	Reset          bool          // open and new connections are reset
 	HalfOpen       bool          // the target's side is closed, the client's side is not notified
 }
@@ -32,22 +32,22 @@
 type Link struct {
 	ln net.Listener
 
-	mu      sync.Mutex
-	target  string
-	faults  Faults
-	changed chan struct{} // closed at the next change of faults
-	conns   map[*linkConn]struct{}
-	opened  int
-	closed  bool
-	random  *rand.Rand
-	running sync.WaitGroup
+	mu                sync.Mutex
+	target            string
+	faults            Faults
+	changed           chan struct{} // closed at the next change of faults
+	conns             map[*connPair]struct{}
+	connectionsOpened int
+	closed            bool
+	random            *rand.Rand
+	goroutines        sync.WaitGroup
 }
 
-// linkConn is one connection through the link: near is the client's side, far the target's.
-type linkConn struct {
-	near, far net.Conn
-	done      chan struct{} // closed when no more bytes pass
-	once      sync.Once
+// connPair holds the two sides of a connection through a link.
+type connPair struct {
+	clientConn, targetConn net.Conn
+	done                   chan struct{} // closed when no more bytes pass
+	once                   sync.Once
 }
 
 // NewLink listens on a free loopback port and forwards to target. While target is "", connections are
@@ -58,10 +58,10 @@
 		return nil, fmt.Errorf("fault proxy: %w", err)
 	}
 	l := &Link{
-		ln: ln, target: target, changed: make(chan struct{}), conns: map[*linkConn]struct{}{},
+		ln: ln, target: target, changed: make(chan struct{}), conns: map[*connPair]struct{}{},
 		random: rand.New(rand.NewPCG(seed, 3)),
 	}
-	l.running.Go(l.accept)
+	l.goroutines.Go(l.accept)
 	return l, nil
 }
 
@@ -72,7 +72,7 @@
 func (l *Link) ConnectionsOpened() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.opened
+	return l.connectionsOpened
 }
 
 // SetTarget sets the target of new connections.
@@ -93,7 +93,7 @@
 		case f.Reset:
 			p.reset()
 		case f.HalfOpen:
-			_ = p.far.Close() // forward hides this from the client until the fault ends
+			_ = p.targetConn.Close() // forward hides this from the client until the fault ends
 		}
 	}
 	l.mu.Unlock()
@@ -119,19 +119,19 @@
 		p.close()
 	}
 	l.mu.Unlock()
-	l.running.Wait()
+	l.goroutines.Wait()
 }
 
-func (p *linkConn) close() {
+func (p *connPair) close() {
 	p.once.Do(func() {
 		close(p.done)
-		_ = p.near.Close()
-		_ = p.far.Close()
+		_ = p.clientConn.Close()
+		_ = p.targetConn.Close()
 	})
 }
 
-func (p *linkConn) reset() {
-	for _, c := range []net.Conn{p.near, p.far} {
+func (p *connPair) reset() {
+	for _, c := range []net.Conn{p.clientConn, p.targetConn} {
 		if t, ok := c.(*net.TCPConn); ok {
 			_ = t.SetLinger(0)
 		}
@@ -148,25 +148,25 @@
 
 func (l *Link) accept() {
 	for {
-		near, err := l.ln.Accept()
+		clientConn, err := l.ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		} else if err != nil {
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
-		l.running.Go(func() { l.serve(near) })
+		l.goroutines.Go(func() { l.serve(clientConn) })
 	}
 }
 
 // serve forwards one connection. While the link is cut in either direction the target is not dialled, so
 // the connection looks half-open to the client; after about 10 s it is reset.
-func (l *Link) serve(near net.Conn) {
+func (l *Link) serve(clientConn net.Conn) {
 	abort := func() {
-		if t, ok := near.(*net.TCPConn); ok {
+		if t, ok := clientConn.(*net.TCPConn); ok {
 			_ = t.SetLinger(0)
 		}
-		_ = near.Close()
+		_ = clientConn.Close()
 	}
 	for began := time.Now(); ; {
 		f, changed := l.currentFaults()
@@ -192,12 +192,12 @@
 		abort()
 		return
 	}
-	far, err := net.DialTimeout("tcp", target, time.Second)
+	targetConn, err := net.DialTimeout("tcp", target, time.Second)
 	if err != nil {
 		abort()
 		return
 	}
-	p := &linkConn{near: near, far: far, done: make(chan struct{})}
+	p := &connPair{clientConn: clientConn, targetConn: targetConn, done: make(chan struct{})}
 	l.mu.Lock()
 	if l.closed {
 		l.mu.Unlock()
@@ -205,13 +205,13 @@
 		return
 	}
 	l.conns[p] = struct{}{}
-	l.opened++
+	l.connectionsOpened++
 	seed := l.random.Uint64()
 	l.mu.Unlock()
-	var both sync.WaitGroup
-	both.Go(func() { l.forward(p, near, far, true, rand.New(rand.NewPCG(seed, 1))) })
-	both.Go(func() { l.forward(p, far, near, false, rand.New(rand.NewPCG(seed, 2))) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { l.forward(p, clientConn, targetConn, true, rand.New(rand.NewPCG(seed, 1))) })
+	directions.Go(func() { l.forward(p, targetConn, clientConn, false, rand.New(rand.NewPCG(seed, 2))) })
+	directions.Wait()
 	p.close()
 	l.mu.Lock()
 	delete(l.conns, p)
@@ -225,9 +225,9 @@
 }
 
 // forward forwards one direction of a connection; up is the direction to the target.
-func (l *Link) forward(p *linkConn, from, to net.Conn, up bool, random *rand.Rand) {
+func (l *Link) forward(p *connPair, from, to net.Conn, up bool, random *rand.Rand) {
 	queue := make(chan chunk, maxQueuedChunks)
-	l.running.Go(func() {
+	l.goroutines.Go(func() {
 		defer close(queue)
 		lastDue := time.Time{}
 		for {
@@ -282,13 +282,13 @@
 }
 
 // hidesFailure reports whether a failure on one side must not reach the other side.
-func (p *linkConn) hidesFailure(l *Link, side net.Conn) bool {
+func (p *connPair) hidesFailure(l *Link, side net.Conn) bool {
 	f, _ := l.currentFaults()
-	return f.HalfOpen && side == p.far
+	return f.HalfOpen && side == p.targetConn
 }
 
 // sleepUntil waits until due. It returns false if the connection closes before.
-func (l *Link) sleepUntil(p *linkConn, due time.Time) bool {
+func (l *Link) sleepUntil(p *connPair, due time.Time) bool {
 	if d := time.Until(due); d > 0 {
 		select {
 		case <-time.After(d):
@@ -299,9 +299,9 @@
 	return true
 }
 
-// admit waits until the faults let a chunk pass, and shortens it to what StopAfter allows. It returns
-// false if the connection must be closed.
-func (l *Link) admit(p *linkConn, up bool, passed *int, c *chunk) bool {
+// admit waits until the faults let a chunk pass, and shortens it to what StopAfter allows; passed counts the
+// bytes that have passed in this direction. It returns false if the connection must be closed.
+func (l *Link) admit(p *connPair, up bool, passed *int, c *chunk) bool {
 	for {
 		f, changed := l.currentFaults()
 		blocked := f.HalfOpen || up && f.CutUp || !up && f.CutDown
--- a/internal/standin/fleet/mutants_test.go
+++ b/internal/standin/fleet/mutants_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// mutant is a change of the source that switches off one defence. check plays a scenario with the given
+// mutant is a change of the source that switches off one defence. check runs a scenario with the given
 // programs and reports whether the defence works, and what it measured.
 type mutant struct {
 	name, file, from, to string
@@ -89,7 +89,7 @@
 // -fleet.long, as it builds the programs for each mutant.
 func TestMutantsFail(t *testing.T) {
 	if !*fullSize {
-		t.Skip("needs -fleet.long: builds and plays every mutant")
+		t.Skip("needs -fleet.long: builds and runs every mutant")
 	}
 	unchanged := build(t)
 	root, err := filepath.Abs("../../..")
@@ -194,7 +194,7 @@
 func oldCopyIsDetected(t *testing.T, opt Options) (bool, string) {
 	opt.LogDir = t.TempDir()
 	run(t, scenario(t, fmt.Sprintf(lostResults, 1, "on", "old")), opt)
-	logged := grep(nodeLog(t, opt.LogDir, 0), "memory lost")
+	logged := matchingLines(nodeLog(t, opt.LogDir, 0), "memory lost")
 	return logged != "", "the node logged " + logged
 }
 
@@ -206,6 +206,6 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	logged := grep(string(text), "event 1 started")
+	logged := matchingLines(string(text), "event 1 started")
 	return logged != "", "the control service logged " + logged
 }
--- a/internal/standin/fleet/node.go
+++ b/internal/standin/fleet/node.go
@@ -23,7 +23,7 @@
 	controlLinks    []*Link
 	pool            *platform.Pool
 	poolIncarnation int    // from 1
-	resultsCopy     string // folder with a copy of its results as of the start
+	resultsCopy     string // directory with a copy of its results as of the start
 }
 
 // controlService is one control service.
@@ -138,7 +138,7 @@
 	node := f.nodes[i]
 	node.poolIncarnation++
 	pool, incarnation := fmt.Sprintf("%d.%d", i, node.poolIncarnation), node.poolIncarnation
-	execute := func(run platform.Run) (float64, string, []byte) {
+	work := func(run platform.Run) (float64, string, []byte) {
 		words := strings.SplitN(string(run.Body), " ", 2)
 		ms, err := strconv.ParseFloat(words[0], 64)
 		if err != nil {
@@ -157,7 +157,7 @@
 		}
 		return ms, "complete", []byte("done by " + run.ID)
 	}
-	node.pool, err = platform.StartPool(f.scenario.Fleet.Cores, f.scenario.Fleet.Contention, execute)
+	node.pool, err = platform.StartPool(f.scenario.Fleet.Cores, f.scenario.Fleet.Contention, work)
 	if err != nil {
 		return err
 	}
@@ -171,9 +171,9 @@
 // platformSettings returns the platform's settings object for the scenario's nodes.
 func (s *Scenario) platformSettings() map[string]any {
 	effects := map[string]string{"safe": "idempotent", "keyed": "deduplicated", "unsafe": "at_most_once"}
-	var lanes []any
+	var classes []any
 	for _, c := range s.Classes {
-		lanes = append(lanes, map[string]any{
+		classes = append(classes, map[string]any{
 			"name": c.Name, "aimMs": c.LatencyTarget.Milliseconds(), "deadlineMs": c.Deadline.Milliseconds(),
 			"effect": effects[c.Effect], "windowMs": 60_000, "worth": c.Utility,
 		})
@@ -183,7 +183,7 @@
 		countedBy = "work"
 	}
 	return map[string]any{
-		"tickMs": 2, "groupSize": s.Fleet.Nodes, "lanes": lanes, "countedBy": countedBy,
+		"tickMs": 2, "groupSize": s.Fleet.Nodes, "lanes": classes, "countedBy": countedBy,
 		"parties": []any{map[string]any{"name": "acme", "share": 1, "quotaRps": 100_000}},
 		"extra": map[string]any{
 			"cpus": s.Fleet.Cores, "ramKb": 400_000, "runFactor": 4, "entryKb": 0.2,
--- a/internal/standin/fleet/output.go
+++ b/internal/standin/fleet/output.go
@@ -13,7 +13,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Line prints a second as a line of the table under Head.
+// Line prints a second as a line of the table under TableHeader.
 func (s Second) Line(out io.Writer) {
 	t := &s.Tally
 	fmt.Fprintf(out, "%4d %6d %8.0f %8.0f %6.2f %7d %7d %7d %6d %6d %6d %6d %5.2f %5.0f %5d\n",
@@ -23,7 +23,7 @@
 		s.NodeCPU, s.CPUPerTry, s.MemoryKB>>10)
 }
 
-// Head prints the header of the lines of seconds.
+// TableHeader prints the header of the lines that Second.Line prints.
 func TableHeader(out io.Writer) {
 	fmt.Fprintf(out, "%4s %6s %8s %8s %6s %7s %7s %7s %6s %6s %6s %6s %5s %5s %5s\n",
 		"s", "asked", "offered", "worth", "tries",
--- a/internal/standin/fleet/process.go
+++ b/internal/standin/fleet/process.go
@@ -56,8 +56,8 @@
 
 	mu             sync.Mutex
 	cmd            *exec.Cmd
-	ended          chan struct{}
-	shouldRun      bool               // an exit now is a crash
+	exited         chan struct{}
+	shouldRun      bool               // an exit while it is set is a crash
 	crashes        int                // exits that were not requested
 	pastCPU        time.Duration      // processor time of earlier incarnations
 	stopThrottling context.CancelFunc // nil if not throttled
@@ -82,7 +82,7 @@
 		return fmt.Errorf("%s: %w", p.name, err)
 	}
 	ended := make(chan struct{})
-	p.cmd, p.ended, p.shouldRun = cmd, ended, true
+	p.cmd, p.exited, p.shouldRun = cmd, ended, true
 	go func() { // ends with the process
 		_ = cmd.Wait() // whether the exit was a crash follows from shouldRun
 		p.mu.Lock()
@@ -132,7 +132,7 @@
 // wait waits for the process's exit and reports whether it came within timeout.
 func (p *process) wait(timeout time.Duration) bool {
 	p.mu.Lock()
-	ended, running := p.ended, p.cmd != nil
+	ended, running := p.exited, p.cmd != nil
 	p.mu.Unlock()
 	if !running {
 		return true
--- a/internal/standin/fleet/recovery_test.go
+++ b/internal/standin/fleet/recovery_test.go
@@ -19,8 +19,9 @@
 )
 
 // lostResults is a scenario in which nodes are killed with their pools while their answers do not reach
-// the dispatchers. After the restart clients repeat requests that have run, and only the results folder
-// can tell the node so. The arguments are the number of nodes, [comeback] and the state of the folder.
+// the dispatchers. After the restart clients repeat requests that have run, which the node
+// knows only from its results directory. The arguments are the number of nodes, the value of [fleet] comeback and
+// the state of the directory.
 const lostResults = `
 [fleet]
 nodes = %d
@@ -56,10 +57,10 @@
 folder = %s
 `
 
-// A restarted node finds its results folder empty, replaced by an older copy, or swapped with another
+// A restarted node finds its results directory empty, replaced by an older copy, or swapped with another
 // node's. With [comeback] it detects the loss, since the control service knows the previous incarnation,
-// and no keyed request runs a second time within its window; without [comeback] some do. A folder that
-// was kept counts as complete.
+// and no keyed request runs a second time within its window; without [comeback] some do. A directory
+// that is unchanged counts as complete.
 func TestLostResultsAreInDoubt(t *testing.T) {
 	opt := build(t)
 	for _, c := range []struct {
@@ -86,7 +87,7 @@
 				log += nodeLog(t, opt.LogDir, i)
 			}
 			if r.RanAgainAfterRestart > 0 || !strings.Contains(log, c.logged) {
-				t.Errorf("%d requests ran again; the nodes logged %s", r.RanAgainAfterRestart, grep(log, "memory"))
+				t.Errorf("%d requests ran again; the nodes logged %s", r.RanAgainAfterRestart, matchingLines(log, "memory"))
 			}
 		})
 	}
@@ -96,13 +97,13 @@
 		opt.LogDir = t.TempDir()
 		r := run(t, scenario(t, fmt.Sprintf(lostResults, 1, "on", "keep")), opt)
 		if log := nodeLog(t, opt.LogDir, 0); r.RanAgainAfterRestart > 0 || strings.Contains(log, "memory lost") {
-			t.Errorf("%d requests ran again; the node logged %s", r.RanAgainAfterRestart, grep(log, "memory"))
+			t.Errorf("%d requests ran again; the node logged %s", r.RanAgainAfterRestart, matchingLines(log, "memory"))
 		}
 	})
 }
 
-// grep returns the lines that contain word.
-func grep(text, word string) string {
+// matchingLines returns the lines that contain word.
+func matchingLines(text, word string) string {
 	var b strings.Builder
 	for line := range strings.Lines(text) {
 		if strings.Contains(line, word) {
@@ -179,7 +180,7 @@
 }
 
 // A restarted node uses its warm-start snapshot. If it turns out ten times as fast as the snapshot says,
-// it drops the snapshot.
+// it discards the snapshot.
 func TestSnapshotUsedOrDropped(t *testing.T) {
 	const text = `
 [fleet]
@@ -213,7 +214,7 @@
 			for i := range 2 {
 				log := nodeLog(t, opt.LogDir, i)
 				if !strings.Contains(log, c.logged) || c.notLogged != "" && strings.Contains(log, c.notLogged) {
-					t.Errorf("node %d logged %s", i+1, grep(log, "snapshot"))
+					t.Errorf("node %d logged %s", i+1, matchingLines(log, "snapshot"))
 				}
 			}
 		})
@@ -230,8 +231,8 @@
 	return string(text)
 }
 
-// The control service restarts after the node whose folder was emptied. It has stored what it knew of the
-// previous incarnation, and until the node receives that, it holds repeats in doubt.
+// The control service restarts after the node whose results directory was emptied. It has stored the node's
+// previous incarnation, and until the node learns of that, it treats repeated requests as in doubt.
 func TestControlServiceReturnsLater(t *testing.T) {
 	opt := build(t)
 	opt.LogDir = t.TempDir()
@@ -240,7 +241,7 @@
 	r := run(t, scenario(t, text), opt)
 	log := nodeLog(t, opt.LogDir, 0)
 	if r.RanAgainAfterRestart > 0 || !strings.Contains(log, "an earlier life was heard") {
-		t.Errorf("%d requests ran again; the node logged %s", r.RanAgainAfterRestart, grep(log, "memory"))
+		t.Errorf("%d requests ran again; the node logged %s", r.RanAgainAfterRestart, matchingLines(log, "memory"))
 	}
 }
 
--- a/internal/standin/fleet/report.go
+++ b/internal/standin/fleet/report.go
@@ -11,8 +11,8 @@
 // times.
 const sampleInterval = 100 * time.Millisecond
 
-// promptRefusal is the time within which a refused first try should be answered.
-const promptRefusal = 20 * time.Millisecond
+// promptRefusalTime is the time within which a refused first try should be answered.
+const promptRefusalTime = 20 * time.Millisecond
 
 // tally holds the counts of a period. Utility counts for requests that are served within their latency
 // target.
@@ -24,12 +24,12 @@
 	Requests         [numOutcomes]int `json:"requests"` // by outcome
 	Tries            [numOutcomes]int `json:"tries"`    // by outcome
 	FirstTries       int              `json:"first"`
-	NotSent          int              `json:"held_back"`   // times that no node was available
-	StoppedRetries   int              `json:"walks_ended"` // refusals that must not be retried
+	NotSent          int              `json:"held_back"`   // times that a dispatcher had no node to try
+	StoppedRetries   int              `json:"walks_ended"` // refusals that told the dispatcher to stop retrying
 	RetryAfters      int              `json:"advised"`     // other refusals with a retry-after
 	Probes           int              `json:"probes"`
 	Connections      int              `json:"connects"`
-	Unanswered       int              `json:"lost"`    // tries that timed out with no fault on the way
+	Unanswered       int              `json:"lost"`    // tries that timed out with no fault on the path
 	SlowRefusals     int              `json:"tardy"`   // refused first tries answered after promptRefusal
 	DuplicateAnswers int              `json:"twice"`   // further answers to answered requests
 	Crashes          int              `json:"crashes"` // unexpected exits, and failed starts
@@ -86,7 +86,7 @@
 type FaultMark struct {
 	At     float64 `json:"at"` // seconds since the start
 	Fault  string  `json:"fault"`
-	Begins bool    `json:"on"` // it begins
+	Begins bool    `json:"on"` // whether it begins
 }
 
 // Report is the outcome of a rehearsal, as measured by clients and stand-ins.
@@ -122,7 +122,7 @@
 	samples []float64 // utility served in each sample interval
 }
 
-// Broken lists the violations of rules that hold in every rehearsal.
+// Violations lists the violations of rules that hold in every rehearsal.
 func (r *Report) Violations() (list []string) {
 	for what, n := range map[string]int{
 		"tries without an answer within their timeout, with no fault on the way": r.Tally.Unanswered,
@@ -166,7 +166,7 @@
 	perSecond := int(time.Second / sampleInterval)
 	var sum tally
 	for i := 1; i <= f.scenario.Fleet.Seconds*perSecond; i++ {
-		if f.sleep(max(time.Until(f.began.Add(time.Duration(i)*sampleInterval)), 0)) != nil {
+		if f.sleep(max(time.Until(f.startedAt.Add(time.Duration(i)*sampleInterval)), 0)) != nil {
 			return
 		}
 		f.mu.Lock()
@@ -240,7 +240,7 @@
 		return float64(t.refusalTimes[int(q*float64(len(t.refusalTimes)-1))]) / float64(time.Millisecond)
 	}
 	report.RefusalP50, report.RefusalP99 = quantile(0.5), quantile(0.99)
-	prompt, _ := slices.BinarySearch(t.refusalTimes, promptRefusal)
+	prompt, _ := slices.BinarySearch(t.refusalTimes, promptRefusalTime)
 	report.PromptRefusalShare = float64(prompt) / float64(max(len(t.refusalTimes), 1))
 	report.measureRecovery()
 }
--- a/internal/standin/fleet/scenario.go
+++ b/internal/standin/fleet/scenario.go
@@ -35,7 +35,7 @@
 	Shedding       string        `ini:"together"`      // load shedding: off, alone, or told (with digests)
 	Recovery       string        `ini:"comeback"`      // off, on, or snapshot (with a warm start)
 	PlainNodes     int           `ini:"plain"`         // nodes without [together] and [comeback], as older programs
-	ResultCache    bool          `ini:"results"`       // each node has a result cache in its own folder
+	ResultCache    bool          `ini:"results"`       // each node has a result cache in a directory of its own
 	Seconds        int           `ini:"seconds"`       // duration, 2 to 600
 	Seed           uint64        `ini:"seed"`          // of arrivals, work, clients' choices and jitter
 	Contention     float64       `ini:"crowd"`         // slow-down for each run per core beyond one
@@ -43,7 +43,7 @@
 	WarmUpTime     time.Duration `ini:"cold_ramp"`     // until a restarted worker pool has full speed
 	NodeCores      float64       `ini:"node_cores"`    // granted to each node, 0.1 to 4
 	MemoryMB       int           `ini:"memory_mb"`     // granted to each node, 32 to 512
-	MaxRetryAfter  time.Duration `ini:"max_advice"`    // longest retry-after that clients obey
+	MaxRetryAfter  time.Duration `ini:"max_advice"`    // maximum retry-after that clients honour
 	UtilityPerWork bool          `ini:"worth_by_work"` // a request's utility is that of its class times its work
 }
 
@@ -63,7 +63,7 @@
 type DispatcherSection struct {
 	Count          int           `ini:"count"`   // 1 to 32
 	FurtherNodes   int           `ini:"walk"`    // further nodes to try after a refusal or failure, 0 to 24
-	HonouringShare float64       `ini:"heed"`    // share of the dispatchers that follow the nodes' advice
+	HonouringShare float64       `ini:"heed"`    // share of the dispatchers that honour load feedback, retry-after and stop-retrying
 	ProbeInterval  time.Duration `ini:"probe"`   // between health checks of a node, 0 = no checks
 	TryTimeout     time.Duration `ini:"try"`     // of one try
 	Routing        string        `ini:"route"`   // random, or least: of two the one with fewer open tries
--- a/internal/standin/fleet/shedding_test.go
+++ b/internal/standin/fleet/shedding_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-var fullSize = flag.Bool("fleet.long", false, "play the rehearsals at full size: 24 nodes, 10 s")
+var fullSize = flag.Bool("fleet.long", false, "run the rehearsals at full size: 24 nodes, 10 s")
 
 // twoClasses is a smaller form of the classes of the benchmark's first site.
 const twoClasses = `
@@ -277,11 +277,11 @@
 // First tries that would exceed the queue timeout are refused at once instead of waiting in the queue.
 // Without load shedding the same scenario refuses clearly fewer of them promptly.
 func TestRefusedPromptly(t *testing.T) {
-	play := func(together string) *Report {
+	runWith := func(together string) *Report {
 		return run(t, scenario(t, "[fleet]\nnodes = 3\ncores = 2\nseconds = 7\ntogether = "+together+
 			"\n[load]\nsteps = 0s 0.5, 1s 1.6\n[dispatchers]\nwalk = 2\n"+twoClasses), build(t))
 	}
-	with, without := play("alone"), play("off")
+	with, without := runWith("alone"), runWith("off")
 	if with.PromptRefusalShare < 0.75 {
 		t.Errorf("%.3f of the refused first tries were answered within 20 ms", with.PromptRefusalShare)
 	}
--- a/internal/standin/fleet/validate.go
+++ b/internal/standin/fleet/validate.go
@@ -24,7 +24,7 @@
 	return errors.Join(errs...)
 }
 
-// validate checks ranges and words and how sections fit together, and parses the load steps.
+// validate checks the values of all keys and how the sections fit together, and parses the load steps.
 func (s *Scenario) validate(fault func(section, key, format string, args ...any)) {
 	inRange := func(section, key string, v, low, high float64) {
 		if !(v >= low && v <= high) {
@@ -77,6 +77,14 @@
 	if math.Abs(share-1) > 1e-6 {
 		fault("class."+s.Classes[len(s.Classes)-1].Name, "share", "the classes' shares add up to %g, not 1", share)
 	}
+	s.parseSteps(fault)
+	for i := range s.Faults {
+		s.validateFault(&s.Faults[i], inRange, oneOf, fault)
+	}
+}
+
+// parseSteps parses and checks the load steps.
+func (s *Scenario) parseSteps(fault func(section, key, format string, args ...any)) {
 	s.Load.steps = nil
 	for part := range strings.SplitSeq(s.Load.Steps, ",") {
 		words := strings.Fields(part)
@@ -98,9 +106,6 @@
 	if n := len(s.Load.steps); n > 0 && s.Load.steps[0].at != 0 {
 		fault("load", "steps", "the first step begins at %s, not 0s", s.Load.steps[0].at)
 	}
-	for i := range s.Faults {
-		s.validateFault(&s.Faults[i], inRange, oneOf, fault)
-	}
 }
 
 // validateFault checks a fault and sets the default of its factor.
@@ -126,20 +131,20 @@
 			fault(section, "on", "%v", err)
 		}
 	case slices.Contains(linkFaults, f.Kind):
-		if _, _, err := s.linkEnds(f.Link); err != nil {
+		if _, _, err := s.parseLink(f.Link); err != nil {
 			fault(section, "link", "%v", err)
 		}
 	}
 }
 
-// memberSet is some members of a group.
+// memberSet is a subset of the members of a group.
 type memberSet struct {
-	group string
-	index []int // from 0
+	group   string
+	indexes []int // from 0
 }
 
 func (m memberSet) contains(group string, i int) bool {
-	return m.group == group && slices.Contains(m.index, i)
+	return m.group == group && slices.Contains(m.indexes, i)
 }
 
 // selectMembers parses GROUP:WHICH, where WHICH is a list of numbers from 1 such as 1,3-4, or a share of
@@ -177,14 +182,14 @@
 			return m, fmt.Errorf("%q is not one of the %d %s", part, size, group)
 		}
 		for i := a; i <= b; i++ {
-			m.index = append(m.index, i-1)
+			m.indexes = append(m.indexes, i-1)
 		}
 	}
 	return m, nil
 }
 
-// linkEnds parses FROM -> TO, where FROM is the side that opens connections.
-func (s *Scenario) linkEnds(text string) (from, to memberSet, err error) {
+// parseLink parses FROM -> TO, where FROM is the group that opens the connections.
+func (s *Scenario) parseLink(text string) (from, to memberSet, err error) {
 	i := strings.Index(text, "->")
 	if i < 0 {
 		return from, to, fmt.Errorf("%q is not a link such as dispatchers:1 -> nodes:0.5", text)
--- a/internal/standin/platform/client.go
+++ b/internal/standin/platform/client.go
@@ -16,56 +16,56 @@
 	"github.com/tidwall/redcon"
 )
 
-// MaxOpenRequests is the maximum number of open requests on a connection.
+// MaxOpenRequests is the maximum number of open (unanswered) requests on a connection.
 const MaxOpenRequests = 32
 
-// ErrConnectionClosed is returned if the connection was closed or the context ended before the answer came:
-// the node may have read the request.
+// ErrConnectionClosed is returned if the connection was closed or the context ended before the answer arrived.
+// The node may have read the request.
 var ErrConnectionClosed = errors.New("connection closed before the answer")
 
 // Request is a request as a dispatcher sends it.
 type Request struct {
 	Txn, Class, Tenant      string
-	Timeout                 time.Duration // how long the dispatcher waits
+	Timeout                 time.Duration // time that the dispatcher waits for the answer
 	WorkHintMs              float64       // estimated work in milliseconds
-	Retry                   bool          // whether it is a further try
-	IdempotencyKey, ItemKey string        // idempotency key and key of the item, "" = none
+	Retry                   bool          // whether this is a further try
+	IdempotencyKey, ItemKey string        // ItemKey is the key of the item that the request is about; "" = none
 	Body                    []byte
 }
 
 // Answer is a node's answer.
 type Answer struct {
 	Status       string        // ACK = served, NAK = refused, anything else = failed
-	RetryAfter   time.Duration // of a refusal, 0 = none
-	StopRetrying bool          // whether the dispatcher shall try no further node
-	LoadFeedback float64       // published load feedback, NaN = none
+	RetryAfter   time.Duration // of a refusal; 0 = none
+	StopRetrying bool          // whether the dispatcher must try no further node
+	LoadFeedback float64       // the node's published load feedback; NaN = none
 	Body         []byte
 }
 
 // Client is one connection of a dispatcher to a node. Its methods are safe for concurrent use.
 type Client struct {
-	number int // of the dispatcher
-	conn   net.Conn
-	slots  chan struct{} // one element for each open request
-	ended  chan struct{} // closed when the connection has ended
+	dispatcher int // number of the dispatcher
+	conn       net.Conn
+	openSlots  chan struct{} // holds one element for each open request
+	readDone   chan struct{} // closed when read returns
 
 	mu         sync.Mutex
-	tag        int                    // of the last request
-	open       map[string]chan Answer // by tag
-	cancelled  map[string]bool        // cancelled requests, each of which may still get one answer
+	lastTag    int                    // tag of the last request
+	pending    map[string]chan Answer // receives the answer, by tag
+	cancelled  map[string]bool        // by tag; each of these requests may still get one answer
 	duplicates int                    // answers to requests that had been answered
-	closed     bool                   // no new requests may be sent
+	closing    bool                   // no new requests may be sent
 }
 
-// Dial connects dispatcher number n to a node within a second.
+// Dial connects dispatcher number n to a node. It fails after a second.
 func Dial(addr string, n int) (*Client, error) {
 	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return nil, err
 	}
 	c := &Client{
-		number: n, conn: conn, slots: make(chan struct{}, MaxOpenRequests), ended: make(chan struct{}),
-		open: map[string]chan Answer{}, cancelled: map[string]bool{},
+		dispatcher: n, conn: conn, openSlots: make(chan struct{}, MaxOpenRequests), readDone: make(chan struct{}),
+		pending: map[string]chan Answer{}, cancelled: map[string]bool{},
 	}
 	go c.read()
 	return c, nil
@@ -74,15 +74,16 @@
 // Close closes the connection.
 func (c *Client) Close() { _ = c.conn.Close() }
 
-// Usable reports whether new requests may be sent: the node has neither announced the close nor closed it.
+// Usable reports whether new requests may be sent: the node has neither closed the connection nor announced
+// that it will.
 func (c *Client) Usable() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.closed
+	return !c.closing
 }
 
 // AvailableRequests returns how many more requests may be open now.
-func (c *Client) AvailableRequests() int { return MaxOpenRequests - len(c.slots) }
+func (c *Client) AvailableRequests() int { return MaxOpenRequests - len(c.openSlots) }
 
 // DuplicateAnswers returns how many answers came for requests that had been answered.
 func (c *Client) DuplicateAnswers() int {
@@ -95,26 +96,26 @@
 // the request; any other error means that it was not sent.
 func (c *Client) Call(q Request) (Answer, error) { return c.Do(context.Background(), q) }
 
-// Do is Call with a context. When ctx ends Do cancels the request at the node and returns ErrConnectionClosed,
-// as the node may have read it; before the request is sent it returns the error of ctx.
+// Do is like Call with a context. If ctx ends after the request was sent, Do cancels the request at the node and
+// returns ErrConnectionClosed; if it ends before, Do returns the error of ctx.
 func (c *Client) Do(ctx context.Context, q Request) (Answer, error) {
 	select {
-	case c.slots <- struct{}{}:
+	case c.openSlots <- struct{}{}:
 	case <-ctx.Done():
 		return Answer{}, ctx.Err()
 	}
-	defer func() { <-c.slots }()
+	defer func() { <-c.openSlots }()
 	got := make(chan Answer, 1)
 	c.mu.Lock()
-	if c.closed {
+	if c.closing {
 		c.mu.Unlock()
 		return Answer{}, net.ErrClosed
 	}
-	c.tag++
-	tag := strconv.Itoa(c.tag)
-	c.open[tag] = got
+	c.lastTag++
+	tag := strconv.Itoa(c.lastTag)
+	c.pending[tag] = got
 	fields := fmt.Sprintf("txn=%s,door=%d,lb=%d,team=%s,limit=%d,cpu=%.2f,ram=10,standing=0.5",
-		q.Txn, time.Now().UnixMilli(), c.number, q.Tenant, q.Timeout.Milliseconds(), q.WorkHintMs)
+		q.Txn, time.Now().UnixMilli(), c.dispatcher, q.Tenant, q.Timeout.Milliseconds(), q.WorkHintMs)
 	if q.Retry {
 		fields += ",second=1"
 	}
@@ -136,7 +137,7 @@
 	select {
 	case a := <-got:
 		return a, nil
-	case <-c.ended:
+	case <-c.readDone:
 		select {
 		case a := <-got:
 			return a, nil
@@ -156,7 +157,7 @@
 	_ = c.conn.SetWriteDeadline(end)
 	_, err := c.conn.Write(b)
 	if err != nil {
-		c.closed = true
+		c.closing = true
 		_ = c.conn.Close()
 	}
 	return err
@@ -166,10 +167,10 @@
 func (c *Client) cancel(tag string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.open[tag] == nil || c.closed {
+	if c.pending[tag] == nil || c.closing {
 		return
 	}
-	delete(c.open, tag)
+	delete(c.pending, tag)
 	if len(c.cancelled) > 4096 { // bounds the map: old tags are no longer answered
 		clear(c.cancelled)
 	}
@@ -180,9 +181,9 @@
 	_ = c.write(ctx, redcon.AppendBulkString(redcon.AppendBulkString(b, "RPC.CANCEL"), tag))
 }
 
-// Probe makes one health check on a connection of its own and reports whether the answer was GREEN. An error
-// means that no answer came within the timeout.
-func Probe(addr string, timeout time.Duration) (green bool, err error) {
+// Probe makes one health check on a new connection and reports whether the node answered that it is healthy
+// (GREEN). An error means that no valid answer came within the timeout.
+func Probe(addr string, timeout time.Duration) (healthy bool, err error) {
 	conn, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
 		return false, err
@@ -202,14 +203,14 @@
 
 // read receives the answers until the connection ends.
 func (c *Client) read() {
-	defer close(c.ended)
+	defer close(c.readDone)
 	defer c.conn.Close()
 	rd := bufio.NewReader(c.conn)
 	for {
 		parts, err := readArray(rd)
 		if err != nil {
 			c.mu.Lock()
-			c.closed = true
+			c.closing = true
 			c.mu.Unlock()
 			return
 		}
@@ -219,10 +220,10 @@
 		tag := string(parts[0])
 		c.mu.Lock()
 		if tag == "0" { // the node announces that it will close the connection
-			c.closed = true
+			c.closing = true
 		}
-		got := c.open[tag]
-		delete(c.open, tag)
+		got := c.pending[tag]
+		delete(c.pending, tag)
 		if got == nil && tag != "0" && !c.cancelled[tag] {
 			c.duplicates++
 		}
--- a/internal/standin/platform/members.go
+++ b/internal/standin/platform/members.go
@@ -17,9 +17,9 @@
 	ln     net.Listener
 	server *http.Server
 
-	mu       sync.Mutex
-	phases   map[string]string    // last reported phase by node
-	reported map[string]time.Time // time of the last report by node
+	mu         sync.Mutex
+	phases     map[string]string    // last reported phase, by node
+	reportedAt map[string]time.Time // time of the last report, by node
 }
 
 // StartMembers starts a membership service on loopback; it runs until Close.
@@ -28,7 +28,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("start stand-in membership service: %w", err)
 	}
-	m := &Members{ln: ln, phases: map[string]string{}, reported: map[string]time.Time{}}
+	m := &Members{ln: ln, phases: map[string]string{}, reportedAt: map[string]time.Time{}}
 	m.server = &http.Server{Handler: http.HandlerFunc(m.handleReport), ReadHeaderTimeout: time.Second}
 	go func() { _ = m.server.Serve(ln) }() // returns on Close
 	return m, nil
@@ -50,7 +50,7 @@
 		return
 	}
 	m.mu.Lock()
-	m.phases[name], m.reported[name] = report.Phase, time.Now()
+	m.phases[name], m.reportedAt[name] = report.Phase, time.Now()
 	m.mu.Unlock()
 	w.WriteHeader(http.StatusNoContent)
 }
@@ -59,5 +59,5 @@
 func (m *Members) Phase(name string) (string, time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.phases[name], m.reported[name]
+	return m.phases[name], m.reportedAt[name]
 }
--- a/internal/standin/platform/pool.go
+++ b/internal/standin/platform/pool.go
@@ -15,18 +15,18 @@
 	"time"
 )
 
-// Run describes a run to a Work function.
+// Run describes a run that a Work function is to perform.
 type Run struct {
 	ID, Class string
 	Body      []byte
-	Count     int // how many runs were started under this ID, this one included
+	Count     int // runs started with this ID so far, including this one
 }
 
 // Work decides the course of a run: its duration in milliseconds when it runs alone on one core, how it ends
 // ("complete" or "error"), and its result. It must not call methods of the Pool.
 type Work func(Run) (ms float64, end string, result []byte)
 
-// maxNotices is the number of notices that are stored for a new link.
+// maxNotices is the maximum number of notices that are stored for a new link; older ones are discarded.
 const maxNotices = 4000
 
 // Pool is a stand-in worker pool, whose runs share its cores. It outlives the nodes that link to it; runs go on
@@ -36,32 +36,32 @@
 	ContentionFactor float64 // n runs on Cores cores slow down by 1 + ContentionFactor*(n/Cores-1)
 	Work             Work
 
-	ln      net.Listener
-	started time.Time
-	ctx     context.Context
-	cancel  context.CancelFunc
-	changed chan struct{}
-	done    sync.WaitGroup
+	ln         net.Listener
+	started    time.Time
+	ctx        context.Context
+	cancel     context.CancelFunc
+	recompute  chan struct{}
+	goroutines sync.WaitGroup
 
-	mu         sync.Mutex
-	link       net.Conn
-	notices    []string // the last ones; the first has sequence number firstSeq+1
-	firstSeq   int
-	runs       map[string]*run
-	counts     map[string]int // runs started, by ID
-	advanced   time.Time      // when the remaining work of the runs was last updated
-	busy       float64        // smoothed share of busy cores
-	ended      int
-	paused     bool
-	coldSpeed  float64       // share of the full speed at the start, 0 = warm from the start
-	warmUpTime time.Duration // time until the pool has its full speed
-	slowdown   float64       // factor on the duration of all work, 0 = 1
+	mu               sync.Mutex
+	link             net.Conn
+	notices          []string // the last maxNotices; the first has sequence number discardedNotices+1
+	discardedNotices int      // since ResetNotices
+	runs             map[string]*run
+	runCounts        map[string]int // runs started, by ID
+	advancedAt       time.Time      // time to which the remaining work of the runs is updated
+	busyShare        float64        // smoothed share of busy cores
+	endedRuns        int
+	paused           bool
+	coldSpeed        float64       // share of the full speed at the start; 0 = warm from the start
+	warmUpTime       time.Duration // time until the pool has its full speed
+	slowdown         float64       // factor on the duration of all work; below 1 it has no effect
 }
 
 // run is a run in progress.
 type run struct {
 	Run
-	remaining float64 // milliseconds on one core by itself
+	remaining float64 // remaining work in milliseconds, alone on one core
 	started   time.Time
 	end       string
 	result    []byte
@@ -75,11 +75,11 @@
 	}
 	p := &Pool{
 		Cores: cores, ContentionFactor: contention, Work: work, ln: ln, started: time.Now(),
-		changed: make(chan struct{}, 1), runs: map[string]*run{}, counts: map[string]int{}, advanced: time.Now(),
+		recompute: make(chan struct{}, 1), runs: map[string]*run{}, runCounts: map[string]int{}, advancedAt: time.Now(),
 	}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
-	p.done.Go(p.accept)
-	p.done.Go(p.finishRuns)
+	p.goroutines.Go(p.accept)
+	p.goroutines.Go(p.finishRuns)
 	return p, nil
 }
 
@@ -95,7 +95,7 @@
 		_ = p.link.Close()
 	}
 	p.mu.Unlock()
-	p.done.Wait()
+	p.goroutines.Wait()
 	return err
 }
 
@@ -103,8 +103,8 @@
 func (p *Pool) RunCounts() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	all := make(map[string]int, len(p.counts))
-	for id, n := range p.counts {
+	all := make(map[string]int, len(p.runCounts))
+	for id, n := range p.runCounts {
 		all[id] = n
 	}
 	return all
@@ -114,14 +114,15 @@
 func (p *Pool) Load() (running, ended int, busy float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.runs), p.ended, p.busy
+	return len(p.runs), p.endedRuns, p.busyShare
 }
 
-// ResetNotices discards the notices and restarts their numbers, as the platform does for a new node.
+// ResetNotices discards the stored notices and restarts their sequence numbers, as the platform does for a
+// new node.
 func (p *Pool) ResetNotices() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.notices, p.firstSeq = nil, 0
+	p.notices, p.discardedNotices = nil, 0
 }
 
 // SetPaused pauses or resumes all runs.
@@ -133,8 +134,8 @@
 	p.notifyChange()
 }
 
-// StartCold makes the pool cold as of its start: its speed grows linearly from a share of the full speed to the
-// full speed during warmUpTime. It must be called before a node binds.
+// StartCold makes the pool cold as of its start: its speed grows linearly from the share speed of the full speed
+// to the full speed during warmUpTime. It must be called before a node links to the pool.
 func (p *Pool) StartCold(speed float64, warmUpTime time.Duration) {
 	p.mu.Lock()
 	p.coldSpeed, p.warmUpTime = speed, warmUpTime
@@ -150,10 +151,10 @@
 	p.notifyChange()
 }
 
-// notifyChange makes finishRuns compute the next end of a run again.
+// notifyChange makes finishRuns recompute when the next run ends.
 func (p *Pool) notifyChange() {
 	select {
-	case p.changed <- struct{}{}:
+	case p.recompute <- struct{}{}:
 	default:
 	}
 }
@@ -169,7 +170,7 @@
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
-		p.done.Go(func() { p.serve(c) })
+		p.goroutines.Go(func() { p.serve(c) })
 	}
 }
 
@@ -220,7 +221,7 @@
 				state = "chilly"
 			}
 			p.send(fmt.Sprintf(`{"op":"bound","end":%q,"ms":%d}`, state, time.Since(p.started).Milliseconds()))
-			for i := max(m.Seq-p.firstSeq, 0); i < len(p.notices); i++ {
+			for i := max(m.Seq-p.discardedNotices, 0); i < len(p.notices); i++ {
 				p.send(p.notices[i])
 			}
 		case "spawn":
@@ -232,7 +233,7 @@
 				p.recordEnd(r, "cancelled", nil)
 			}
 		case "poll":
-			p.send(fmt.Sprintf(`{"op":"polled","tag":%s,"values":[%g,%d]}`, strconv.Quote(m.Tag), p.busy, len(p.runs)))
+			p.send(fmt.Sprintf(`{"op":"polled","tag":%s,"values":[%g,%d]}`, strconv.Quote(m.Tag), p.busyShare, len(p.runs)))
 		}
 		p.mu.Unlock()
 		p.notifyChange()
@@ -245,23 +246,23 @@
 		return
 	}
 	p.advance()
-	p.counts[id]++
-	r := &run{Run: Run{ID: id, Class: class, Body: body, Count: p.counts[id]}, started: time.Now()}
+	p.runCounts[id]++
+	r := &run{Run: Run{ID: id, Class: class, Body: body, Count: p.runCounts[id]}, started: time.Now()}
 	r.remaining, r.end, r.result = p.Work(r.Run)
 	p.runs[id] = r
 }
 
 // recordEnd stores and sends the notice of the end of a run. The lock must be held.
 func (p *Pool) recordEnd(r *run, end string, result []byte) {
-	p.ended++
+	p.endedRuns++
 	text, _ := json.Marshal(result) // a byte slice can always be encoded
 	line := fmt.Sprintf(`{"op":"finished","seq":%d,"id":%s,"end":%q,"ms":%.3f,"body":%s}`,
-		p.firstSeq+len(p.notices)+1, strconv.Quote(r.ID), end,
+		p.discardedNotices+len(p.notices)+1, strconv.Quote(r.ID), end,
 		float64(time.Since(r.started).Microseconds())/1000, text)
 	p.notices = append(p.notices, line)
 	if len(p.notices) > maxNotices {
 		excess := len(p.notices) - maxNotices
-		p.firstSeq += excess
+		p.discardedNotices += excess
 		p.notices = append([]string(nil), p.notices[excess:]...)
 	}
 	p.send(line)
@@ -274,11 +275,12 @@
 		return 0
 	}
 	share := min(1, float64(p.Cores)/n)
-	return share * p.speedShare() / max(p.slowdown, 1) / (1 + p.ContentionFactor*max(0, n/float64(p.Cores)-1))
+	return share * p.warmUpFactor() / max(p.slowdown, 1) / (1 + p.ContentionFactor*max(0, n/float64(p.Cores)-1))
 }
 
-// speedShare returns the current share of the full speed of a cold pool. The lock must be held.
-func (p *Pool) speedShare() float64 {
+// warmUpFactor returns the current speed of a pool that warms up as a share of its full speed. The lock must be
+// held.
+func (p *Pool) warmUpFactor() float64 {
 	if p.coldSpeed <= 0 {
 		return 1
 	}
@@ -288,14 +290,14 @@
 // advance updates the remaining work of all runs to the current time. The lock must be held.
 func (p *Pool) advance() {
 	now := time.Now()
-	passed := now.Sub(p.advanced)
-	p.advanced = now
+	passed := now.Sub(p.advancedAt)
+	p.advancedAt = now
 	done := float64(passed) / float64(time.Millisecond) * p.speed()
 	for _, r := range p.runs {
 		r.remaining -= done
 	}
 	weight := min(1, passed.Seconds()) // smooths the gauge over about a second
-	p.busy += weight * (min(1, float64(len(p.runs))/float64(p.Cores)) - p.busy)
+	p.busyShare += weight * (min(1, float64(len(p.runs))/float64(p.Cores)) - p.busyShare)
 }
 
 // finishRuns ends runs when their work is done, until the pool is closed.
@@ -324,7 +326,7 @@
 			for _, r := range p.runs {
 				next = min(next, time.Duration(r.remaining/v*float64(time.Millisecond))+50*time.Microsecond)
 			}
-			if p.speedShare() < 1 { // the speed is still growing
+			if p.warmUpFactor() < 1 { // the speed is still growing
 				next = min(next, 5*time.Millisecond)
 			}
 		}
@@ -333,7 +335,7 @@
 		select {
 		case <-p.ctx.Done():
 			return
-		case <-p.changed:
+		case <-p.recompute:
 		case <-timer.C:
 		}
 	}
--- a/internal/standin/proxy/proxy.go
+++ b/internal/standin/proxy/proxy.go
@@ -21,13 +21,13 @@
 	"robinmast/decide/backoff"
 )
 
-// typePrefix is the common beginning of the type URLs.
-const typePrefix = "type.googleapis.com/envoy.config."
+// typeURLPrefix is the common prefix of the type URLs.
+const typeURLPrefix = "type.googleapis.com/envoy.config."
 
-// types are the type URLs to which a proxy subscribes, in order.
-var types = []string{
-	typePrefix + "cluster.v3.Cluster", typePrefix + "endpoint.v3.ClusterLoadAssignment",
-	typePrefix + "listener.v3.Listener", typePrefix + "route.v3.RouteConfiguration",
+// typeURLs are the type URLs of the resources to which a proxy subscribes, in the order of the requests.
+var typeURLs = []string{
+	typeURLPrefix + "cluster.v3.Cluster", typeURLPrefix + "endpoint.v3.ClusterLoadAssignment",
+	typeURLPrefix + "listener.v3.Listener", typeURLPrefix + "route.v3.RouteConfiguration",
 }
 
 // Faults are the scripted faults of a proxy.
@@ -61,10 +61,10 @@
 	versions         map[string]string            // state of the world: by type
 	resourceVersions map[string]map[string]string // delta: by type and resource name
 	endpoints        map[string]Endpoint          // by address
-	dropPerMillion   uint32                       // requests to drop of a million
-	messages         int                          // received responses
-	bytes            int                          // received bytes of resources
-	streams          int                          // opened streams
+	dropPerMillion   uint32                       // of a million requests, how many to drop
+	responses        int                          // received responses
+	resourceBytes    int                          // received bytes of resources
+	openedStreams    int                          // opened streams
 }
 
 // New returns a proxy that uses a connection to a control service; Run runs it.
@@ -73,7 +73,7 @@
 		Delta: delta, ID: id, conn: conn, versions: map[string]string{},
 		resourceVersions: map[string]map[string]string{}, endpoints: map[string]Endpoint{},
 	}
-	for _, t := range types {
+	for _, t := range typeURLs {
 		p.resourceVersions[t] = map[string]string{}
 	}
 	return p
@@ -83,7 +83,7 @@
 func (p *Proxy) Endpoints() (map[string]Endpoint, int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return maps.Clone(p.endpoints), p.messages
+	return maps.Clone(p.endpoints), p.responses
 }
 
 // DropPerMillion returns how many of a million requests the proxy is configured to drop.
@@ -97,7 +97,7 @@
 func (p *Proxy) Traffic() (bytes, streams int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.bytes, p.streams
+	return p.resourceBytes, p.openedStreams
 }
 
 // Run keeps a stream open, with backoff between attempts, until ctx ends.
@@ -112,8 +112,8 @@
 	for ctx.Err() == nil {
 		retry.TryStarted(time.Since(start))
 		p.mu.Lock()
-		p.streams++
-		before := p.messages
+		p.openedStreams++
+		before := p.responses
 		p.mu.Unlock()
 		sctx, cancel := context.WithCancel(ctx)
 		if p.Delta {
@@ -123,7 +123,7 @@
 		}
 		cancel()
 		p.mu.Lock()
-		if p.messages > before {
+		if p.responses > before {
 			retry.Succeeded()
 		}
 		p.mu.Unlock()
@@ -139,9 +139,9 @@
 	return &corev3.Node{Id: p.ID, Locality: &corev3.Locality{Zone: p.Zone}}
 }
 
-// resourceNames returns the resources to subscribe to of a type; nil = all of them.
+// resourceNames returns the names of the resources of a type to subscribe to; nil = all of them.
 func resourceNames(t string) []string {
-	if t == types[0] || t == types[2] {
+	if t == typeURLs[0] || t == typeURLs[2] {
 		return nil
 	}
 	return []string{"robinmast"}
@@ -152,7 +152,8 @@
 	return &rpcstatus.Status{Code: 3, Message: "rejected by the stand-in"}
 }
 
-// beforeRead applies the faults that precede a read; it reports whether the stream is to be closed.
+// beforeRead applies the faults that precede a read and reports whether the stream must be closed; read is the
+// number of responses read so far.
 func (p *Proxy) beforeRead(ctx context.Context, read int) bool {
 	if p.Faults.BeforeRead != nil {
 		p.Faults.BeforeRead(ctx)
@@ -166,7 +167,7 @@
 	if err != nil {
 		return err
 	}
-	for _, t := range types {
+	for _, t := range typeURLs {
 		p.mu.Lock()
 		q := &discoveryv3.DiscoveryRequest{
 			Node: p.node(), TypeUrl: t, VersionInfo: p.versions[t], ResourceNames: resourceNames(t),
@@ -191,9 +192,9 @@
 			TypeUrl: r.TypeUrl, ResponseNonce: r.Nonce, VersionInfo: r.VersionInfo, ResourceNames: resourceNames(r.TypeUrl),
 		}
 		p.mu.Lock()
-		p.messages++
+		p.responses++
 		for _, b := range r.Resources {
-			p.bytes += len(b.Value)
+			p.resourceBytes += len(b.Value)
 		}
 		if r.TypeUrl == p.Faults.RejectedType {
 			a.VersionInfo, a.ErrorDetail = p.versions[r.TypeUrl], rejection()
@@ -222,7 +223,7 @@
 	if err != nil {
 		return err
 	}
-	for _, t := range types {
+	for _, t := range typeURLs {
 		p.mu.Lock()
 		q := &discoveryv3.DeltaDiscoveryRequest{
 			Node: p.node(), TypeUrl: t, ResourceNamesSubscribe: resourceNames(t),
@@ -247,9 +248,9 @@
 		}
 		a := &discoveryv3.DeltaDiscoveryRequest{TypeUrl: r.TypeUrl, ResponseNonce: r.Nonce}
 		p.mu.Lock()
-		p.messages++
+		p.responses++
 		for _, b := range r.Resources {
-			p.bytes += len(b.Resource.Value)
+			p.resourceBytes += len(b.Resource.Value)
 		}
 		if r.TypeUrl == p.Faults.RejectedType {
 			a.ErrorDetail = rejection()
@@ -275,7 +276,8 @@
 	}
 }
 
-// apply stores the endpoints of a resource. Resources of other types only have to parse. The lock must be held.
+// apply stores the endpoints of a ClusterLoadAssignment in place of the previous ones. Resources of other types
+// are only decoded. The lock must be held.
 func (p *Proxy) apply(b *anypb.Any) error {
 	m, err := b.UnmarshalNew()
 	if err != nil {
--- a/internal/standin/simulation/bound.go
+++ b/internal/standin/simulation/bound.go
@@ -20,10 +20,9 @@
 // BestUtility returns an upper bound of the utility that any policy could reach for the arrivals on cores that
 // do not slow down under contention. It solves a linear programme over classes, sizes and windows of one
 // second, in which the work of a request may be done from the window of its arrival until its latency target
-// has passed.
-// The error is that of the solver, and the value then NaN.
+// has passed. If the solver fails, it returns NaN and the solver's error.
 func BestUtility(set rules.Settings, arrivals []Arrival) (float64, error) {
-	type kind struct{ class, size int }
+	type group struct{ class, size int }
 	windows := 0
 	for _, a := range arrivals {
 		windows = max(windows, int(a.At/boundWindow)+1)
@@ -31,7 +30,7 @@
 	if windows == 0 {
 		return 0, nil
 	}
-	bounds := make([][]time.Duration, len(set.Classes)) // between size groups, by class
+	sizeBounds := make([][]time.Duration, len(set.Classes)) // between size groups, by class
 	for c := range set.Classes {
 		var work []time.Duration
 		for _, a := range arrivals {
@@ -41,59 +40,60 @@
 		}
 		slices.Sort(work)
 		for i := 1; i < sizeGroups && len(work) > 0; i++ {
-			bounds[c] = append(bounds[c], work[len(work)*i/sizeGroups])
+			sizeBounds[c] = append(sizeBounds[c], work[len(work)*i/sizeGroups])
 		}
 	}
-	offered := map[kind][]float64{} // seconds of work by window
-	count := map[kind]float64{}
-	total := map[kind]float64{}
+	offeredWork := map[group][]float64{} // seconds of work by window
+	requests := map[group]float64{}
+	totalWork := map[group]float64{}
 	for _, a := range arrivals {
-		k := kind{a.Class, 0}
-		for _, b := range bounds[a.Class] {
+		g := group{a.Class, 0}
+		for _, b := range sizeBounds[a.Class] {
 			if a.Work >= b {
-				k.size++
+				g.size++
 			}
 		}
-		if offered[k] == nil {
-			offered[k] = make([]float64, windows)
+		if offeredWork[g] == nil {
+			offeredWork[g] = make([]float64, windows)
 		}
-		offered[k][int(a.At/boundWindow)] += a.Work.Seconds()
-		total[k] += a.Work.Seconds()
-		count[k]++
+		offeredWork[g][int(a.At/boundWindow)] += a.Work.Seconds()
+		totalWork[g] += a.Work.Seconds()
+		requests[g]++
 	}
-	var kinds []kind
-	for k := range offered {
-		kinds = append(kinds, k)
+	var groups []group
+	for g := range offeredWork {
+		groups = append(groups, g)
 	}
-	slices.SortFunc(kinds, func(a, b kind) int {
+	slices.SortFunc(groups, func(a, b group) int {
 		return (a.class*sizeGroups + a.size) - (b.class*sizeGroups + b.size)
 	})
-	lastWindow := func(k kind) int { return int(set.Classes[k.class].LatencyTarget/boundWindow) + 1 }
-	slots := windows // windows in which work may be done
-	for _, k := range kinds {
-		slots = max(slots, windows+lastWindow(k))
+	windowsUntilTarget := func(g group) int { return int(set.Classes[g.class].LatencyTarget/boundWindow) + 1 }
+	workWindows := windows // windows in which work may be done
+	for _, g := range groups {
+		workWindows = max(workWindows, windows+windowsUntilTarget(g))
 	}
-	// Variables: the work of a kind that arrives in one window and is done in another; then a slack variable
-	// for each row. Rows: the offered work of each kind and window, then the capacity of the cores in each window.
+	// Variables: the work of a group that arrives in one window and is done in another; then a slack variable
+	// for each row. Rows: the offered work of each group and window, then the capacity of the cores in each window.
+	// Until their number is known, the capacity rows are numbered -1, -2 and so on.
 	var cost, b []float64
-	type entry struct{ row, col int }
-	var ones []entry
+	type coefficient struct{ row, col int }
+	var ones []coefficient
 	rows := 0
-	for _, k := range kinds {
+	for _, g := range groups {
 		for w := range windows {
-			if offered[k][w] == 0 {
+			if offeredWork[g][w] == 0 {
 				continue
 			}
-			for d := 0; d <= lastWindow(k); d++ {
-				ones = append(ones, entry{rows, len(cost)}, entry{-1 - (w + d), len(cost)})
-				cost = append(cost, -set.Classes[k.class].Utility*count[k]/total[k])
+			for d := 0; d <= windowsUntilTarget(g); d++ {
+				ones = append(ones, coefficient{rows, len(cost)}, coefficient{-1 - (w + d), len(cost)})
+				cost = append(cost, -set.Classes[g.class].Utility*requests[g]/totalWork[g])
 			}
-			b = append(b, offered[k][w])
+			b = append(b, offeredWork[g][w])
 			rows++
 		}
 	}
 	vars := len(cost)
-	all := rows + slots
+	all := rows + workWindows
 	a := mat.NewDense(all, vars+all, nil)
 	for _, e := range ones {
 		if e.row < 0 {
@@ -101,7 +101,7 @@
 		}
 		a.Set(e.row, e.col, 1)
 	}
-	for range slots {
+	for range workWindows {
 		b = append(b, float64(set.Cores)*boundWindow.Seconds())
 	}
 	basis := make([]int, all)
@@ -117,8 +117,8 @@
 	return -value, nil
 }
 
-// StaticSplit is a baseline policy: every class has an equal, fixed share of the slots, and no class lends
-// its free slots to another.
+// StaticSplit is a baseline policy: every class has an equal, fixed share of the slots, and its free slots are not
+// available to other classes. It implements rules.Pools and is not safe for concurrent use.
 type StaticSplit struct{ running []int }
 
 var _ rules.Pools = (*StaticSplit)(nil)
--- a/internal/standin/simulation/fleet.go
+++ b/internal/standin/simulation/fleet.go
@@ -10,7 +10,7 @@
 	"robinmast/rules"
 )
 
-// Fault is the state of a node.
+// Fault is a fault of a node, or none.
 type Fault uint8
 
 // The faults.
@@ -32,8 +32,8 @@
 	Fault            func(at time.Duration, n int) Fault   // fault of node n; nil = none
 	Speed            func(at time.Duration, n int) float64 // speed of node n's cores; nil = 1
 	FurtherTries     int                                   // further nodes that a dispatcher tries
-	HonouringShare   float64                               // share of the dispatchers that obey retry-after and stop-retrying
-	TryTimeout       time.Duration                         // longest duration of a try
+	HonouringShare   float64                               // share of the dispatchers that honour retry-after and stop retrying when told to
+	TryTimeout       time.Duration                         // maximum duration of a try
 	DesktopRetries   int                                   // how often a desktop sends a request again
 	DesktopBackoff   time.Duration                         // mean wait before a desktop's first retry; doubles with each
 	Length           time.Duration                         // simulated time
@@ -41,8 +41,8 @@
 	OnLog            func(at time.Duration, n int, line string) // receives the log lines of the modules; nil = none
 }
 
-// FleetSecond counts the requests and tries of one second. The desktops make Requests; dispatchers make
-// FirstTries and further ones, together Tries. Each answer counts in the second in which it arrives.
+// FleetSecond holds the counts of one second. Requests counts the requests of the desktops, FirstTries and Tries
+// the first and all tries of the dispatchers. Each answer counts in the second in which it arrives.
 type FleetSecond struct {
 	Requests, InTime, Served, FirstTries, Tries, Refused int
 	StoppedByNode                                        int // refusals after which the dispatcher stopped retrying
@@ -76,11 +76,11 @@
 	random         *rand.Rand
 	now            time.Duration
 	nodes          []*nodeSimulation
-	open           []map[rules.RequestID]*fleetRequest // unanswered tries, by node
+	openTries      []map[rules.RequestID]*fleetRequest // unanswered tries, by node
 	faults         []Fault                             // by node
 	pendingCancels [][]rules.RequestID                 // cancelled while the node hung, by node
 	avoidUntil     [][]time.Duration                   // by dispatcher and node
-	honours        []bool                              // by dispatcher, see FleetOptions.HonouringShare
+	honoursAdvice  []bool                              // by dispatcher, see FleetOptions.HonouringShare
 	scheduled      map[int64][]func()                  // functions to call, by the number of the step
 	nextID         rules.RequestID
 	seconds        []FleetSecond
@@ -93,7 +93,7 @@
 func SimulateFleet(opt FleetOptions) ([]FleetSecond, error) {
 	f := &fleetSimulation{options: opt, random: rand.New(rand.NewPCG(opt.Seed, 9)), scheduled: map[int64][]func(){}}
 	f.nodes, f.faults = make([]*nodeSimulation, opt.Nodes), make([]Fault, opt.Nodes)
-	f.open = make([]map[rules.RequestID]*fleetRequest, opt.Nodes)
+	f.openTries = make([]map[rules.RequestID]*fleetRequest, opt.Nodes)
 	f.pendingCancels = make([][]rules.RequestID, opt.Nodes)
 	for n := range f.nodes {
 		if err := f.start(n, false); err != nil {
@@ -102,7 +102,7 @@
 	}
 	for d := range opt.Dispatchers {
 		f.avoidUntil = append(f.avoidUntil, make([]time.Duration, opt.Nodes))
-		f.honours = append(f.honours, float64(d)+0.5 < opt.HonouringShare*float64(opt.Dispatchers))
+		f.honoursAdvice = append(f.honoursAdvice, float64(d)+0.5 < opt.HonouringShare*float64(opt.Dispatchers))
 	}
 	f.seconds = make([]FleetSecond, int(opt.Length/time.Second)+1)
 	capacity := float64(opt.Nodes*opt.Settings.Cores) / opt.MeanWork.Seconds()
@@ -139,15 +139,15 @@
 	opt.Settings.ColdStart = cold
 	opt.Settings.AnswerSlack = time.Hour // a node that hung answers late, which violates no invariant
 	node := &nodeSimulation{options: opt, now: f.now, requests: map[rules.RequestID]*request{}, result: &Result{}}
-	node.options.OnAnswer = func(id rules.RequestID, outcome string, after time.Duration, last bool) {
-		f.answered(n, id, outcome, after, last)
+	node.options.OnAnswer = func(id rules.RequestID, outcome string, retryAfter time.Duration, stopRetrying bool) {
+		f.answered(n, id, outcome, retryAfter, stopRetrying)
 	}
 	m, err := rules.New(f.now, opt.Settings, 1, host{node})
 	if err != nil {
 		return err
 	}
 	node.module = m
-	f.nodes[n], f.open[n] = node, map[rules.RequestID]*fleetRequest{}
+	f.nodes[n], f.openTries[n] = node, map[rules.RequestID]*fleetRequest{}
 	return nil
 }
 
@@ -162,10 +162,10 @@
 			continue
 		}
 		if fault == Down {
-			for _, id := range slices.Sorted(maps.Keys(f.open[n])) { // their connections are reset
-				f.tryNextNode(f.open[n][id])
+			for _, id := range slices.Sorted(maps.Keys(f.openTries[n])) { // their connections are reset
+				f.tryNextNode(f.openTries[n][id])
 			}
-			f.open[n] = map[rules.RequestID]*fleetRequest{}
+			f.openTries[n] = map[rules.RequestID]*fleetRequest{}
 		} else if f.faults[n] == Down {
 			if err := f.start(n, true); err != nil {
 				return err
@@ -278,7 +278,7 @@
 		return
 	}
 	id := r.id
-	f.open[n][id] = r
+	f.openTries[n][id] = r
 	arrival := r.Arrival
 	arrival.At = f.now
 	timeout := min(f.options.TryTimeout, f.options.Settings.Classes[r.Class].Deadline-(f.now-r.created))
@@ -288,10 +288,10 @@
 		node.arrive(arrival, id)
 	}
 	f.schedule(timeout, func() { // the try times out
-		if f.open[n][id] != r || r.id != id {
+		if f.openTries[n][id] != r || r.id != id {
 			return
 		}
-		delete(f.open[n], id)
+		delete(f.openTries[n], id)
 		switch {
 		case f.nodes[n] != node:
 		case f.faults[n] == NoFault:
@@ -315,12 +315,12 @@
 }
 
 // answered handles the answer of a node.
-func (f *fleetSimulation) answered(n int, id rules.RequestID, outcome string, after time.Duration, last bool) {
-	r := f.open[n][id]
+func (f *fleetSimulation) answered(n int, id rules.RequestID, outcome string, retryAfter time.Duration, stopRetrying bool) {
+	r := f.openTries[n][id]
 	if r == nil || r.id != id {
 		return
 	}
-	delete(f.open[n], id)
+	delete(f.openTries[n], id)
 	s := f.currentSecond()
 	switch outcome {
 	case "served":
@@ -333,10 +333,10 @@
 		return
 	case "refused":
 		s.Refused++
-		r.retryAfter = after
-		if f.honours[r.dispatcher] {
-			f.avoidUntil[r.dispatcher][n] = max(f.avoidUntil[r.dispatcher][n], f.now+after)
-			if last {
+		r.retryAfter = retryAfter
+		if f.honoursAdvice[r.dispatcher] {
+			f.avoidUntil[r.dispatcher][n] = max(f.avoidUntil[r.dispatcher][n], f.now+retryAfter)
+			if stopRetrying {
 				s.StoppedByNode++
 				f.schedule(0, func() { f.retryByDesktop(r) })
 				return
--- a/internal/standin/simulation/replay.go
+++ b/internal/standin/simulation/replay.go
@@ -43,7 +43,7 @@
 	return func(time.Duration) float64 { return rate }
 }
 
-// Always returns a constant mean work.
+// Always returns a constant amount of work.
 func Always(w time.Duration) func(time.Duration) time.Duration {
 	return func(time.Duration) time.Duration { return w }
 }
@@ -66,7 +66,7 @@
 	return all
 }
 
-// draw returns a request that arrives at a time.
+// draw returns a random request that arrives at the given time.
 func (s *Stream) draw(r *rand.Rand, at time.Duration) Arrival {
 	work := time.Duration(float64(s.Work(at)) * (0.5 + r.ExpFloat64()/2))
 	hint := work
@@ -84,15 +84,16 @@
 	ContentionFactor float64
 	// Hangs reports whether the runs of a class make no progress at a time; nil = never.
 	Hangs func(at time.Duration, class int) bool
-	// OnAction receives each action of the module; nil = none. The value depends on the action.
+	// OnAction receives each action of the module by its name and, depending on the action, the request or 0 and
+	// a value or 0; nil = none.
 	OnAction func(at time.Duration, what string, id rules.RequestID, value float64)
 	// Drain is the time at which the node begins to drain; 0 = never.
 	Drain time.Duration
 	// Length is the simulated time; 0 = until one second after the last deadline.
 	Length time.Duration
 	// OnAnswer receives each answer ("served", "refused" or "failed"), for a refusal with its retry-after
-	// time and whether the caller shall stop retrying; nil = none.
-	OnAnswer func(id rules.RequestID, outcome string, after time.Duration, last bool)
+	// time and whether the caller must stop retrying; nil = none.
+	OnAnswer func(id rules.RequestID, outcome string, retryAfter time.Duration, stopRetrying bool)
 }
 
 // Count holds the outcomes of the requests of a class that arrived in one second.
@@ -193,14 +194,14 @@
 	}
 	for _, r := range sim.requests {
 		if !r.answered {
-			sim.violation("request %d was never answered", r.id)
+			sim.addViolation("request %d was never answered", r.id)
 		}
 	}
 	return sim.result, nil
 }
 
-// violation records a violated invariant.
-func (sim *nodeSimulation) violation(format string, args ...any) {
+// addViolation records a violated invariant.
+func (sim *nodeSimulation) addViolation(format string, args ...any) {
 	if len(sim.result.Violations) < 8 {
 		sim.result.Violations = append(sim.result.Violations,
 			fmt.Sprintf("%v: ", sim.now)+fmt.Sprintf(format, args...))
@@ -256,7 +257,7 @@
 func (sim *nodeSimulation) arrive(a Arrival, id rules.RequestID) {
 	r := &request{Arrival: a, id: id, remaining: a.Work.Seconds()}
 	sim.requests[id] = r
-	sim.count(r).Arrived++
+	sim.counts(r).Arrived++
 	q := rules.Request{
 		ID: id, Class: a.Class, Tenant: a.Tenant, WorkHint: a.Hint, MemoryKB: 5, Rank: 0.5,
 		Retry: a.Retry, Caller: uint32(id % 3),
@@ -265,20 +266,20 @@
 	sim.module.Arrive(sim.now, q)
 }
 
-// count returns the counters for the second and the class of a request.
-func (sim *nodeSimulation) count(r *request) *Count {
-	at := int(r.At / time.Second)
-	for len(sim.result.Seconds) <= at {
+// counts returns the counters for the second and the class of a request.
+func (sim *nodeSimulation) counts(r *request) *Count {
+	second := int(r.At / time.Second)
+	for len(sim.result.Seconds) <= second {
 		sim.result.Seconds = append(sim.result.Seconds, make([]Count, len(sim.options.Settings.Classes)))
 	}
-	return &sim.result.Seconds[at][r.Class]
+	return &sim.result.Seconds[second][r.Class]
 }
 
 // answer records the answer to a request and checks that it is the only one, in time, and no refusal after
 // a run.
 func (sim *nodeSimulation) answer(r *request, outcome string) {
 	if r.answered {
-		sim.violation("request %d was answered twice", r.id)
+		sim.addViolation("request %d was answered twice", r.id)
 		return
 	}
 	r.answered = true
@@ -286,10 +287,10 @@
 		sim.options.OnAnswer(r.id, outcome, 0, false)
 	}
 	c := sim.options.Settings.Classes[r.Class]
-	counts := sim.count(r)
+	counts := sim.counts(r)
 	after := sim.now - r.At
 	if after > c.Deadline+sim.options.Settings.AnswerSlack {
-		sim.violation("request %d was answered after %v", r.id, after)
+		sim.addViolation("request %d was answered after %v", r.id, after)
 	}
 	switch outcome {
 	case "served":
@@ -303,7 +304,7 @@
 	case "refused":
 		counts.Refused++
 		if r.runs > 0 {
-			sim.violation("request %d was refused after it ran", r.id)
+			sim.addViolation("request %d was refused after it ran", r.id)
 		}
 	default:
 		counts.Failed++
@@ -314,7 +315,7 @@
 func (sim *nodeSimulation) checkConcurrency() {
 	s := sim.options.Settings
 	if s.OverloadRunsPerCore > 0 && float64(len(sim.running)) > s.OverloadRunsPerCore*float64(s.Cores) {
-		sim.violation("%d concurrent runs on %d cores", len(sim.running), s.Cores)
+		sim.addViolation("%d concurrent runs on %d cores", len(sim.running), s.Cores)
 	}
 }
 
@@ -335,7 +336,7 @@
 		return
 	}
 	if r.runs > 0 && h.node.options.Settings.Classes[r.Class].Effect != rules.Safe {
-		h.node.violation("request %d, which is not safe to repeat, runs again", id)
+		h.node.addViolation("request %d, which is not safe to repeat, runs again", id)
 	}
 	r.running, r.started, r.remaining = true, h.node.now, r.Work.Seconds()
 	r.runs++
@@ -350,15 +351,15 @@
 	}
 }
 
-func (h host) Refuse(id rules.RequestID, after time.Duration, last bool) {
-	v := after.Seconds()
-	if last {
+func (h host) Refuse(id rules.RequestID, retryAfter time.Duration, stopRetrying bool) {
+	v := retryAfter.Seconds()
+	if stopRetrying {
 		v = -v - 1
 	}
 	h.record("refuse", id, v)
 	h.node.answer(h.node.requests[id], "refused")
 	if h.node.options.OnAnswer != nil {
-		h.node.options.OnAnswer(id, "refused", after, last)
+		h.node.options.OnAnswer(id, "refused", retryAfter, stopRetrying)
 	}
 }
 
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -20,7 +20,8 @@
 // waitTimeout is how long a test waits for a condition or an answer.
 const waitTimeout = 8 * time.Second
 
-// Eventually waits until ok returns true and fails the test after waitTimeout; what names the condition.
+// Eventually waits until ok returns true and fails the test after waitTimeout; what names the condition in the
+// failure message.
 func Eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); !ok(); time.Sleep(time.Millisecond) {
@@ -91,7 +92,8 @@
 	}
 }
 
-// Dispatcher is one connection of a dispatcher to a node.
+// Dispatcher is one connection of a dispatcher to a node. It is not safe for concurrent use, but one goroutine may
+// send while another receives.
 type Dispatcher struct {
 	*net.TCPConn
 	t      *testing.T
@@ -155,7 +157,7 @@
 	return strings.Join(parts, " ")
 }
 
-// readHeader reads a header line that begins with a byte and returns its number.
+// readHeader reads the header line of an array ('*') or a bulk string ('$') and returns its length.
 func (d *Dispatcher) readHeader(kind byte) (n int, err error) {
 	line, err := d.reader.ReadString('\n')
 	if err != nil {
