--- a/internal/standin/fleet/dispatcher.go
+++ b/internal/standin/fleet/dispatcher.go
@@ -142,7 +142,8 @@
 		}
 	}
 	n.conns = usable
-	if best != nil && (best.AvailableRequests() > 0 || len(n.conns)+n.dialing >= d.fleet.scenario.Dispatchers.MaxConnections) {
+	if best != nil && (best.AvailableRequests() > 0 ||
+		len(n.conns)+n.dialing >= d.fleet.scenario.Dispatchers.MaxConnections) {
 		d.mu.Unlock()
 		return best, nil
 	}
@@ -263,29 +264,7 @@
 	defer func() {
 		took := time.Since(began)
 		noFault = noFault && d.fleet.noFault(d.number, node)
-		d.fleet.record(func(t *tally) {
-			t.Tries[result]++
-			if first {
-				t.FirstTries++
-			}
-			if result == refused {
-				switch {
-				case answer.StopRetrying:
-					t.StoppedRetries++
-				case answer.RetryAfter > 0:
-					t.RetryAfters++
-				}
-				if first {
-					t.refusalTimes = append(t.refusalTimes, took)
-					if took > promptRefusalTime {
-						t.SlowRefusals++
-					}
-				}
-			}
-			if result == timedOut && noFault { // a fault on the path would explain it
-				t.Unanswered++
-			}
-		})
+		d.recordTry(result, answer, first, took, noFault)
 	}()
 	c, err := d.connection(node)
 	if err != nil {
@@ -325,6 +304,33 @@
 	return failed, answer
 }
 
+// recordTry counts a try, which took the given time. noFault means that no fault affected it.
+func (d *dispatcher) recordTry(result outcome, answer platform.Answer, first bool, took time.Duration, noFault bool) {
+	d.fleet.record(func(t *tally) {
+		t.Tries[result]++
+		if first {
+			t.FirstTries++
+		}
+		if result == refused {
+			switch {
+			case answer.StopRetrying:
+				t.StoppedRetries++
+			case answer.RetryAfter > 0:
+				t.RetryAfters++
+			}
+			if first {
+				t.refusalTimes = append(t.refusalTimes, took)
+				if took > promptRefusalTime {
+					t.SlowRefusals++
+				}
+			}
+		}
+		if result == timedOut && noFault { // a fault on the path would explain it
+			t.Unanswered++
+		}
+	})
+}
+
 // startProbes runs the health checks and reads the membership list until the rehearsal ends.
 func (d *dispatcher) startProbes(done *sync.WaitGroup) {
 	for i := range d.nodes {
--- a/internal/standin/fleet/scenario.go
+++ b/internal/standin/fleet/scenario.go
@@ -63,7 +63,7 @@
 type DispatcherSection struct {
 	Count          int           `ini:"count"`   // 1 to 32
 	FurtherNodes   int           `ini:"walk"`    // further nodes to try after a refusal or failure, 0 to 24
-	HonouringShare float64       `ini:"heed"`    // share of the dispatchers that honour load feedback, retry-after and stop-retrying
+	HonouringShare float64       `ini:"heed"`    // share of the dispatchers that honour load feedback and retry-after
 	ProbeInterval  time.Duration `ini:"probe"`   // between health checks of a node, 0 = no checks
 	TryTimeout     time.Duration `ini:"try"`     // of one try
 	Routing        string        `ini:"route"`   // random, or least: of two the one with fewer open tries
--- a/internal/standin/simulation/bound.go
+++ b/internal/standin/simulation/bound.go
@@ -30,25 +30,13 @@
 	if windows == 0 {
 		return 0, nil
 	}
-	sizeBounds := make([][]time.Duration, len(set.Classes)) // between size groups, by class
-	for c := range set.Classes {
-		var work []time.Duration
-		for _, a := range arrivals {
-			if a.Class == c {
-				work = append(work, a.Work)
-			}
-		}
-		slices.Sort(work)
-		for i := 1; i < sizeGroups && len(work) > 0; i++ {
-			sizeBounds[c] = append(sizeBounds[c], work[len(work)*i/sizeGroups])
-		}
-	}
+	bounds := sizeBounds(len(set.Classes), arrivals)
 	offeredWork := map[group][]float64{} // seconds of work by window
 	requests := map[group]float64{}
 	totalWork := map[group]float64{}
 	for _, a := range arrivals {
 		g := group{a.Class, 0}
-		for _, b := range sizeBounds[a.Class] {
+		for _, b := range bounds[a.Class] {
 			if a.Work >= b {
 				g.size++
 			}
@@ -74,9 +62,7 @@
 	}
 	// Variables: the work of a group that arrives in one window and is done in another; then a slack variable
 	// for each row. Rows: the offered work of each group and window, then the capacity of the cores in each window.
-	// Until their number is known, the capacity rows are numbered -1, -2 and so on.
 	var cost, b []float64
-	type coefficient struct{ row, col int }
 	var ones []coefficient
 	rows := 0
 	for _, g := range groups {
@@ -92,6 +78,19 @@
 			rows++
 		}
 	}
+	return solve(cost, b, ones, rows, workWindows, float64(set.Cores)*boundWindow.Seconds())
+}
+
+// coefficient is the position of a 1 in the matrix of the linear programme. A negative row -1-w stands for the
+// capacity row of window w.
+type coefficient struct{ row, col int }
+
+// solve returns the maximum of the linear programme of BestUtility. cost has the negative utility of a second of
+// work for each variable, b the offered work of each group and window in seconds; windowCapacity is in seconds of
+// work, too.
+func solve(
+	cost, b []float64, ones []coefficient, rows, workWindows int, windowCapacity float64,
+) (float64, error) {
 	vars := len(cost)
 	all := rows + workWindows
 	a := mat.NewDense(all, vars+all, nil)
@@ -102,7 +101,7 @@
 		a.Set(e.row, e.col, 1)
 	}
 	for range workWindows {
-		b = append(b, float64(set.Cores)*boundWindow.Seconds())
+		b = append(b, windowCapacity)
 	}
 	basis := make([]int, all)
 	for i := range all {
@@ -117,8 +116,27 @@
 	return -value, nil
 }
 
-// StaticSplit is a baseline policy: every class has an equal, fixed share of the slots, and its free slots are not
-// available to other classes. It implements rules.Pools and is not safe for concurrent use.
+// sizeBounds returns, by class, the amounts of work that divide its requests into sizeGroups groups of about the
+// same number.
+func sizeBounds(classes int, arrivals []Arrival) [][]time.Duration {
+	bounds := make([][]time.Duration, classes)
+	for c := range classes {
+		var work []time.Duration
+		for _, a := range arrivals {
+			if a.Class == c {
+				work = append(work, a.Work)
+			}
+		}
+		slices.Sort(work)
+		for i := 1; i < sizeGroups && len(work) > 0; i++ {
+			bounds[c] = append(bounds[c], work[len(work)*i/sizeGroups])
+		}
+	}
+	return bounds
+}
+
+// StaticSplit is a baseline policy: every class has an equal, fixed share of the slots, and its free slots are
+// not available to other classes. It implements rules.Pools and is not safe for concurrent use.
 type StaticSplit struct{ running []int }
 
 var _ rules.Pools = (*StaticSplit)(nil)
--- a/internal/standin/simulation/fleet.go
+++ b/internal/standin/simulation/fleet.go
@@ -32,7 +32,7 @@
 	Fault            func(at time.Duration, n int) Fault   // fault of node n; nil = none
 	Speed            func(at time.Duration, n int) float64 // speed of node n's cores; nil = 1
 	FurtherTries     int                                   // further nodes that a dispatcher tries
-	HonouringShare   float64                               // share of the dispatchers that honour retry-after and stop retrying when told to
+	HonouringShare   float64                               // of the dispatchers, share that honours retry-after and stop-retrying
 	TryTimeout       time.Duration                         // maximum duration of a try
 	DesktopRetries   int                                   // how often a desktop sends a request again
 	DesktopBackoff   time.Duration                         // mean wait before a desktop's first retry; doubles with each
@@ -46,7 +46,7 @@
 type FleetSecond struct {
 	Requests, InTime, Served, FirstTries, Tries, Refused int
 	StoppedByNode                                        int // refusals after which the dispatcher stopped retrying
-	NoNodeAvailable                                      int // times that a dispatcher stopped because it had no node to try
+	NoNodeAvailable                                      int // times that a dispatcher had no node to try
 	Utility                                              float64
 }
 
@@ -315,7 +315,9 @@
 }
 
 // answered handles the answer of a node.
-func (f *fleetSimulation) answered(n int, id rules.RequestID, outcome string, retryAfter time.Duration, stopRetrying bool) {
+func (f *fleetSimulation) answered(
+	n int, id rules.RequestID, outcome string, retryAfter time.Duration, stopRetrying bool,
+) {
 	r := f.openTries[n][id]
 	if r == nil || r.id != id {
 		return
--- a/internal/standin/simulation/replay.go
+++ b/internal/standin/simulation/replay.go
@@ -38,12 +38,12 @@
 	Hint          func(work time.Duration) time.Duration // the caller's estimate of the work; nil = exact
 }
 
-// Steady returns a constant rate, in requests per second.
+// Steady returns a function that gives the same rate at any time, in requests per second, for Stream.Rate.
 func Steady(rate float64) func(time.Duration) float64 {
 	return func(time.Duration) float64 { return rate }
 }
 
-// Always returns a constant amount of work.
+// Always returns a function that gives the same mean work at any time, for Stream.Work.
 func Always(w time.Duration) func(time.Duration) time.Duration {
 	return func(time.Duration) time.Duration { return w }
 }
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// Dispatcher is one connection of a dispatcher to a node. It is not safe for concurrent use, but one goroutine may
-// send while another receives.
+// Dispatcher is one connection of a dispatcher to a node. It is not safe for concurrent use, but one goroutine
+// may send while another receives.
 type Dispatcher struct {
 	*net.TCPConn
 	t      *testing.T
