--- a/internal/standin/fleet/link.go
+++ b/internal/standin/fleet/link.go
@@ -43,7 +43,7 @@
 	goroutines        sync.WaitGroup
 }
 
-// connPair holds the two sides of a connection through a link.
+// connPair holds the two sides of a connection through a link. Its methods may be called by any goroutine.
 type connPair struct {
 	clientConn, targetConn net.Conn
 	done                   chan struct{} // closed when no more bytes pass
@@ -122,6 +122,7 @@
 	l.goroutines.Wait()
 }
 
+// close closes both sides; further calls do nothing.
 func (p *connPair) close() {
 	p.once.Do(func() {
 		close(p.done)
@@ -130,6 +131,7 @@
 	})
 }
 
+// reset closes both sides with a TCP reset.
 func (p *connPair) reset() {
 	for _, c := range []net.Conn{p.clientConn, p.targetConn} {
 		if t, ok := c.(*net.TCPConn); ok {
@@ -146,6 +148,7 @@
 	return l.faults, l.changed
 }
 
+// accept serves connections until the listener is closed.
 func (l *Link) accept() {
 	for {
 		clientConn, err := l.ln.Accept()
@@ -224,7 +227,7 @@
 	due  time.Time
 }
 
-// forward forwards one direction of a connection; up is the direction to the target.
+// forward forwards one direction of a connection until its end; up means that to is the target.
 func (l *Link) forward(p *connPair, from, to net.Conn, up bool, random *rand.Rand) {
 	queue := make(chan chunk, maxQueuedChunks)
 	l.goroutines.Go(func() {
--- a/internal/standin/fleet/process.go
+++ b/internal/standin/fleet/process.go
@@ -34,6 +34,7 @@
 	return s
 }
 
+// start starts c and returns when it has started or failed to.
 func (s *starter) start(c *exec.Cmd) (err error) {
 	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	ready := make(chan struct{})
@@ -42,6 +43,7 @@
 	return err
 }
 
+// stop ends the thread, and with it all processes that it started.
 func (s *starter) stop() { close(s.jobs); <-s.done }
 
 // process is a program that the rehearsal starts, and may start again after its end. Its methods may be
--- a/internal/standin/fleet/validate.go
+++ b/internal/standin/fleet/validate.go
@@ -143,6 +143,7 @@
 	indexes []int // from 0
 }
 
+// contains reports whether member i of a group is in the set.
 func (m memberSet) contains(group string, i int) bool {
 	return m.group == group && slices.Contains(m.indexes, i)
 }
