--- a/internal/standin/fleet/desktop.go
+++ b/internal/standin/fleet/desktop.go
@@ -34,7 +34,7 @@
 		if f.scenario.Desktops.Jitter {
 			pause = time.Duration((0.5 + request.random.Float64()) * float64(backoff))
 		}
-		if f.scenario.Desktops.FollowAdvice {
+		if f.scenario.Desktops.HonourRetryAfter {
 			pause = max(pause, retryAfter)
 		}
 		backoff *= 2
@@ -52,7 +52,7 @@
 	})
 }
 
-// utility returns what a request is worth if it is served within its latency target.
+// utility returns the utility of a request that is served within its latency target.
 func (f *Fleet) utility(request *request) float64 {
 	if f.scenario.Fleet.UtilityPerWork {
 		return request.class.Utility * request.workMs
--- a/internal/standin/fleet/dispatcher.go
+++ b/internal/standin/fleet/dispatcher.go
@@ -20,8 +20,8 @@
 	loadFeedbackTTL        = time.Second            // of a node's published load feedback
 	membershipPollInterval = 500 * time.Millisecond // between reads of the membership list
 	membershipTTL          = 3 * time.Second        // for which a node is listed after its last report
-	answerSlack            = 110 * time.Millisecond // over a try's timeout, which the rules allow an answer
-	minTryTime             = 20 * time.Millisecond  // with less time left no try is made
+	answerSlack            = 110 * time.Millisecond // time beyond its timeout by which a try must be answered
+	minTryTime             = 20 * time.Millisecond  // with less time until the deadline no try is made
 )
 
 // outcome is how a try or a request ended.
@@ -46,7 +46,7 @@
 type dispatcher struct {
 	fleet         *Fleet
 	number        int
-	followsAdvice bool // obeys load feedback, retry-after and refusals that must not be retried
+	honoursAdvice bool // honours load feedback, retry-after and refusals that must not be retried
 
 	mu    sync.Mutex
 	nodes []nodeState
@@ -66,9 +66,9 @@
 	listed       bool // in the membership list
 }
 
-func newDispatcher(f *Fleet, number int, followsAdvice bool) *dispatcher {
+func newDispatcher(f *Fleet, number int, honoursAdvice bool) *dispatcher {
 	d := &dispatcher{
-		fleet: f, number: number, followsAdvice: followsAdvice, nodes: make([]nodeState, len(f.nodes)),
+		fleet: f, number: number, honoursAdvice: honoursAdvice, nodes: make([]nodeState, len(f.nodes)),
 	}
 	for i := range d.nodes {
 		d.nodes[i] = nodeState{addr: f.nodeLinks[number][i].Addr(), loadFeedback: 1, listed: true}
@@ -90,7 +90,7 @@
 				if tried&(1<<i) != 0 || !n.listed || now.Before(n.avoidUntil) || healthy == n.unhealthy {
 					return 0
 				}
-				if !d.followsAdvice || now.Sub(n.feedbackAt) > loadFeedbackTTL {
+				if !d.honoursAdvice || now.Sub(n.feedbackAt) > loadFeedbackTTL {
 					return 1
 				}
 				return max(n.loadFeedback, 0.01)
@@ -124,8 +124,8 @@
 	return node, node >= 0
 }
 
-// connection returns a connection to a node that has room for a request. It opens one if all are full,
-// up to the limit of connections to a node.
+// connection returns the connection to a node on which the most requests can be sent. It opens a new one if none
+// has capacity for a request and MaxConnections allows it.
 func (d *dispatcher) connection(node int) (*platform.Client, error) {
 	d.mu.Lock()
 	n := &d.nodes[node]
@@ -142,7 +142,8 @@
 		}
 	}
 	n.conns = usable
-	if best != nil && (best.AvailableRequests() > 0 || len(n.conns)+n.dialing >= d.fleet.scenario.Dispatchers.MaxConnections) {
+	if best != nil && (best.AvailableRequests() > 0 ||
+		len(n.conns)+n.dialing >= d.fleet.scenario.Dispatchers.MaxConnections) {
 		d.mu.Unlock()
 		return best, nil
 	}
@@ -190,21 +191,21 @@
 			n.failures = maxFailures - 1 // after the ejection a single further failure ejects it again
 		}
 	}
-	if answer.Word == "" {
+	if answer.Status == "" {
 		return
 	}
 	if !math.IsNaN(answer.LoadFeedback) {
 		n.loadFeedback, n.feedbackAt = answer.LoadFeedback, now
 	}
-	if result == refused && d.followsAdvice && answer.RetryAfter > 0 {
+	if result == refused && d.honoursAdvice && answer.RetryAfter > 0 {
 		if until := now.Add(min(answer.RetryAfter, d.fleet.scenario.Fleet.MaxRetryAfter)); until.After(n.avoidUntil) {
 			n.avoidUntil = until
 		}
 	}
 }
 
-// send tries a request at one node after another, up to FurtherNodes further ones. retryAfter is the
-// last advice received; without a try, the time until the first node may be tried.
+// send tries a request at one node after another, up to FurtherNodes further ones. retryAfter is that of the
+// last refusal; if no try was made, it is the time until the first node may be tried.
 func (d *dispatcher) send(request *request, deadline time.Time) (result outcome, retryAfter time.Duration) {
 	result = notSent
 	for further, tried := 0, uint64(0); further <= d.fleet.scenario.Dispatchers.FurtherNodes; further++ {
@@ -222,7 +223,7 @@
 			return result, 0
 		case result == refused:
 			retryAfter = answer.RetryAfter
-			if answer.StopRetrying && d.followsAdvice {
+			if answer.StopRetrying && d.honoursAdvice {
 				return result, retryAfter
 			}
 		case result != unreachable && request.class.Effect == "unsafe":
@@ -263,29 +264,7 @@
 	defer func() {
 		took := time.Since(began)
 		noFault = noFault && d.fleet.noFault(d.number, node)
-		d.fleet.record(func(t *tally) {
-			t.Tries[result]++
-			if first {
-				t.FirstTries++
-			}
-			if result == refused {
-				switch {
-				case answer.StopRetrying:
-					t.StoppedRetries++
-				case answer.RetryAfter > 0:
-					t.RetryAfters++
-				}
-				if first {
-					t.refusalTimes = append(t.refusalTimes, took)
-					if took > promptRefusal {
-						t.SlowRefusals++
-					}
-				}
-			}
-			if result == timedOut && noFault { // a fault on the way would explain it
-				t.Unanswered++
-			}
-		})
+		d.recordTry(result, answer, first, took, noFault)
 	}()
 	c, err := d.connection(node)
 	if err != nil {
@@ -293,11 +272,11 @@
 	}
 	body := strconv.AppendFloat(nil, request.workMs, 'f', 3, 64)
 	message := platform.Request{
-		Txn: d.fleet.newTransaction(), Class: request.class.Name, Tenant: "acme", Limit: timeout,
-		HintMs: request.workMs, Retry: !first,
+		Txn: d.fleet.newTransaction(), Class: request.class.Name, Tenant: "acme", Timeout: timeout,
+		WorkHintMs: request.workMs, Retry: !first,
 	}
 	if request.class.Effect != "safe" {
-		message.Unique = request.idempotencyKey
+		message.IdempotencyKey = request.idempotencyKey
 		body = append(append(body, ' '), request.idempotencyKey...)
 	}
 	message.Body = body
@@ -317,14 +296,41 @@
 		return unreachable, answer
 	case time.Since(sent) > timeout+answerSlack:
 		return timedOut, answer
-	case answer.Word == "ACK":
+	case answer.Status == "ACK":
 		return served, answer
-	case answer.Word == "NAK":
+	case answer.Status == "NAK":
 		return refused, answer
 	}
 	return failed, answer
 }
 
+// recordTry counts a try, which took the given time. noFault means that no fault affected it.
+func (d *dispatcher) recordTry(result outcome, answer platform.Answer, first bool, took time.Duration, noFault bool) {
+	d.fleet.record(func(t *tally) {
+		t.Tries[result]++
+		if first {
+			t.FirstTries++
+		}
+		if result == refused {
+			switch {
+			case answer.StopRetrying:
+				t.StoppedRetries++
+			case answer.RetryAfter > 0:
+				t.RetryAfters++
+			}
+			if first {
+				t.refusalTimes = append(t.refusalTimes, took)
+				if took > promptRefusalTime {
+					t.SlowRefusals++
+				}
+			}
+		}
+		if result == timedOut && noFault { // a fault on the path would explain it
+			t.Unanswered++
+		}
+	})
+}
+
 // startProbes runs the health checks and reads the membership list until the rehearsal ends.
 func (d *dispatcher) startProbes(done *sync.WaitGroup) {
 	for i := range d.nodes {
--- a/internal/standin/fleet/output.go
+++ b/internal/standin/fleet/output.go
@@ -13,7 +13,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Line prints a second as a line of the table under Head.
+// Line prints a second as a line of the table under TableHeader.
 func (s Second) Line(out io.Writer) {
 	t := &s.Tally
 	fmt.Fprintf(out, "%4d %6d %8.0f %8.0f %6.2f %7d %7d %7d %6d %6d %6d %6d %5.2f %5.0f %5d\n",
@@ -23,7 +23,7 @@
 		s.NodeCPU, s.CPUPerTry, s.MemoryKB>>10)
 }
 
-// Head prints the header of the lines of seconds.
+// TableHeader prints the header of the lines that Second.Line prints.
 func TableHeader(out io.Writer) {
 	fmt.Fprintf(out, "%4s %6s %8s %8s %6s %7s %7s %7s %6s %6s %6s %6s %5s %5s %5s\n",
 		"s", "asked", "offered", "worth", "tries",
@@ -75,7 +75,7 @@
 // suffix of the path selects the format: .svg, .png or .pdf.
 func (r *Report) Plot(path string) error {
 	chart := plot.New()
-	chart.Title.Text = fmt.Sprintf("%s, %d nodes, together %s, seed %d", r.Scenario, r.Nodes, r.Together, r.Seed)
+	chart.Title.Text = fmt.Sprintf("%s, %d nodes, together %s, seed %d", r.Scenario, r.Nodes, r.Shedding, r.Seed)
 	chart.X.Label.Text, chart.Y.Label.Text = "seconds", "tries and worth a second"
 	chart.Y.Min = 0
 	chart.Legend.Top = true
@@ -103,10 +103,10 @@
 		if err != nil {
 			return fmt.Errorf("plot: %w", err)
 		}
-		l.Color = map[bool]color.Color{true: color.RGBA{R: 200, A: 255}, false: color.RGBA{G: 140, A: 255}}[m.On]
+		l.Color = map[bool]color.Color{true: color.RGBA{R: 200, A: 255}, false: color.RGBA{G: 140, A: 255}}[m.Begins]
 		l.Dashes = []vg.Length{vg.Points(3), vg.Points(3)}
 		chart.Add(l)
-		if m.On {
+		if m.Begins {
 			label, err := plotter.NewLabels(plotter.XYLabels{
 				XYs: plotter.XYs{{X: m.At, Y: top}}, Labels: []string{m.Fault},
 			})
