--- a/cmd/simhost/fleet.go
+++ b/cmd/simhost/fleet.go
@@ -212,8 +212,8 @@
 func (h *host) SkipCall(id rules.RequestID)     { h.actions.ID(simwire.AcSkip, uint64(id)) }
 func (h *host) ForgetRecord(id rules.RequestID) { h.actions.ID(simwire.AcReleaseKey, uint64(id)) }
 func (h *host) JoinEarlier(id rules.RequestID)  { h.actions.ID(simwire.AcReuse, uint64(id)) }
-func (h *host) Refuse(id rules.RequestID, retryAfter time.Duration, last bool) {
-	h.actions.PushBack(uint64(id), retryAfter, last)
+func (h *host) Refuse(id rules.RequestID, retryAfter time.Duration, stopRetrying bool) {
+	h.actions.PushBack(uint64(id), retryAfter, stopRetrying)
 }
 func (h *host) Call(id rules.RequestID, timeout time.Duration) {
 	h.actions.IDTime(simwire.AcCallDep, uint64(id), timeout)
--- a/decide/backoff/backoff.go
+++ b/decide/backoff/backoff.go
@@ -70,8 +70,8 @@
 // far still count against the budget.
 func (b *Backoff) Succeeded() { b.span = b.settings.InitialSpan }
 
-// TryStarted records that an attempt starts now; it counts against the budget.
-func (b *Backoff) TryStarted(now time.Duration) {
+// AttemptStarted records that an attempt starts now; it counts against the budget.
+func (b *Backoff) AttemptStarted(now time.Duration) {
 	if b.settings.Budget <= 0 {
 		return
 	}
--- a/decide/backoff/backoff_test.go
+++ b/decide/backoff/backoff_test.go
@@ -32,7 +32,7 @@
 		for n := range uint64(24) {
 			b := New(testSettings, rand.New(rand.NewPCG(n, fleet)))
 			for now := b.Failed(0); ; now += b.Failed(now) {
-				b.TryStarted(now)
+				b.AttemptStarted(now)
 				attempts++
 				if now >= outage {
 					reconnected = append(reconnected, now)
@@ -70,7 +70,7 @@
 		t.Errorf("first wait after a success: %v", wait)
 	}
 	for range testSettings.Budget {
-		b.TryStarted(0)
+		b.AttemptStarted(0)
 	}
 	b.Succeeded()
 	if wait := b.Failed(time.Second); wait != 9*time.Second || b.BudgetExceeded != 1 {
@@ -94,7 +94,7 @@
 				t.Fatalf("wait %v", wait)
 			}
 			now += wait
-			b.TryStarted(now)
+			b.AttemptStarted(now)
 			attempts = append(attempts, now)
 			if n := len(attempts); n > testSettings.Budget && attempts[n-1]-attempts[n-1-testSettings.Budget] < testSettings.Window {
 				t.Fatalf("%d attempts in %v", testSettings.Budget+1, attempts[n-1]-attempts[n-1-testSettings.Budget])
--- a/decide/fleet/fleet.go
+++ b/decide/fleet/fleet.go
@@ -131,21 +131,21 @@
 type Node struct {
 	Name, Addr, Zone string
 	State            State
-	Why              string        // reason of the state
+	Reason           string        // reason of the state
 	Since            time.Duration // when the state began
 	Weight           int           // 1 to 100,000; 0 = no new work
 	Limit            float64       // of running requests, as reported
 	Penalty          float64       // flap damping penalty
-	Unproven         bool          // restored after a restart of the service, no report received since
+	Unconfirmed      bool          // restored after a restart of the service, no report received since
 }
 
 // View is the published view of the fleet. Version grows with each change.
 type View struct {
-	Version uint64
-	Nodes   []Node   // by name
-	Drop    float64  // share of the requests that proxies should drop themselves, 0 to 1
-	Frozen  bool     // too many nodes fell silent together; no node is removed
-	Lost    []string // names of zones in which every node is gone or silent
+	Version   uint64
+	Nodes     []Node   // by name
+	Drop      float64  // share of the requests that proxies should drop themselves, 0 to 1
+	Frozen    bool     // too many nodes fell silent together; no node is removed
+	LostZones []string // names of zones in which every node is gone or silent
 }
 
 // node is the state kept for one name.
@@ -174,7 +174,7 @@
 	running            float64 // moving average: a report shows one moment only
 	currentIncarnation uint64  // incarnation that weight, proxyErrors and running belong to
 
-	unproven    bool
+	unconfirmed bool
 	silentSince time.Duration // 0 = not silent
 	frozen      bool          // silent, but kept in its state while the view is frozen
 }
@@ -258,10 +258,10 @@
 			r.Name)
 	}
 	n.olderReports = 0
-	if n.unproven && n.state != Gone {
+	if n.unconfirmed && n.state != Gone {
 		f.confirmedNodes++
 	}
-	n.lastReport, n.reportedAt, n.unproven = r, now, false
+	n.lastReport, n.reportedAt, n.unconfirmed = r, now, false
 	return true
 }
 
@@ -399,7 +399,7 @@
 
 // updateView builds the view, with a new version if it differs from the last one.
 func (f *Fleet) updateView(now time.Duration, names []string, lost []string) {
-	v := View{Version: f.view.Version, Frozen: f.frozen, Lost: lost}
+	v := View{Version: f.view.Version, Frozen: f.frozen, LostZones: lost}
 	refused, serving := 1.0, 0
 	for _, name := range names {
 		n := f.nodes[name]
@@ -408,9 +408,9 @@
 			weight = int(min(math.Round(n.weight), 100_000))
 		}
 		v.Nodes = append(v.Nodes, Node{
-			Name: name, Addr: n.lastReport.Addr, Zone: n.lastReport.Zone, State: n.state, Why: n.reason, Since: n.since,
+			Name: name, Addr: n.lastReport.Addr, Zone: n.lastReport.Zone, State: n.state, Reason: n.reason, Since: n.since,
 			Weight: weight, Limit: math.Round(n.lastReport.Limit), Penalty: math.Round(10*n.currentPenalty(now)) / 10,
-			Unproven: n.unproven,
+			Unconfirmed: n.unconfirmed,
 		})
 		if n.state.Serves() {
 			serving++
@@ -428,9 +428,9 @@
 
 // differs reports whether two views differ in what proxies are sent.
 func differs(a, b *View) bool {
-	return a.Drop != b.Drop || a.Frozen != b.Frozen || !slices.Equal(a.Lost, b.Lost) ||
+	return a.Drop != b.Drop || a.Frozen != b.Frozen || !slices.Equal(a.LostZones, b.LostZones) ||
 		!slices.EqualFunc(a.Nodes, b.Nodes, func(x, y Node) bool {
-			x.Penalty, y.Penalty, x.Why, y.Why, x.Since, y.Since = 0, 0, "", "", 0, 0
+			x.Penalty, y.Penalty, x.Reason, y.Reason, x.Since, y.Since = 0, 0, "", "", 0, 0
 			return x == y
 		})
 }
--- a/decide/fleet/fleet_test.go
+++ b/decide/fleet/fleet_test.go
@@ -68,13 +68,13 @@
 			return n
 		}
 	}
-	return Node{State: Gone, Why: "not in the view"}
+	return Node{State: Gone, Reason: "not in the view"}
 }
 
 func (tf *testFleet) wantState(name string, states ...State) {
 	tf.t.Helper()
 	if n := tf.node(name); !slices.Contains(states, n.State) {
-		tf.t.Errorf("at %v %s is %v (%s), want %v", tf.now, name, n.State, n.Why, states)
+		tf.t.Errorf("at %v %s is %v (%s), want %v", tf.now, name, n.State, n.Reason, states)
 	}
 }
 
@@ -206,8 +206,8 @@
 		delete(tf.live, fmt.Sprintf("n%02d", i))
 	}
 	tf.advance(6 * time.Second)
-	if tf.view.Frozen || !slices.Equal(tf.view.Lost, []string{"z0"}) {
-		t.Errorf("frozen %v, lost %v", tf.view.Frozen, tf.view.Lost)
+	if tf.view.Frozen || !slices.Equal(tf.view.LostZones, []string{"z0"}) {
+		t.Errorf("frozen %v, lost %v", tf.view.Frozen, tf.view.LostZones)
 	}
 	tf.wantState("n00", Gone)
 	tf.wantState("n01", Healthy)
@@ -264,7 +264,7 @@
 	}
 }
 
-// A restarted service has its last view at once, marked unproven, and removes no node before
+// A restarted service has its last view at once, marked unconfirmed, and removes no node before
 // restartGrace has passed; nodes that do not report leave then.
 func TestRestart(t *testing.T) {
 	tf := newTestFleet(t, 6, 2)
@@ -278,7 +278,7 @@
 	delete(tf.live, "n00")
 	var first View
 	first, _ = f.Step(tf.now)
-	if first.Version <= was.Version || len(first.Nodes) != 6 || !first.Nodes[0].Unproven || first.Nodes[0].State != Healthy || first.Nodes[0].Weight == 0 {
+	if first.Version <= was.Version || len(first.Nodes) != 6 || !first.Nodes[0].Unconfirmed || first.Nodes[0].State != Healthy || first.Nodes[0].Weight == 0 {
 		t.Errorf("first view: %+v", first)
 	}
 	tf.advance(restartGrace + reportInterval)
--- a/decide/fleet/history.go
+++ b/decide/fleet/history.go
@@ -11,13 +11,14 @@
 	maxHistoryPerNode = 64   // changes, so that a flapping node does not displace the others
 )
 
-// Change is a change of a node's state. It is stored as JSON under the names of its fields.
+// Change is a change of a node's state. It is stored as JSON: the names of its fields, or their
+// tags, are the stored names.
 type Change struct {
 	At       time.Duration
 	Name     string
 	From, To State
 	New      bool   // the node was unknown before
-	Why      string // reason of the new state
+	Reason   string `json:"Why"` // of the new state
 }
 
 // History holds the changes of the nodes' states of the last 24 hours, within limits. It
@@ -30,7 +31,7 @@
 // NewHistory returns an empty history.
 func NewHistory() *History { return &History{lastState: map[string]State{}} }
 
-// Record adds the differences between v and the last recorded view. Nodes that are unproven
+// Record adds the differences between v and the last recorded view. Nodes that are unconfirmed
 // and unknown are skipped, since they have not reported yet.
 func (h *History) Record(now time.Duration, v *View) {
 	present := make(map[string]bool, len(v.Nodes))
@@ -38,11 +39,11 @@
 		n := &v.Nodes[i]
 		present[n.Name] = true
 		was, known := h.lastState[n.Name]
-		if known && was == n.State || n.Unproven && !known {
+		if known && was == n.State || n.Unconfirmed && !known {
 			continue
 		}
 		h.lastState[n.Name] = n.State
-		h.add(Change{At: now, Name: n.Name, From: was, To: n.State, New: !known, Why: n.Why})
+		h.add(Change{At: now, Name: n.Name, From: was, To: n.State, New: !known, Reason: n.Reason})
 	}
 	for name := range h.lastState {
 		if !present[name] {
--- a/decide/fleet/history_test.go
+++ b/decide/fleet/history_test.go
@@ -1,6 +1,7 @@
 package fleet
 
 import (
+	"encoding/json"
 	"fmt"
 	"testing"
 	"time"
@@ -10,7 +11,7 @@
 func viewOf(states map[string]State) *View {
 	v := &View{}
 	for name, s := range states {
-		v.Nodes = append(v.Nodes, Node{Name: name, State: s, Why: "because"})
+		v.Nodes = append(v.Nodes, Node{Name: name, State: s, Reason: "because"})
 	}
 	return v
 }
@@ -22,7 +23,7 @@
 	h.Record(1, viewOf(map[string]State{"a": Healthy}))
 	h.Record(2, viewOf(map[string]State{"a": Healthy}))
 	h.Record(3, viewOf(map[string]State{"a": Silent}))
-	if l := h.List(); len(l) != 2 || !l[0].New || l[1].From != Healthy || l[1].To != Silent || l[1].Why != "because" {
+	if l := h.List(); len(l) != 2 || !l[0].New || l[1].From != Healthy || l[1].To != Silent || l[1].Reason != "because" {
 		t.Fatalf("%+v", l)
 	}
 	for i := range 500 {
@@ -53,3 +54,22 @@
 		t.Errorf("invalid changes restored: %+v", invalid.List())
 	}
 }
+
+// The state stored by earlier releases must still be read, so the JSON names of its fields are fixed.
+func TestStoredNames(t *testing.T) {
+	for want, value := range map[string]any{
+		`{"At":1,"Name":"n","From":0,"To":1,"New":true,"Why":"w"}`: Change{At: 1, Name: "n", To: Warming, New: true, Reason: "w"},
+		`{"Format":1,"Version":2,"Nodes":[{"Name":"n","Addr":"","Zone":"","Incarnation":3,"Seq":4,"Phase":0,` +
+			`"Healthy":true,"Warm":1,"DrainLeft":0,"Running":0,"Limit":8,"Pressure":0,"Refused":0,"Flips":5,` +
+			`"Plain":false,"Heard":6,"State":1,"Weight":7,"Penalty":0.5,"Seen":[2,3]}]}`: Saved{
+			Format: 1, Version: 2, Nodes: []SavedNode{{
+				Report:    Report{Name: "n", Incarnation: 3, Seq: 4, Healthy: true, Warm: 1, Limit: 8, Flips: 5},
+				ReportAge: 6, State: Warming, Weight: 7, Penalty: 0.5, Incarnations: []uint64{2, 3},
+			}},
+		},
+	} {
+		if got, err := json.Marshal(value); err != nil || string(got) != want {
+			t.Errorf("stored as %s (%v), want %s", got, err, want)
+		}
+	}
+}
--- a/decide/fleet/saved.go
+++ b/decide/fleet/saved.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Saved is the state that a restart of the service restores. It is stored as JSON under the
-// names of its fields.
+// Saved is the state that a restart of the service restores. It is stored as JSON: the names of
+// its fields, or their tags, are the stored names.
 type Saved struct {
 	Format  int
 	Version uint64
@@ -17,12 +17,12 @@
 
 // SavedNode is one node in Saved.
 type SavedNode struct {
-	Report                // the last one
-	Heard   time.Duration // age of the report when it was saved
-	State   State
-	Weight  float64
-	Penalty float64
-	Seen    []uint64 // known incarnations, sorted
+	Report                     // the last one
+	ReportAge    time.Duration `json:"Heard"` // age of the report when it was saved
+	State        State
+	Weight       float64
+	Penalty      float64
+	Incarnations []uint64 `json:"Seen"` // known incarnations, sorted
 }
 
 // savedFormat is the format version of Saved.
@@ -34,15 +34,15 @@
 	for _, name := range slices.Sorted(maps.Keys(f.nodes)) {
 		n := f.nodes[name]
 		s.Nodes = append(s.Nodes, SavedNode{
-			Report: n.lastReport, Heard: now - n.reportedAt, State: n.state, Weight: n.weight,
-			Penalty: n.currentPenalty(now), Seen: slices.Sorted(maps.Keys(n.incarnations)),
+			Report: n.lastReport, ReportAge: now - n.reportedAt, State: n.state, Weight: n.weight,
+			Penalty: n.currentPenalty(now), Incarnations: slices.Sorted(maps.Keys(n.incarnations)),
 		})
 	}
 	return s
 }
 
 // Restore returns a fleet with the state that a previous run of the service saved. Every
-// node but those that were Gone counts as having reported just now, but as unproven: none is
+// node but those that were Gone counts as having reported just now, but as unconfirmed: none is
 // removed before restartGrace has passed. If the format is unknown, Restore returns an empty
 // fleet and an error.
 func Restore(now time.Duration, saved Saved) (*Fleet, error) {
@@ -60,14 +60,14 @@
 			flips: map[uint64]uint64{s.Incarnation: s.Flips}, proxyErrors: map[string]*errorCounts{},
 			state: s.State, stateBeforeSilence: s.State, since: now,
 			penaltyAt: now, penalty: min(max(s.Penalty, 0), maxPenalty),
-			weight: max(s.Weight, 0), running: s.Running, currentIncarnation: s.Incarnation, unproven: true,
+			weight: max(s.Weight, 0), running: s.Running, currentIncarnation: s.Incarnation, unconfirmed: true,
 		}
 		if s.State == Gone {
 			n.reportedAt = now - goneAfter
 		} else {
 			f.restoredNodes++
 		}
-		for _, i := range s.Seen[:min(len(s.Seen), maxIncarnations)] {
+		for _, i := range s.Incarnations[:min(len(s.Incarnations), maxIncarnations)] {
 			n.incarnations[i] = true
 		}
 		f.nodes[s.Name] = n
--- a/decide/fleet/state.go
+++ b/decide/fleet/state.go
@@ -9,7 +9,7 @@
 // updateSilence sets whether a node's reports are missing.
 func (f *Fleet) updateSilence(now time.Duration, n *node) {
 	limit := silentAfter
-	if n.unproven {
+	if n.unconfirmed {
 		limit = restartGrace + silentAfter
 	}
 	switch {
@@ -132,7 +132,7 @@
 	case r.Warm < 0.99:
 		state, reason = Warming, "it says that it warms up"
 	}
-	if n.unproven && state <= Silent {
+	if n.unconfirmed && state <= Silent {
 		state, reason = min(n.state, Silent), "from before a restart of this service, not heard yet"
 		if n.state == Gone {
 			state = Gone
@@ -152,7 +152,7 @@
 
 // grace returns the extra time before a silent node is Gone.
 func (f *Fleet) grace(n *node) time.Duration {
-	if n.unproven {
+	if n.unconfirmed {
 		return restartGrace
 	}
 	return 0
--- a/decide/recovery/eventdetector.go
+++ b/decide/recovery/eventdetector.go
@@ -40,22 +40,22 @@
 }
 
 // Event is a period that began with the loss of many nodes. Began is on the control service's
-// clock, the other times count from it; 0 for Half, Most and Full means not yet. It is stored as
-// JSON under its field names.
+// clock, the other times count from it; 0 for HalfAfter, MostAfter and FullAfter means not yet.
+// It is stored as JSON; the tags keep the names of stored fields.
 type Event struct {
-	Number  int
-	Began   time.Duration
-	Lost    int      // nodes lost
-	Of      int      // nodes in the fleet when it began
-	Zones   []string // zones of lost nodes, at most 16
-	Least   float64  // least share of the usual capacity
-	LeastAt time.Duration
-	Half    time.Duration // until half, 0.95 and 0.99 of the usual capacity were back
-	Most    time.Duration
-	Full    time.Duration
-	Tries   float64 // tries per first try since it began
-	Over    bool
-	Why     string // why it ended
+	Number          int
+	Began           time.Duration
+	LostNodes       int      `json:"Lost"` // nodes lost
+	FleetSize       int      `json:"Of"`   // nodes in the fleet when it began
+	Zones           []string // zones of lost nodes, at most 16
+	LeastShare      float64  `json:"Least"` // least share of the usual capacity
+	LeastAt         time.Duration
+	HalfAfter       time.Duration `json:"Half"`  // until halfCapacity of the usual capacity was back
+	MostAfter       time.Duration `json:"Most"`  // until mostCapacity
+	FullAfter       time.Duration `json:"Full"`  // until fullCapacity
+	TriesPerRequest float64       `json:"Tries"` // tries per first try since it began
+	Ended           bool          `json:"Over"`
+	EndReason       string        `json:"Why"` // why it ended
 
 	firstTries, allTries float64 // since it began
 	fullSince            time.Duration
@@ -195,39 +195,39 @@
 	event := d.current
 	event.firstTries, event.allTries = event.firstTries+firstTries, event.allTries+allTries
 	if event.firstTries > 0 {
-		event.Tries = math.Round(100*event.allTries/event.firstTries) / 100
+		event.TriesPerRequest = math.Round(100*event.allTries/event.firstTries) / 100
 	}
 	for name := range lost {
 		event.Zones = addZone(event.Zones, d.nodes[name])
 	}
-	event.Lost = max(event.Lost, len(lost))
+	event.LostNodes = max(event.LostNodes, len(lost))
 	share := min(capacity/d.usualCapacity, 1)
 	// Between two reports less capacity was there than any report says.
 	if missing := d.missingCapacity(before, maxSize); missing > 0 && total > 0 {
 		share = min(share, max(0, 1-missing/total))
 	}
 	since := now - event.Began
-	if share < event.Least {
-		event.Least, event.LeastAt, event.Half, event.Most = share, since, 0, 0
+	if share < event.LeastShare {
+		event.LeastShare, event.LeastAt, event.HalfAfter, event.MostAfter = share, since, 0, 0
 	}
-	if event.Half == 0 && share >= halfCapacity {
-		event.Half = since
+	if event.HalfAfter == 0 && share >= halfCapacity {
+		event.HalfAfter = since
 	}
-	if event.Most == 0 && share >= mostCapacity {
-		event.Most = since
+	if event.MostAfter == 0 && share >= mostCapacity {
+		event.MostAfter = since
 	}
 	if share < fullCapacity {
-		event.Full, event.fullSince = 0, -1
-	} else if event.Full == 0 {
-		event.Full, event.fullSince = since, now
+		event.FullAfter, event.fullSince = 0, -1
+	} else if event.FullAfter == 0 {
+		event.FullAfter, event.fullSince = since, now
 	}
 	switch {
-	case event.Full > 0 && now-event.fullSince >= fullDuration && now-event.Began > lossWindow:
-		event.Over, event.Why = true, "all is back"
+	case event.FullAfter > 0 && now-event.fullSince >= fullDuration && now-event.Began > lossWindow:
+		event.Ended, event.EndReason = true, "all is back"
 	case since >= maxEventDuration:
-		event.Over, event.Why = true, "it was given up: the fleet is smaller now"
+		event.Ended, event.EndReason = true, "it was given up: the fleet is smaller now"
 	}
-	if event.Over {
+	if event.Ended {
 		lines = append(lines, event.Summary())
 		d.archive()
 		d.losses, d.usualCapacity = nil, capacity // the losses are part of the event that ended
@@ -293,7 +293,7 @@
 func (d *EventDetector) beginEvent(at time.Duration, lost map[string]bool) string {
 	d.lastNumber++
 	d.current = &Event{
-		Number: d.lastNumber, Began: at, Lost: len(lost), Of: len(d.nodes), Least: 1, Tries: 1, fullSince: -1,
+		Number: d.lastNumber, Began: at, LostNodes: len(lost), FleetSize: len(d.nodes), LeastShare: 1, TriesPerRequest: 1, fullSince: -1,
 	}
 	return fmt.Sprintf("event %d started: %d of %d nodes were lost within %v",
 		d.lastNumber, len(lost), len(d.nodes), lossWindow)
@@ -318,8 +318,8 @@
 	}
 	return fmt.Sprintf("event %d ended, %s: %d of %d nodes lost, least capacity %.2f after %v, "+
 		"half after %s, 0.95 after %s, full after %s, %.2f tries per first try",
-		o.Number, o.Why, o.Lost, o.Of, o.Least, o.LeastAt.Round(100*time.Millisecond),
-		at(o.Half), at(o.Most), at(o.Full), o.Tries)
+		o.Number, o.EndReason, o.LostNodes, o.FleetSize, o.LeastShare, o.LeastAt.Round(100*time.Millisecond),
+		at(o.HalfAfter), at(o.MostAfter), at(o.FullAfter), o.TriesPerRequest)
 }
 
 // Capacity returns the share of the usual capacity that is there now, 0 = unknown.
@@ -339,8 +339,8 @@
 func (d *EventDetector) Restore(list []Event, shift time.Duration) {
 	for _, event := range list {
 		event.Began += shift
-		if !event.Over {
-			event.Over, event.Why = true, "the service that watched it ended"
+		if !event.Ended {
+			event.Ended, event.EndReason = true, "the service that watched it ended"
 		}
 		d.finished = append(d.finished, event)
 		d.lastNumber = max(d.lastNumber, event.Number)
--- a/decide/recovery/eventdetector_test.go
+++ b/decide/recovery/eventdetector_test.go
@@ -1,6 +1,7 @@
 package recovery
 
 import (
+	"encoding/json"
 	"fmt"
 	"math"
 	"math/rand/v2"
@@ -59,13 +60,13 @@
 	}
 	lines := reportFleet(t, detector, 12, 0, 30*time.Second, speed, incarnation)
 	list := detector.List()
-	if len(list) != 1 || !list[0].Over || len(lines) != 2 {
+	if len(list) != 1 || !list[0].Ended || len(lines) != 2 {
 		t.Fatalf("%d events, lines %q", len(list), lines)
 	}
 	event := list[0]
-	end := event.Began + event.Full
-	if event.Lost != 8 || event.Of != 12 || event.Least > 0.65 || event.Least < 0.3 || len(event.Zones) != 3 || math.Abs(event.Tries-1.11) > 0.01 ||
-		event.Half <= 0 || event.Most < event.Half || event.Full < event.Most || end < 13*time.Second || end > 16*time.Second {
+	end := event.Began + event.FullAfter
+	if event.LostNodes != 8 || event.FleetSize != 12 || event.LeastShare > 0.65 || event.LeastShare < 0.3 || len(event.Zones) != 3 || math.Abs(event.TriesPerRequest-1.11) > 0.01 ||
+		event.HalfAfter <= 0 || event.MostAfter < event.HalfAfter || event.FullAfter < event.MostAfter || end < 13*time.Second || end > 16*time.Second {
 		t.Errorf("%+v", event)
 	}
 	detector = NewEventDetector(0, 0)
@@ -107,7 +108,7 @@
 		if len(list) != 1 {
 			t.Fatalf("%s: %d events", name, len(list))
 		}
-		if least := list[0].Least; least < c.from || least > c.to {
+		if least := list[0].LeastShare; least < c.from || least > c.to {
 			t.Errorf("%s: least capacity %.2f, want %.2f to %.2f", name, least, c.from, c.to)
 		}
 	}
@@ -164,16 +165,16 @@
 	}
 	reportFleet(t, detector, 12, 0, 20*time.Second, speed, firstIncarnation)
 	open := detector.List()
-	if len(open) != 1 || open[0].Over || open[0].Number != 7 {
+	if len(open) != 1 || open[0].Ended || open[0].Number != 7 {
 		t.Fatalf("%+v", open)
 	}
 	later := NewEventDetector(0, 0)
 	later.Restore(open, -time.Hour)
-	if l := later.List(); len(l) != 1 || !l[0].Over || l[0].Began > -50*time.Minute {
+	if l := later.List(); len(l) != 1 || !l[0].Ended || l[0].Began > -50*time.Minute {
 		t.Errorf("restored as %+v", l)
 	}
 	lines := reportFleet(t, detector, 12, 20*time.Second, maxEventDuration+30*time.Second, speed, firstIncarnation)
-	if l := detector.List(); len(lines) != 1 || len(l) != 1 || !l[0].Over {
+	if l := detector.List(); len(lines) != 1 || len(l) != 1 || !l[0].Ended {
 		t.Errorf("%q %+v", lines, l)
 	}
 	for i := range 3 * maxEvents {
@@ -203,3 +204,14 @@
 		t.Errorf("usual capacity is %v", detector.usualCapacity)
 	}
 }
+
+// Events stored by earlier releases must still be read, so the JSON names of their fields are fixed.
+func TestStoredEventNames(t *testing.T) {
+	got, err := json.Marshal(Event{Number: 1, LostNodes: 2, FleetSize: 3, Zones: []string{"z"}, LeastShare: 0.5,
+		HalfAfter: 5, MostAfter: 6, FullAfter: 7, TriesPerRequest: 1.5, Ended: true, EndReason: "w"})
+	const want = `{"Number":1,"Began":0,"Lost":2,"Of":3,"Zones":["z"],"Least":0.5,"LeastAt":0,` +
+		`"Half":5,"Most":6,"Full":7,"Tries":1.5,"Over":true,"Why":"w"}`
+	if err != nil || string(got) != want {
+		t.Errorf("stored as %s (%v), want %s", got, err, want)
+	}
+}
--- a/decide/recovery/snapshot.go
+++ b/decide/recovery/snapshot.go
@@ -59,13 +59,13 @@
 // plausible reports whether the figures can be what a decision module learned.
 func plausible(learned *rules.Learned) bool {
 	within := func(x, limit float64) bool { return x >= 0 && x <= limit } // false for NaN
-	if !within(learned.Limit, 1e6) || !within(learned.Rate, 1e7) {
+	if !within(learned.RunLimit, 1e6) || !within(learned.DrainRate, 1e7) {
 		return false
 	}
 	for _, c := range learned.Classes {
-		if !within(c.Mean, 3600) || !within(c.Base, 3600) || !within(c.Runs, math.MaxFloat64) ||
-			!within(c.Hint, 3600) || !within(c.Var, 1e8) ||
-			math.IsNaN(c.Cov) || math.Abs(c.Cov) > 1e8 {
+		if !within(c.MeanLatency, 3600) || !within(c.BaselineLatency, 3600) || !within(c.Samples, math.MaxFloat64) ||
+			!within(c.MeanHint, 3600) || !within(c.HintVariance, 1e8) ||
+			math.IsNaN(c.HintCovariance) || math.Abs(c.HintCovariance) > 1e8 {
 			return false
 		}
 	}
@@ -95,11 +95,11 @@
 		return ""
 	}
 	c := &w.learned.Classes[class]
-	if c.Runs < 1 || c.Mean <= 0 {
+	if c.Samples < 1 || c.MeanLatency <= 0 {
 		return ""
 	}
 	w.runs++
-	w.logRatioSum += math.Log(took.Seconds() / (c.Mean / max(speed, w.initialSpeed, 1e-3)))
+	w.logRatioSum += math.Log(took.Seconds() / (c.MeanLatency / max(speed, w.initialSpeed, 1e-3)))
 	if w.runs < warmStartRuns {
 		return ""
 	}
@@ -125,7 +125,7 @@
 func (p *SnapshotPacer) Due(now time.Duration, learned *rules.Learned) bool {
 	enoughRuns := false
 	for _, c := range learned.Classes {
-		enoughRuns = enoughRuns || c.Runs >= warmStartRuns
+		enoughRuns = enoughRuns || c.Samples >= warmStartRuns
 	}
 	wait := maxSnapshotInterval
 	if changed(&p.last, learned) {
@@ -141,11 +141,11 @@
 // changed reports whether the figures differ by more than significantChange.
 func changed(a, b *rules.Learned) bool {
 	differs := func(x, y float64) bool { return math.Abs(x-y) > significantChange*max(math.Abs(x), math.Abs(y)) }
-	if len(a.Classes) != len(b.Classes) || differs(a.Limit, b.Limit) || differs(a.Rate, b.Rate) {
+	if len(a.Classes) != len(b.Classes) || differs(a.RunLimit, b.RunLimit) || differs(a.DrainRate, b.DrainRate) {
 		return true
 	}
 	for i := range a.Classes {
-		if differs(a.Classes[i].Mean, b.Classes[i].Mean) {
+		if differs(a.Classes[i].MeanLatency, b.Classes[i].MeanLatency) {
 			return true
 		}
 	}
--- a/decide/recovery/snapshot_test.go
+++ b/decide/recovery/snapshot_test.go
@@ -11,8 +11,8 @@
 
 // learned returns figures of one class with the given mean run time in seconds.
 func learned(mean float64) rules.Learned {
-	return rules.Learned{Limit: 4, Rate: 90, Classes: []rules.LearnedClass{
-		{Mean: mean, Base: mean, Runs: 100, Hint: mean, Var: 1e-4, Cov: 1e-4},
+	return rules.Learned{RunLimit: 4, DrainRate: 90, Classes: []rules.LearnedClass{
+		{MeanLatency: mean, BaselineLatency: mean, Samples: 100, MeanHint: mean, HintVariance: 1e-4, HintCovariance: 1e-4},
 	}}
 }
 
@@ -31,9 +31,9 @@
 		"old":       func(s *Snapshot) { s.Taken -= 13 * 3_600_000 },
 		"future":    func(s *Snapshot) { s.Taken += 3_600_000 },
 		"classes":   func(s *Snapshot) { s.Learned.Classes = nil },
-		"nan":       func(s *Snapshot) { s.Learned.Limit = math.NaN() },
-		"too large": func(s *Snapshot) { s.Learned.Classes = []rules.LearnedClass{{Mean: 1e6, Runs: 9}} },
-		"negative":  func(s *Snapshot) { s.Learned.Rate = -1 },
+		"nan":       func(s *Snapshot) { s.Learned.RunLimit = math.NaN() },
+		"too large": func(s *Snapshot) { s.Learned.Classes = []rules.LearnedClass{{MeanLatency: 1e6, Samples: 9}} },
+		"negative":  func(s *Snapshot) { s.Learned.DrainRate = -1 },
 	} {
 		s := good
 		change(&s)
@@ -86,15 +86,15 @@
 	fresh := m.Learned()
 	m.WarmStart(learned(0.02), 1, 0.5)
 	got := m.Learned()
-	if c := got.Classes[0]; math.Abs(c.Mean-0.04) > 1e-9 || c.Base != 0 || c.Runs > 4 || math.Abs(got.Rate-45) > 1e-9 {
+	if c := got.Classes[0]; math.Abs(c.MeanLatency-0.04) > 1e-9 || c.BaselineLatency != 0 || c.Samples > 4 || math.Abs(got.DrainRate-45) > 1e-9 {
 		t.Errorf("warm start gives %+v", got)
 	}
 	m.WarmStart(learned(5), 1, 1) // figures that are known already stay
-	if c := m.Learned().Classes[0]; math.Abs(c.Mean-0.04) > 1e-9 {
+	if c := m.Learned().Classes[0]; math.Abs(c.MeanLatency-0.04) > 1e-9 {
 		t.Errorf("a second warm start changed %+v", c)
 	}
 	m.DiscardWarmStart()
-	if got := m.Learned(); got.Rate != fresh.Rate || got.Classes[0] != fresh.Classes[0] {
+	if got := m.Learned(); got.DrainRate != fresh.DrainRate || got.Classes[0] != fresh.Classes[0] {
 		t.Errorf("not discarded: %+v", got)
 	}
 }
@@ -112,9 +112,9 @@
 	for now := time.Duration(0); now < 10*time.Minute; now += time.Second {
 		figures := learned(0.02)
 		if now < 10*time.Second {
-			figures.Classes[0].Runs = 2
+			figures.Classes[0].Samples = 2
 		} else if now < time.Minute {
-			figures.Limit += now.Seconds()
+			figures.RunLimit += now.Seconds()
 		}
 		if pacer.Due(now, &figures) {
 			times = append(times, now)
--- a/decide/resultcache/clock_test.go
+++ b/decide/resultcache/clock_test.go
@@ -36,7 +36,7 @@
 	m.StartClock(0, ClockReading{Wall: 1000, Boot: "b"}, was) // 59 s back: uncertain
 	record := keyedRecord("k", 49_000)
 	record.Kind = Intent
-	if got, reason := m.Restore(0, record); reason != Kept || got.Expires != 51_000+2000 {
+	if got, reason := m.Restore(0, record); reason != Restored || got.Expires != 51_000+2000 {
 		t.Errorf("after a clock step: %v, until %d", reason, got.Expires)
 	}
 }
--- a/decide/resultcache/module.go
+++ b/decide/resultcache/module.go
@@ -97,9 +97,9 @@
 // DropReason is why a record was not restored at a start.
 type DropReason uint8
 
-// The reasons. Kept means that the record was restored.
+// The reasons. Restored means that the record was restored.
 const (
-	Kept             DropReason = iota
+	Restored         DropReason = iota
 	Expired                     // its lifetime is over
 	ClassRemoved                // its class is no longer in the settings
 	TenantRemoved               // its tenant is no longer in the settings
@@ -335,7 +335,7 @@
 		}
 	}
 	m.add(record.Text(), record)
-	return record, Kept
+	return record, Restored
 }
 
 // windowSlackMillis is how long a record may live beyond its window, in milliseconds, so that a
--- a/decide/resultcache/module_test.go
+++ b/decide/resultcache/module_test.go
@@ -65,27 +65,27 @@
 		left   int64 // of its lifetime, milliseconds
 		kind   Kind
 	}{
-		"kept":                      {nil, nil, Kept, 4000, Result},
-		"1 ms left":                 {nil, func(record *Record) { record.Expires = 11_001 }, Kept, 1, Result},
+		"kept":                      {nil, nil, Restored, 4000, Result},
+		"1 ms left":                 {nil, func(record *Record) { record.Expires = 11_001 }, Restored, 1, Result},
 		"just expired":              {nil, func(record *Record) { record.Expires = 11_000 }, Expired, 0, 0},
 		"class removed":             {func(s *Settings) { delete(s.Classes, "pay") }, nil, ClassRemoved, 0, 0},
 		"tenant removed":            {func(s *Settings) { delete(s.Tenants, "acme") }, nil, TenantRemoved, 0, 0},
-		"no tenants":                {func(s *Settings) { s.Tenants = nil }, nil, Kept, 4000, Result},
+		"no tenants":                {func(s *Settings) { s.Tenants = nil }, nil, Restored, 4000, Result},
 		"keyed now safe":            {func(s *Settings) { s.Classes["pay"] = Class{Effect: rules.Safe} }, nil, EffectChanged, 0, 0},
 		"keyed now unsafe":          {func(s *Settings) { s.Classes["pay"] = Class{Effect: rules.Unsafe} }, nil, EffectChanged, 0, 0},
-		"longer window":             {func(s *Settings) { s.Classes["pay"] = Class{rules.Keyed, 9 * time.Second} }, nil, Kept, 8000, Result},
-		"shorter window":            {func(s *Settings) { s.Classes["pay"] = Class{rules.Keyed, 2 * time.Second} }, nil, Kept, 1000, Result},
+		"longer window":             {func(s *Settings) { s.Classes["pay"] = Class{rules.Keyed, 9 * time.Second} }, nil, Restored, 8000, Result},
+		"shorter window":            {func(s *Settings) { s.Classes["pay"] = Class{rules.Keyed, 2 * time.Second} }, nil, Restored, 1000, Result},
 		"window over":               {func(s *Settings) { s.Classes["pay"] = Class{rules.Keyed, time.Second} }, nil, Expired, 0, 0},
-		"clock ran ahead":           {nil, func(record *Record) { record.Expires += 1e9 }, Kept, 5000 + windowSlackMillis, Result},
-		"result too large":          {nil, func(record *Record) { record.Size = 20_000 }, Kept, 4000, ResultEvicted},
-		"intent":                    {nil, func(record *Record) { record.Kind = Intent }, Kept, 4000, Intent},
+		"clock ran ahead":           {nil, func(record *Record) { record.Expires += 1e9 }, Restored, 5000 + windowSlackMillis, Result},
+		"result too large":          {nil, func(record *Record) { record.Size = 20_000 }, Restored, 4000, ResultEvicted},
+		"intent":                    {nil, func(record *Record) { record.Kind = Intent }, Restored, 4000, Intent},
 		"unsafe":                    {nil, func(record *Record) { record.Kind, record.Effect = Intent, rules.Unsafe }, UnsafeReported, 0, 0},
 		"no records":                {func(s *Settings) { s.MaxRecords = 0 }, nil, NoRoom, 0, 0},
-		"read":                      {nil, func(record *Record) { *record = readRecord("x", 10_500); record.Kind = Result }, Kept, 500, Result},
-		"read, shorter freshness":   {func(s *Settings) { s.ReadFreshness = 100 * ms }, func(record *Record) { *record = readRecord("x", 10_500); record.Kind = Result }, Kept, 100, Result},
+		"read":                      {nil, func(record *Record) { *record = readRecord("x", 10_500); record.Kind = Result }, Restored, 500, Result},
+		"read, shorter freshness":   {func(s *Settings) { s.ReadFreshness = 100 * ms }, func(record *Record) { *record = readRecord("x", 10_500); record.Kind = Result }, Restored, 100, Result},
 		"read, no freshness":        {func(s *Settings) { s.ReadFreshness = 0 }, func(record *Record) { *record = readRecord("x", 10_500); record.Kind = Result }, EffectChanged, 0, 0},
 		"interrupted read":          {nil, func(record *Record) { *record = readRecord("x", 10_500); record.Kind = Intent }, Expired, 0, 0},
-		"interrupted read, failing": {func(s *Settings) { s.FailUnknownReads = true }, func(record *Record) { *record = readRecord("x", 10_500); record.Kind = Intent }, Kept, 500, Intent},
+		"interrupted read, failing": {func(s *Settings) { s.FailUnknownReads = true }, func(record *Record) { *record = readRecord("x", 10_500); record.Kind = Intent }, Restored, 500, Intent},
 	} {
 		set := settings()
 		if c.change != nil {
@@ -98,7 +98,7 @@
 		}
 		m := newModuleAt(set, 11_000)
 		got, reason := m.Restore(0, record)
-		if reason != c.reason || reason == Kept && (got.Expires-11_000 != c.left || got.Kind != c.kind || m.Len() != 1) {
+		if reason != c.reason || reason == Restored && (got.Expires-11_000 != c.left || got.Kind != c.kind || m.Len() != 1) {
 			t.Errorf("%s: %v with %d ms left, kind %d; want %v, %d, %d", name, reason, got.Expires-11_000, got.Kind, c.reason, c.left, c.kind)
 		}
 	}
@@ -285,7 +285,7 @@
 				checkpoint = m.Checkpoint(now, ClockReading{wall, fmt.Sprint(boot), up})
 				next := map[string]Record{}
 				for k, record := range stored {
-					if got, reason := m.Restore(now, record); reason == Kept {
+					if got, reason := m.Restore(now, record); reason == Restored {
 						if expired[k] {
 							r.Fatalf("%s came back", k)
 						}
--- a/decide/xds/xds.go
+++ b/decide/xds/xds.go
@@ -43,25 +43,25 @@
 	Resources map[string]string // version of each resource by its name
 }
 
-// Form is the protocol variant that a stream uses.
+// Variant is the protocol variant that a stream uses.
 type Variant uint8
 
 // Protocol variants.
 const (
-	StateOfTheWorld Variant = iota // state-of-the-world
-	Delta                          // incremental
+	StateOfTheWorld Variant = iota // each response lists all resources of its type
+	Delta                          // each response lists changes only
 )
 
 // Request is a discovery request from a proxy.
 type Request struct {
 	Type    Type
-	Version string   // World: the version accepted last
+	Version string   // StateOfTheWorld: the version accepted last
 	Nonce   string   // nonce of the response that this request answers, empty on the first request
-	Names   []string // World: names subscribed to; empty means all resources for Clusters and Listeners
+	Names   []string // StateOfTheWorld: names subscribed to; empty means all resources for Clusters and Listeners
 	Error   string   // reason of a NACK, empty for an ACK
 
 	Subscribe, Unsubscribe []string          // Delta; "*" means all resources
-	Initial                map[string]string // Delta, first request: versions that the proxy has, by resource name
+	InitialVersions        map[string]string // Delta, first request: versions that the proxy has, by resource name
 }
 
 // Response is a discovery response to send.
@@ -69,7 +69,7 @@
 	Type    Type
 	Version string
 	Nonce   string
-	Names   []string // World: all resources; Delta: new and changed ones; sorted
+	Names   []string // StateOfTheWorld: all resources; Delta: new and changed ones; sorted
 	Removed []string // Delta: names that no longer exist; sorted
 }
 
@@ -85,20 +85,20 @@
 
 // subscription is the state of one resource type on a stream.
 type subscription struct {
-	requested       bool
-	wildcard        bool // all resources
-	names           map[string]bool
-	clientVersions  map[string]string // Delta: versions that the proxy has or was sent; empty = unknown
-	pending         *Response         // awaits its ACK or NACK
-	lastNonce       string
-	sentVersion     string
-	ackedVersion    string
-	rejectedVersion string          // not sent again
-	resend          bool            // World: the subscription changed, respond even if the version did not
-	newNames        map[string]bool // Delta: subscribed since the last response; answered even if absent
-	nothingHeld     bool            // Delta: the first request listed no resources that the proxy has
-	nacks           int
-	lastNack        string
+	requested         bool
+	wildcard          bool // all resources
+	names             map[string]bool
+	clientVersions    map[string]string // Delta: versions that the proxy has or was sent; empty = unknown
+	pending           *Response         // awaits its ACK or NACK
+	lastNonce         string
+	sentVersion       string
+	ackedVersion      string
+	rejectedVersion   string          // not sent again
+	resend            bool            // StateOfTheWorld: the subscription changed, respond even if the version did not
+	newNames          map[string]bool // Delta: subscribed since the last response; answered even if absent
+	noInitialVersions bool            // Delta: the first request listed no resources that the proxy has
+	nacks             int
+	lastNack          string
 }
 
 // Limits on what one proxy can make the service store.
@@ -109,17 +109,17 @@
 
 // Stream is the state of one proxy's xDS stream. It belongs to one goroutine.
 type Stream struct {
-	form          Variant
+	variant       Variant
 	snapshots     [NumTypes]Snapshot
 	subscriptions [NumTypes]subscription
 	responses     uint64 // number of responses sent
 	noncePrefix   string // distinguishes the nonces of this stream from those of former ones
 }
 
-// New returns a stream on which nothing has been sent. The nonces begin with salt, which
+// New returns a stream on which nothing has been sent. The nonces begin with noncePrefix, which
 // must be different for each stream.
-func New(form Variant, salt string) *Stream {
-	s := &Stream{form: form, noncePrefix: salt}
+func New(variant Variant, noncePrefix string) *Stream {
+	s := &Stream{variant: variant, noncePrefix: noncePrefix}
 	for i := range s.subscriptions {
 		s.subscriptions[i] = subscription{
 			names: map[string]bool{}, clientVersions: map[string]string{}, newNames: map[string]bool{},
@@ -148,13 +148,13 @@
 	sub.requested = true
 	if r.Nonce != "" && r.Nonce == sub.lastNonce && sub.pending != nil {
 		s.handleAnswer(sub, r)
-	} else if r.Nonce != "" && r.Nonce != sub.lastNonce && !first && s.form == StateOfTheWorld {
+	} else if r.Nonce != "" && r.Nonce != sub.lastNonce && !first && s.variant == StateOfTheWorld {
 		return true // stale nonce: xDS protocol, "ACK/NACK and resource type instance version"
 	}
-	if s.form == Delta {
+	if s.variant == Delta {
 		return s.subscribeDelta(sub, r, first)
 	}
-	return s.subscribeWorld(sub, r, first)
+	return s.subscribeStateOfTheWorld(sub, r, first)
 }
 
 // handleAnswer handles the ACK or NACK of the pending response. After a NACK the proxy keeps
@@ -169,15 +169,15 @@
 	sub.nacks++
 	sub.lastNack = r.Error[:min(len(r.Error), maxNackBytes)]
 	sub.rejectedVersion = answered.Version
-	if s.form == Delta { // the proxy may have any version of these resources, or none
+	if s.variant == Delta { // the proxy may have any version of these resources, or none
 		for _, n := range slices.Concat(answered.Names, answered.Removed) {
 			sub.clientVersions[n] = ""
 		}
 	}
 }
 
-// subscribeWorld applies the subscription of a state-of-the-world request.
-func (s *Stream) subscribeWorld(sub *subscription, r Request, first bool) bool {
+// subscribeStateOfTheWorld applies the subscription of a state-of-the-world request.
+func (s *Stream) subscribeStateOfTheWorld(sub *subscription, r Request, first bool) bool {
 	if len(r.Names) > maxNames {
 		return false
 	}
@@ -209,11 +209,11 @@
 // subscribeDelta applies the subscription changes of a delta request.
 func (s *Stream) subscribeDelta(sub *subscription, r Request, first bool) bool {
 	if first {
-		if len(r.Initial) > maxNames {
+		if len(r.InitialVersions) > maxNames {
 			return false
 		}
-		sub.nothingHeld = len(r.Initial) == 0
-		for n, v := range r.Initial {
+		sub.noInitialVersions = len(r.InitialVersions) == 0
+		for n, v := range r.InitialVersions {
 			sub.clientVersions[n] = v
 		}
 		if len(r.Subscribe) == 0 && (r.Type == Clusters || r.Type == Listeners) {
@@ -257,10 +257,10 @@
 			continue
 		}
 		var r *Response
-		if s.form == Delta {
+		if s.variant == Delta {
 			r = s.nextDelta(t, sub)
 		} else {
-			r = s.nextWorld(t, sub)
+			r = s.nextStateOfTheWorld(t, sub)
 		}
 		if r == nil {
 			continue
@@ -275,8 +275,8 @@
 	return nil
 }
 
-// nextWorld returns the next state-of-the-world response of a type, or nil.
-func (s *Stream) nextWorld(t Type, sub *subscription) *Response {
+// nextStateOfTheWorld returns the next state-of-the-world response of a type, or nil.
+func (s *Stream) nextStateOfTheWorld(t Type, sub *subscription) *Response {
 	snapshot := s.snapshots[t]
 	if snapshot.Version == "" || !sub.wildcard && len(sub.names) == 0 {
 		return nil
@@ -317,7 +317,7 @@
 		}
 	}
 	if len(r.Names) == 0 && len(r.Removed) == 0 {
-		if sub.sentVersion == "" && sub.nothingHeld { // the proxy waits for a first response, even an empty one
+		if sub.sentVersion == "" && sub.noInitialVersions { // the proxy waits for a first response, even an empty one
 			return r
 		}
 		if snapshot.Version != sub.rejectedVersion { // the proxy is up to date
--- a/decide/xds/xds_test.go
+++ b/decide/xds/xds_test.go
@@ -35,7 +35,7 @@
 		r.Version, r.Names = p.version[t], p.names[t]
 		return r
 	}
-	r.Subscribe, r.Initial = p.names[t], maps.Clone(p.resources[t])
+	r.Subscribe, r.InitialVersions = p.names[t], maps.Clone(p.resources[t])
 	return r
 }
 
--- a/internal/control/ads.go
+++ b/internal/control/ads.go
@@ -60,8 +60,8 @@
 		return x.receive(request.GetNode(), xds.Request{
 			Type: resourceType, Nonce: request.GetResponseNonce(),
 			Subscribe: request.GetResourceNamesSubscribe(), Unsubscribe: request.GetResourceNamesUnsubscribe(),
-			Initial: request.GetInitialResourceVersions(),
-			Error:   nackReason(request.GetErrorDetail().GetCode(), request.GetErrorDetail().GetMessage()),
+			InitialVersions: request.GetInitialResourceVersions(),
+			Error:           nackReason(request.GetErrorDetail().GetCode(), request.GetErrorDetail().GetMessage()),
 		})
 	}, func(response *xds.Response, bodies []*anypb.Any) error {
 		out := &discoveryv3.DeltaDiscoveryResponse{
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -337,7 +337,7 @@
 	b := h.startProxy("b", false, nil)
 	h.awaitView("the saved view at once", b)
 	v := h.service.View()
-	if v.Version <= was.Version || len(v.Nodes) != 8 || !v.Nodes[0].Unproven || !v.Nodes[0].State.Serves() {
+	if v.Version <= was.Version || len(v.Nodes) != 8 || !v.Nodes[0].Unconfirmed || !v.Nodes[0].State.Serves() {
 		t.Errorf("after the restart: %+v", v)
 	}
 	h.stop()
--- a/internal/control/events.go
+++ b/internal/control/events.go
@@ -118,7 +118,7 @@
 	list := make([]Change, 0, len(changes))
 	for _, stored := range changes {
 		change := Change{At: s.start.Add(stored.At).Round(time.Millisecond), Name: stored.Name,
-			From: stored.From.String(), To: stored.To.String(), Why: stored.Why}
+			From: stored.From.String(), To: stored.To.String(), Why: stored.Reason}
 		if stored.New {
 			change.From = ""
 		}
@@ -155,10 +155,10 @@
 	for _, event := range stored {
 		list = append(list, Event{
 			Number: event.Number, Began: s.start.Add(event.Began).Round(time.Millisecond),
-			Lost: event.Lost, Of: event.Of, Zones: event.Zones,
-			Least: math.Round(event.Least*100) / 100, LeastS: seconds(event.LeastAt),
-			HalfS: seconds(event.Half), MostS: seconds(event.Most), FullS: seconds(event.Full),
-			Tries: event.Tries, Over: event.Over, HowOver: event.Why,
+			Lost: event.LostNodes, Of: event.FleetSize, Zones: event.Zones,
+			Least: math.Round(event.LeastShare*100) / 100, LeastS: seconds(event.LeastAt),
+			HalfS: seconds(event.HalfAfter), MostS: seconds(event.MostAfter), FullS: seconds(event.FullAfter),
+			Tries: event.TriesPerRequest, Over: event.Ended, HowOver: event.EndReason,
 		})
 	}
 	return list
--- a/internal/control/http.go
+++ b/internal/control/http.go
@@ -36,16 +36,16 @@
 	mux.HandleFunc("GET /fleet", func(w http.ResponseWriter, _ *http.Request) {
 		v := s.View()
 		now := s.now()
-		out := Fleet{Version: v.Version, Drop: v.Drop, Frozen: v.Frozen, Lost: v.Lost, Nodes: []FleetNode{}}
+		out := Fleet{Version: v.Version, Drop: v.Drop, Frozen: v.Frozen, Lost: v.LostZones, Nodes: []FleetNode{}}
 		s.mu.Lock()
 		out.Digest = s.digest
 		states := maps.Clone(s.sheddingStates)
 		s.mu.Unlock()
 		for _, n := range v.Nodes {
 			out.Nodes = append(out.Nodes, FleetNode{
-				Name: n.Name, Addr: n.Addr, Zone: n.Zone, State: n.State.String(), Why: n.Why,
+				Name: n.Name, Addr: n.Addr, Zone: n.Zone, State: n.State.String(), Why: n.Reason,
 				SinceS: math.Round((now-n.Since).Seconds()*10) / 10,
-				Weight: n.Weight, Limit: n.Limit, Penalty: n.Penalty, Unproven: n.Unproven,
+				Weight: n.Weight, Limit: n.Limit, Penalty: n.Penalty, Unproven: n.Unconfirmed,
 				Follows: describeFollows(states, n.Name, out.Digest.Threshold),
 			})
 		}
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -173,7 +173,7 @@
 	for ctx.Err() == nil {
 		began := time.Now()
 		if r.retryBackoff != nil && failing {
-			r.retryBackoff.TryStarted(began.Sub(start))
+			r.retryBackoff.AttemptStarted(began.Sub(start))
 		}
 		err := r.report(ctx)
 		if ctx.Err() != nil {
--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -40,8 +40,8 @@
 }
 
 // Refuse answers that the request never ran.
-func (h host) Refuse(id rules.RequestID, retryAfter time.Duration, last bool) {
-	h.answer(id, exchange.Answer{Kind: exchange.Refused, RetryAfter: retryAfter, Last: last})
+func (h host) Refuse(id rules.RequestID, retryAfter time.Duration, stopRetrying bool) {
+	h.answer(id, exchange.Answer{Kind: exchange.Refused, RetryAfter: retryAfter, Last: stopRetrying})
 }
 
 // Fail answers without a promise whether the request ran.
--- a/internal/node/resultcache.go
+++ b/internal/node/resultcache.go
@@ -121,7 +121,7 @@
 	if class < 0 || class >= len(l.Classes) {
 		return 0
 	}
-	return time.Duration(l.Classes[class].Mean * float64(time.Second))
+	return time.Duration(l.Classes[class].MeanLatency * float64(time.Second))
 }
 
 // failOverdueRepeats fails the repeats of previous incarnations' runs whose end did not
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -282,7 +282,7 @@
 	for ctx.Err() == nil {
 		before := l.Counters.Links.Load()
 		if l.retryBackoff != nil {
-			l.retryBackoff.TryStarted(time.Since(start))
+			l.retryBackoff.AttemptStarted(time.Since(start))
 		}
 		reason, err := l.runLink(ctx)
 		if ctx.Err() != nil {
--- a/internal/recovery/keeper.go
+++ b/internal/recovery/keeper.go
@@ -165,7 +165,7 @@
 	k.learned, k.weight = &snapshot.Learned, weight
 	k.log.Info("snapshot taken up, to be checked against runs",
 		"age", time.Duration(k.cfg.Wall()-snapshot.Taken)*time.Millisecond, "weight", math.Round(100*weight)/100,
-		"limit", math.Round(snapshot.Learned.Limit), "rate", math.Round(snapshot.Learned.Rate))
+		"limit", math.Round(snapshot.Learned.RunLimit), "rate", math.Round(snapshot.Learned.DrainRate))
 }
 
 // get reads the value of a key from the store.
@@ -213,7 +213,7 @@
 	}
 	if k.learned != nil {
 		for _, c := range k.learned.Classes {
-			settings.UsualRuns = append(settings.UsualRuns, c.Base)
+			settings.UsualRuns = append(settings.UsualRuns, c.BaselineLatency)
 		}
 	}
 	processStart := now - time.Since(k.processStart)
--- a/internal/recovery/keeper_test.go
+++ b/internal/recovery/keeper_test.go
@@ -3,11 +3,14 @@
 import (
 	"bytes"
 	"log/slog"
+	"reflect"
 	"strings"
 	"syscall"
 	"testing"
 	"time"
 
+	"github.com/fxamacker/cbor/v2"
+
 	decide "robinmast/decide/recovery"
 	"robinmast/internal/config"
 	"robinmast/internal/settings"
@@ -75,8 +78,8 @@
 
 // learned returns figures of three classes.
 func learned() rules.Learned {
-	c := rules.LearnedClass{Mean: 0.02, Base: 0.02, Runs: 50, Hint: 0.02, Var: 1e-4, Cov: 1e-4}
-	return rules.Learned{Limit: 4, Rate: 90, Classes: []rules.LearnedClass{c, c, c}}
+	c := rules.LearnedClass{MeanLatency: 0.02, BaselineLatency: 0.02, Samples: 50, MeanHint: 0.02, HintVariance: 1e-4, HintCovariance: 1e-4}
+	return rules.Learned{RunLimit: 4, DrainRate: 90, Classes: []rules.LearnedClass{c, c, c}}
 }
 
 // Incarnations are numbered, a store keeps its identity, and the report of the previous incarnation shows
@@ -204,3 +207,20 @@
 		node.settings, node.disk, node.wall = was, disk, wall
 	}
 }
+
+// Snapshots stored by earlier releases must still be read, so the map keys of the learned figures are fixed.
+func TestStoredSnapshotKeys(t *testing.T) {
+	encoded, err := cbor.Marshal(decide.Snapshot{Learned: learned()})
+	if err != nil {
+		t.Fatal(err)
+	}
+	var snapshot map[int]any
+	if err := cbor.Unmarshal(encoded, &snapshot); err != nil {
+		t.Fatal(err)
+	}
+	class := map[any]any{"Mean": 0.02, "Base": 0.02, "Runs": 50.0, "Hint": 0.02, "Var": 1e-4, "Cov": 1e-4}
+	want := map[any]any{"Limit": 4.0, "Rate": 90.0, "Classes": []any{class, class, class}}
+	if !reflect.DeepEqual(snapshot[5], want) {
+		t.Errorf("the learned figures are stored as %v, want %v", snapshot[5], want)
+	}
+}
--- a/internal/resultcache/cache.go
+++ b/internal/resultcache/cache.go
@@ -231,7 +231,7 @@
 			record, reason = c.module.Restore(now, stored.record())
 		}
 		dropped[reason]++
-		if reason != decide.Kept {
+		if reason != decide.Restored {
 			if reason == decide.UnsafeReported && len(runs) < maxNamedRuns {
 				runs = append(runs, stored.Run)
 			}
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -201,9 +201,9 @@
 }
 
 // PushBack adds a refusal.
-func (a *Actions) PushBack(id uint64, holdOff time.Duration, last bool) {
+func (a *Actions) PushBack(id uint64, holdOff time.Duration, stopRetrying bool) {
 	a.IDTime(AcPushBack, id, holdOff)
-	if last {
+	if stopRetrying {
 		a.records[len(a.records)-ActionSize+17] = 1
 	}
 }
--- a/internal/standin/proxy/proxy.go
+++ b/internal/standin/proxy/proxy.go
@@ -110,7 +110,7 @@
 		rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	start := time.Now()
 	for ctx.Err() == nil {
-		retry.TryStarted(time.Since(start))
+		retry.AttemptStarted(time.Since(start))
 		p.mu.Lock()
 		p.streams++
 		before := p.messages
--- a/internal/standin/simulation/fleet.go
+++ b/internal/standin/simulation/fleet.go
@@ -139,8 +139,8 @@
 	opt.Settings.ColdStart = cold
 	opt.Settings.AnswerSlack = time.Hour // a node that hung answers late, which violates no invariant
 	node := &nodeSimulation{options: opt, now: f.now, requests: map[rules.RequestID]*request{}, result: &Result{}}
-	node.options.OnAnswer = func(id rules.RequestID, outcome string, after time.Duration, last bool) {
-		f.answered(n, id, outcome, after, last)
+	node.options.OnAnswer = func(id rules.RequestID, outcome string, after time.Duration, stopRetrying bool) {
+		f.answered(n, id, outcome, after, stopRetrying)
 	}
 	m, err := rules.New(f.now, opt.Settings, 1, host{node})
 	if err != nil {
@@ -315,7 +315,7 @@
 }
 
 // answered handles the answer of a node.
-func (f *fleetSimulation) answered(n int, id rules.RequestID, outcome string, after time.Duration, last bool) {
+func (f *fleetSimulation) answered(n int, id rules.RequestID, outcome string, after time.Duration, stopRetrying bool) {
 	r := f.open[n][id]
 	if r == nil || r.id != id {
 		return
@@ -336,7 +336,7 @@
 		r.retryAfter = after
 		if f.honours[r.dispatcher] {
 			f.avoidUntil[r.dispatcher][n] = max(f.avoidUntil[r.dispatcher][n], f.now+after)
-			if last {
+			if stopRetrying {
 				s.StoppedByNode++
 				f.schedule(0, func() { f.retryByDesktop(r) })
 				return
--- a/internal/standin/simulation/replay.go
+++ b/internal/standin/simulation/replay.go
@@ -92,7 +92,7 @@
 	Length time.Duration
 	// OnAnswer receives each answer ("served", "refused" or "failed"), for a refusal with its retry-after
 	// time and whether the caller shall stop retrying; nil = none.
-	OnAnswer func(id rules.RequestID, outcome string, after time.Duration, last bool)
+	OnAnswer func(id rules.RequestID, outcome string, after time.Duration, stopRetrying bool)
 }
 
 // Count holds the outcomes of the requests of a class that arrived in one second.
@@ -350,15 +350,15 @@
 	}
 }
 
-func (h host) Refuse(id rules.RequestID, after time.Duration, last bool) {
+func (h host) Refuse(id rules.RequestID, after time.Duration, stopRetrying bool) {
 	v := after.Seconds()
-	if last {
+	if stopRetrying {
 		v = -v - 1
 	}
 	h.record("refuse", id, v)
 	h.node.answer(h.node.requests[id], "refused")
 	if h.node.options.OnAnswer != nil {
-		h.node.options.OnAnswer(id, "refused", after, last)
+		h.node.options.OnAnswer(id, "refused", after, stopRetrying)
 	}
 }
 
--- a/rules/learned.go
+++ b/rules/learned.go
@@ -2,30 +2,34 @@
 
 import "time"
 
-// Learned is what a module knows of its node's performance, so that it can outlive the process. Its fields
-// are stored under their Go names.
+// Learned is what a module knows of its node's performance, so that it can outlive the process. It is
+// stored as CBOR; the tags keep the map keys of stored snapshots.
 type Learned struct {
-	Limit   float64        // running limit
-	Rate    float64        // drain rate in requests a second, 0 = not known
-	Classes []LearnedClass // by class of the settings
+	RunLimit  float64        `cbor:"Limit"`
+	DrainRate float64        `cbor:"Rate"` // requests a second, 0 = not known
+	Classes   []LearnedClass // by class of the settings
 }
 
-// LearnedClass is what is known of one class's runs.
+// LearnedClass is what is known of one class's runs. Latencies and hints are in seconds.
 type LearnedClass struct {
-	Mean, Base, Runs float64 // run latency and its baseline in seconds, number of runs observed
-	Hint, Var, Cov   float64 // mean work hint in seconds, hint variance, covariance of hint and latency
+	MeanLatency     float64 `cbor:"Mean"` // smoothed run latency
+	BaselineLatency float64 `cbor:"Base"` // run latency without contention
+	Samples         float64 `cbor:"Runs"` // number of runs observed
+	MeanHint        float64 `cbor:"Hint"` // smoothed work hint
+	HintVariance    float64 `cbor:"Var"`
+	HintCovariance  float64 `cbor:"Cov"` // of hint and run latency
 }
 
 // Learned returns what the module has learned so far.
 func (m *Module) Learned() Learned {
-	l := Learned{Limit: m.runLimit, Classes: make([]LearnedClass, len(m.runLatency))}
+	l := Learned{RunLimit: m.runLimit, Classes: make([]LearnedClass, len(m.runLatency))}
 	if m.drainSeconds >= m.scaled(limitInterval).Seconds() {
-		l.Rate = m.drainSuccesses / m.drainSeconds
+		l.DrainRate = m.drainSuccesses / m.drainSeconds
 	}
 	for i, e := range m.runLatency {
 		l.Classes[i] = LearnedClass{
-			Mean: e.mean, Base: e.baseline, Runs: e.samples,
-			Hint: m.meanHint[i], Var: m.hintVariance, Cov: m.hintCovariance,
+			MeanLatency: e.mean, BaselineLatency: e.baseline, Samples: e.samples,
+			MeanHint: m.meanHint[i], HintVariance: m.hintVariance, HintCovariance: m.hintCovariance,
 		}
 	}
 	return l
@@ -39,17 +43,17 @@
 		return
 	}
 	for i, c := range l.Classes {
-		if c.Runs < minSamples || c.Mean <= 0 || m.runLatency[i].samples > 0 {
+		if c.Samples < minSamples || c.MeanLatency <= 0 || m.runLatency[i].samples > 0 {
 			continue
 		}
 		// Fewer than minSamples, so that the baseline comes from observed runs only.
 		samples := max(1, float64(int(weight*(minSamples-1))))
-		m.runLatency[i] = latencyEstimate{mean: c.Mean / speed, samples: samples}
-		m.meanHint[i], m.hintVariance, m.hintCovariance = c.Hint, max(m.hintVariance, c.Var), c.Cov/speed
+		m.runLatency[i] = latencyEstimate{mean: c.MeanLatency / speed, samples: samples}
+		m.meanHint[i], m.hintVariance, m.hintCovariance = c.MeanHint, max(m.hintVariance, c.HintVariance), c.HintCovariance/speed
 	}
-	if l.Rate > 0 && m.drainSeconds == 0 {
+	if l.DrainRate > 0 && m.drainSeconds == 0 {
 		m.drainSeconds = weight * time.Second.Seconds()
-		m.drainSuccesses = l.Rate * speed * m.drainSeconds
+		m.drainSuccesses = l.DrainRate * speed * m.drainSeconds
 	}
 }
 
