--- a/decide/recovery/storecheck.go
+++ b/decide/recovery/storecheck.go
@@ -92,14 +92,14 @@
 	}
 	switch {
 	case found.Node != "" && found.Node != found.Identity.Node:
-		c.markIncomplete("the folder is that of " + found.Node)
+		c.markIncomplete("the results directory belongs to node " + found.Node)
 	case found.UnreadablePlaces > 0:
 		c.markIncomplete(fmt.Sprintf("%d places in its files are unreadable", found.UnreadablePlaces))
 	case float64(found.Keys) < minKeyShare*float64(found.Checkpoint.Keys)-maxMissingKeys:
 		c.markIncomplete(fmt.Sprintf("it has %d keys, the previous incarnation counted %d",
 			found.Keys, found.Checkpoint.Keys))
 	case found.Created && pendingAnswers > 0:
-		c.integrity, c.unverifiedUntil, c.reason = Unverified, processStart+previousStoreWait, "the folder was empty"
+		c.integrity, c.unverifiedUntil, c.reason = Unverified, processStart+previousStoreWait, "the results directory was empty"
 	}
 	return c
 }
@@ -131,9 +131,9 @@
 	}
 	switch {
 	case previous.ID != c.found.Identity.ID && c.found.Created:
-		c.markIncomplete("the folder was empty, and an earlier life was heard")
+		c.markIncomplete("the results directory was empty, but an earlier incarnation reported a store")
 	case previous.ID != c.found.Identity.ID:
-		c.markIncomplete("an earlier life was heard with another store")
+		c.markIncomplete("an earlier incarnation reported another store")
 	case previous.Epoch >= c.found.Identity.Epoch:
 		c.markIncomplete(fmt.Sprintf("incarnation %d was reported, and this is incarnation %d of the store: it is an older copy",
 			previous.Epoch, c.found.Identity.Epoch))
@@ -152,7 +152,7 @@
 // that changed the integrity, else "".
 func (c *StoreCheck) WorkerPoolUp(since time.Duration) string {
 	if c.found.Created && c.integrity != Incomplete && since+poolAgeMargin < c.processStart {
-		c.markIncomplete("the folder was empty, and the worker pool is older than the node")
+		c.markIncomplete("the results directory was empty, but the worker pool is older than the node process")
 		return c.Describe()
 	}
 	return ""
--- a/internal/recovery/keeper_test.go
+++ b/internal/recovery/keeper_test.go
@@ -127,7 +127,7 @@
 	node.stop(k, s, rules.Learned{})
 	node.name = "n2"
 	k, s = node.start(false)
-	if !strings.Contains(node.log.String(), "the folder is that of n1") {
+	if !strings.Contains(node.log.String(), "the results directory belongs to node n1") {
 		t.Errorf("the store of another node is accepted: %s", node.log.String())
 	}
 	node.stop(k, s, rules.Learned{})
--- a/internal/standin/fleet/recovery_test.go
+++ b/internal/standin/fleet/recovery_test.go
@@ -66,7 +66,7 @@
 		folder, logged string
 		nodes          int
 	}{
-		{"empty", "the folder was empty, and an earlier life was heard", 1},
+		{"empty", "the results directory was empty, but an earlier incarnation reported a store", 1},
 		{"old", "it is an older copy", 1},
 		{"swap", "memory lost", 2},
 	} {
@@ -239,7 +239,7 @@
 		"[fault.control]\nat = 2900ms\nfor = 1s\nwhat = kill\non = control\n"
 	r := run(t, scenario(t, text), opt)
 	log := nodeLog(t, opt.LogDir, 0)
-	if r.RanAgainAfterRestart > 0 || !strings.Contains(log, "an earlier life was heard") {
+	if r.RanAgainAfterRestart > 0 || !strings.Contains(log, "an earlier incarnation reported") {
 		t.Errorf("%d requests ran again; the node logged %s", r.RanAgainAfterRestart, grep(log, "memory"))
 	}
 }
