--- a/decide/connlimit/connlimit.go
+++ b/decide/connlimit/connlimit.go
@@ -25,7 +25,7 @@
 
 const (
 	burstWindow   = 100 * time.Millisecond // the budget of this time can be saved up, so that usual bursts pass undelayed
-	costAlpha     = 0.05                   // weight of one event in the moving average of its kind's cost
+	costSmoothing = 0.05                   // weight of one event in the moving average of its kind's cost
 	minCost       = 5 * time.Microsecond   // shorter measurements are below the clock's resolution
 	maxCost       = 2 * time.Millisecond   // longer measurements mean that the process was not scheduled
 	fullCostRatio = 3                      // full cost over the measured part; goroutines and closing are not measured
@@ -36,10 +36,10 @@
 
 // Limiter paces the events of one node. It may be used by one goroutine at a time.
 type Limiter struct {
-	share   float64 // of one core
-	budget  float64 // seconds of processor time that may be used now; negative while events are delayed
-	updated time.Duration
-	cost    [numKinds]float64 // measured seconds an event, moving average
+	share     float64 // of one core
+	budget    float64 // seconds of processor time that may be used now; negative while events are delayed
+	updatedAt time.Duration
+	cost      [numKinds]float64 // measured seconds an event, moving average
 
 	Delayed    [numKinds]int           // number of delayed events
 	TotalDelay [numKinds]time.Duration // sum of their delays
@@ -47,7 +47,7 @@
 
 // New returns a limiter that allows events a share, above 0, of one core.
 func New(now time.Duration, share float64) *Limiter {
-	l := &Limiter{share: share, updated: now, budget: share * burstWindow.Seconds()}
+	l := &Limiter{share: share, updatedAt: now, budget: share * burstWindow.Seconds()}
 	for k := range l.cost {
 		l.cost[k] = initialCost[k].Seconds()
 	}
@@ -58,14 +58,14 @@
 // cost that later calls of Delay use.
 func (l *Limiter) Charge(k Kind, measured time.Duration) {
 	x := min(max(measured, minCost), maxCost).Seconds()
-	l.cost[k] += costAlpha * (x - l.cost[k])
+	l.cost[k] += costSmoothing * (x - l.cost[k])
 }
 
 // Delay records an event of kind k that arrives now, and returns how long it must wait.
 func (l *Limiter) Delay(now time.Duration, k Kind) time.Duration {
-	if now > l.updated {
-		l.budget = min(l.budget+l.share*(now-l.updated).Seconds(), l.share*burstWindow.Seconds())
-		l.updated = now
+	if now > l.updatedAt {
+		l.budget = min(l.budget+l.share*(now-l.updatedAt).Seconds(), l.share*burstWindow.Seconds())
+		l.updatedAt = now
 	}
 	l.budget -= fullCostRatio * l.cost[k]
 	if l.budget >= 0 {
--- a/decide/fleet/fleet.go
+++ b/decide/fleet/fleet.go
@@ -55,15 +55,15 @@
 	maxErrorRequests    = 30.0 // requests of one proxy that count at most
 	errorHalfLife       = 1500 * time.Millisecond
 
-	runningAlpha    = 0.1                    // weight of one step in the moving average of running requests
-	probeShare      = 0.1                    // of its weight that a Failing node keeps, so that its recovery is noticed
-	maxWeightFactor = 1.25                   // largest change of a weight in stepInterval
-	stepInterval    = 250 * time.Millisecond // expected time between two calls of Step
-	fullWeight      = 1000.0                 // weight of an idle node with a limit of 10
-	dropThreshold   = 0.05                   // share that every node refuses, above which proxies are told to drop
-	dropShare       = 0.8                    // part of that share to drop; the nodes' own queues decide the rest
-	maxClockSkew    = time.Hour              // of the clocks that incarnations are taken from
-	takeoverReports = 3                      // from a seemingly older incarnation, until it replaces a silent one
+	runningSmoothing = 0.1                    // weight of one step in the moving average of running requests
+	probeShare       = 0.1                    // of its weight that a Failing node keeps, so that its recovery is noticed
+	maxWeightFactor  = 1.25                   // largest change of a weight in stepInterval
+	stepInterval     = 250 * time.Millisecond // expected time between two calls of Step
+	fullWeight       = 1000.0                 // weight of an idle node with a limit of 10
+	dropThreshold    = 0.05                   // share that every node refuses, above which proxies are told to drop
+	dropShare        = 0.8                    // part of that share to drop; the nodes refuse the rest themselves
+	maxClockSkew     = time.Hour              // of the clocks that incarnations are taken from
+	takeoverReports  = 3                      // from a seemingly older incarnation, until it replaces a silent one
 )
 
 // Phase is the operating phase that a node reports.
@@ -185,7 +185,7 @@
 	at        time.Duration
 }
 
-// Fleet is the state of all nodes. It belongs to one goroutine.
+// Fleet is the state of all nodes. Its log lines are returned by Step. It belongs to one goroutine.
 type Fleet struct {
 	nodes          map[string]*node
 	view           View
@@ -283,18 +283,18 @@
 // addPenalty raises the flap damping penalty for new incarnations and for changes of health.
 // The changes are counted by the node, so that lost and reordered reports make no difference.
 func (f *Fleet) addPenalty(now time.Duration, n *node, r *Report) {
-	more := 0.0
+	increase := 0.0
 	if n.olderThanKnown(r.Incarnation) {
 		return
 	}
 	if len(n.incarnations) > 0 && !n.incarnations[r.Incarnation] {
-		more += penaltyPerIncarnation
+		increase += penaltyPerIncarnation
 	}
-	if was := n.flips[r.Incarnation]; r.Flips > was {
-		more += penaltyPerFlip * float64(min(r.Flips-was, 16))
+	if known := n.flips[r.Incarnation]; r.Flips > known {
+		increase += penaltyPerFlip * float64(min(r.Flips-known, 16))
 		n.flips[r.Incarnation] = r.Flips
 	}
-	n.penalty = min(n.currentPenalty(now)+more, maxPenalty)
+	n.penalty = min(n.currentPenalty(now)+increase, maxPenalty)
 	n.penaltyAt = now
 }
 
@@ -394,7 +394,7 @@
 		n.currentIncarnation, n.failing, n.running, n.weight = n.lastReport.Incarnation, false, n.lastReport.Running, 0
 		clear(n.proxyErrors)
 	}
-	n.running += runningAlpha * (n.lastReport.Running - n.running)
+	n.running += runningSmoothing * (n.lastReport.Running - n.running)
 }
 
 // updateView builds the view, with a new version if it differs from the last one.
--- a/decide/fleet/history.go
+++ b/decide/fleet/history.go
@@ -38,12 +38,12 @@
 	for i := range v.Nodes {
 		n := &v.Nodes[i]
 		present[n.Name] = true
-		was, known := h.lastState[n.Name]
-		if known && was == n.State || n.Unconfirmed && !known {
+		previous, known := h.lastState[n.Name]
+		if known && previous == n.State || n.Unconfirmed && !known {
 			continue
 		}
 		h.lastState[n.Name] = n.State
-		h.add(Change{At: now, Name: n.Name, From: was, To: n.State, New: !known, Reason: n.Reason})
+		h.add(Change{At: now, Name: n.Name, From: previous, To: n.State, New: !known, Reason: n.Reason})
 	}
 	for name := range h.lastState {
 		if !present[name] {
--- a/decide/fleet/state.go
+++ b/decide/fleet/state.go
@@ -24,7 +24,7 @@
 // the service's own network, and unfreezes it afterwards. The loss of a whole zone, while
 // another zone reports, does not count towards a freeze. It returns the lost zones, sorted.
 func (f *Fleet) updateFreeze(now time.Duration, names []string) (lost []string) {
-	type zone struct{ all, reporting, recentlySilent int }
+	type zone struct{ nodes, reporting, recentlySilent int }
 	zones := map[string]*zone{}
 	active, silent, recentlySilent, reporting := 0, 0, 0, 0
 	for _, name := range names {
@@ -34,7 +34,7 @@
 			z = &zone{}
 			zones[n.lastReport.Zone] = z
 		}
-		z.all++
+		z.nodes++
 		if n.state == Gone && n.silentSince > 0 && !n.frozen {
 			continue // gone before: no evidence of a present fault
 		}
@@ -51,7 +51,7 @@
 			}
 		}
 	}
-	inLostZones, zoneIntact := 0, false // silent nodes in lost zones; whether some zone reports without gaps
+	inLostZones, zoneIntact := 0, false // silent nodes in lost zones; some zone reports without gaps
 	for _, z := range zones {
 		zoneIntact = zoneIntact || z.reporting > 0 && z.recentlySilent == 0
 	}
@@ -61,7 +61,7 @@
 			inLostZones += z.recentlySilent
 			active -= z.reporting
 		}
-		if z.reporting == 0 && z.all > 1 && reporting > 0 { // another zone reports, so the network of this service works
+		if z.reporting == 0 && z.nodes > 1 && reporting > 0 { // another zone reports, so the network of this service works
 			lost = append(lost, name)
 			inLostZones += z.recentlySilent
 		}
@@ -91,7 +91,7 @@
 }
 
 // receivesReports reports whether some node has reported without a gap: then the network of
-// this service works, and silent nodes are really silent.
+// this service works, and the silent nodes are at fault.
 func (f *Fleet) receivesReports(now time.Duration, names []string) bool {
 	for _, name := range names {
 		if n := f.nodes[name]; n.silentSince == 0 && now-n.reportedAt < reportInterval*2 {
@@ -115,25 +115,25 @@
 	r := &n.lastReport
 	state, reason := Healthy, "reports"
 	switch {
-	case n.silentSince > 0 && !n.frozen && now-n.reportedAt > goneAfter+f.grace(n):
+	case n.silentSince > 0 && !n.frozen && now-n.reportedAt > goneAfter+f.extraSilence(n):
 		state, reason = Gone, "silent too long"
 	case r.Phase == Draining:
-		state, reason = Leaving, "it says that it drains"
+		state, reason = Leaving, "it reports that it drains"
 	case n.frozen:
-		state, reason = n.stateBeforeSilence, "silent, but so are many: kept as it was"
+		state, reason = n.stateBeforeSilence, "silent, as many nodes are: the state is kept while the view is frozen"
 	case n.silentSince > 0:
 		state, reason = Silent, "reports are missing"
 	case r.Phase == OutOfService || !r.Healthy:
-		state, reason = Refusing, "it says that it can take nothing"
+		state, reason = Refusing, "it reports that it takes no work"
 	case n.damped:
-		state, reason = Damped, "it comes and goes"
+		state, reason = Damped, "it restarts or changes its health too often"
 	case n.failing:
-		state, reason = Failing, "proxies see errors"
+		state, reason = Failing, "proxies observe errors"
 	case r.Warm < 0.99:
-		state, reason = Warming, "it says that it warms up"
+		state, reason = Warming, "it reports that it warms up"
 	}
 	if n.unconfirmed && state <= Silent {
-		state, reason = min(n.state, Silent), "from before a restart of this service, not heard yet"
+		state, reason = min(n.state, Silent), "restored after a restart of this service, no report yet"
 		if n.state == Gone {
 			state = Gone
 		}
@@ -150,8 +150,8 @@
 	}
 }
 
-// grace returns the extra time before a silent node is Gone.
-func (f *Fleet) grace(n *node) time.Duration {
+// extraSilence returns the additional time before a silent node is Gone.
+func (f *Fleet) extraSilence(n *node) time.Duration {
 	if n.unconfirmed {
 		return restartGrace
 	}
@@ -192,6 +192,6 @@
 	if n.state == Failing { // drops at once, and rises again in steps
 		n.weight = min(n.weight, target)
 	}
-	most := math.Pow(maxWeightFactor, max(elapsed.Seconds()/stepInterval.Seconds(), 0))
-	n.weight = min(max(target, n.weight/most), n.weight*most)
+	maxFactor := math.Pow(maxWeightFactor, max(elapsed.Seconds()/stepInterval.Seconds(), 0))
+	n.weight = min(max(target, n.weight/maxFactor), n.weight*maxFactor)
 }
--- a/decide/pools/pools.go
+++ b/decide/pools/pools.go
@@ -30,7 +30,7 @@
 	floodFactor        = 2.0                    // multiple of the usual rate beyond which arrivals are a flood
 	runSmoothing       = 0.08                   // weight of a run in the mean run time of its class
 	minRuns            = 5                      // runs before the mean run time is used; until then hints are
-	baseDrift          = 1.002                  // growth of the base run time per run, so that one short run is forgotten
+	baselineDrift      = 1.002                  // growth of the baseline run time per run, so that one short run is forgotten
 	cheapBelow         = 0.5                    // share of the mean run time below which a class becomes cheap
 	cheapUntil         = 0.7                    // share from which it no longer is
 	minFloodShare      = 0.1                    // share of the limit that a flood needs at least to count as one
@@ -41,7 +41,7 @@
 	creditSpan         = 500 * time.Millisecond // credit, in terms of its entitlement, that a class may accrue or overdraw
 	ownSlowdown        = 1.3                    // ratio to the others' slowdown above which a class is slow by itself
 	capShrink          = 0.95                   // factor on its cap per step while it is
-	capGrow            = 1.03                   // factor on its cap per step otherwise
+	capGrowth          = 1.03                   // factor on its cap per step otherwise
 	minCapGrowth       = 0.08                   // least growth of a cap per step, in slots
 	hangGaps           = 10.0                   // usual times between ends of runs after which a class without one hangs
 	minHangTime        = 300 * time.Millisecond // and at least this time
@@ -83,27 +83,27 @@
 // pool is the state of one class.
 type pool struct {
 	Class
-	rate, usualRate  float64 // arrivals per second, recent and long-term
-	rateSteps        float64 // number of steps in usualRate
-	arrivals         int     // since the last step
-	lastArrival      time.Duration
-	active           bool    // in Pools.active
-	hint             float64 // smoothed hint of its run time, seconds
-	meanRun, baseRun float64 // run time, smoothed and without load, seconds
-	runs             float64 // successful runs
-	running          int
-	queued           int
-	lastProgress     time.Duration // last end of a run, or start of the first
-	hanging          bool          // its runs no longer end
-	slotCap          float64       // slots that it may use while they are short
-	cheap            bool
-	floor            float64 // slots that it keeps under any load
-	entitlement      float64 // slots that it is entitled to, the floor included
-	credit           float64 // slot-seconds that it is owed
-	refused          int64
-	reserveUsedAt    time.Duration // when its reserve last made the difference for one of its requests
-	reserveInUse     bool
-	candidateTier    int // its tier in a decision of Next or Evict
+	rate, usualRate      float64 // arrivals per second, recent and long-term
+	rateSteps            float64 // number of steps in usualRate
+	arrivals             int     // since the last step
+	lastArrival          time.Duration
+	active               bool    // in Pools.active
+	hint                 float64 // smoothed hint of its run time, seconds
+	meanRun, baselineRun float64 // run time, smoothed and without contention, seconds
+	runs                 float64 // successful runs
+	running              int
+	queued               int
+	lastProgress         time.Duration // last end of a run, or start of the first
+	hanging              bool          // its runs no longer end
+	slotCap              float64       // slots that it may use while they are short
+	cheap                bool
+	floor                float64 // slots that it keeps under any load
+	entitlement          float64 // slots that it is entitled to, the floor included
+	credit               float64 // slot-seconds that it is owed
+	refused              int64
+	reserveUsedAt        time.Duration // when its reserve last made the difference for one of its requests
+	reserveInUse         bool
+	candidateTier        int // its tier in a decision of Next or Evict
 }
 
 // Pools are the pools of one node.
@@ -151,12 +151,12 @@
 	return c.Utility / max(c.expectedRun(), 0.0001)
 }
 
-// slowdown returns the ratio of the class's run time to that without load.
+// slowdown returns the ratio of the class's mean run time to its baseline, 1 while it is not known.
 func (c *pool) slowdown() float64 {
-	if c.runs < minRuns || c.baseRun <= 0 {
+	if c.runs < minRuns || c.baselineRun <= 0 {
 		return 1
 	}
-	return c.meanRun / c.baseRun
+	return c.meanRun / c.baselineRun
 }
 
 // Arrived reports a request that was read, with its hint of the run time, 0 = no hint.
@@ -195,9 +195,9 @@
 	c.runs++
 	c.meanRun += max(runSmoothing, 1/c.runs) * (took.Seconds() - c.meanRun)
 	if c.runs == minRuns {
-		c.baseRun = c.meanRun
+		c.baselineRun = c.meanRun
 	}
-	c.baseRun = min(c.baseRun*baseDrift, c.meanRun)
+	c.baselineRun = min(c.baselineRun*baselineDrift, c.meanRun)
 }
 
 // accrueCredit accounts for the slot time since the last event: a class gains credit for the part of
@@ -249,14 +249,14 @@
 	c.rate += min(1, rateSmoothing*weight) * (rate - c.rate)
 	if c.rate > c.usualRate/100 { // times without requests do not lower the usual rate
 		c.rateSteps++
-		if c.rateSteps > minRateSteps { // a flood becomes usual slowly, however high it is
+		if c.rateSteps > minRateSteps { // limits how fast a flood raises the usual rate
 			rate = min(rate, floodFactor*max(c.usualRate, 1))
 		}
 		c.usualRate += max(usualRateSmoothing*weight, 1/c.rateSteps) * (rate - c.usualRate)
 	}
 	if c.running == 0 && p.now-c.lastArrival > forgetAfter {
 		*c = pool{Class: c.Class, slotCap: c.slotCap, reserveUsedAt: c.reserveUsedAt, refused: c.refused,
-			meanRun: c.meanRun, baseRun: c.baseRun, runs: c.runs}
+			meanRun: c.meanRun, baselineRun: c.baselineRun, runs: c.runs}
 	}
 }
 
@@ -333,7 +333,7 @@
 		if c.slowdown() > ownSlowdown*median {
 			c.slotCap *= 1 - (1-capShrink)*weight
 		} else {
-			c.slotCap += weight * max(minCapGrowth, c.slotCap*(capGrow-1))
+			c.slotCap += weight * max(minCapGrowth, c.slotCap*(capGrowth-1))
 		}
 		c.slotCap = max(min(c.slotCap, p.limit), 1, c.floor)
 	}
@@ -384,18 +384,19 @@
 	}
 }
 
-// distribute gives out room evenly, to no class more than it wants, and returns how much it gave.
+// distribute divides available slots evenly between the pools of list, to none more than its demand, and
+// returns how many were assigned.
 func distribute(
-	list []*pool, room float64, wants func(*pool) float64, give func(*pool, float64),
-) (given float64) {
+	list []*pool, available float64, demand func(*pool) float64, assign func(*pool, float64),
+) (assigned float64) {
 	order := slices.Clone(list)
-	slices.SortStableFunc(order, func(a, b *pool) int { return cmp.Compare(wants(a), wants(b)) })
+	slices.SortStableFunc(order, func(a, b *pool) int { return cmp.Compare(demand(a), demand(b)) })
 	for i, c := range order {
-		share := max(min(wants(c), (room-given)/float64(len(order)-i)), 0)
-		give(c, share)
-		given += share
+		share := max(min(demand(c), (available-assigned)/float64(len(order)-i)), 0)
+		assign(c, share)
+		assigned += share
 	}
-	return given
+	return assigned
 }
 
 // StalledRuns returns the number of runs in hanging classes: they hold slots but no core, so the
@@ -442,8 +443,8 @@
 }
 
 // Next returns the index of the queued request that gets a free slot, -1 for none. slots is the number
-// of slots, taken how many of them are in use.
-func (p *Pools) Next(now time.Duration, slots, taken int, queue []rules.QueuedRequest) int {
+// of slots, running how many of them are in use.
+func (p *Pools) Next(now time.Duration, slots, running int, queue []rules.QueuedRequest) int {
 	p.accrueCredit(now)
 	reserved := 0.0
 	for _, c := range p.active {
@@ -456,7 +457,7 @@
 		maxUtility = max(maxUtility, request.Utility)
 		// Only a class within its floor may take a slot that is kept free for a reserve.
 		if c.floor == 0 || float64(c.running) >= c.floor {
-			if float64(taken) >= float64(slots)-math.Ceil(reserved-p.unusedFloor(c)-0.5) {
+			if float64(running) >= float64(slots)-math.Ceil(reserved-p.unusedFloor(c)-0.5) {
 				continue
 			}
 		}
--- a/decide/recovery/eventdetector.go
+++ b/decide/recovery/eventdetector.go
@@ -16,10 +16,11 @@
 	halfCapacity           = 0.5
 	mostCapacity           = 0.95
 	fullCapacity           = 0.99
-	fullDuration           = time.Second      // for which capacity must stay full, so that no single report ends an event
-	maxEventDuration       = 10 * time.Minute // then the event ends anyway: the fleet is smaller now
-	usualCapacitySmoothing = 0.02             // weight of a tenth of a second in the usual capacity
-	maxEvents              = 64
+	fullDuration           = time.Second             // for which capacity must stay full, so that no single report ends an event
+	maxEventDuration       = 10 * time.Minute        // then the event ends anyway: the fleet is smaller now
+	usualCapacitySmoothing = 0.02                    // weight of a tenth of a second in the usual capacity
+	maxEvents              = 64                      // finished events that are kept
+	maxZones               = 16                      // listed per event
 	reportTimeout          = 1600 * time.Millisecond // two missed reports: a node that is silent for longer is lost
 	sizeDecay              = 0.999                   // factor per report: a node's size halves in eight minutes
 	maxSizeOverMedian      = 4.0                     // a node's size counts for at most so many times the median
@@ -47,7 +48,7 @@
 	Began           time.Duration
 	LostNodes       int      `json:"Lost"` // nodes lost
 	FleetSize       int      `json:"Of"`   // nodes in the fleet when it began
-	Zones           []string // zones of lost nodes, at most 16
+	Zones           []string // zones of lost nodes, sorted, at most maxZones
 	LeastShare      float64  `json:"Least"` // least share of the usual capacity
 	LeastAt         time.Duration
 	HalfAfter       time.Duration `json:"Half"`  // until halfCapacity of the usual capacity was back
@@ -84,10 +85,10 @@
 
 // loss is one incarnation of a node that was lost.
 type loss struct {
-	noticed    time.Duration
+	detectedAt time.Duration
 	name       string
 	lastReport time.Duration // of the lost incarnation
-	returned   time.Duration // first report of the next incarnation, or notReturned
+	returnedAt time.Duration // first report of the next incarnation, or notReturned
 	size       float64
 }
 
@@ -117,8 +118,8 @@
 		d.losses = append(d.losses, loss{now, report.Name, node.lastReport, now, node.size})
 	}
 	for i, l := range d.losses {
-		if l.name == report.Name && l.returned == notReturned {
-			d.losses[i].returned = now
+		if l.name == report.Name && l.returnedAt == notReturned {
+			d.losses[i].returnedAt = now
 		}
 	}
 	node.NodeReport, node.lastReport, node.lost = clampReport(report), now, false
@@ -139,8 +140,8 @@
 	return report
 }
 
-// Step measures the fleet's capacity, and begins or ends an event. It returns the log lines for
-// that.
+// Step measures the fleet's capacity, and begins, updates or ends an event. It returns a log line
+// when one begins or ends.
 func (d *EventDetector) Step(now time.Duration) (lines []string) {
 	dt := (now - d.lastStep).Seconds()
 	if dt <= 0 {
@@ -168,17 +169,17 @@
 			allTries += node.ArrivalRate * dt
 		}
 	}
-	d.losses = slices.DeleteFunc(d.losses, func(l loss) bool { return now-l.noticed > lossWindow })
+	d.losses = slices.DeleteFunc(d.losses, func(l loss) bool { return now-l.detectedAt > lossWindow })
 	lost := map[string]bool{}
-	begin := now
+	began := now
 	for _, l := range d.losses {
 		lost[l.name] = true
-		begin = min(begin, l.noticed)
+		began = min(began, l.detectedAt)
 	}
 	if d.current == nil {
 		if n := len(d.nodes); n >= minNodes && float64(len(lost)) > minLostShare*float64(n) &&
 			d.usualCapacity > 0 {
-			lines = append(lines, d.beginEvent(begin, lost))
+			lines = append(lines, d.beginEvent(began, lost))
 		} else if capacity > 0 {
 			if d.usualCapacity == 0 {
 				d.usualCapacity = capacity
@@ -223,9 +224,9 @@
 	}
 	switch {
 	case event.FullAfter > 0 && now-event.fullSince >= fullDuration && now-event.Began > lossWindow:
-		event.Ended, event.EndReason = true, "all is back"
+		event.Ended, event.EndReason = true, "all capacity is back"
 	case since >= maxEventDuration:
-		event.Ended, event.EndReason = true, "it was given up: the fleet is smaller now"
+		event.Ended, event.EndReason = true, "timed out: the fleet is smaller now"
 	}
 	if event.Ended {
 		lines = append(lines, event.Summary())
@@ -238,27 +239,28 @@
 // missingCapacity returns the most capacity that was missing at one moment between two
 // incarnations of nodes, 0 if no node returned after the given time.
 func (d *EventDetector) missingCapacity(after time.Duration, maxSize float64) (peak float64) {
-	if !slices.ContainsFunc(d.losses, func(l loss) bool { return l.returned != notReturned && l.returned > after }) {
+	if !slices.ContainsFunc(d.losses, func(l loss) bool { return l.returnedAt != notReturned && l.returnedAt > after }) {
 		return 0
 	}
-	type point struct { // ordered by time, ends first: a node is away after lastReport, up to returned
-		at   time.Duration
-		more float64
+	// Ordered by time, returns first: a node is missing from after lastReport up to returnedAt.
+	type point struct {
+		at     time.Duration
+		change float64 // of the missing capacity
 	}
 	points := make([]point, 0, 2*len(d.losses))
 	for _, l := range d.losses {
 		size := min(l.size, maxSize)
-		points = append(points, point{l.lastReport, size}, point{l.returned, -size})
+		points = append(points, point{l.lastReport, size}, point{l.returnedAt, -size})
 	}
 	slices.SortFunc(points, func(a, b point) int {
-		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.more, b.more))
+		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.change, b.change))
 	})
 	missing := 0.0
 	for _, p := range points {
-		if p.more < 0 && p.at != notReturned {
+		if p.change < 0 && p.at != notReturned {
 			peak = max(peak, missing)
 		}
-		missing += p.more
+		missing += p.change
 	}
 	return peak
 }
@@ -279,9 +281,9 @@
 	return maxSizeOverMedian * sizes[(len(sizes)-1)/2]
 }
 
-// addZone returns zones with the zone of node k, sorted and at most 16 long.
+// addZone returns zones with the zone of node added, sorted and at most maxZones long. node may be nil.
 func addZone(zones []string, node *trackedNode) []string {
-	if node == nil || node.Zone == "" || len(zones) >= 16 || slices.Contains(zones, node.Zone) {
+	if node == nil || node.Zone == "" || len(zones) >= maxZones || slices.Contains(zones, node.Zone) {
 		return zones
 	}
 	zones = append(zones, node.Zone)
@@ -299,7 +301,7 @@
 		d.lastNumber, len(lost), len(d.nodes), lossWindow)
 }
 
-// archive moves the current event to the finished ones.
+// archive moves the current event to the finished ones, of which the latest maxEvents are kept.
 func (d *EventDetector) archive() {
 	d.finished = append(d.finished, *d.current)
 	if len(d.finished) > maxEvents {
@@ -309,8 +311,8 @@
 }
 
 // Summary describes a finished event for the log.
-func (o *Event) Summary() string {
-	at := func(d time.Duration) string {
+func (e *Event) Summary() string {
+	orDash := func(d time.Duration) string {
 		if d == 0 {
 			return "-"
 		}
@@ -318,8 +320,8 @@
 	}
 	return fmt.Sprintf("event %d ended, %s: %d of %d nodes lost, least capacity %.2f after %v, "+
 		"half after %s, 0.95 after %s, full after %s, %.2f tries per first try",
-		o.Number, o.EndReason, o.LostNodes, o.FleetSize, o.LeastShare, o.LeastAt.Round(100*time.Millisecond),
-		at(o.HalfAfter), at(o.MostAfter), at(o.FullAfter), o.TriesPerRequest)
+		e.Number, e.EndReason, e.LostNodes, e.FleetSize, e.LeastShare, e.LeastAt.Round(100*time.Millisecond),
+		orDash(e.HalfAfter), orDash(e.MostAfter), orDash(e.FullAfter), e.TriesPerRequest)
 }
 
 // Capacity returns the share of the usual capacity that is there now, 0 = unknown.
@@ -340,7 +342,7 @@
 	for _, event := range list {
 		event.Began += shift
 		if !event.Ended {
-			event.Ended, event.EndReason = true, "the service that watched it ended"
+			event.Ended, event.EndReason = true, "the control service restarted"
 		}
 		d.finished = append(d.finished, event)
 		d.lastNumber = max(d.lastNumber, event.Number)
--- a/decide/recovery/eventdetector_test.go
+++ b/decide/recovery/eventdetector_test.go
@@ -122,9 +122,9 @@
 		detector := NewEventDetector(0, 0)
 		for range rng.IntN(12) {
 			from := time.Duration(rng.IntN(10))
-			l := loss{lastReport: from, returned: from + 1 + time.Duration(rng.IntN(6)), size: float64(1 + rng.IntN(4))}
+			l := loss{lastReport: from, returnedAt: from + 1 + time.Duration(rng.IntN(6)), size: float64(1 + rng.IntN(4))}
 			if rng.IntN(5) == 0 {
-				l.returned = notReturned
+				l.returnedAt = notReturned
 			}
 			detector.losses = append(detector.losses, l)
 		}
@@ -132,7 +132,7 @@
 		for _, a := range detector.losses {
 			missing := 0.0
 			for _, b := range detector.losses {
-				if a.returned != notReturned && b.lastReport < a.returned && a.returned <= b.returned {
+				if a.returnedAt != notReturned && b.lastReport < a.returnedAt && a.returnedAt <= b.returnedAt {
 					missing += b.size
 				}
 			}
@@ -144,7 +144,7 @@
 	}
 	detector := NewEventDetector(0, 0)
 	for i := range 20_000 {
-		detector.losses = append(detector.losses, loss{lastReport: time.Duration(i), returned: time.Duration(i) + time.Second, size: 1})
+		detector.losses = append(detector.losses, loss{lastReport: time.Duration(i), returnedAt: time.Duration(i) + time.Second, size: 1})
 	}
 	began := time.Now()
 	if got := detector.missingCapacity(0, 1e9); got != 20_000 || time.Since(began) > time.Second {
--- a/decide/recovery/fairscheduler.go
+++ b/decide/recovery/fairscheduler.go
@@ -27,7 +27,7 @@
 	lastServed time.Duration // -1 = never
 }
 
-const maxServedNames = 20_000 // names in lastServed
+const maxTrackedNames = 20_000 // clients whose last service is recorded
 
 // NewFairScheduler returns a scheduler of limit tickets at once, each for maxHold at most.
 func NewFairScheduler(limit int, maxHold time.Duration) *FairScheduler {
@@ -60,9 +60,10 @@
 	s.queue = slices.DeleteFunc(s.queue, func(request waiter) bool { return request.ticket == ticket })
 }
 
-// Grant grants free tickets to the waiting requests. It returns the tickets granted, and after
-// how long it must be called again at the latest, 0 if no request waits.
-func (s *FairScheduler) Grant(now time.Duration) (granted []uint64, again time.Duration) {
+// Grant grants free tickets to the waiting requests, and takes back those that have expired. It
+// returns the tickets granted, and after how long it must be called again at the latest, 0 if no
+// request waits.
+func (s *FairScheduler) Grant(now time.Duration) (granted []uint64, callAgainIn time.Duration) {
 	for ticket, since := range s.active {
 		if now-since >= s.maxHold {
 			delete(s.active, ticket)
@@ -73,7 +74,7 @@
 		request := s.queue[0]
 		s.queue = s.queue[1:]
 		s.active[request.ticket] = now
-		if _, known := s.lastServed[request.name]; known || len(s.lastServed) < maxServedNames {
+		if _, known := s.lastServed[request.name]; known || len(s.lastServed) < maxTrackedNames {
 			s.lastServed[request.name] = now
 		}
 		granted = append(granted, request.ticket)
@@ -82,11 +83,11 @@
 		s.queue = nil
 		return granted, 0
 	}
-	again = s.maxHold
+	callAgainIn = s.maxHold
 	for _, since := range s.active {
-		again = min(again, max(s.maxHold-(now-since), time.Millisecond))
+		callAgainIn = min(callAgainIn, max(s.maxHold-(now-since), time.Millisecond))
 	}
-	return granted, again
+	return granted, callAgainIn
 }
 
 // Waiting returns the number of waiting requests.
--- a/decide/recovery/registry.go
+++ b/decide/recovery/registry.go
@@ -73,7 +73,7 @@
 	Names map[string]storeHistory `json:"names"`
 }
 
-// Save returns what to store.
+// Save returns a copy of the registry to store.
 func (r *IncarnationRegistry) Save() SavedRegistry {
 	saved := SavedRegistry{Names: make(map[string]storeHistory, len(r.nodes))}
 	for name, history := range r.nodes {
@@ -84,7 +84,7 @@
 	return saved
 }
 
-// Restore adds what was stored.
+// Restore adds what was stored; entries that exceed a limit are skipped.
 func (r *IncarnationRegistry) Restore(saved SavedRegistry) {
 	for name, history := range saved.Names {
 		if len(r.nodes) < maxRegisteredNodes && len(history.Stores) > 0 &&
--- a/decide/recovery/snapshot.go
+++ b/decide/recovery/snapshot.go
@@ -128,7 +128,7 @@
 		enoughRuns = enoughRuns || c.Samples >= warmStartRuns
 	}
 	wait := maxSnapshotInterval
-	if changed(&p.last, learned) {
+	if changedSignificantly(&p.last, learned) {
 		wait = minSnapshotInterval
 	}
 	if !enoughRuns || p.stored && now-p.lastStored < wait {
@@ -138,8 +138,8 @@
 	return true
 }
 
-// changed reports whether the figures differ by more than significantChange.
-func changed(a, b *rules.Learned) bool {
+// changedSignificantly reports whether the figures differ by more than significantChange.
+func changedSignificantly(a, b *rules.Learned) bool {
 	differs := func(x, y float64) bool { return math.Abs(x-y) > significantChange*max(math.Abs(x), math.Abs(y)) }
 	if len(a.Classes) != len(b.Classes) || differs(a.RunLimit, b.RunLimit) || differs(a.DrainRate, b.DrainRate) {
 		return true
--- a/decide/recovery/startup.go
+++ b/decide/recovery/startup.go
@@ -32,11 +32,11 @@
 
 // The states, in their order. docs/recovery.md says what is allowed in each and what ends it.
 const (
-	Recovering State = iota // reads its store; does not listen yet
-	Listening               // listens; the worker pool has not reported yet, so nothing runs
-	Probing                 // measures its speed by its first runs
-	Warming                 // slower than it will be
-	FullService
+	Recovering  State = iota // the node reads its store; it does not listen yet
+	Listening                // it listens; the worker pool has not reported yet, so nothing runs
+	Probing                  // it measures its speed by its first runs
+	Warming                  // it is slower than its usual speed
+	FullService              // at its usual speed
 	numStates
 )
 
@@ -60,8 +60,8 @@
 	minUsualRuns      = 3                       // runs of a class before its usual run time is trusted
 	scarceCapacity    = 0.6                     // of the fleet's usual capacity; below it nodes request their full share
 	capacityTTL       = 2500 * time.Millisecond // lifetime of a reported fleet capacity
-	maxShareStep      = 0.2                     // largest increase of the requested share per step: callers react abruptly
-	idleSeconds       = 1                       // without an arrival after which the speed is that of the warm-up ramp
+	maxShareStep      = 0.2                     // largest increase of the requested share per step: callers follow it at once
+	idleTime          = time.Second             // without an arrival after which the speed is that of the warm-up ramp
 )
 
 // StartupSettings are the settings of a Startup.
@@ -83,16 +83,16 @@
 	poolReported    bool
 	cold            bool
 	poolStart       time.Duration // when the worker pool started
-	finishedRuns    int           // successful runs
+	successfulRuns  int           // successful runs
 	speed           float64       // smoothed share of the usual speed; 0 = unknown
 	warmSince       time.Duration // since when the node has been warm, -1 = it is not
 	lastArrival     time.Duration
 	arrivals        int
-	furtherTries    int // arrivals marked as further tries
-	fleetShort      bool
+	furtherTries    int     // arrivals marked as further tries
+	fleetShort      bool    // the whole fleet is short of capacity
 	fleetCapacity   float64 // reported share of the fleet's usual capacity; 0 = unknown
 	fleetCapacityAt time.Duration
-	requestedShare  float64
+	requestedShare  float64 // of the full-service load, as of the last step
 }
 
 // NewStartup returns the Startup of a process that started at processStart and has read
@@ -159,7 +159,7 @@
 	if s.state == FullService || took <= 0 {
 		return
 	}
-	s.finishedRuns++
+	s.successfulRuns++
 	usual := hint.Seconds()
 	if usual <= 0 && class >= 0 && class < len(s.settings.UsualRuns) {
 		usual = s.settings.UsualRuns[class]
@@ -187,19 +187,20 @@
 	if s.state == FullService {
 		return 1
 	}
-	if s.speed == 0 || now-s.lastArrival > idleSeconds*time.Second {
+	if s.speed == 0 || now-s.lastArrival > idleTime {
 		return ramp
 	}
 	return min(ramp, max(s.speed, ramp/2, minSpeed))
 }
 
 // Step moves to the next state if the current one is over. It returns the share of its
-// full-service load that the node requests, and a log line when it reaches full service.
+// full-service load that the node requests, and a log line when the node reaches full service,
+// else "".
 func (s *Startup) Step(now time.Duration) (share float64, line string) {
 	switch {
 	case s.state == Listening && now-s.stateSince >= maxListening:
 		s.enterState(now, Probing)
-	case s.state == Probing && (s.finishedRuns >= probeRunsPerCore*max(s.settings.Cores, 1) ||
+	case s.state == Probing && (s.successfulRuns >= probeRunsPerCore*max(s.settings.Cores, 1) ||
 		now-s.stateSince >= maxProbing):
 		s.enterState(now, Warming)
 	case s.state == Warming:
@@ -214,22 +215,22 @@
 			line = s.summary(now)
 		}
 	}
-	want := 1.0
+	target := 1.0
 	switch s.state {
 	case Listening:
-		want = 0
+		target = 0
 	case Probing:
-		want = max(min(s.Speed(now), s.settings.ColdSpeed), minRequestedShare)
+		target = max(min(s.Speed(now), s.settings.ColdSpeed), minRequestedShare)
 	case Warming:
-		want = max(s.Speed(now), minRequestedShare)
+		target = max(s.Speed(now), minRequestedShare)
 	}
 	if s.capacityScarce(now) && s.state > Listening {
-		want = 1
+		target = 1
 	}
-	if s.state == FullService || want < s.requestedShare {
-		s.requestedShare = want
+	if s.state == FullService || target < s.requestedShare {
+		s.requestedShare = target
 	} else {
-		s.requestedShare = min(s.requestedShare+maxShareStep, want)
+		s.requestedShare = min(s.requestedShare+maxShareStep, target)
 	}
 	return s.requestedShare, line
 }
@@ -241,7 +242,7 @@
 	for state := Recovering; state < FullService; state++ {
 		fmt.Fprintf(&b, " %s %v,", state, s.durations[state].Round(time.Millisecond))
 	}
-	fmt.Fprintf(&b, " %d runs, %.2f tries per first try", s.finishedRuns, s.TriesPerRequest())
+	fmt.Fprintf(&b, " %d runs, %.2f tries per first try", s.successfulRuns, s.TriesPerRequest())
 	return b.String()
 }
 
@@ -257,8 +258,8 @@
 func (s *Startup) State() (State, time.Duration) { return s.state, s.stateSince }
 
 // Durations returns how long each state has lasted.
-func (s *Startup) Durations(now time.Duration) (all [numStates]time.Duration) {
-	all = s.durations
-	all[s.state] += max(now-s.stateSince, 0)
-	return all
+func (s *Startup) Durations(now time.Duration) (durations [numStates]time.Duration) {
+	durations = s.durations
+	durations[s.state] += max(now-s.stateSince, 0)
+	return durations
 }
--- a/decide/recovery/storecheck.go
+++ b/decide/recovery/storecheck.go
@@ -9,7 +9,7 @@
 	"robinmast/rules"
 )
 
-// Identity names a store and the incarnation of the node that uses it. It is stored durably
+// Identity identifies a store and the incarnation of the node that uses it. It is stored durably
 // before that incarnation answers a request.
 type Identity struct {
 	ID            string `cbor:"1,keyasint" json:"id"`    // random, created with the store
@@ -166,7 +166,7 @@
 
 // Integrity returns the integrity of the store now, and the reason if it is not Intact.
 func (c *StoreCheck) Integrity(now time.Duration) (Integrity, string) {
-	// Without an answer the store counts as the first; the operators' page says what cannot be known.
+	// Without an answer the store counts as the first of this node; the operators' page says what cannot be known.
 	if c.integrity == Unverified && now >= c.unverifiedUntil {
 		c.integrity, c.reason = Intact, ""
 	}
@@ -174,7 +174,7 @@
 }
 
 // MayHaveRun reports whether a request without a record may have run in an earlier
-// incarnation: its class is keyed or unsafe, it is a further try or reached the machine before
+// incarnation, and counts it in InDoubt: its class is keyed or unsafe, it is a further try or reached the machine before
 // the start, and a first try from before the start could still be repeated. window is how long
 // after the first try a repeat may come; key links the tries of a request, 0 = nothing does;
 // age is the time since the request reached the machine.
@@ -201,7 +201,7 @@
 		}
 		return false
 	case furtherTry && key != 0:
-		if _, here := c.firstTries[key]; here { // its first try reached this incarnation
+		if _, known := c.firstTries[key]; known { // its first try reached this incarnation
 			return false
 		}
 	}
--- a/decide/resultcache/clock.go
+++ b/decide/resultcache/clock.go
@@ -6,7 +6,7 @@
 // a start is at most this much older than the end of the previous incarnation.
 const CheckpointInterval = time.Second
 
-// ClockCheckpoint is the stored state of the clocks, for the next start. It is stored as CBOR
+// ClockCheckpoint is the stored state of the clocks, from which the next start continues. It is stored as CBOR
 // under its field names.
 type ClockCheckpoint struct {
 	Unix int64  // the module's time, milliseconds
--- a/decide/resultcache/module.go
+++ b/decide/resultcache/module.go
@@ -97,7 +97,7 @@
 // DropReason is why a record was not restored at a start.
 type DropReason uint8
 
-// The reasons. Restored means that the record was restored.
+// The reasons. Restored means that the record was not dropped.
 const (
 	Restored         DropReason = iota
 	Expired                     // its lifetime is over
@@ -177,7 +177,7 @@
 }
 
 // RunEnded records how a run ended: with a result of size bytes, or failed. It returns the record,
-// and whether it must be stored.
+// whether it must be stored, and the other changes to the store.
 func (m *Module) RunEnded(
 	now time.Duration, record Record, succeeded bool, size int64,
 ) (Record, bool, StoreChanges) {
@@ -243,7 +243,7 @@
 	EvictResult []Record // records whose results are evicted, to be stored as given here
 }
 
-// makeRoom makes room for a record within the bounds. It evicts records of reads first, the next
+// makeRoom evicts records and results until record fits within the bounds, and reports whether it does. It evicts records of reads first, the next
 // to expire first; then results of keyed requests, whose records say from then on that they ran.
 // Records of keyed requests are never evicted within their window.
 func (m *Module) makeRoom(now time.Duration, record *Record, changes *StoreChanges) bool {
--- a/decide/shedding/digest.go
+++ b/decide/shedding/digest.go
@@ -48,7 +48,7 @@
 	return cmp.Or(cmp.Compare(d.Epoch, o.Epoch), cmp.Compare(d.Seq, o.Seq)) > 0
 }
 
-// ReceiveDigest is ReceiveDigestFrom with source 0.
+// ReceiveDigest handles a digest of the only control service: it is ReceiveDigestFrom with src 0.
 func (m *Shedder) ReceiveDigest(now, since time.Duration, d Digest) bool {
 	return m.ReceiveDigestFrom(now, since, 0, d)
 }
--- a/decide/shedding/shedding.go
+++ b/decide/shedding/shedding.go
@@ -1,5 +1,5 @@
-// Package shedding decides how a node refuses requests as one of a fleet, so that the refusals
-// of all nodes together do no harm: which requests to refuse at once because they would exceed
+// Package shedding is the fleet-aware load shedding of a node, which keeps refused requests from
+// overloading the other nodes. It decides which requests to refuse at once because they would exceed
 // the queue timeout, which refused requests must not be retried at other nodes, the retry-after
 // of a refusal, and the utility of a further try relative to a first one.
 //
@@ -56,7 +56,7 @@
 	stretchDecay       = 0.94  // factor a step while they do not
 	stretchIdleDecay   = 0.8   // factor a step while run slots stay idle: corrected faster than too many returns
 	maxStretch         = 2.0   // callers that stay away longer leave run slots idle
-	minStretch         = 0.75  // callers that stay away send no requests of high utility either
+	minStretch         = 0.75  // below 1: callers that stay away too long withhold requests of high utility too
 	acceptedRetryShare = 0.115 // of arrivals that may be further tries: 1.13 tries for a first try
 	minStretchShortage = 0.9   // share of the time that run slots must be short before the factor grows
 
@@ -88,7 +88,7 @@
 	shortage       float64 // estimated shortage of the fleet, 0 to 1
 
 	stretch       float64 // factor of the retry-after
-	slotSequence  float64 // position in the sequence that spreads returns over slots, 0 to 1
+	slotSequence  float64 // position in the low-discrepancy sequence of RetryAfter, 0 to 1
 	stopRemainder float64 // running remainder, so that the exact share of refusals stops retries
 	returns       [numSlots]uint16
 	firstSlot     int64 // number of the earliest slot in returns
--- a/decide/shedding/source.go
+++ b/decide/shedding/source.go
@@ -14,7 +14,7 @@
 // source is the latest digest of one control service.
 type source struct {
 	digest   Digest
-	asOf     time.Duration // time that the digest holds for
+	asOf     time.Duration // time at which the digest was made
 	received bool          // a digest has been received
 }
 
@@ -33,31 +33,31 @@
 // selectSource returns the source to follow now. That is the current one as long as its digest
 // is fresh, and otherwise the one with the latest digest. If two fresh digests disagree, it is
 // the one with the higher threshold, provided that its service knows enough of the fleet.
-func (c *sourceSelector) selectSource(now time.Duration) *source {
-	current := &c.sources[c.current]
-	best := c.current
+func (selector *sourceSelector) selectSource(now time.Duration) *source {
+	current := &selector.sources[selector.current]
+	best := selector.current
 	switch {
 	case !current.fresh(now):
-		for i := range c.sources {
-			if s := &c.sources[i]; s.received && (!c.sources[best].received || s.asOf > c.sources[best].asOf) {
+		for i := range selector.sources {
+			if s := &selector.sources[i]; s.received && (!selector.sources[best].received || s.asOf > selector.sources[best].asOf) {
 				best = i
 			}
 		}
-	case now-c.changedAt >= minFollowTime:
-		for i := range c.sources {
-			s := &c.sources[i]
+	case now-selector.changedAt >= minFollowTime:
+		for i := range selector.sources {
+			s := &selector.sources[i]
 			if !s.fresh(now) || float64(s.digest.Nodes) < minNodesRatio*float64(current.digest.Nodes) {
 				continue
 			}
-			if b := &c.sources[best]; s.digest.Threshold > 0 &&
+			if b := &selector.sources[best]; s.digest.Threshold > 0 &&
 				(b.digest.Threshold <= 0 || band(s.digest.Threshold) >= band(b.digest.Threshold)+cautionBands) {
 				best = i
 			}
 		}
 	}
-	if best != c.current {
-		c.current, c.changedAt = best, now
-		c.changes++
+	if best != selector.current {
+		selector.current, selector.changedAt = best, now
+		selector.changes++
 	}
-	return &c.sources[c.current]
+	return &selector.sources[selector.current]
 }
--- a/decide/xds/xds.go
+++ b/decide/xds/xds.go
@@ -85,12 +85,12 @@
 
 // subscription is the state of one resource type on a stream.
 type subscription struct {
-	requested         bool
+	requested         bool // the proxy has sent a request for this type
 	wildcard          bool // all resources
 	names             map[string]bool
 	clientVersions    map[string]string // Delta: versions that the proxy has or was sent; empty = unknown
 	pending           *Response         // awaits its ACK or NACK
-	lastNonce         string
+	lastNonce         string            // of the response sent last
 	sentVersion       string
 	ackedVersion      string
 	rejectedVersion   string          // not sent again
@@ -245,8 +245,8 @@
 	return len(sub.names) <= maxNames
 }
 
-// wants reports whether the proxy subscribed to a resource.
-func (sub *subscription) wants(name string) bool { return sub.wildcard || sub.names[name] }
+// includes reports whether the subscription includes a resource.
+func (sub *subscription) includes(name string) bool { return sub.wildcard || sub.names[name] }
 
 // Next returns the next response to send, or nil if there is none. Call it until it returns
 // nil; types are sent in the order of their constants.
@@ -286,7 +286,7 @@
 	}
 	r := &Response{}
 	for n := range snapshot.Resources {
-		if sub.wants(n) {
+		if sub.includes(n) {
 			r.Names = append(r.Names, n)
 		}
 	}
@@ -302,7 +302,7 @@
 	}
 	r := &Response{}
 	for n, v := range snapshot.Resources {
-		if sub.wants(n) && sub.clientVersions[n] != v {
+		if sub.includes(n) && sub.clientVersions[n] != v {
 			r.Names = append(r.Names, n)
 		}
 	}
@@ -311,7 +311,7 @@
 			r.Removed = append(r.Removed, n)
 		}
 	}
-	for n := range sub.newNames { // subscribed but absent: tell the proxy so that it does not wait
+	for n := range sub.newNames { // subscribed but absent: reported as removed, so that the proxy does not wait
 		if _, exists := snapshot.Resources[n]; !exists && !slices.Contains(r.Removed, n) {
 			r.Removed = append(r.Removed, n)
 		}
--- a/rules/api.go
+++ b/rules/api.go
@@ -66,7 +66,7 @@
 	PreemptPause                   // the work waits, with its memory, for Run
 )
 
-// LoadFeedback says what callers make of the value set by Host.PublishLoad.
+// LoadFeedback says how callers use the value set by Host.PublishLoad.
 type LoadFeedback uint8
 
 // The meanings of the published load.
@@ -74,10 +74,10 @@
 	FeedbackNone   LoadFeedback = iota // PublishLoad must not be used
 	FeedbackLevel                      // callers send no request whose rank is below it
 	FeedbackCredit                     // requests that each caller may have in flight here
-	FeedbackWeight                     // probability that a caller does not pass this node over
+	FeedbackWeight                     // probability with which a caller that chose this node keeps its choice
 )
 
-// Class is what the settings say of a request class.
+// Class holds the settings of a request class.
 type Class struct {
 	LatencyTarget        time.Duration // answers within it earn the full utility
 	LatencyTargetStretch float64       // the target grows by this many times the request's own work
@@ -90,7 +90,7 @@
 	SkipUtilityShare     float64 // share of the utility left when a call is skipped, 0 = it must be made
 }
 
-// Tenant is what the settings say of one tenant.
+// Tenant holds the settings of one tenant.
 type Tenant struct {
 	QuotaPerSecond float64 // requests over the whole fleet, 0 = no quota
 	Share          float64 // expected share of the arrivals
@@ -106,13 +106,13 @@
 	Layer               int
 	Classes             []Class
 	Tenants             []Tenant
-	OverQuotaUtility    float64 // factor on the utility of a request beyond its tenant's quota
-	UtilityPerWork      bool    // Class.Utility is for each unit of work, not for each request
-	RetriesMarked       bool
-	TimeoutsPassed      bool
-	DisconnectsReported bool
-	HonoursRetryAfter   bool          // retry-after is passed on
-	MaxRetryAfter       time.Duration // the longest that callers follow
+	OverQuotaUtility    float64       // factor on the utility of a request beyond its tenant's quota
+	UtilityPerWork      bool          // Class.Utility is for each unit of work, not for each request
+	RetriesMarked       bool          // Request.Retry is set for further tries
+	TimeoutsPassed      bool          // Request.CallerTimeout is set
+	DisconnectsReported bool          // CallerGone is called when a caller disconnects
+	HonoursRetryAfter   bool          // callers receive and follow the retry-after of a refusal
+	MaxRetryAfter       time.Duration // longer values are not followed by callers
 	LoadFeedback        LoadFeedback
 	LoadFeedbackTTL     time.Duration // how long callers use a published load
 	Preemption          Preemption
@@ -122,7 +122,7 @@
 	ReadFreshness       time.Duration // how long a read's answer may be shared, 0 = never
 	Gauges              []string      // names of the gauges of TimerFired: cpu_busy and runnable are used
 	MaxIdleTimeout      time.Duration
-	Readiness           bool // the callers' list of nodes follows their health
+	Readiness           bool // callers drop unhealthy nodes from their list
 	Dependency          Dependency
 	CallShare           float64       // DependencyShared: mean calls that this node may have in flight
 	CallWindow          time.Duration // DependencyShared: time over which that mean is taken
@@ -138,18 +138,18 @@
 	NewShedder func(now time.Duration) Shedder // fleet-aware load shedding, nil = none
 }
 
-// Request is one try that was read.
+// Request is one try of a request, as read from a connection of its caller.
 type Request struct {
 	ID            RequestID
 	RepeatOf      RequestID     // the recorded request that it repeats, 0 = none
 	CallerTimeout time.Duration // how long the caller still waits, 0 = not known
-	Rank          float64       // its place among requests by utility, from 0 to 1
+	Rank          float64       // its position among requests by utility, from 0 (least) to 1
 	WorkHint      time.Duration // expected work, 0 = not known
 	Tenant        int
 	Caller        uint32
-	Age           time.Duration // time since it reached the machine
-	Key           uint64
-	MemoryKB      float64 // memory while queued
+	Age           time.Duration // time from reaching the machine to being read
+	Key           uint64        // identifies the item of a read whose answer may be shared, 0 = none
+	MemoryKB      float64       // memory while queued
 	Class         int
 	Retry         bool // a further try or a second copy, where these are marked
 	Write         bool
@@ -161,8 +161,8 @@
 	Utility float64 // cost-weighted utility
 }
 
-// Pools, where the settings have them, choose which queued request gets a free slot and which one is
-// evicted from a full queue. The bounds of the queue and the running limit are not theirs. Package
+// Pools choose which queued request gets a free slot and which one is evicted from a full queue. They are
+// optional: see Settings.NewPools. They set neither the bound of the queue nor the running limit. Package
 // decide/pools implements them.
 type Pools interface {
 	// Arrived counts an arrival of a class; hint is its expected work, 0 = not known.
@@ -181,8 +181,8 @@
 	Evict(now time.Duration, bound int, queue []QueuedRequest) int
 }
 
-// Shedder, where the settings have one, decides about refusals with the whole fleet in mind. Which
-// requests run, and how many, is not its decision. Package decide/shedding implements it.
+// Shedder decides about refusals by the load of the whole fleet. It is optional: see Settings.NewShedder.
+// It does not decide which requests run, or how many. Package decide/shedding implements it.
 type Shedder interface {
 	// Arrived counts an arrival: its cost-weighted utility, and that which it has as a first try.
 	Arrived(now time.Duration, utility, firstTryUtility float64, retry bool)
--- a/rules/concurrency.go
+++ b/rules/concurrency.go
@@ -17,12 +17,12 @@
 	contentionRatio        = 1.3  // run latency over its baseline that means contention
 	idleBusyShare          = 0.95 // cores count as idle below this share of busy cores
 	maxRunnablePerIdleCore = 2.0  // from so many runnable threads a core, the busy share is out of date
-	concurrencyMargin      = 0.85 // of the survivable concurrency: the rest is for returns from calls
+	concurrencyMargin      = 0.85 // of the concurrency that the node survives: the rest is for runs resuming after calls
 )
 
-// concurrencyCeiling is how many requests may run or be in calls, so that even if all calls return at
-// once the concurrency stays survivable. While a cold node warms up, its speed counts as if it rose
-// evenly over the longest warm-up.
+// concurrencyCeiling is how many requests may run or be in calls, so that the node survives even if all
+// calls return at once. While a cold node warms up, its speed counts as if it rose linearly over
+// Settings.WarmUpTime.
 func (m *Module) concurrencyCeiling() float64 {
 	speed := 1.0
 	if m.settings.ColdStart && m.settings.WarmUpTime > 0 {
@@ -33,7 +33,7 @@
 		(1+(max(m.settings.OverloadRunsPerCore, 1)-1)*speed))
 }
 
-// slots is how many requests may run. With pools, stalled runs of a class in which no run ends do not
+// slots is how many requests may run. With pools, runs of a class in which no run ends any more do not
 // count, up to the concurrency ceiling.
 func (m *Module) slots() int {
 	if m.pools != nil {
--- a/rules/connections.go
+++ b/rules/connections.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	idleCostUnit      = 6 * time.Second        // idle for this long, a connection costs as much as a new one
+	idleCostUnit      = 6 * time.Second        // a connection idle for this long costs as much as opening one
 	idleCostWeight    = 0.02                   // weight of a request in idleCost: about fifty requests
 	idleCostTolerance = 0.1                    // excess over the least cost that a longer idle timeout may have
 	minIdleTimeout    = 250 * time.Millisecond // longer than a round trip
@@ -64,7 +64,7 @@
 	maps.DeleteFunc(m.lastArrival, func(_ uint32, at time.Duration) bool { return at < oldest })
 }
 
-// observeHandshakes follows what wants a core beside the runs: mostly reads and handshakes.
+// observeHandshakes smooths the number of runnable threads beyond the runs: mostly reads and handshakes.
 func (m *Module) observeHandshakes() {
 	m.handshakeLoad += handshakeLoadWeight *
 		(max(m.runnable-float64(m.runningCount), 0)/float64(m.settings.Cores) - m.handshakeLoad)
--- a/rules/dependency.go
+++ b/rules/dependency.go
@@ -11,7 +11,7 @@
 	maxBudgetSharePerCall = 0.5  // of the call budget that the timeout of one call may take
 	callTimeoutShare      = 0.6  // of the time left before the latency target that one call may take
 	minRunsToWaitForCall  = 0.8  // expected runs that must fit before the target to go on waiting for a call
-	maxCallAttempts       = 2    // calls made for one need before going on without
+	maxCallAttempts       = 2    // attempts at one downstream call
 
 	// Call limit, as shares of CallShare, and its change in a control step.
 	initialCallLimitShare = 0.3  // the dependency may slow down well below the full share
@@ -75,7 +75,7 @@
 		left := min(r.targetAt, r.dueAt-m.answerMargin()) - m.now
 		timeout := callTimeoutShare * left.Seconds()
 		if b := m.callBudget; m.settings.Dependency == DependencyShared && b > 0 {
-			timeout = min(timeout, maxBudgetSharePerCall*b) // a CallShare below 1 affords no longer calls
+			timeout = min(timeout, maxBudgetSharePerCall*b) // matters for a CallShare below 1
 		}
 		// A failed call is repeated only where its request has no utility without it: repeats overload
 		// the dependency just when it is short of capacity.
--- a/rules/feedback.go
+++ b/rules/feedback.go
@@ -17,11 +17,11 @@
 
 	// Retry advice.
 	retryAfterShare        = 0.3                   // of the time in which the queue drains
-	retryAfterGain         = 8.0                   // increase at full pressure: overload outlasts a queue
+	retryAfterGain         = 8.0                   // relative increase at full pressure: overload lasts longer than a queue
 	minRetryAfter          = 50 * time.Millisecond // about a control interval and a round trip
 	stopRetriesPressure    = 0.3                   // pressure from which refused retries are to stop
 	stopFirstTriesPressure = 0.6                   // first tries too: retries in a large fleet cost ten reads
-	fewRetriesShare        = 0.1                   // share of marked retries below which other nodes have room
+	fewRetriesShare        = 0.1                   // share of marked retries below which other nodes have capacity
 	retryShareWeight       = 0.02                  // weight of a request in that share: about fifty requests
 
 	// Staleness of arrivals, and the health that follows from it.
@@ -37,13 +37,13 @@
 )
 
 // stopsRetries reports whether the caller of a refused request must try no other node; timedOut:
-// its queue timeout was exceeded here. Where retries are marked and few arrive, the other nodes have room
-// and only this node is short of it.
+// its queue timeout was exceeded here. Where retries are marked and few arrive, the other nodes have
+// capacity and only this node is short of it.
 func (m *Module) stopsRetries(r *request, timedOut bool) bool {
-	othersHaveRoom := m.settings.RetriesMarked && m.retryShare < fewRetriesShare
-	alone := !othersHaveRoom && (timedOut || m.pressure > stopFirstTriesPressure ||
+	othersHaveCapacity := m.settings.RetriesMarked && m.retryShare < fewRetriesShare
+	localDecision := !othersHaveCapacity && (timedOut || m.pressure > stopFirstTriesPressure ||
 		m.pressure > stopRetriesPressure && (r.Retry || !m.settings.RetriesMarked))
-	return m.shedder == nil && alone || m.shedder != nil && m.shedder.StopsRetries(m.now, m.firstTryUtility(r))
+	return m.shedder == nil && localDecision || m.shedder != nil && m.shedder.StopsRetries(m.now, m.firstTryUtility(r))
 }
 
 // retryAfter is the advice to a refused caller: a share of the time in which the queue drains, longer
--- a/rules/idempotency.go
+++ b/rules/idempotency.go
@@ -15,7 +15,7 @@
 	released   bool // the request never ran and the host has discarded its result
 }
 
-// linkRecord links a request to the earlier one that it repeats, or keeps a record of it. It reports
+// linkRecord joins a request to the earlier one that it repeats, or keeps a record of it. It reports
 // whether the request is to be queued; otherwise it was answered or waits for the earlier one's result.
 func (m *Module) linkRecord(r *request) bool {
 	c := m.class(r)
@@ -63,7 +63,7 @@
 func (m *Module) releaseRecord(r *request) {
 	if rec := m.records[r.ID]; rec != nil && !rec.mayHaveRun && !rec.released {
 		rec.released = true
-		// No more released records than could be kept with results: one that is then unknown counts as run.
+		// Bounded like records with results. A repeat of a record deleted here counts as having run.
 		if float64(m.releasedRecords)*m.settings.RecordKB < recordMemoryShare*m.settings.MemoryKB {
 			m.releasedRecords++
 		} else {
--- a/rules/latency.go
+++ b/rules/latency.go
@@ -5,7 +5,7 @@
 const (
 	runLatencyWeight  = 0.08                   // weight of a run in its class's mean: about a dozen runs
 	minSamples        = 5                      // runs before a mean is relied on: a small node has few
-	runBaselineDrift  = 1.002                  // factor per run, so that one lucky run is forgotten
+	runBaselineDrift  = 1.002                  // factor per run, so that one unusually short run is forgotten
 	initialRunLatency = 300 * time.Millisecond // assumed until the first run of a class has ended
 )
 
@@ -31,7 +31,7 @@
 }
 
 // expectedRun is how long a request would run at present: the mean of its class, corrected by its work
-// hint along one regression line for all classes, since a single class may have a few odd runs only.
+// hint along one regression line for all classes, since a single class may have few runs, with outliers among them.
 func (m *Module) expectedRun(r *request) time.Duration {
 	l := m.runLatency[r.Class]
 	if l.samples == 0 {
@@ -65,7 +65,7 @@
 	return ratio / n, seconds / n
 }
 
-// observeSuccess learns from a successful run. Other outcomes teach nothing: fast errors would look
+// observeSuccess learns from a successful run. Other outcomes are not observed: fast errors would look
 // like short runs.
 func (m *Module) observeSuccess(r *request, took time.Duration) {
 	if m.saturated {
--- a/rules/quota.go
+++ b/rules/quota.go
@@ -4,12 +4,12 @@
 
 const (
 	tenantShareWeight    = 0.01            // weight of a request in its tenant's share of arrivals
-	tenantShareTolerance = 1.2             // times its share: chance moves it so far in a hundred requests
-	quotaBurstTime       = 5 * time.Second // unused quota that is saved at most: traffic at one node is uneven
-	minQuotaBurst        = 12.0            // requests that may be saved at least: chance alone brings so many
+	tenantShareTolerance = 1.2             // factor on its share: within random variation over a hundred requests
+	quotaBurstTime       = 5 * time.Second // of unused quota can be saved up: traffic at one node is uneven
+	minQuotaBurst        = 12.0            // requests that can be saved up at least: random bursts are as large
 )
 
-// tenantUsage is what a tenant has left of its quota at this node and what it sends.
+// tenantUsage is the quota that a tenant has left at this node, and its share of the arrivals.
 type tenantUsage struct {
 	remaining    float64       // requests left of this node's part of the quota
 	arrivalShare float64       // smoothed share of arrivals; the shares need not add up to 1
--- a/rules/request.go
+++ b/rules/request.go
@@ -21,17 +21,17 @@
 	joined                          // waits for the result of the earlier request that it repeats
 )
 
-// request is a try that was read and what the module knows of it.
+// request is the state of one unfinished try.
 type request struct {
 	Request
 	state           requestState
 	mayHaveRun      bool // it was started, and the start may have had its effect
 	answered        bool // its final answer is out; its run may go on
 	preempted       bool // preempted after its answer
-	finished        bool // nothing of it is left in the host
+	finished        bool // the host has no state of it any more
 	overQuota       bool // beyond its tenant's quota
 	arrivedAt       time.Duration
-	targetAt        time.Duration // arrivedAt plus the latency target: later answers are worth little
+	targetAt        time.Duration // arrivedAt plus the latency target: later answers have little or no utility
 	startedAt       time.Duration // last start
 	dueAt           time.Duration // its answer must be out before this
 	queueTimeoutAt  time.Duration
@@ -77,7 +77,7 @@
 	if r.state == running && !r.answered && o == OK {
 		m.observeSuccess(r, took)
 	}
-	if o == Cancelled && !r.answered { // preempted by the host: an answer is still owed
+	if o == Cancelled && !r.answered { // preempted by the host, and not answered yet
 		m.leaveExecution(r)
 		r.state = queued
 		if m.class(r).Effect == Safe {
@@ -87,7 +87,7 @@
 		}
 		return
 	}
-	// A keyed request whose only start had no effect.
+	// A keyed request whose only start was never carried out.
 	if rec := m.records[id]; rec != nil && o == NeverStarted && m.class(r).Effect == Keyed {
 		rec.mayHaveRun = false
 		m.releaseRecord(r)
@@ -113,7 +113,7 @@
 	m.markAnswered(r)
 }
 
-// markAnswered notes that no answer is owed to a request any more; what never ran is removed.
+// markAnswered records that a request needs no answer any more. A request that is not running is removed.
 func (m *Module) markAnswered(r *request) {
 	r.answered = true
 	if r.state == queued || r.state == joined {
@@ -156,7 +156,7 @@
 		if c := m.class(r); !expired && r.state != queued && c.LateUtilityShare <= 0 && c.Effect == Safe &&
 			m.now > r.targetAt {
 			expired = true
-			if r.state == running { // it takes this long at least: the runs that end in time would hide that
+			if r.state == running { // a lower bound of its latency: only the short runs end in time
 				m.runLatency[r.Class].observe(m.now-r.startedAt, runLatencyWeight)
 			}
 		}
--- a/rules/stall.go
+++ b/rules/stall.go
@@ -7,7 +7,7 @@
 	minStallTime   = 800 * time.Millisecond // shortest time without progress that counts as a stall
 )
 
-// noteProgress records that a run went on or ended. At the end of a stall, answered requests may be
+// noteProgress records that a run continued or ended. At the end of a stall, answered requests may be
 // preempted once more.
 func (m *Module) noteProgress() {
 	m.lastProgress = m.now
