--- a/decide/pools/pools.go
+++ b/decide/pools/pools.go
@@ -13,7 +13,6 @@
 package pools
 
 import (
-	"cmp"
 	"fmt"
 	"math"
 	"slices"
@@ -260,26 +259,6 @@
 	}
 }
 
-// expectedRate returns the arrival rate up to which a class does not flood: twice its usual rate, and
-// more if all other classes also send more than usual, as they do when another node fails.
-func (p *Pools) expectedRate(c *pool) float64 {
-	otherRates, otherUsualRates := p.totalRate-c.rate, p.totalUsualRate-c.usualRate
-	growth := 1.0
-	if otherUsualRates > 0.1 {
-		growth = max(otherRates/otherUsualRates, 1)
-	}
-	if len(p.active) < 2 { // a single class takes nothing from others
-		growth = math.Inf(1)
-	}
-	return floodFactor * growth * max(c.usualRate, 1)
-}
-
-// countedRate returns the arrival rate on which the entitlement of a class is based.
-func (p *Pools) countedRate(c *pool) float64 { return min(c.rate, p.expectedRate(c)) }
-
-// demand returns the number of slots that the work of a class needs.
-func (p *Pools) demand(c *pool) float64 { return demandHeadroom * p.countedRate(c) * c.expectedRun() }
-
 // detectHang marks a class whose runs no longer end.
 func (p *Pools) detectHang(c *pool) {
 	quiet := p.now - c.lastProgress
@@ -289,116 +268,6 @@
 	}
 }
 
-// classifyCheap decides which classes are cheap: those whose runs are short compared with the mean
-// over the arrivals. Floods are left out, so that no class can shift the mean. A single class is not
-// cheap.
-func (p *Pools) classifyCheap() {
-	sum, weight := 0.0, 0.0
-	for _, c := range p.active {
-		w := min(p.countedRate(c), max(c.usualRate, 0.1))
-		sum += w * c.expectedRun()
-		weight += w
-	}
-	mean := sum / max(weight, 1e-9)
-	for _, c := range p.active {
-		threshold := cheapBelow
-		if c.cheap {
-			threshold = cheapUntil
-		}
-		c.cheap = c.expectedRun() < threshold*mean
-	}
-}
-
-// updateCaps updates the caps of the classes, which keep a class whose runs alone have become slow
-// from filling the slots: the rule of the concurrency limit, per class.
-func (p *Pools) updateCaps(weight float64) {
-	var slowdowns []float64
-	for _, c := range p.active {
-		if c.runs >= minRuns {
-			slowdowns = append(slowdowns, c.slowdown())
-		}
-	}
-	if len(slowdowns) < 2 {
-		for _, c := range p.active {
-			c.slotCap = p.limit
-		}
-		return
-	}
-	slices.Sort(slowdowns)
-	median := slowdowns[(len(slowdowns)-1)/2]
-	for _, c := range p.active {
-		if math.IsInf(c.slotCap, 1) {
-			c.slotCap = p.limit
-		}
-		if c.slowdown() > ownSlowdown*median {
-			c.slotCap *= 1 - (1-capShrink)*weight
-		} else {
-			c.slotCap += weight * max(minCapGrowth, c.slotCap*(capGrowth-1))
-		}
-		c.slotCap = max(min(c.slotCap, p.limit), 1, c.floor)
-	}
-}
-
-// allocate divides the limit between the classes: floors first, then the demands in the order of
-// utility density. Classes of about the same density share evenly.
-func (p *Pools) allocate() {
-	var cheap []*pool
-	active := slices.Clone(p.active)
-	demand, unassigned := 0.0, p.limit
-	for _, c := range active {
-		c.floor, c.entitlement = 0, 0
-		demand += p.demand(c)
-		c.floor = min(p.demand(c), c.Reserve*p.limit, unassigned)
-		unassigned -= c.floor
-		if c.cheap {
-			cheap = append(cheap, c)
-		}
-	}
-	reserve := min(p.settings.Reserve*p.limit, unassigned)
-	unassigned -= distribute(cheap, reserve, func(c *pool) float64 { return p.demand(c) - c.floor },
-		func(c *pool, slots float64) { c.floor += slots })
-	for _, c := range active {
-		c.entitlement = c.floor
-	}
-	slices.SortStableFunc(active, func(a, b *pool) int {
-		return cmp.Compare(p.utilityDensity(b), p.utilityDensity(a))
-	})
-	for i := 0; i < len(active); {
-		j := i + 1
-		for j < len(active) && p.utilityDensity(active[j]) > 0.9*p.utilityDensity(active[i]) {
-			j++
-		}
-		unassigned -= distribute(active[i:j], unassigned, func(c *pool) float64 { return p.demand(c) - c.entitlement },
-			func(c *pool, slots float64) { c.entitlement += slots })
-		i = j
-	}
-	threshold := shortageAbove
-	if p.shortage {
-		threshold = shortageUntil
-	}
-	p.shortage = demand > threshold*p.limit || p.overflowAt > 0 && p.now-p.overflowAt < overflowHold
-	if spare := unassigned; spare > 0 && demand > 0 { // what is left is divided in proportion to demand
-		for _, c := range active {
-			c.entitlement += spare * p.demand(c) / demand
-		}
-	}
-}
-
-// distribute divides available slots evenly between the pools of list, to none more than its demand, and
-// returns how many were assigned.
-func distribute(
-	list []*pool, available float64, demand func(*pool) float64, assign func(*pool, float64),
-) (assigned float64) {
-	order := slices.Clone(list)
-	slices.SortStableFunc(order, func(a, b *pool) int { return cmp.Compare(demand(a), demand(b)) })
-	for i, c := range order {
-		share := max(min(demand(c), (available-assigned)/float64(len(order)-i)), 0)
-		assign(c, share)
-		assigned += share
-	}
-	return assigned
-}
-
 // StalledRuns returns the number of runs in hanging classes: they hold slots but no core, so the
 // other classes need not wait for them.
 func (p *Pools) StalledRuns() (n int) {
@@ -410,117 +279,6 @@
 	return n
 }
 
-// unusedFloor returns how many slots are kept free for a class: the part of its floor that it does not
-// use, if it had an arrival recently.
-func (p *Pools) unusedFloor(c *pool) float64 {
-	if p.limit < minReserveLimit || c.floor == 0 || p.now-c.lastArrival > recentTime {
-		return 0
-	}
-	return max(min(c.floor, math.Ceil(c.floor)-float64(c.running)), 0)
-}
-
-// flooding reports whether a class sends far more than usual, and enough to take a substantial share
-// of the slots.
-func (p *Pools) flooding(c *pool) bool {
-	return c.rate > p.expectedRate(c) && c.rate*c.expectedRun() > minFloodShare*p.limit
-}
-
-// tier ranks the classes for a free slot: 0 for all while slots are not short; else 1 for a class
-// within its floor, 2 for others, 3 for a flood beyond its entitlement, 4 for a class over its cap.
-// Requests of one tier go by utility.
-func (p *Pools) tier(c *pool) int {
-	switch {
-	case !p.shortage:
-		return 0
-	case c.floor > 0 && float64(c.running) < c.floor && c.credit > -c.floor*creditSpan.Seconds():
-		return 1
-	case float64(c.running) >= c.slotCap:
-		return 4
-	case c.credit <= 0 && p.flooding(c):
-		return 3
-	}
-	return 2
-}
-
-// Next returns the index of the queued request that gets a free slot, -1 for none. slots is the number
-// of slots, running how many of them are in use.
-func (p *Pools) Next(now time.Duration, slots, running int, queue []rules.QueuedRequest) int {
-	p.accrueCredit(now)
-	reserved := 0.0
-	for _, c := range p.active {
-		reserved += p.unusedFloor(c)
-		c.candidateTier = p.tier(c)
-	}
-	best, bestTier, maxUtility := -1, math.MaxInt, 0.0
-	for i, request := range queue {
-		c := p.pools[request.Class]
-		maxUtility = max(maxUtility, request.Utility)
-		// Only a class within its floor may take a slot that is kept free for a reserve.
-		if c.floor == 0 || float64(c.running) >= c.floor {
-			if float64(running) >= float64(slots)-math.Ceil(reserved-p.unusedFloor(c)-0.5) {
-				continue
-			}
-		}
-		if c.hanging && c.running > 0 {
-			continue
-		}
-		if c.candidateTier < bestTier || c.candidateTier == bestTier && p.shortage &&
-			request.Utility > queue[best].Utility {
-			best, bestTier = i, c.candidateTier
-		}
-	}
-	if best >= 0 && bestTier == 1 && queue[best].Utility < maxUtility {
-		p.pools[queue[best].Class].reserveUsedAt = now
-	}
-	return best
-}
-
-// Evict returns the index of the request to evict from a queue that exceeds its bound: the one of least
-// utility, of equals the newest, among floods that hold more places than they are entitled to, else
-// among classes that hold more than those of their floor, else among all.
-func (p *Pools) Evict(now time.Duration, bound int, queue []rules.QueuedRequest) int {
-	p.accrueCredit(now)
-	p.overflowAt, p.shortage = now, true
-	for _, c := range p.active {
-		c.queued = 0
-	}
-	for _, request := range queue {
-		p.pools[request.Class].queued++
-	}
-	for _, c := range p.active {
-		c.candidateTier = 0
-		switch {
-		case float64(c.queued) <= math.Ceil(c.floor/p.limit*float64(bound)):
-			c.candidateTier = -1
-		case float64(c.queued) > math.Ceil(c.entitlement/p.limit*float64(bound)) && p.flooding(c):
-			c.candidateTier = 1
-		}
-	}
-	chosen, lowest := -1, len(queue)-1
-	for i := len(queue) - 1; i >= 0; i-- {
-		request := queue[i]
-		if request.Utility < queue[lowest].Utility {
-			lowest = i
-		}
-		tier := p.pools[request.Class].candidateTier
-		if tier < 0 {
-			continue
-		}
-		if chosen < 0 || tier > p.pools[queue[chosen].Class].candidateTier ||
-			tier == p.pools[queue[chosen].Class].candidateTier && request.Utility < queue[chosen].Utility {
-			chosen = i
-		}
-	}
-	if chosen < 0 {
-		return lowest
-	}
-	if c := p.pools[queue[lowest].Class]; chosen != lowest && c.floor > 0 {
-		c.reserveUsedAt = now
-	}
-	p.pools[queue[chosen].Class].refused++
-	return chosen
-}
-
 // reserveMessages returns a log line for each class that begins or ceases to depend on its reserve.
 func (p *Pools) reserveMessages() (lines []string) {
 	for _, c := range p.active {
