--- a/decide/fleet/deploy_test.go
+++ b/decide/fleet/deploy_test.go
@@ -77,7 +77,7 @@
 
 // dispatcher chooses servers and observes the outcome of each try.
 type dispatcher interface {
-	choose(now time.Duration, not map[int]bool) int
+	choose(now time.Duration, tried map[int]bool) int
 	observe(now time.Duration, server int, o outcome)
 }
 
@@ -93,10 +93,10 @@
 	bad    map[int]float64
 }
 
-func (d *byView) choose(now time.Duration, not map[int]bool) int {
+func (d *byView) choose(now time.Duration, tried map[int]bool) int {
 	total, best := 0, -1
 	for i, n := range d.view.Nodes {
-		if not[i] || n.Weight == 0 || d.ejectedUntil[i] > now {
+		if tried[i] || n.Weight == 0 || d.ejectedUntil[i] > now {
 			continue
 		}
 		total += n.Weight
@@ -131,10 +131,10 @@
 	ejectTime    map[int]time.Duration
 }
 
-func (d *byFailing) choose(now time.Duration, not map[int]bool) int {
+func (d *byFailing) choose(now time.Duration, tried map[int]bool) int {
 	for range 2 * d.n {
 		d.next = (d.next + 1) % d.n
-		if !not[d.next] && d.ejectedUntil[d.next] <= now {
+		if !tried[d.next] && d.ejectedUntil[d.next] <= now {
 			return d.next
 		}
 	}
@@ -162,10 +162,10 @@
 	last map[int]time.Duration
 }
 
-func (d *byList) choose(now time.Duration, not map[int]bool) int {
+func (d *byList) choose(now time.Duration, tried map[int]bool) int {
 	for range 2 * d.n {
 		d.next = (d.next + 1) % d.n
-		if !not[d.next] && now-1500*ms-d.last[d.next] < 3*time.Second {
+		if !tried[d.next] && now-1500*ms-d.last[d.next] < 3*time.Second {
 			return d.next
 		}
 	}
@@ -257,12 +257,12 @@
 			continue
 		}
 		for ; due <= now; due += time.Duration(rnd.ExpFloat64() / rate * float64(time.Second)) {
-			not := map[int]bool{}
+			tried := map[int]bool{}
 			d := clients[rnd.IntN(dispatchers)]
 			done := false
 			for range 3 {
-				i := d.choose(now, not)
-				not[i] = true
+				i := d.choose(now, tried)
+				tried[i] = true
 				tries++
 				o := servers[i].try(now, i)
 				if o == failed && servers[i].phase(now, i) == "mute" { // observed when the caller times out
--- a/decide/fleet/fleet_test.go
+++ b/decide/fleet/fleet_test.go
@@ -273,12 +273,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	was := tf.view
+	before := tf.view
 	tf.fleet = f
 	delete(tf.live, "n00")
-	var first View
-	first, _ = f.Step(tf.now)
-	if first.Version <= was.Version || len(first.Nodes) != 6 || !first.Nodes[0].Unconfirmed || first.Nodes[0].State != Healthy || first.Nodes[0].Weight == 0 {
+	first, _ := f.Step(tf.now)
+	if first.Version <= before.Version || len(first.Nodes) != 6 || !first.Nodes[0].Unconfirmed || first.Nodes[0].State != Healthy || first.Nodes[0].Weight == 0 {
 		t.Errorf("first view: %+v", first)
 	}
 	tf.advance(restartGrace + reportInterval)
@@ -373,16 +372,16 @@
 				frozen := tf.view.Frozen
 				tf.advance(250 * ms)
 				for _, n := range tf.view.Nodes {
-					was, had := last[n.Name]
+					previous, known := last[n.Name]
 					if inc := tf.fleet.nodes[n.Name].lastReport.Incarnation; incarnations[n.Name] != inc { // a new incarnation starts slowly
 						incarnations[n.Name], settling[n.Name] = inc, 3
 					}
 					settling[n.Name]--
-					had = had && settling[n.Name] <= 0
-					if had && was.Weight > 20 && n.Weight > 20 && n.State == was.State && (float64(n.Weight) > maxWeightFactor*1.3*float64(was.Weight) || float64(was.Weight) > maxWeightFactor*1.3*float64(n.Weight)) {
-						r.Fatalf("the weight of %s went from %d to %d", n.Name, was.Weight, n.Weight)
+					known = known && settling[n.Name] <= 0
+					if known && previous.Weight > 20 && n.Weight > 20 && n.State == previous.State && (float64(n.Weight) > maxWeightFactor*1.3*float64(previous.Weight) || float64(previous.Weight) > maxWeightFactor*1.3*float64(n.Weight)) {
+						r.Fatalf("the weight of %s went from %d to %d", n.Name, previous.Weight, n.Weight)
 					}
-					if had && frozen && tf.view.Frozen && was.State.Serves() && n.State == Gone {
+					if known && frozen && tf.view.Frozen && previous.State.Serves() && n.State == Gone {
 						r.Fatalf("%s left the frozen view", n.Name)
 					}
 					if (n.Weight > 0) != n.State.Serves() {
--- a/decide/pools/load_test.go
+++ b/decide/pools/load_test.go
@@ -60,7 +60,7 @@
 	return set
 }
 
-// replay runs the arrivals through the decision module and fails the test if one of its rules is broken.
+// replay runs the arrivals through the decision module and fails the test if an invariant is violated.
 func replay(t testing.TB, opt simulation.Options, arrivals []simulation.Arrival) *simulation.Result {
 	t.Helper()
 	if opt.ContentionFactor == 0 {
@@ -71,7 +71,7 @@
 		t.Fatal(err)
 	}
 	for _, b := range res.Violations {
-		t.Errorf("a rule is broken: %s", b)
+		t.Errorf("invariant violated: %s", b)
 	}
 	return res
 }
@@ -151,7 +151,7 @@
 }
 
 // Runs all scenarios with and without pools. With pools the classes that a scenario names are served as it
-// requires, and in both cases the rules of the decision module hold. In most scenarios pools must improve
+// requires, and in both cases the invariants of the decision module hold. In most scenarios pools must improve
 // some class, or the scenarios would show nothing.
 func TestOverloadScenarios(t *testing.T) {
 	helped := 0
@@ -228,7 +228,7 @@
 }
 
 // With unusual settings - many classes, one, equal or zero utilities, a cold node, a drain, unsafe work -
-// the rules of the decision module hold, and enough is served.
+// the invariants of the decision module hold, and enough is served.
 func TestEdges(t *testing.T) {
 	same := func(n int, utility float64) rules.Settings {
 		s := testSettings()
--- a/decide/recovery/fairscheduler_test.go
+++ b/decide/recovery/fairscheduler_test.go
@@ -13,7 +13,7 @@
 // clients keep their tickets, and of two waiting clients the one served longest ago is first.
 func TestFairScheduler(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limit := rapid.IntRange(1, 8).Draw(t, "most")
+		limit := rapid.IntRange(1, 8).Draw(t, "limit")
 		scheduler := NewFairScheduler(limit, 100*time.Millisecond)
 		names, since := map[uint64]string{}, map[string]time.Duration{}
 		active := map[uint64]time.Duration{}
--- a/decide/recovery/storecheck_test.go
+++ b/decide/recovery/storecheck_test.go
@@ -26,17 +26,17 @@
 func TestIntegrity(t *testing.T) {
 	empty := FoundState{Identity: Identity{ID: "b", Node: "n1", Epoch: 1}, Created: true, CompleteSince: math.MinInt64}
 	for _, c := range []struct {
-		name     string
-		found    func() FoundState
-		previous *PreviousStore // nil = no report
-		none     bool           // reported: there was no earlier incarnation
-		pool     time.Duration
-		want     Integrity
+		name         string
+		found        func() FoundState
+		previous     *PreviousStore // nil = no report
+		noneReported bool           // a control service reported that there was no earlier incarnation
+		pool         time.Duration
+		want         Integrity
 	}{
 		{name: "complete", found: completeStore, previous: &PreviousStore{ID: "a", Epoch: 3, Checkpoint: 9}, want: Intact},
 		{name: "incarnations that were not reported", found: completeStore, previous: &PreviousStore{ID: "a", Epoch: 1, Checkpoint: 2}, want: Intact},
 		{name: "no report", found: completeStore, want: Intact},
-		{name: "first start", found: func() FoundState { return empty }, none: true, want: Intact},
+		{name: "first start", found: func() FoundState { return empty }, noneReported: true, want: Intact},
 		{name: "no report yet", found: func() FoundState { return empty }, want: Unverified},
 		{name: "emptied", found: func() FoundState { return empty }, previous: &PreviousStore{ID: "a", Epoch: 3}, want: Incomplete},
 		{name: "emptied, older worker pool", found: func() FoundState { return empty }, pool: -time.Minute, want: Incomplete},
@@ -52,7 +52,7 @@
 		if c.pool != 0 {
 			check.WorkerPoolUp(c.pool)
 		}
-		if c.previous != nil || c.none {
+		if c.previous != nil || c.noneReported {
 			check.ObservePrevious(processStart+time.Second/2, c.previous)
 		}
 		if integrity, why := check.Integrity(processStart + time.Second); integrity != c.want {
@@ -115,9 +115,9 @@
 	}
 }
 
-// No key runs twice within its window, even if the node's folder is lost or replaced by an older copy
-// between incarnations. The model runs each key unless it has a record or is in doubt; the registry of
-// the control service lives throughout.
+// No key runs twice within its window, even if the node's results directory is lost or replaced by an
+// older copy between incarnations. The model runs each key unless it has a record or is in doubt; the
+// registry of the control service is kept throughout.
 func TestNoKeyRunsTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const window = 10 * time.Second
@@ -186,7 +186,7 @@
 					copies = append(copies, clone(now))
 				}
 			}
-			switch rapid.SampledFrom([]string{"keep", "empty", "old"}).Draw(t, "folder") {
+			switch rapid.SampledFrom([]string{"keep", "empty", "old"}).Draw(t, "directory") {
 			case "empty":
 				now = disk{}
 			case "old":
--- a/decide/resultcache/module_test.go
+++ b/decide/resultcache/module_test.go
@@ -60,7 +60,7 @@
 func TestRestore(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*Settings)
-		entry  func(*Record)
+		modify func(*Record)
 		reason DropReason
 		left   int64 // of its lifetime, milliseconds
 		kind   Kind
@@ -93,8 +93,8 @@
 		}
 		record := keyedRecord("k", 10_000)
 		record.Kind, record.Size = Result, 100
-		if c.entry != nil {
-			c.entry(&record)
+		if c.modify != nil {
+			c.modify(&record)
 		}
 		m := newModuleAt(set, 11_000)
 		got, reason := m.Restore(0, record)
@@ -109,11 +109,11 @@
 	fail := settings()
 	fail.FailUnknownReads = true
 	for name, c := range map[string]struct {
-		set   Settings
-		entry Record
-		kind  Kind
-		pool  int64
-		want  RepeatAction
+		set    Settings
+		record Record
+		kind   Kind
+		pool   int64
+		want   RepeatAction
 	}{
 		"result":                              {settings(), keyedRecord("k", 100), Result, 500, AnswerEarlier},
 		"failed":                              {settings(), keyedRecord("k", 100), Failed, 0, FailRepeat},
@@ -124,8 +124,8 @@
 		"interrupted read, failing":           {fail, readRecord("k", 100), Intent, 101, FailRepeat},
 		"read in progress, failing":           {fail, readRecord("k", 100), Intent, 50, WaitForRun},
 	} {
-		c.entry.Kind = c.kind
-		if got := newModuleAt(c.set, 1000).DecideRepeat(c.entry, c.pool); got != c.want {
+		c.record.Kind = c.kind
+		if got := newModuleAt(c.set, 1000).DecideRepeat(c.record, c.pool); got != c.want {
 			t.Errorf("%s: %d, want %d", name, got, c.want)
 		}
 	}
@@ -199,7 +199,7 @@
 	rapid.Check(t, func(r *rapid.T) {
 		set := settings()
 		set.MaxBytes = int64(rapid.IntRange(200, 3000).Draw(r, "bytes"))
-		set.MaxRecords = rapid.IntRange(1, 6).Draw(r, "entries")
+		set.MaxRecords = rapid.IntRange(1, 6).Draw(r, "records")
 		m := newModuleAt(set, 1_000_000)
 		now, wall, up, boot := time.Duration(0), int64(1_000_000), int64(0), 0
 		stored := map[string]Record{}
@@ -257,14 +257,12 @@
 				pass(int64(rapid.IntRange(0, 900).Draw(r, "ms")))
 				checkpoint = m.Checkpoint(now, ClockReading{wall, fmt.Sprint(boot), up})
 			default: // a crash, after which the wall clock may have stepped
-				before := m.Unix(now)
 				pass(int64(rapid.IntRange(0, 999).Draw(r, "since the checkpoint")))
 				for k, record := range stored {
 					if record.Expires <= m.Unix(now) {
 						expired[k] = true
 					}
 				}
-				_ = before
 				last := m.Unix(now)
 				away := int64(rapid.IntRange(0, 3000).Draw(r, "away"))
 				wall += away
@@ -276,12 +274,11 @@
 				}
 				m = New(set)
 				now = time.Duration(rapid.IntRange(0, 1000).Draw(r, "now")) * ms
-				step, passed := m.StartClock(now, ClockReading{wall, fmt.Sprint(boot), up}, &checkpoint)
+				step, _ := m.StartClock(now, ClockReading{wall, fmt.Sprint(boot), up}, &checkpoint)
 				if m.Unix(now) < last-1 {
 					r.Fatalf("%v: the time went from %d to %d", step, last, m.Unix(now))
 				}
 				trueTime += m.Unix(now) - last
-				_ = passed
 				checkpoint = m.Checkpoint(now, ClockReading{wall, fmt.Sprint(boot), up})
 				next := map[string]Record{}
 				for k, record := range stored {
--- a/decide/shedding/shedding_test.go
+++ b/decide/shedding/shedding_test.go
@@ -37,7 +37,7 @@
 func TestStopsRetriesWithoutDigest(t *testing.T) {
 	for name, c := range map[string]struct {
 		retryShare, shortageShare float64
-		least, most               float64
+		min, max                  float64
 	}{
 		"one full node, peers have capacity": {0.02, 1, 0, 0},
 		"this node has capacity":             {0.5, 0, 0, 0},
@@ -52,8 +52,8 @@
 				stopped++
 			}
 		}
-		if share := float64(stopped) / 1000; share < c.least || share > c.most {
-			t.Errorf("%s: %.3f of the refusals stop retries, want %.2f to %.2f", name, share, c.least, c.most)
+		if share := float64(stopped) / 1000; share < c.min || share > c.max {
+			t.Errorf("%s: %.3f of the refusals stop retries, want %.2f to %.2f", name, share, c.min, c.max)
 		}
 	}
 }
@@ -124,23 +124,23 @@
 func TestRetryAfterSpreads(t *testing.T) {
 	m := New(0, false)
 	m.drainRate = 100
-	base, most := 400*time.Millisecond, 2*time.Second
+	base, limit := 400*time.Millisecond, 2*time.Second
 	perSlot, sum := map[int64]int{}, time.Duration(0)
 	const n = 200
 	for range n {
-		d := m.RetryAfter(0, base, most)
+		d := m.RetryAfter(0, base, limit)
 		if d < base/4 || d > 2*base {
 			t.Fatalf("retry-after %v for base %v", d, base)
 		}
 		perSlot[int64(d/slotWidth)]++
 		sum += d
 	}
-	top := 0
+	maxPerSlot := 0
 	for _, k := range perSlot {
-		top = max(top, k)
+		maxPerSlot = max(maxPerSlot, k)
 	}
-	if mean := sum / n; mean < base*8/10 || mean > base*12/10 || len(perSlot) < 12 || top > n/10 {
-		t.Errorf("mean %v in %d slots, at most %d in one slot", mean, len(perSlot), top)
+	if mean := sum / n; mean < base*8/10 || mean > base*12/10 || len(perSlot) < 12 || maxPerSlot > n/10 {
+		t.Errorf("mean %v in %d slots, at most %d in one slot", mean, len(perSlot), maxPerSlot)
 	}
 }
 
@@ -240,13 +240,13 @@
 			t.Errorf("%+v was accepted", d)
 		}
 	}
-	was := 1.0
+	previous := 1.0
 	for now := time.Duration(0); now < 4*time.Second; now += 10 * time.Millisecond {
 		trust := m.trust(now)
-		if trust > was || was-trust > 0.01 {
-			t.Fatalf("trust went from %v to %v at %v", was, trust, now)
+		if trust > previous || previous-trust > 0.01 {
+			t.Fatalf("trust went from %v to %v at %v", previous, trust, now)
 		}
-		was = trust
+		previous = trust
 	}
 	feed(m, 0, 4, 200, 0.3, 0.3, 100, 1)
 	feed(withoutDigest, 0, 4, 200, 0.3, 0.3, 100, 1)
--- a/rules/feedback_test.go
+++ b/rules/feedback_test.go
@@ -69,7 +69,7 @@
 		retry    bool
 		unmarked bool
 		retries  float64 // share of marked retries among earlier arrivals
-		last     bool
+		stops    bool
 	}{
 		"a retry at low pressure":         {0.1, true, false, 0.3, false},
 		"a retry under pressure":          {0.4, true, false, 0.3, true},
@@ -85,24 +85,24 @@
 			h.arrive(0, func(q *Request) { q.Retry = tc.retry })
 		}
 		h.finishBatch()
-		if refused, last := h.count("refuse "), h.count("stop-retrying "); refused == 0 ||
-			(last == refused) != tc.last {
-			t.Errorf("%s: %d refused, %d of them told to stop retrying, want that %v", name, refused, last, tc.last)
+		if refused, stopped := h.count("refuse "), h.count("stop-retrying "); refused == 0 ||
+			(stopped == refused) != tc.stops {
+			t.Errorf("%s: %d refused, %d of them stop retries, want that %v", name, refused, stopped, tc.stops)
 		}
 	}
 }
 
 // A refusal of a request that is past its queue timeout on arrival raises the pressure as one from a full
-// queue does: a node that reads only such requests refuses as many, and would publish that it has room.
+// queue does: a node that reads only such requests refuses as many, and would publish that it has capacity.
 func TestTimedOutOnArrivalRaisesPressure(t *testing.T) {
 	for _, age := range []time.Duration{0, 1100 * ms} {
 		h := newHarness(t, nil)
 		for range 20 {
-			on := []RequestID{h.arrive(3, nil), h.arrive(3, nil)} // both cores busy
+			busy := []RequestID{h.arrive(3, nil), h.arrive(3, nil)} // both cores busy
 			h.finishBatch()
 			id := h.arrive(0, func(q *Request) { q.Age = age })
 			h.finishBatch()
-			for _, r := range append(on, id) {
+			for _, r := range append(busy, id) {
 				h.m.RunEnded(h.now, r, OK, 5*ms)
 			}
 			h.advance(50*ms, 1, 1)
@@ -123,14 +123,14 @@
 			}
 			h.advance(feedbackInterval)
 		}
-		if faded := h.m.staleShare < 0.9; faded == reads {
+		if decayed := h.m.staleShare < 0.9; decayed == reads {
 			t.Errorf("%s: stale share %v", name, h.m.staleShare)
 		}
 	}
 }
 
 // A node that has become slow refuses at once what it cannot finish. Another node may serve that, so its
-// caller must not be told to stop retrying; only a request with no time for a run at baseline latency is
+// refusal must not stop retries; only a request with no time for a run at baseline latency is
 // lost everywhere. The risk is one more try for each caller where all nodes are slow for the same reason.
 func TestSlowNodeSendsFreshRequestsElsewhere(t *testing.T) {
 	h := newHarness(t, nil)
@@ -147,13 +147,13 @@
 }
 
 // A request whose queue timeout is exceeded has used up the time that retries at other nodes would take:
-// its caller is told to stop retrying. Where retries are marked and few arrive, the other nodes have room
-// and it may go there: a node that hot keys fill is no sign of a full fleet.
+// its refusal stops retries. Where retries are marked and few arrive, the other nodes have capacity
+// and it may go there: a node that is full because of hot keys is no sign of a full fleet.
 func TestExceededQueueTimeoutStopsRetries(t *testing.T) {
 	for name, tc := range map[string]struct {
 		marks   bool
 		retries float64
-		last    bool
+		stops   bool
 	}{"unmarked": {false, 0, true}, "many retries": {true, 0.3, true}, "few retries": {true, 0.02, false}} {
 		h := newHarness(t, func(s *Settings) { s.RetriesMarked = tc.marks })
 		h.arrive(3, nil)
@@ -163,8 +163,8 @@
 		h.m.retryShare = tc.retries
 		h.advance(1100*ms, 1, 9) // 0.12 of 8 s, with time left for a run
 		h.want(fmt.Sprint("refuse ", a))
-		if last := h.done[fmt.Sprint("stop-retrying ", a)]; last != tc.last {
-			t.Errorf("%s: told to stop retrying %v", name, last)
+		if stopped := h.done[fmt.Sprint("stop-retrying ", a)]; stopped != tc.stops {
+			t.Errorf("%s: the refusal stops retries: %v", name, stopped)
 		}
 	}
 }
--- a/rules/idempotency_test.go
+++ b/rules/idempotency_test.go
@@ -69,8 +69,8 @@
 		}
 		h.advance(200*ms, 1, 5)
 	}
-	if kept := h.m.recordMemoryKB(); kept == 0 || kept > 4*300 { // two run, two are queued
-		t.Fatalf("%d records take %v KB", len(h.m.records), kept)
+	if memory := h.m.recordMemoryKB(); memory == 0 || memory > 4*300 { // two run, two are queued
+		t.Fatalf("%d records take %v KB", len(h.m.records), memory)
 	}
 	for _, r := range slices.Clone(h.m.requests) {
 		h.m.RunEnded(h.now, r.ID, OK, 5*ms)
@@ -85,8 +85,8 @@
 	h.want(fmt.Sprint("run ", a))
 	h.m.RunEnded(h.now, a, NeverStarted, 0)
 	h.want(fmt.Sprint("forget ", a))
-	if again := h.m.recordMemoryKB(); again != 0 {
-		t.Errorf("a start without effect keeps %v KB of records", again)
+	if memory := h.m.recordMemoryKB(); memory != 0 {
+		t.Errorf("a start without effect keeps %v KB of records", memory)
 	}
 	c := h.arrive(2, keyed)
 	h.finishBatch()
--- a/rules/invariants_test.go
+++ b/rules/invariants_test.go
@@ -413,8 +413,8 @@
 		if d.settings.ColdStart {
 			speed = min(1, d.settings.ColdSpeed+(1-d.settings.ColdSpeed)*float64(d.now-50*time.Second)/float64(d.settings.WarmUpTime))
 		}
-		if most := float64(d.settings.Cores) * (1 + (d.settings.OverloadRunsPerCore-1)*speed); mean > most {
-			d.fail("overload: %.1f runs in the mean, %.1f are survivable", mean, most)
+		if survivable := float64(d.settings.Cores) * (1 + (d.settings.OverloadRunsPerCore-1)*speed); mean > survivable {
+			d.fail("overload: %.1f runs in the mean, %.1f are survivable", mean, survivable)
 		}
 	}
 	live := d.tries[:0]
@@ -426,7 +426,7 @@
 	d.tries = live
 }
 
-// run plays 14 s, with a drain in the last three.
+// run simulates 14 s, with a drain in the last three.
 func (d *deployment) run() {
 	d.drawSettings()
 	d.now = 50 * time.Second
--- a/rules/module_test.go
+++ b/rules/module_test.go
@@ -109,8 +109,8 @@
 	h.want("fail 1")
 }
 
-// playFixedEvents runs a fixed mix of events, with or without another module beside, and returns the actions.
-func playFixedEvents(t *testing.T, others bool) []string {
+// runFixedEvents runs a fixed mix of events, with or without another module beside, and returns the actions.
+func runFixedEvents(t *testing.T, others bool) []string {
 	h := newHarness(t, nil)
 	var o *harness
 	if others {
@@ -132,13 +132,13 @@
 }
 
 func TestDeterministic(t *testing.T) {
-	if !reflect.DeepEqual(playFixedEvents(t, false), playFixedEvents(t, false)) {
+	if !reflect.DeepEqual(runFixedEvents(t, false), runFixedEvents(t, false)) {
 		t.Error("the same events led to different actions")
 	}
 }
 
 func TestInstancesShareNoState(t *testing.T) {
-	if !reflect.DeepEqual(playFixedEvents(t, false), playFixedEvents(t, true)) {
+	if !reflect.DeepEqual(runFixedEvents(t, false), runFixedEvents(t, true)) {
 		t.Error("another instance changed the actions of this one")
 	}
 }
--- a/rules/quota_test.go
+++ b/rules/quota_test.go
@@ -19,11 +19,11 @@
 	h.m.drainSeconds, h.m.drainSuccesses = 1, 1 // a slow drain rate: the queue bound is the running limit
 	h.arrive(3, nil)                            // both cores busy
 	h.finishBatch()
-	greedy := h.arrive(0, func(q *Request) { q.Tenant = 0 })
+	overQuota := h.arrive(0, func(q *Request) { q.Tenant = 0 })
 	h.arrive(0, func(q *Request) { q.Tenant = 1 })
 	h.arrive(0, func(q *Request) { q.Tenant = 1 })
 	h.finishBatch()
-	h.want(fmt.Sprint("refuse ", greedy))
+	h.want(fmt.Sprint("refuse ", overQuota))
 }
 
 // A tenant that sends three times its quota keeps the quota: only the excess counts as over it, as long as
--- a/rules/shedder_test.go
+++ b/rules/shedder_test.go
@@ -108,23 +108,23 @@
 // With a shedder, its StopsRetries decides, whatever the pressure of this node is. It gets the utility that
 // the request would have as a first try.
 func TestShedderStopsRetries(t *testing.T) {
-	for _, ends := range []bool{false, true} {
-		shedder := &fakeShedder{stopsRetries: ends, retryUtility: 0.4}
+	for _, stops := range []bool{false, true} {
+		shedder := &fakeShedder{stopsRetries: stops, retryUtility: 0.4}
 		h := newHarness(t, func(s *Settings) { s.NewShedder = func(time.Duration) Shedder { return shedder } })
 		for range 30 {
 			h.arrive(0, func(q *Request) { q.Retry, q.WorkHint = true, 100*ms })
 		}
 		h.m.pressure = 0.9
 		h.finishBatch()
-		last := 0
+		stopped := 0
 		for line := range h.done {
 			if strings.HasPrefix(line, "stop-retrying") {
-				last++
+				stopped++
 			}
 		}
-		if len(shedder.firstTryUtilities) == 0 || (last == len(shedder.firstTryUtilities)) != ends ||
-			!ends && last > 0 {
-			t.Errorf("StopsRetries %v: %d of %d refusals told to stop retrying", ends, last, len(shedder.firstTryUtilities))
+		if len(shedder.firstTryUtilities) == 0 || (stopped == len(shedder.firstTryUtilities)) != stops ||
+			!stops && stopped > 0 {
+			t.Errorf("StopsRetries %v: %d of %d refusals stop retries", stops, stopped, len(shedder.firstTryUtilities))
 		}
 		for _, utility := range shedder.firstTryUtilities {
 			if utility != 10 { // utility 1 for 0.1 s, no less for being a further try
