--- a/decide/recovery/eventdetector.go
+++ b/decide/recovery/eventdetector.go
@@ -149,26 +149,7 @@
 	}
 	before := d.lastStep
 	d.lastStep = now
-	capacity, total, firstTries, allTries := 0.0, 0.0, 0.0, 0.0
-	maxSize := d.maxNodeSize()
-	for _, name := range slices.Sorted(maps.Keys(d.nodes)) { // sums of floats depend on the order
-		node := d.nodes[name]
-		switch silent := now - node.lastReport; {
-		case silent > forgetNodeAfter:
-			delete(d.nodes, name)
-			continue
-		case silent > reportTimeout && !node.lost:
-			if node.lost = true; !node.Leaving {
-				d.losses = append(d.losses, loss{now - reportTimeout, name, node.lastReport, notReturned, node.size})
-			}
-		}
-		total += min(node.size, maxSize)
-		if !node.lost {
-			capacity += min(node.size, maxSize) * node.Warm
-			firstTries += node.ArrivalRate * (1 - node.FurtherTryShare) * dt
-			allTries += node.ArrivalRate * dt
-		}
-	}
+	m := d.measure(now, dt)
 	d.losses = slices.DeleteFunc(d.losses, func(l loss) bool { return now-l.detectedAt > lossWindow })
 	lost := map[string]bool{}
 	began := now
@@ -180,21 +161,65 @@
 		if n := len(d.nodes); n >= minNodes && float64(len(lost)) > minLostShare*float64(n) &&
 			d.usualCapacity > 0 {
 			lines = append(lines, d.beginEvent(began, lost))
-		} else if capacity > 0 {
+		} else if m.capacity > 0 {
 			if d.usualCapacity == 0 {
-				d.usualCapacity = capacity
+				d.usualCapacity = m.capacity
 			}
-			d.usualCapacity += min(usualCapacitySmoothing*dt*10, 1) * (capacity - d.usualCapacity)
+			d.usualCapacity += min(usualCapacitySmoothing*dt*10, 1) * (m.capacity - d.usualCapacity)
 		}
 	}
 	if d.usualCapacity > 0 {
-		d.capacityShare = min(capacity/d.usualCapacity, 1)
+		d.capacityShare = min(m.capacity/d.usualCapacity, 1)
 	}
 	if d.current == nil {
 		return lines
 	}
+	d.updateEvent(now, before, m, lost)
+	if event := d.current; event.Ended {
+		lines = append(lines, event.Summary())
+		d.archive()
+		d.losses, d.usualCapacity = nil, m.capacity // the losses are part of the event that ended
+	}
+	return lines
+}
+
+// measurement holds sums over the nodes at a step.
+type measurement struct {
+	capacity             float64 // sizes of the nodes that are not lost, times their speed
+	total                float64 // sizes of all nodes
+	maxSize              float64 // limit on one node's size
+	firstTries, allTries float64 // since the last step
+}
+
+// measure sums over the nodes, dt seconds after the last step. It removes nodes that have been silent
+// for long and records newly lost ones in losses.
+func (d *EventDetector) measure(now time.Duration, dt float64) (m measurement) {
+	m.maxSize = d.maxNodeSize()
+	for _, name := range slices.Sorted(maps.Keys(d.nodes)) { // sums of floats depend on the order
+		node := d.nodes[name]
+		switch silent := now - node.lastReport; {
+		case silent > forgetNodeAfter:
+			delete(d.nodes, name)
+			continue
+		case silent > reportTimeout && !node.lost:
+			if node.lost = true; !node.Leaving {
+				d.losses = append(d.losses, loss{now - reportTimeout, name, node.lastReport, notReturned, node.size})
+			}
+		}
+		m.total += min(node.size, m.maxSize)
+		if !node.lost {
+			m.capacity += min(node.size, m.maxSize) * node.Warm
+			m.firstTries += node.ArrivalRate * (1 - node.FurtherTryShare) * dt
+			m.allTries += node.ArrivalRate * dt
+		}
+	}
+	return m
+}
+
+// updateEvent updates the current event to now; before is the time of the last step.
+func (d *EventDetector) updateEvent(now, before time.Duration, m measurement, lost map[string]bool) {
 	event := d.current
-	event.firstTries, event.allTries = event.firstTries+firstTries, event.allTries+allTries
+	event.firstTries, event.allTries = event.firstTries+m.firstTries, event.allTries+m.allTries
 	if event.firstTries > 0 {
 		event.TriesPerRequest = math.Round(100*event.allTries/event.firstTries) / 100
 	}
@@ -202,10 +227,10 @@
 		event.Zones = addZone(event.Zones, d.nodes[name])
 	}
 	event.LostNodes = max(event.LostNodes, len(lost))
-	share := min(capacity/d.usualCapacity, 1)
-	// Between two reports less capacity was there than any report says.
-	if missing := d.missingCapacity(before, maxSize); missing > 0 && total > 0 {
-		share = min(share, max(0, 1-missing/total))
+	share := min(m.capacity/d.usualCapacity, 1)
+	// Between two reports the capacity may have been lower than any report shows.
+	if missing := d.missingCapacity(before, m.maxSize); missing > 0 && m.total > 0 {
+		share = min(share, max(0, 1-missing/m.total))
 	}
 	since := now - event.Began
 	if share < event.LeastShare {
@@ -228,12 +253,6 @@
 	case since >= maxEventDuration:
 		event.Ended, event.EndReason = true, "timed out: the fleet is smaller now"
 	}
-	if event.Ended {
-		lines = append(lines, event.Summary())
-		d.archive()
-		d.losses, d.usualCapacity = nil, capacity // the losses are part of the event that ended
-	}
-	return lines
 }
 
 // missingCapacity returns the most capacity that was missing at one moment between two
