--- a/decide/fleet/fleet.go
+++ b/decide/fleet/fleet.go
@@ -60,7 +60,7 @@
 	maxWeightFactor  = 1.25                   // largest change of a weight in stepInterval
 	stepInterval     = 250 * time.Millisecond // expected time between two calls of Step
 	fullWeight       = 1000.0                 // weight of an idle node with a limit of 10
-	dropThreshold    = 0.05                   // share that every node refuses, above which proxies are told to drop
+	dropThreshold    = 0.05                   // share that every node refuses, above which proxies are to drop some
 	dropShare        = 0.8                    // part of that share to drop; the nodes refuse the rest themselves
 	maxClockSkew     = time.Hour              // of the clocks that incarnations are taken from
 	takeoverReports  = 3                      // from a seemingly older incarnation, until it replaces a silent one
@@ -148,7 +148,7 @@
 	LostZones []string // names of zones in which every node is gone or silent
 }
 
-// node is the state kept for one name.
+// node is the state of the node of one name.
 type node struct {
 	lastReport   Report
 	reportedAt   time.Duration // when lastReport was received
--- a/decide/recovery/registry.go
+++ b/decide/recovery/registry.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// IncarnationRegistry keeps, for a control service, what nodes last reported about their
-// stores, so that a restarted node can be told what its earlier incarnation reported.
+// IncarnationRegistry holds, for a control service, what nodes last reported about their stores.
+// A restarted node gets from it what its previous incarnation reported.
 type IncarnationRegistry struct {
 	nodes map[string]*storeHistory
 }
--- a/decide/recovery/snapshot.go
+++ b/decide/recovery/snapshot.go
@@ -114,7 +114,7 @@
 func (w *WarmStart) Settled() bool { return w.settled }
 
 // SnapshotPacer decides when to store a snapshot: soon after the learned figures changed,
-// seldom while they hardly change, and never before they rest on enough runs.
+// rarely while they hardly change, and never before they rest on enough runs.
 type SnapshotPacer struct {
 	lastStored time.Duration
 	last       rules.Learned
--- a/rules/latency.go
+++ b/rules/latency.go
@@ -31,7 +31,8 @@
 }
 
 // expectedRun is how long a request would run at present: the mean of its class, corrected by its work
-// hint along one regression line for all classes, since a single class may have few runs, with outliers among them.
+// hint along one regression line for all classes, since a single class may have only a few runs, with
+// outliers among them.
 func (m *Module) expectedRun(r *request) time.Duration {
 	l := m.runLatency[r.Class]
 	if l.samples == 0 {
