--- a/decide/fleet/fleet.go
+++ b/decide/fleet/fleet.go
@@ -55,15 +55,15 @@
 	maxErrorRequests    = 30.0 // requests of one proxy that count at most
 	errorHalfLife       = 1500 * time.Millisecond
 
-	runningAlpha    = 0.1                    // weight of one step in the moving average of running requests
-	probeShare      = 0.1                    // of its weight that a Failing node keeps, so that its recovery is noticed
-	maxWeightFactor = 1.25                   // largest change of a weight in stepInterval
-	stepInterval    = 250 * time.Millisecond // expected time between two calls of Step
-	fullWeight      = 1000.0                 // weight of an idle node with a limit of 10
-	dropThreshold   = 0.05                   // share that every node refuses, above which proxies are told to drop
-	dropShare       = 0.8                    // part of that share to drop; the nodes' own queues decide the rest
-	maxClockSkew    = time.Hour              // of the clocks that incarnations are taken from
-	takeoverReports = 3                      // from a seemingly older incarnation, until it replaces a silent one
+	runningSmoothing = 0.1                    // weight of one step in the moving average of running requests
+	probeShare       = 0.1                    // of its weight that a Failing node keeps, so that its recovery is noticed
+	maxWeightFactor  = 1.25                   // largest change of a weight in stepInterval
+	stepInterval     = 250 * time.Millisecond // expected time between two calls of Step
+	fullWeight       = 1000.0                 // weight of an idle node with a limit of 10
+	dropThreshold    = 0.05                   // share that every node refuses, above which proxies are to drop some
+	dropShare        = 0.8                    // part of that share to drop; the nodes refuse the rest themselves
+	maxClockSkew     = time.Hour              // of the clocks that incarnations are taken from
+	takeoverReports  = 3                      // from a seemingly older incarnation, until it replaces a silent one
 )
 
 // Phase is the operating phase that a node reports.
@@ -131,24 +131,24 @@
 type Node struct {
 	Name, Addr, Zone string
 	State            State
-	Why              string        // reason of the state
+	Reason           string        // reason of the state
 	Since            time.Duration // when the state began
 	Weight           int           // 1 to 100,000; 0 = no new work
 	Limit            float64       // of running requests, as reported
 	Penalty          float64       // flap damping penalty
-	Unproven         bool          // restored after a restart of the service, no report received since
+	Unconfirmed      bool          // restored after a restart of the service, no report received since
 }
 
 // View is the published view of the fleet. Version grows with each change.
 type View struct {
-	Version uint64
-	Nodes   []Node   // by name
-	Drop    float64  // share of the requests that proxies should drop themselves, 0 to 1
-	Frozen  bool     // too many nodes fell silent together; no node is removed
-	Lost    []string // names of zones in which every node is gone or silent
+	Version   uint64
+	Nodes     []Node   // by name
+	Drop      float64  // share of the requests that proxies should drop themselves, 0 to 1
+	Frozen    bool     // too many nodes fell silent together; no node is removed
+	LostZones []string // names of zones in which every node is gone or silent
 }
 
-// node is the state kept for one name.
+// node is the state of the node of one name.
 type node struct {
 	lastReport   Report
 	reportedAt   time.Duration // when lastReport was received
@@ -174,7 +174,7 @@
 	running            float64 // moving average: a report shows one moment only
 	currentIncarnation uint64  // incarnation that weight, proxyErrors and running belong to
 
-	unproven    bool
+	unconfirmed bool
 	silentSince time.Duration // 0 = not silent
 	frozen      bool          // silent, but kept in its state while the view is frozen
 }
@@ -185,7 +185,7 @@
 	at        time.Duration
 }
 
-// Fleet is the state of all nodes. It belongs to one goroutine.
+// Fleet is the state of all nodes. Its log lines are returned by Step. It belongs to one goroutine.
 type Fleet struct {
 	nodes          map[string]*node
 	view           View
@@ -258,10 +258,10 @@
 			r.Name)
 	}
 	n.olderReports = 0
-	if n.unproven && n.state != Gone {
+	if n.unconfirmed && n.state != Gone {
 		f.confirmedNodes++
 	}
-	n.lastReport, n.reportedAt, n.unproven = r, now, false
+	n.lastReport, n.reportedAt, n.unconfirmed = r, now, false
 	return true
 }
 
@@ -283,18 +283,18 @@
 // addPenalty raises the flap damping penalty for new incarnations and for changes of health.
 // The changes are counted by the node, so that lost and reordered reports make no difference.
 func (f *Fleet) addPenalty(now time.Duration, n *node, r *Report) {
-	more := 0.0
+	increase := 0.0
 	if n.olderThanKnown(r.Incarnation) {
 		return
 	}
 	if len(n.incarnations) > 0 && !n.incarnations[r.Incarnation] {
-		more += penaltyPerIncarnation
+		increase += penaltyPerIncarnation
 	}
-	if was := n.flips[r.Incarnation]; r.Flips > was {
-		more += penaltyPerFlip * float64(min(r.Flips-was, 16))
+	if known := n.flips[r.Incarnation]; r.Flips > known {
+		increase += penaltyPerFlip * float64(min(r.Flips-known, 16))
 		n.flips[r.Incarnation] = r.Flips
 	}
-	n.penalty = min(n.currentPenalty(now)+more, maxPenalty)
+	n.penalty = min(n.currentPenalty(now)+increase, maxPenalty)
 	n.penaltyAt = now
 }
 
@@ -394,12 +394,12 @@
 		n.currentIncarnation, n.failing, n.running, n.weight = n.lastReport.Incarnation, false, n.lastReport.Running, 0
 		clear(n.proxyErrors)
 	}
-	n.running += runningAlpha * (n.lastReport.Running - n.running)
+	n.running += runningSmoothing * (n.lastReport.Running - n.running)
 }
 
 // updateView builds the view, with a new version if it differs from the last one.
 func (f *Fleet) updateView(now time.Duration, names []string, lost []string) {
-	v := View{Version: f.view.Version, Frozen: f.frozen, Lost: lost}
+	v := View{Version: f.view.Version, Frozen: f.frozen, LostZones: lost}
 	refused, serving := 1.0, 0
 	for _, name := range names {
 		n := f.nodes[name]
@@ -408,9 +408,9 @@
 			weight = int(min(math.Round(n.weight), 100_000))
 		}
 		v.Nodes = append(v.Nodes, Node{
-			Name: name, Addr: n.lastReport.Addr, Zone: n.lastReport.Zone, State: n.state, Why: n.reason, Since: n.since,
+			Name: name, Addr: n.lastReport.Addr, Zone: n.lastReport.Zone, State: n.state, Reason: n.reason, Since: n.since,
 			Weight: weight, Limit: math.Round(n.lastReport.Limit), Penalty: math.Round(10*n.currentPenalty(now)) / 10,
-			Unproven: n.unproven,
+			Unconfirmed: n.unconfirmed,
 		})
 		if n.state.Serves() {
 			serving++
@@ -428,9 +428,9 @@
 
 // differs reports whether two views differ in what proxies are sent.
 func differs(a, b *View) bool {
-	return a.Drop != b.Drop || a.Frozen != b.Frozen || !slices.Equal(a.Lost, b.Lost) ||
+	return a.Drop != b.Drop || a.Frozen != b.Frozen || !slices.Equal(a.LostZones, b.LostZones) ||
 		!slices.EqualFunc(a.Nodes, b.Nodes, func(x, y Node) bool {
-			x.Penalty, y.Penalty, x.Why, y.Why, x.Since, y.Since = 0, 0, "", "", 0, 0
+			x.Penalty, y.Penalty, x.Reason, y.Reason, x.Since, y.Since = 0, 0, "", "", 0, 0
 			return x == y
 		})
 }
--- a/decide/pools/pools.go
+++ b/decide/pools/pools.go
@@ -13,7 +13,6 @@
 package pools
 
 import (
-	"cmp"
 	"fmt"
 	"math"
 	"slices"
@@ -30,7 +29,7 @@
 	floodFactor        = 2.0                    // multiple of the usual rate beyond which arrivals are a flood
 	runSmoothing       = 0.08                   // weight of a run in the mean run time of its class
 	minRuns            = 5                      // runs before the mean run time is used; until then hints are
-	baseDrift          = 1.002                  // growth of the base run time per run, so that one short run is forgotten
+	baselineDrift      = 1.002                  // growth of the baseline run time per run, so that one short run is forgotten
 	cheapBelow         = 0.5                    // share of the mean run time below which a class becomes cheap
 	cheapUntil         = 0.7                    // share from which it no longer is
 	minFloodShare      = 0.1                    // share of the limit that a flood needs at least to count as one
@@ -41,7 +40,7 @@
 	creditSpan         = 500 * time.Millisecond // credit, in terms of its entitlement, that a class may accrue or overdraw
 	ownSlowdown        = 1.3                    // ratio to the others' slowdown above which a class is slow by itself
 	capShrink          = 0.95                   // factor on its cap per step while it is
-	capGrow            = 1.03                   // factor on its cap per step otherwise
+	capGrowth          = 1.03                   // factor on its cap per step otherwise
 	minCapGrowth       = 0.08                   // least growth of a cap per step, in slots
 	hangGaps           = 10.0                   // usual times between ends of runs after which a class without one hangs
 	minHangTime        = 300 * time.Millisecond // and at least this time
@@ -83,27 +82,27 @@
 // pool is the state of one class.
 type pool struct {
 	Class
-	rate, usualRate  float64 // arrivals per second, recent and long-term
-	rateSteps        float64 // number of steps in usualRate
-	arrivals         int     // since the last step
-	lastArrival      time.Duration
-	active           bool    // in Pools.active
-	hint             float64 // smoothed hint of its run time, seconds
-	meanRun, baseRun float64 // run time, smoothed and without load, seconds
-	runs             float64 // successful runs
-	running          int
-	queued           int
-	lastProgress     time.Duration // last end of a run, or start of the first
-	hanging          bool          // its runs no longer end
-	slotCap          float64       // slots that it may use while they are short
-	cheap            bool
-	floor            float64 // slots that it keeps under any load
-	entitlement      float64 // slots that it is entitled to, the floor included
-	credit           float64 // slot-seconds that it is owed
-	refused          int64
-	reserveUsedAt    time.Duration // when its reserve last made the difference for one of its requests
-	reserveInUse     bool
-	candidateTier    int // its tier in a decision of Next or Evict
+	rate, usualRate      float64 // arrivals per second, recent and long-term
+	rateSteps            float64 // number of steps in usualRate
+	arrivals             int     // since the last step
+	lastArrival          time.Duration
+	active               bool    // in Pools.active
+	hint                 float64 // smoothed hint of its run time, seconds
+	meanRun, baselineRun float64 // run time, smoothed and without contention, seconds
+	runs                 float64 // successful runs
+	running              int
+	queued               int
+	lastProgress         time.Duration // last end of a run, or start of the first
+	hanging              bool          // its runs no longer end
+	slotCap              float64       // slots that it may use while they are short
+	cheap                bool
+	floor                float64 // slots that it keeps under any load
+	entitlement          float64 // slots that it is entitled to, the floor included
+	credit               float64 // slot-seconds that it is owed
+	refused              int64
+	reserveUsedAt        time.Duration // when its reserve last made the difference for one of its requests
+	reserveInUse         bool
+	candidateTier        int // its tier in a decision of Next or Evict
 }
 
 // Pools are the pools of one node.
@@ -151,12 +150,12 @@
 	return c.Utility / max(c.expectedRun(), 0.0001)
 }
 
-// slowdown returns the ratio of the class's run time to that without load.
+// slowdown returns the ratio of the class's mean run time to its baseline, 1 while it is not known.
 func (c *pool) slowdown() float64 {
-	if c.runs < minRuns || c.baseRun <= 0 {
+	if c.runs < minRuns || c.baselineRun <= 0 {
 		return 1
 	}
-	return c.meanRun / c.baseRun
+	return c.meanRun / c.baselineRun
 }
 
 // Arrived reports a request that was read, with its hint of the run time, 0 = no hint.
@@ -195,9 +194,9 @@
 	c.runs++
 	c.meanRun += max(runSmoothing, 1/c.runs) * (took.Seconds() - c.meanRun)
 	if c.runs == minRuns {
-		c.baseRun = c.meanRun
+		c.baselineRun = c.meanRun
 	}
-	c.baseRun = min(c.baseRun*baseDrift, c.meanRun)
+	c.baselineRun = min(c.baselineRun*baselineDrift, c.meanRun)
 }
 
 // accrueCredit accounts for the slot time since the last event: a class gains credit for the part of
@@ -249,37 +248,17 @@
 	c.rate += min(1, rateSmoothing*weight) * (rate - c.rate)
 	if c.rate > c.usualRate/100 { // times without requests do not lower the usual rate
 		c.rateSteps++
-		if c.rateSteps > minRateSteps { // a flood becomes usual slowly, however high it is
+		if c.rateSteps > minRateSteps { // limits how fast a flood raises the usual rate
 			rate = min(rate, floodFactor*max(c.usualRate, 1))
 		}
 		c.usualRate += max(usualRateSmoothing*weight, 1/c.rateSteps) * (rate - c.usualRate)
 	}
 	if c.running == 0 && p.now-c.lastArrival > forgetAfter {
 		*c = pool{Class: c.Class, slotCap: c.slotCap, reserveUsedAt: c.reserveUsedAt, refused: c.refused,
-			meanRun: c.meanRun, baseRun: c.baseRun, runs: c.runs}
+			meanRun: c.meanRun, baselineRun: c.baselineRun, runs: c.runs}
 	}
 }
 
-// expectedRate returns the arrival rate up to which a class does not flood: twice its usual rate, and
-// more if all other classes also send more than usual, as they do when another node fails.
-func (p *Pools) expectedRate(c *pool) float64 {
-	otherRates, otherUsualRates := p.totalRate-c.rate, p.totalUsualRate-c.usualRate
-	growth := 1.0
-	if otherUsualRates > 0.1 {
-		growth = max(otherRates/otherUsualRates, 1)
-	}
-	if len(p.active) < 2 { // a single class takes nothing from others
-		growth = math.Inf(1)
-	}
-	return floodFactor * growth * max(c.usualRate, 1)
-}
-
-// countedRate returns the arrival rate on which the entitlement of a class is based.
-func (p *Pools) countedRate(c *pool) float64 { return min(c.rate, p.expectedRate(c)) }
-
-// demand returns the number of slots that the work of a class needs.
-func (p *Pools) demand(c *pool) float64 { return demandHeadroom * p.countedRate(c) * c.expectedRun() }
-
 // detectHang marks a class whose runs no longer end.
 func (p *Pools) detectHang(c *pool) {
 	quiet := p.now - c.lastProgress
@@ -289,115 +268,6 @@
 	}
 }
 
-// classifyCheap decides which classes are cheap: those whose runs are short compared with the mean
-// over the arrivals. Floods are left out, so that no class can shift the mean. A single class is not
-// cheap.
-func (p *Pools) classifyCheap() {
-	sum, weight := 0.0, 0.0
-	for _, c := range p.active {
-		w := min(p.countedRate(c), max(c.usualRate, 0.1))
-		sum += w * c.expectedRun()
-		weight += w
-	}
-	mean := sum / max(weight, 1e-9)
-	for _, c := range p.active {
-		threshold := cheapBelow
-		if c.cheap {
-			threshold = cheapUntil
-		}
-		c.cheap = c.expectedRun() < threshold*mean
-	}
-}
-
-// updateCaps updates the caps of the classes, which keep a class whose runs alone have become slow
-// from filling the slots: the rule of the concurrency limit, per class.
-func (p *Pools) updateCaps(weight float64) {
-	var slowdowns []float64
-	for _, c := range p.active {
-		if c.runs >= minRuns {
-			slowdowns = append(slowdowns, c.slowdown())
-		}
-	}
-	if len(slowdowns) < 2 {
-		for _, c := range p.active {
-			c.slotCap = p.limit
-		}
-		return
-	}
-	slices.Sort(slowdowns)
-	median := slowdowns[(len(slowdowns)-1)/2]
-	for _, c := range p.active {
-		if math.IsInf(c.slotCap, 1) {
-			c.slotCap = p.limit
-		}
-		if c.slowdown() > ownSlowdown*median {
-			c.slotCap *= 1 - (1-capShrink)*weight
-		} else {
-			c.slotCap += weight * max(minCapGrowth, c.slotCap*(capGrow-1))
-		}
-		c.slotCap = max(min(c.slotCap, p.limit), 1, c.floor)
-	}
-}
-
-// allocate divides the limit between the classes: floors first, then the demands in the order of
-// utility density. Classes of about the same density share evenly.
-func (p *Pools) allocate() {
-	var cheap []*pool
-	active := slices.Clone(p.active)
-	demand, unassigned := 0.0, p.limit
-	for _, c := range active {
-		c.floor, c.entitlement = 0, 0
-		demand += p.demand(c)
-		c.floor = min(p.demand(c), c.Reserve*p.limit, unassigned)
-		unassigned -= c.floor
-		if c.cheap {
-			cheap = append(cheap, c)
-		}
-	}
-	reserve := min(p.settings.Reserve*p.limit, unassigned)
-	unassigned -= distribute(cheap, reserve, func(c *pool) float64 { return p.demand(c) - c.floor },
-		func(c *pool, slots float64) { c.floor += slots })
-	for _, c := range active {
-		c.entitlement = c.floor
-	}
-	slices.SortStableFunc(active, func(a, b *pool) int {
-		return cmp.Compare(p.utilityDensity(b), p.utilityDensity(a))
-	})
-	for i := 0; i < len(active); {
-		j := i + 1
-		for j < len(active) && p.utilityDensity(active[j]) > 0.9*p.utilityDensity(active[i]) {
-			j++
-		}
-		unassigned -= distribute(active[i:j], unassigned, func(c *pool) float64 { return p.demand(c) - c.entitlement },
-			func(c *pool, slots float64) { c.entitlement += slots })
-		i = j
-	}
-	threshold := shortageAbove
-	if p.shortage {
-		threshold = shortageUntil
-	}
-	p.shortage = demand > threshold*p.limit || p.overflowAt > 0 && p.now-p.overflowAt < overflowHold
-	if spare := unassigned; spare > 0 && demand > 0 { // what is left is divided in proportion to demand
-		for _, c := range active {
-			c.entitlement += spare * p.demand(c) / demand
-		}
-	}
-}
-
-// distribute gives out room evenly, to no class more than it wants, and returns how much it gave.
-func distribute(
-	list []*pool, room float64, wants func(*pool) float64, give func(*pool, float64),
-) (given float64) {
-	order := slices.Clone(list)
-	slices.SortStableFunc(order, func(a, b *pool) int { return cmp.Compare(wants(a), wants(b)) })
-	for i, c := range order {
-		share := max(min(wants(c), (room-given)/float64(len(order)-i)), 0)
-		give(c, share)
-		given += share
-	}
-	return given
-}
-
 // StalledRuns returns the number of runs in hanging classes: they hold slots but no core, so the
 // other classes need not wait for them.
 func (p *Pools) StalledRuns() (n int) {
@@ -409,117 +279,6 @@
 	return n
 }
 
-// unusedFloor returns how many slots are kept free for a class: the part of its floor that it does not
-// use, if it had an arrival recently.
-func (p *Pools) unusedFloor(c *pool) float64 {
-	if p.limit < minReserveLimit || c.floor == 0 || p.now-c.lastArrival > recentTime {
-		return 0
-	}
-	return max(min(c.floor, math.Ceil(c.floor)-float64(c.running)), 0)
-}
-
-// flooding reports whether a class sends far more than usual, and enough to take a substantial share
-// of the slots.
-func (p *Pools) flooding(c *pool) bool {
-	return c.rate > p.expectedRate(c) && c.rate*c.expectedRun() > minFloodShare*p.limit
-}
-
-// tier ranks the classes for a free slot: 0 for all while slots are not short; else 1 for a class
-// within its floor, 2 for others, 3 for a flood beyond its entitlement, 4 for a class over its cap.
-// Requests of one tier go by utility.
-func (p *Pools) tier(c *pool) int {
-	switch {
-	case !p.shortage:
-		return 0
-	case c.floor > 0 && float64(c.running) < c.floor && c.credit > -c.floor*creditSpan.Seconds():
-		return 1
-	case float64(c.running) >= c.slotCap:
-		return 4
-	case c.credit <= 0 && p.flooding(c):
-		return 3
-	}
-	return 2
-}
-
-// Next returns the index of the queued request that gets a free slot, -1 for none. slots is the number
-// of slots, taken how many of them are in use.
-func (p *Pools) Next(now time.Duration, slots, taken int, queue []rules.QueuedRequest) int {
-	p.accrueCredit(now)
-	reserved := 0.0
-	for _, c := range p.active {
-		reserved += p.unusedFloor(c)
-		c.candidateTier = p.tier(c)
-	}
-	best, bestTier, maxUtility := -1, math.MaxInt, 0.0
-	for i, request := range queue {
-		c := p.pools[request.Class]
-		maxUtility = max(maxUtility, request.Utility)
-		// Only a class within its floor may take a slot that is kept free for a reserve.
-		if c.floor == 0 || float64(c.running) >= c.floor {
-			if float64(taken) >= float64(slots)-math.Ceil(reserved-p.unusedFloor(c)-0.5) {
-				continue
-			}
-		}
-		if c.hanging && c.running > 0 {
-			continue
-		}
-		if c.candidateTier < bestTier || c.candidateTier == bestTier && p.shortage &&
-			request.Utility > queue[best].Utility {
-			best, bestTier = i, c.candidateTier
-		}
-	}
-	if best >= 0 && bestTier == 1 && queue[best].Utility < maxUtility {
-		p.pools[queue[best].Class].reserveUsedAt = now
-	}
-	return best
-}
-
-// Evict returns the index of the request to evict from a queue that exceeds its bound: the one of least
-// utility, of equals the newest, among floods that hold more places than they are entitled to, else
-// among classes that hold more than those of their floor, else among all.
-func (p *Pools) Evict(now time.Duration, bound int, queue []rules.QueuedRequest) int {
-	p.accrueCredit(now)
-	p.overflowAt, p.shortage = now, true
-	for _, c := range p.active {
-		c.queued = 0
-	}
-	for _, request := range queue {
-		p.pools[request.Class].queued++
-	}
-	for _, c := range p.active {
-		c.candidateTier = 0
-		switch {
-		case float64(c.queued) <= math.Ceil(c.floor/p.limit*float64(bound)):
-			c.candidateTier = -1
-		case float64(c.queued) > math.Ceil(c.entitlement/p.limit*float64(bound)) && p.flooding(c):
-			c.candidateTier = 1
-		}
-	}
-	chosen, lowest := -1, len(queue)-1
-	for i := len(queue) - 1; i >= 0; i-- {
-		request := queue[i]
-		if request.Utility < queue[lowest].Utility {
-			lowest = i
-		}
-		tier := p.pools[request.Class].candidateTier
-		if tier < 0 {
-			continue
-		}
-		if chosen < 0 || tier > p.pools[queue[chosen].Class].candidateTier ||
-			tier == p.pools[queue[chosen].Class].candidateTier && request.Utility < queue[chosen].Utility {
-			chosen = i
-		}
-	}
-	if chosen < 0 {
-		return lowest
-	}
-	if c := p.pools[queue[lowest].Class]; chosen != lowest && c.floor > 0 {
-		c.reserveUsedAt = now
-	}
-	p.pools[queue[chosen].Class].refused++
-	return chosen
-}
-
 // reserveMessages returns a log line for each class that begins or ceases to depend on its reserve.
 func (p *Pools) reserveMessages() (lines []string) {
 	for _, c := range p.active {
--- a/decide/recovery/eventdetector.go
+++ b/decide/recovery/eventdetector.go
@@ -16,10 +16,11 @@
 	halfCapacity           = 0.5
 	mostCapacity           = 0.95
 	fullCapacity           = 0.99
-	fullDuration           = time.Second      // for which capacity must stay full, so that no single report ends an event
-	maxEventDuration       = 10 * time.Minute // then the event ends anyway: the fleet is smaller now
-	usualCapacitySmoothing = 0.02             // weight of a tenth of a second in the usual capacity
-	maxEvents              = 64
+	fullDuration           = time.Second             // for which capacity must stay full, so that no single report ends an event
+	maxEventDuration       = 10 * time.Minute        // then the event ends anyway: the fleet is smaller now
+	usualCapacitySmoothing = 0.02                    // weight of a tenth of a second in the usual capacity
+	maxEvents              = 64                      // finished events that are kept
+	maxZones               = 16                      // listed per event
 	reportTimeout          = 1600 * time.Millisecond // two missed reports: a node that is silent for longer is lost
 	sizeDecay              = 0.999                   // factor per report: a node's size halves in eight minutes
 	maxSizeOverMedian      = 4.0                     // a node's size counts for at most so many times the median
@@ -40,22 +41,22 @@
 }
 
 // Event is a period that began with the loss of many nodes. Began is on the control service's
-// clock, the other times count from it; 0 for Half, Most and Full means not yet. It is stored as
-// JSON under its field names.
+// clock, the other times count from it; 0 for HalfAfter, MostAfter and FullAfter means not yet.
+// It is stored as JSON; the tags keep the names of stored fields.
 type Event struct {
-	Number  int
-	Began   time.Duration
-	Lost    int      // nodes lost
-	Of      int      // nodes in the fleet when it began
-	Zones   []string // zones of lost nodes, at most 16
-	Least   float64  // least share of the usual capacity
-	LeastAt time.Duration
-	Half    time.Duration // until half, 0.95 and 0.99 of the usual capacity were back
-	Most    time.Duration
-	Full    time.Duration
-	Tries   float64 // tries per first try since it began
-	Over    bool
-	Why     string // why it ended
+	Number          int
+	Began           time.Duration
+	LostNodes       int      `json:"Lost"` // nodes lost
+	FleetSize       int      `json:"Of"`   // nodes in the fleet when it began
+	Zones           []string // zones of lost nodes, sorted, at most maxZones
+	LeastShare      float64  `json:"Least"` // least share of the usual capacity
+	LeastAt         time.Duration
+	HalfAfter       time.Duration `json:"Half"`  // until halfCapacity of the usual capacity was back
+	MostAfter       time.Duration `json:"Most"`  // until mostCapacity
+	FullAfter       time.Duration `json:"Full"`  // until fullCapacity
+	TriesPerRequest float64       `json:"Tries"` // tries per first try since it began
+	Ended           bool          `json:"Over"`
+	EndReason       string        `json:"Why"` // why it ended
 
 	firstTries, allTries float64 // since it began
 	fullSince            time.Duration
@@ -84,10 +85,10 @@
 
 // loss is one incarnation of a node that was lost.
 type loss struct {
-	noticed    time.Duration
+	detectedAt time.Duration
 	name       string
 	lastReport time.Duration // of the lost incarnation
-	returned   time.Duration // first report of the next incarnation, or notReturned
+	returnedAt time.Duration // first report of the next incarnation, or notReturned
 	size       float64
 }
 
@@ -117,8 +118,8 @@
 		d.losses = append(d.losses, loss{now, report.Name, node.lastReport, now, node.size})
 	}
 	for i, l := range d.losses {
-		if l.name == report.Name && l.returned == notReturned {
-			d.losses[i].returned = now
+		if l.name == report.Name && l.returnedAt == notReturned {
+			d.losses[i].returnedAt = now
 		}
 	}
 	node.NodeReport, node.lastReport, node.lost = clampReport(report), now, false
@@ -139,8 +140,8 @@
 	return report
 }
 
-// Step measures the fleet's capacity, and begins or ends an event. It returns the log lines for
-// that.
+// Step measures the fleet's capacity, and begins, updates or ends an event. It returns a log line
+// when one begins or ends.
 func (d *EventDetector) Step(now time.Duration) (lines []string) {
 	dt := (now - d.lastStep).Seconds()
 	if dt <= 0 {
@@ -148,117 +149,137 @@
 	}
 	before := d.lastStep
 	d.lastStep = now
-	capacity, total, firstTries, allTries := 0.0, 0.0, 0.0, 0.0
-	maxSize := d.maxNodeSize()
-	for _, name := range slices.Sorted(maps.Keys(d.nodes)) { // sums of floats depend on the order
-		node := d.nodes[name]
-		switch silent := now - node.lastReport; {
-		case silent > forgetNodeAfter:
-			delete(d.nodes, name)
-			continue
-		case silent > reportTimeout && !node.lost:
-			if node.lost = true; !node.Leaving {
-				d.losses = append(d.losses, loss{now - reportTimeout, name, node.lastReport, notReturned, node.size})
-			}
-		}
-		total += min(node.size, maxSize)
-		if !node.lost {
-			capacity += min(node.size, maxSize) * node.Warm
-			firstTries += node.ArrivalRate * (1 - node.FurtherTryShare) * dt
-			allTries += node.ArrivalRate * dt
-		}
-	}
-	d.losses = slices.DeleteFunc(d.losses, func(l loss) bool { return now-l.noticed > lossWindow })
+	m := d.measure(now, dt)
+	d.losses = slices.DeleteFunc(d.losses, func(l loss) bool { return now-l.detectedAt > lossWindow })
 	lost := map[string]bool{}
-	begin := now
+	began := now
 	for _, l := range d.losses {
 		lost[l.name] = true
-		begin = min(begin, l.noticed)
+		began = min(began, l.detectedAt)
 	}
 	if d.current == nil {
 		if n := len(d.nodes); n >= minNodes && float64(len(lost)) > minLostShare*float64(n) &&
 			d.usualCapacity > 0 {
-			lines = append(lines, d.beginEvent(begin, lost))
-		} else if capacity > 0 {
+			lines = append(lines, d.beginEvent(began, lost))
+		} else if m.capacity > 0 {
 			if d.usualCapacity == 0 {
-				d.usualCapacity = capacity
+				d.usualCapacity = m.capacity
 			}
-			d.usualCapacity += min(usualCapacitySmoothing*dt*10, 1) * (capacity - d.usualCapacity)
+			d.usualCapacity += min(usualCapacitySmoothing*dt*10, 1) * (m.capacity - d.usualCapacity)
 		}
 	}
 	if d.usualCapacity > 0 {
-		d.capacityShare = min(capacity/d.usualCapacity, 1)
+		d.capacityShare = min(m.capacity/d.usualCapacity, 1)
 	}
 	if d.current == nil {
 		return lines
 	}
+	d.updateEvent(now, before, m, lost)
+	if event := d.current; event.Ended {
+		lines = append(lines, event.Summary())
+		d.archive()
+		d.losses, d.usualCapacity = nil, m.capacity // the losses are part of the event that ended
+	}
+	return lines
+}
+
+// measurement holds sums over the nodes at a step.
+type measurement struct {
+	capacity             float64 // sizes of the nodes that are not lost, times their speed
+	total                float64 // sizes of all nodes
+	maxSize              float64 // limit on one node's size
+	firstTries, allTries float64 // since the last step
+}
+
+// measure sums over the nodes, dt seconds after the last step. It removes nodes that have been silent
+// for long and records newly lost ones in losses.
+func (d *EventDetector) measure(now time.Duration, dt float64) (m measurement) {
+	m.maxSize = d.maxNodeSize()
+	for _, name := range slices.Sorted(maps.Keys(d.nodes)) { // sums of floats depend on the order
+		node := d.nodes[name]
+		switch silent := now - node.lastReport; {
+		case silent > forgetNodeAfter:
+			delete(d.nodes, name)
+			continue
+		case silent > reportTimeout && !node.lost:
+			if node.lost = true; !node.Leaving {
+				d.losses = append(d.losses, loss{now - reportTimeout, name, node.lastReport, notReturned, node.size})
+			}
+		}
+		m.total += min(node.size, m.maxSize)
+		if !node.lost {
+			m.capacity += min(node.size, m.maxSize) * node.Warm
+			m.firstTries += node.ArrivalRate * (1 - node.FurtherTryShare) * dt
+			m.allTries += node.ArrivalRate * dt
+		}
+	}
+	return m
+}
+
+// updateEvent updates the current event to now; before is the time of the last step.
+func (d *EventDetector) updateEvent(now, before time.Duration, m measurement, lost map[string]bool) {
 	event := d.current
-	event.firstTries, event.allTries = event.firstTries+firstTries, event.allTries+allTries
+	event.firstTries, event.allTries = event.firstTries+m.firstTries, event.allTries+m.allTries
 	if event.firstTries > 0 {
-		event.Tries = math.Round(100*event.allTries/event.firstTries) / 100
+		event.TriesPerRequest = math.Round(100*event.allTries/event.firstTries) / 100
 	}
 	for name := range lost {
 		event.Zones = addZone(event.Zones, d.nodes[name])
 	}
-	event.Lost = max(event.Lost, len(lost))
-	share := min(capacity/d.usualCapacity, 1)
-	// Between two reports less capacity was there than any report says.
-	if missing := d.missingCapacity(before, maxSize); missing > 0 && total > 0 {
-		share = min(share, max(0, 1-missing/total))
+	event.LostNodes = max(event.LostNodes, len(lost))
+	share := min(m.capacity/d.usualCapacity, 1)
+	// Between two reports the capacity may have been lower than any report shows.
+	if missing := d.missingCapacity(before, m.maxSize); missing > 0 && m.total > 0 {
+		share = min(share, max(0, 1-missing/m.total))
 	}
 	since := now - event.Began
-	if share < event.Least {
-		event.Least, event.LeastAt, event.Half, event.Most = share, since, 0, 0
+	if share < event.LeastShare {
+		event.LeastShare, event.LeastAt, event.HalfAfter, event.MostAfter = share, since, 0, 0
 	}
-	if event.Half == 0 && share >= halfCapacity {
-		event.Half = since
+	if event.HalfAfter == 0 && share >= halfCapacity {
+		event.HalfAfter = since
 	}
-	if event.Most == 0 && share >= mostCapacity {
-		event.Most = since
+	if event.MostAfter == 0 && share >= mostCapacity {
+		event.MostAfter = since
 	}
 	if share < fullCapacity {
-		event.Full, event.fullSince = 0, -1
-	} else if event.Full == 0 {
-		event.Full, event.fullSince = since, now
+		event.FullAfter, event.fullSince = 0, -1
+	} else if event.FullAfter == 0 {
+		event.FullAfter, event.fullSince = since, now
 	}
 	switch {
-	case event.Full > 0 && now-event.fullSince >= fullDuration && now-event.Began > lossWindow:
-		event.Over, event.Why = true, "all is back"
+	case event.FullAfter > 0 && now-event.fullSince >= fullDuration && now-event.Began > lossWindow:
+		event.Ended, event.EndReason = true, "all is back"
 	case since >= maxEventDuration:
-		event.Over, event.Why = true, "it was given up: the fleet is smaller now"
+		event.Ended, event.EndReason = true, "it was given up: the fleet is smaller now"
 	}
-	if event.Over {
-		lines = append(lines, event.Summary())
-		d.archive()
-		d.losses, d.usualCapacity = nil, capacity // the losses are part of the event that ended
-	}
-	return lines
 }
 
 // missingCapacity returns the most capacity that was missing at one moment between two
 // incarnations of nodes, 0 if no node returned after the given time.
 func (d *EventDetector) missingCapacity(after time.Duration, maxSize float64) (peak float64) {
-	if !slices.ContainsFunc(d.losses, func(l loss) bool { return l.returned != notReturned && l.returned > after }) {
+	if !slices.ContainsFunc(d.losses, func(l loss) bool { return l.returnedAt != notReturned && l.returnedAt > after }) {
 		return 0
 	}
-	type point struct { // ordered by time, ends first: a node is away after lastReport, up to returned
-		at   time.Duration
-		more float64
+	// Ordered by time, returns first: a node is missing from after lastReport up to returnedAt.
+	type point struct {
+		at     time.Duration
+		change float64 // of the missing capacity
 	}
 	points := make([]point, 0, 2*len(d.losses))
 	for _, l := range d.losses {
 		size := min(l.size, maxSize)
-		points = append(points, point{l.lastReport, size}, point{l.returned, -size})
+		points = append(points, point{l.lastReport, size}, point{l.returnedAt, -size})
 	}
 	slices.SortFunc(points, func(a, b point) int {
-		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.more, b.more))
+		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.change, b.change))
 	})
 	missing := 0.0
 	for _, p := range points {
-		if p.more < 0 && p.at != notReturned {
+		if p.change < 0 && p.at != notReturned {
 			peak = max(peak, missing)
 		}
-		missing += p.more
+		missing += p.change
 	}
 	return peak
 }
@@ -279,9 +300,9 @@
 	return maxSizeOverMedian * sizes[(len(sizes)-1)/2]
 }
 
-// addZone returns zones with the zone of node k, sorted and at most 16 long.
+// addZone returns zones with the zone of node added, sorted and at most maxZones long. node may be nil.
 func addZone(zones []string, node *trackedNode) []string {
-	if node == nil || node.Zone == "" || len(zones) >= 16 || slices.Contains(zones, node.Zone) {
+	if node == nil || node.Zone == "" || len(zones) >= maxZones || slices.Contains(zones, node.Zone) {
 		return zones
 	}
 	zones = append(zones, node.Zone)
@@ -293,13 +314,13 @@
 func (d *EventDetector) beginEvent(at time.Duration, lost map[string]bool) string {
 	d.lastNumber++
 	d.current = &Event{
-		Number: d.lastNumber, Began: at, Lost: len(lost), Of: len(d.nodes), Least: 1, Tries: 1, fullSince: -1,
+		Number: d.lastNumber, Began: at, LostNodes: len(lost), FleetSize: len(d.nodes), LeastShare: 1, TriesPerRequest: 1, fullSince: -1,
 	}
 	return fmt.Sprintf("event %d started: %d of %d nodes were lost within %v",
 		d.lastNumber, len(lost), len(d.nodes), lossWindow)
 }
 
-// archive moves the current event to the finished ones.
+// archive moves the current event to the finished ones, of which the latest maxEvents are kept.
 func (d *EventDetector) archive() {
 	d.finished = append(d.finished, *d.current)
 	if len(d.finished) > maxEvents {
@@ -309,8 +330,8 @@
 }
 
 // Summary describes a finished event for the log.
-func (o *Event) Summary() string {
-	at := func(d time.Duration) string {
+func (e *Event) Summary() string {
+	orDash := func(d time.Duration) string {
 		if d == 0 {
 			return "-"
 		}
@@ -318,8 +339,8 @@
 	}
 	return fmt.Sprintf("event %d ended, %s: %d of %d nodes lost, least capacity %.2f after %v, "+
 		"half after %s, 0.95 after %s, full after %s, %.2f tries per first try",
-		o.Number, o.Why, o.Lost, o.Of, o.Least, o.LeastAt.Round(100*time.Millisecond),
-		at(o.Half), at(o.Most), at(o.Full), o.Tries)
+		e.Number, e.EndReason, e.LostNodes, e.FleetSize, e.LeastShare, e.LeastAt.Round(100*time.Millisecond),
+		orDash(e.HalfAfter), orDash(e.MostAfter), orDash(e.FullAfter), e.TriesPerRequest)
 }
 
 // Capacity returns the share of the usual capacity that is there now, 0 = unknown.
@@ -339,8 +360,8 @@
 func (d *EventDetector) Restore(list []Event, shift time.Duration) {
 	for _, event := range list {
 		event.Began += shift
-		if !event.Over {
-			event.Over, event.Why = true, "the service that watched it ended"
+		if !event.Ended {
+			event.Ended, event.EndReason = true, "the service that watched it ended"
 		}
 		d.finished = append(d.finished, event)
 		d.lastNumber = max(d.lastNumber, event.Number)
--- a/decide/recovery/registry.go
+++ b/decide/recovery/registry.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// IncarnationRegistry keeps, for a control service, what nodes last reported about their
-// stores, so that a restarted node can be told what its earlier incarnation reported.
+// IncarnationRegistry holds, for a control service, what nodes last reported about their stores.
+// A restarted node gets from it what its previous incarnation reported.
 type IncarnationRegistry struct {
 	nodes map[string]*storeHistory
 }
@@ -73,7 +73,7 @@
 	Names map[string]storeHistory `json:"names"`
 }
 
-// Save returns what to store.
+// Save returns a copy of the registry to store.
 func (r *IncarnationRegistry) Save() SavedRegistry {
 	saved := SavedRegistry{Names: make(map[string]storeHistory, len(r.nodes))}
 	for name, history := range r.nodes {
@@ -84,7 +84,7 @@
 	return saved
 }
 
-// Restore adds what was stored.
+// Restore adds what was stored; entries that exceed a limit are skipped.
 func (r *IncarnationRegistry) Restore(saved SavedRegistry) {
 	for name, history := range saved.Names {
 		if len(r.nodes) < maxRegisteredNodes && len(history.Stores) > 0 &&
--- a/decide/recovery/storecheck.go
+++ b/decide/recovery/storecheck.go
@@ -9,7 +9,7 @@
 	"robinmast/rules"
 )
 
-// Identity names a store and the incarnation of the node that uses it. It is stored durably
+// Identity identifies a store and the incarnation of the node that uses it. It is stored durably
 // before that incarnation answers a request.
 type Identity struct {
 	ID            string `cbor:"1,keyasint" json:"id"`    // random, created with the store
@@ -92,14 +92,14 @@
 	}
 	switch {
 	case found.Node != "" && found.Node != found.Identity.Node:
-		c.markIncomplete("the folder is that of " + found.Node)
+		c.markIncomplete("the results directory belongs to node " + found.Node)
 	case found.UnreadablePlaces > 0:
 		c.markIncomplete(fmt.Sprintf("%d places in its files are unreadable", found.UnreadablePlaces))
 	case float64(found.Keys) < minKeyShare*float64(found.Checkpoint.Keys)-maxMissingKeys:
 		c.markIncomplete(fmt.Sprintf("it has %d keys, the previous incarnation counted %d",
 			found.Keys, found.Checkpoint.Keys))
 	case found.Created && pendingAnswers > 0:
-		c.integrity, c.unverifiedUntil, c.reason = Unverified, processStart+previousStoreWait, "the folder was empty"
+		c.integrity, c.unverifiedUntil, c.reason = Unverified, processStart+previousStoreWait, "the results directory was empty"
 	}
 	return c
 }
@@ -131,9 +131,9 @@
 	}
 	switch {
 	case previous.ID != c.found.Identity.ID && c.found.Created:
-		c.markIncomplete("the folder was empty, and an earlier life was heard")
+		c.markIncomplete("the results directory was empty, but an earlier incarnation reported a store")
 	case previous.ID != c.found.Identity.ID:
-		c.markIncomplete("an earlier life was heard with another store")
+		c.markIncomplete("an earlier incarnation reported another store")
 	case previous.Epoch >= c.found.Identity.Epoch:
 		c.markIncomplete(fmt.Sprintf("incarnation %d was reported, and this is incarnation %d of the store: it is an older copy",
 			previous.Epoch, c.found.Identity.Epoch))
@@ -152,7 +152,7 @@
 // that changed the integrity, else "".
 func (c *StoreCheck) WorkerPoolUp(since time.Duration) string {
 	if c.found.Created && c.integrity != Incomplete && since+poolAgeMargin < c.processStart {
-		c.markIncomplete("the folder was empty, and the worker pool is older than the node")
+		c.markIncomplete("the results directory was empty, but the worker pool is older than the node process")
 		return c.Describe()
 	}
 	return ""
@@ -166,7 +166,7 @@
 
 // Integrity returns the integrity of the store now, and the reason if it is not Intact.
 func (c *StoreCheck) Integrity(now time.Duration) (Integrity, string) {
-	// Without an answer the store counts as the first; the operators' page says what cannot be known.
+	// Without an answer the store counts as the first of this node; the operators' page says what cannot be known.
 	if c.integrity == Unverified && now >= c.unverifiedUntil {
 		c.integrity, c.reason = Intact, ""
 	}
@@ -174,7 +174,7 @@
 }
 
 // MayHaveRun reports whether a request without a record may have run in an earlier
-// incarnation: its class is keyed or unsafe, it is a further try or reached the machine before
+// incarnation, and counts it in InDoubt: its class is keyed or unsafe, it is a further try or reached the machine before
 // the start, and a first try from before the start could still be repeated. window is how long
 // after the first try a repeat may come; key links the tries of a request, 0 = nothing does;
 // age is the time since the request reached the machine.
@@ -201,7 +201,7 @@
 		}
 		return false
 	case furtherTry && key != 0:
-		if _, here := c.firstTries[key]; here { // its first try reached this incarnation
+		if _, known := c.firstTries[key]; known { // its first try reached this incarnation
 			return false
 		}
 	}
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -262,7 +262,7 @@
 	for ctx.Err() == nil {
 		linksBefore := l.Counters.Links.Load()
 		if l.retryBackoff != nil {
-			l.retryBackoff.TryStarted(time.Since(start))
+			l.retryBackoff.AttemptStarted(time.Since(start))
 		}
 		reason, err := l.runLink(ctx)
 		if ctx.Err() != nil {
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -201,10 +201,10 @@
 	binary.BigEndian.PutUint64(r[9:], math.Float64bits(milliseconds(d)))
 }
 
-// PushBack adds a refusal; last tells the caller to stop retrying.
-func (a *Actions) PushBack(id uint64, retryAfter time.Duration, last bool) {
+// PushBack adds a refusal; stopRetrying tells the caller to stop retrying.
+func (a *Actions) PushBack(id uint64, retryAfter time.Duration, stopRetrying bool) {
 	a.IDTime(AcPushBack, id, retryAfter)
-	if last {
+	if stopRetrying {
 		a.records[len(a.records)-ActionSize+17] = 1
 	}
 }
