--- a/internal/recovery/keeper.go
+++ b/internal/recovery/keeper.go
@@ -136,7 +136,7 @@
 	k.storeID.Store(&k.found.Identity.ID)
 	if err := k.put(identityKey, k.identity, store.Durable); err != nil {
 		// The next incarnation will use the same number and hold its store incomplete.
-		k.log.Error("this life can't be noted in the store: after the next start requests will be in doubt",
+		k.log.Error("this incarnation is not stored: requests will be in doubt after the next start",
 			"err", err)
 	}
 	if cfg.Options.Snapshot {
--- a/internal/recovery/keeper_test.go
+++ b/internal/recovery/keeper_test.go
@@ -141,7 +141,7 @@
 	node.diskFull = true
 	k, s = node.start(false)
 	node.diskFull = false
-	if !strings.Contains(node.log.String(), "this life can't be noted") {
+	if !strings.Contains(node.log.String(), "this incarnation is not stored") {
 		t.Fatalf("a full disk logs %s", node.log.String())
 	}
 	previous := *k.Identity()
