--- a/cmd/robinmast/control.go
+++ b/cmd/robinmast/control.go
@@ -32,7 +32,7 @@
 	// Set before the reporters run, nil where the feature is off. The time since is when the
 	// answered report was sent.
 	receiveDigest   func(since time.Time, source int, d shedding.Digest)
-	recovery        *recovery.Keeper
+	recovery        *recovery.Manager
 	observePrevious func(*decide.PreviousStore) // receives what is known of previous incarnations
 	fleetCapacity   func(since time.Time, share float64)
 
@@ -203,7 +203,7 @@
 // useRecovery adds the recovery state to the reports, and passes on what services answer of
 // previous incarnations and of the fleet's capacity. It must be called before the reporters run.
 func (c *controlReport) useRecovery(
-	keeper *recovery.Keeper, observePrevious func(*decide.PreviousStore), fleetCapacity func(time.Time, float64),
+	keeper *recovery.Manager, observePrevious func(*decide.PreviousStore), fleetCapacity func(time.Time, float64),
 ) {
 	c.recovery, c.observePrevious, c.fleetCapacity = keeper, observePrevious, fleetCapacity
 }
--- a/cmd/robinmast/counters.go
+++ b/cmd/robinmast/counters.go
@@ -69,8 +69,8 @@
 		syncs := s.Syncs.Load()
 		args = append(args, slog.Group("results",
 			"intents", c.Intents.Load(), "stored", c.Stored.Load(), "restored", c.Restored.Load(),
-			"answered", c.Answered.Load(), "unknown", c.Unknown.Load(), "late_ends", c.Late.Load(),
-			"aged", c.Aged.Load(), "evicted", c.Evicted.Load(), "no_room", c.NoRoom.Load(), "failed", c.Failed.Load()),
+			"answered", c.Answered.Load(), "unknown", c.Unknown.Load(), "late_ends", c.LateEnds.Load(),
+			"aged", c.Expired.Load(), "evicted", c.Evicted.Load(), "no_room", c.NoRoom.Load(), "failed", c.Failed.Load()),
 			slog.Group("store",
 				"entries", p.results.Store().Len(), "batches", s.Batches.Load(), "bytes", s.Bytes.Load(),
 				"syncs", syncs, "sync_mean", time.Duration(s.SyncNanos.Load()/max(syncs, 1)), "full", s.Full.Load(),
@@ -88,9 +88,9 @@
 		if v := p.recovery.View(); v != nil {
 			c := &p.recovery.Counters
 			args = append(args, slog.Group("comeback",
-				"state", v.State, "asks", round(v.RequestedShare), "warm", round(v.Warm), "memory", v.Integrity, "why", v.IntegrityReason,
+				"state", v.State, "asks", round(v.RequestedShare), "warm", round(v.Speed), "memory", v.Integrity, "why", v.IntegrityReason,
 				"in_doubt", c.InDoubt.Load(), "snapshots", c.Snapshots.Load(),
-				"priors_dropped", c.Dropped.Load(), "failed_writes", c.Failed.Load()))
+				"priors_dropped", c.Discarded.Load(), "failed_writes", c.FailedWrites.Load()))
 		}
 	}
 	if p.cfg.set.NewShedder != nil && line == countersMessage {
--- a/cmd/robinmast/open.go
+++ b/cmd/robinmast/open.go
@@ -24,7 +24,7 @@
 		spread = maintenanceSpread
 	}
 	results, err := resultcache.Open(resultcache.Config{
-		Results: cfg.own.Results, Store: cfg.own.Store, Settings: cfg.set, Names: cfg.names, Log: log, Spread: spread,
+		Results: cfg.own.Results, Store: cfg.own.Store, Settings: cfg.set, Names: cfg.names, Log: log, MaintenanceSpread: spread,
 	})
 	if err != nil && cfg.own.Results.StartEmpty {
 		log.Error("serving without remembered results: what ran before this start may run again", "err", err)
@@ -37,7 +37,7 @@
 // closes the snapshot's store if openRecovery opened one; it is never nil.
 func openRecovery(
 	cfg *platform, results *resultcache.Cache, began time.Time, log *slog.Logger,
-) (keeper *recovery.Keeper, closeStore func(), err error) {
+) (keeper *recovery.Manager, closeStore func(), err error) {
 	closeStore = func() {}
 	own := cfg.own.Recovery
 	if !own.Enabled {
@@ -48,14 +48,14 @@
 	}
 	switch {
 	case results != nil:
-		c.Store, c.Recovery, c.Results = results.Store(), results.Recovery(), true
+		c.Store, c.StoreRecovery, c.HasResultCache = results.Store(), results.Recovery(), true
 	case own.Snapshot && own.Dir != "":
-		s, rec, err := store.Open(own.Dir, store.Options{Interval: cfg.own.Store.Interval})
+		s, rec, err := store.Open(own.Dir, store.Options{SyncInterval: cfg.own.Store.SyncInterval})
 		if err != nil { // serving matters more than a warm start
 			log.Error("serving without a snapshot", "err", err)
 			break
 		}
-		c.Store, c.Recovery = s, rec
+		c.Store, c.StoreRecovery = s, rec
 		closeStore = func() {
 			if err := s.Close(); err != nil {
 				log.Error("closing the snapshot store failed", "err", err)
--- a/cmd/robinmast/serve.go
+++ b/cmd/robinmast/serve.go
@@ -48,8 +48,8 @@
 	reloading   bool          // a reload is running
 	reloadAgain bool          // another reload was requested meanwhile
 
-	control  *controlReport   // nil = no reports to a control service
-	recovery *recovery.Keeper // nil = [comeback] is off
+	control  *controlReport    // nil = no reports to a control service
+	recovery *recovery.Manager // nil = [comeback] is off
 }
 
 // notices holds the channels of the notice to leave and of all other signals. They may be the
@@ -59,7 +59,7 @@
 // serve runs the node until it has left, or until a component fails; reload reads the
 // platform's configuration again.
 func serve(
-	cfg *platform, results *resultcache.Cache, keeper *recovery.Keeper, ln net.Listener, signals notices,
+	cfg *platform, results *resultcache.Cache, keeper *recovery.Manager, ln net.Listener, signals notices,
 	reload func() (*platform, error), log *slog.Logger,
 ) error {
 	memory := int64(cfg.Limits.MemoryMB * (1 << 20))
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -48,16 +48,16 @@
 
 // Results holds the settings of [results], the result cache.
 type Results struct {
-	Enabled      bool
-	Dir          string
-	Bytes        int64         // maximum size of the stored results
-	Entries      int           // maximum number of records
-	Durable      bool          // intents and results wait until they are synced to disk
-	StartEmpty   bool          // start without the store if it cannot be opened
-	RunUnwritten bool          // run requests whose intent cannot be written
-	FailUnknown  bool          // fail repeats of safe requests whose run was interrupted by a crash
-	Unsafe       bool          // write intents for requests that may run at most once
-	Slack        time.Duration // error of the wall clock that is tolerated across a restart
+	Enabled          bool
+	Dir              string
+	MaxBytes         int64         // maximum size of the stored results
+	MaxRecords       int           // maximum number of records
+	Durable          bool          // intents and results wait until they are synced to disk
+	StartEmpty       bool          // start without the store if it cannot be opened
+	RunUnrecorded    bool          // run requests whose intent cannot be written
+	FailUnknownReads bool          // fail repeats of safe requests whose run was interrupted by a crash
+	RecordUnsafe     bool          // write intents for requests that may run at most once
+	ClockSlack       time.Duration // error of the wall clock that is tolerated across a restart
 }
 
 // Pools holds the settings of [pools] and of the [pool.NAME] sections.
@@ -95,8 +95,8 @@
 
 // Store holds the settings of [store], the store under the result cache.
 type Store struct {
-	Segment        int64         // bytes of disk beyond twice the live data
-	Interval       time.Duration // longest time between syncs
+	SlackBytes     int64         // bytes of disk beyond twice the live data
+	SyncInterval   time.Duration // longest time between syncs
 	CompactionRate int64         // bytes per second
 }
 
@@ -106,7 +106,7 @@
 	Line    int // from 1; 0 = unknown
 	Section string
 	Key     string // "" if the fault concerns the whole section
-	What    string // what is wrong
+	Message string // what is wrong
 }
 
 // Error returns one line, FILE:LINE: [section] key: what is wrong.
@@ -121,7 +121,7 @@
 	if f.Key != "" {
 		s += " " + f.Key + ":"
 	}
-	return s + " " + f.What
+	return s + " " + f.Message
 }
 
 // Defaults returns the configuration that holds without a file: every feature is off.
@@ -169,13 +169,13 @@
 		IgnoreContinuation: true, SpaceBeforeInlineComment: true, SkipUnrecognizableLines: true,
 	}, text)
 	if err != nil {
-		return c, append(faults, Fault{File: name, What: err.Error()})
+		return c, append(faults, Fault{File: name, Message: err.Error()})
 	}
 	for _, s := range file.Sections() {
 		if s.Name() == ini.DefaultSection {
 			for _, k := range s.Keys() {
 				faults = append(faults, Fault{
-					File: name, Line: lines.line("", k.Name()), Key: k.Name(), What: "key before any section",
+					File: name, Line: lines.line("", k.Name()), Key: k.Name(), Message: "key before any section",
 				})
 			}
 			continue
@@ -188,7 +188,7 @@
 			}
 			faults = append(faults, Fault{
 				File: name, Line: lines.section[s.Name()], Section: s.Name(),
-				What: "unknown section" + suggestion(s.Name(), names),
+				Message: "unknown section" + suggestion(s.Name(), names),
 			})
 			continue
 		}
@@ -196,13 +196,13 @@
 			fault := Fault{File: name, Line: lines.line(s.Name(), k.Name()), Section: s.Name(), Key: k.Name()}
 			row := findKey(known, k.Name())
 			if row == nil {
-				fault.What = "unknown key" + suggestion(k.Name(), keyNames(known))
+				fault.Message = "unknown key" + suggestion(k.Name(), keyNames(known))
 				faults = append(faults, fault)
 				continue
 			}
 			v, err := row.parse(k.Value())
 			if err != nil {
-				fault.What = err.Error()
+				fault.Message = err.Error()
 				faults = append(faults, fault)
 				continue
 			}
@@ -247,7 +247,7 @@
 	var errs []error
 	for name := range c.Pools.Classes {
 		if !slices.Contains(classes, name) {
-			errs = append(errs, c.withPosition(Fault{Section: "pool." + name, What: "no such class" + suggestion(name, classes)}))
+			errs = append(errs, c.withPosition(Fault{Section: "pool." + name, Message: "no such class" + suggestion(name, classes)}))
 		}
 	}
 	slices.SortFunc(errs, func(a, b error) int { return strings.Compare(a.Error(), b.Error()) })
@@ -257,26 +257,26 @@
 // check returns the faults that concern more than one key.
 func (c *Config) check() (faults []Fault) {
 	if c.Results.Enabled && c.Results.Dir == "" {
-		faults = append(faults, Fault{Section: "results", Key: "dir", What: "a directory is required when enabled"})
+		faults = append(faults, Fault{Section: "results", Key: "dir", Message: "a directory is required when enabled"})
 	}
-	if c.Results.Enabled && c.Results.Bytes < c.Store.Segment/4 {
+	if c.Results.Enabled && c.Results.MaxBytes < c.Store.SlackBytes/4 {
 		faults = append(faults, Fault{Section: "results", Key: "bytes",
-			What: fmt.Sprintf("%s is less than one store file (a quarter of [store] segment)", sizeText(c.Results.Bytes))})
+			Message: fmt.Sprintf("%s is less than one store file (a quarter of [store] segment)", sizeText(c.Results.MaxBytes))})
 	}
 	if k := c.Control; k.Cert != "" || k.Key != "" || k.CA != "" {
 		for name, v := range map[string]string{"cert": k.Cert, "key": k.Key, "ca": k.CA} {
 			if v == "" {
-				faults = append(faults, Fault{Section: "control", Key: name, What: "cert, key and ca must be set together"})
+				faults = append(faults, Fault{Section: "control", Key: name, Message: "cert, key and ca must be set together"})
 			}
 		}
 	}
 	if c.Shedding.Enabled && c.Shedding.UseDigests && len(c.Control.Address) == 0 {
 		faults = append(faults, Fault{Section: "together", Key: "told",
-			What: "digests come from a control service: [control] address is required"})
+			Message: "digests come from a control service: [control] address is required"})
 	}
 	if k := c.Recovery; k.Enabled && k.Snapshot && !c.Results.Enabled && k.Dir == "" {
 		faults = append(faults, Fault{Section: "comeback", Key: "dir",
-			What: "a snapshot needs a directory: set dir, or enable [results]"})
+			Message: "a snapshot needs a directory: set dir, or enable [results]"})
 	}
 	sum, last := c.Pools.Reserve, Fault{Section: "pools", Key: "reserve"}
 	for name, r := range c.Pools.Classes {
@@ -286,7 +286,7 @@
 		}
 	}
 	if sum > 1+1e-9 {
-		last.What = fmt.Sprintf("the reserves add up to %.4g of the node, at most 1 is allowed", sum)
+		last.Message = fmt.Sprintf("the reserves add up to %.4g of the node, at most 1 is allowed", sum)
 		faults = append(faults, last)
 	}
 	return faults
@@ -488,32 +488,32 @@
 				section = strings.TrimSpace(line[1:i])
 				if first := index.section[section]; first > 0 {
 					faults = append(faults, Fault{File: name, Line: n, Section: section,
-						What: fmt.Sprintf("duplicate section, first on line %d", first)})
+						Message: fmt.Sprintf("duplicate section, first on line %d", first)})
 					continue
 				}
 				index.section[section] = n
 				continue
 			}
 			faults = append(faults, Fault{File: name, Line: n,
-				What: fmt.Sprintf("%q is not a section: missing closing bracket", line)})
+				Message: fmt.Sprintf("%q is not a section: missing closing bracket", line)})
 			continue
 		}
 		i := strings.IndexAny(line, "=:")
 		if i <= 0 {
 			faults = append(faults, Fault{File: name, Line: n, Section: section,
-				What: fmt.Sprintf("%q is neither a section nor key = value", line)})
+				Message: fmt.Sprintf("%q is neither a section nor key = value", line)})
 			continue
 		}
 		k := strings.TrimSpace(line[:i])
 		if first := index.line(section, k); first > 0 {
 			faults = append(faults, Fault{File: name, Line: n, Section: section, Key: k,
-				What: fmt.Sprintf("duplicate key, first on line %d", first)})
+				Message: fmt.Sprintf("duplicate key, first on line %d", first)})
 			continue
 		}
 		index.key[[2]string{section, k}] = n
 	}
 	if err := lines.Err(); err != nil {
-		faults = append(faults, Fault{File: name, Line: n + 1, What: err.Error()})
+		faults = append(faults, Fault{File: name, Line: n + 1, Message: err.Error()})
 	}
 	return index, faults
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -40,7 +40,7 @@
 		t.Fatal(faults)
 	}
 	want := Defaults()
-	want.Results.Enabled, want.Results.Dir, want.Results.Bytes, want.Results.Slack = true, "/data/r", 3<<20, 90*time.Second
+	want.Results.Enabled, want.Results.Dir, want.Results.MaxBytes, want.Results.ClockSlack = true, "/data/r", 3<<20, 90*time.Second
 	want.Log.Level = "warn"
 	want.Pools.Classes = map[string]float64{"a.b": 0.25}
 	assertSame(t, c, want)
--- a/internal/node/resultcache_test.go
+++ b/internal/node/resultcache_test.go
@@ -236,7 +236,7 @@
 func TestIntentWriteFails(t *testing.T) {
 	for _, run := range []bool{false, true} {
 		disk := vfs.NewMem(false)
-		a := startIncarnation(t, disk, 1000, time.Hour, func(r *config.Results, _ *rules.Settings) { r.RunUnwritten = run })
+		a := startIncarnation(t, disk, 1000, time.Hour, func(r *config.Results, _ *rules.Settings) { r.RunUnrecorded = run })
 		disk.Fail(func(o vfs.Op) error {
 			if o.Kind == vfs.OpWrite {
 				return syscall.ENOSPC
@@ -263,7 +263,7 @@
 // read that was running at the crash runs again, or fails if configured so.
 func TestReadsSurviveRestart(t *testing.T) {
 	for _, fail := range []bool{false, true} {
-		set := func(r *config.Results, _ *rules.Settings) { r.FailUnknown = fail }
+		set := func(r *config.Results, _ *rules.Settings) { r.FailUnknownReads = fail }
 		disk := vfs.NewMem(false)
 		a := startIncarnation(t, disk, 1000, time.Hour, set)
 		x, cut := a.send(0, withItem("i")), a.send(0, withItem("cut"))
@@ -339,7 +339,7 @@
 // Unsafe work waits for its intent if configured so. The next incarnation logs the
 // requests that may have run, and keeps no record of them.
 func TestUnsafeIntent(t *testing.T) {
-	set := func(r *config.Results, _ *rules.Settings) { r.Unsafe = true }
+	set := func(r *config.Results, _ *rules.Settings) { r.RecordUnsafe = true }
 	disk := vfs.NewMem(false)
 	a := startIncarnation(t, disk, 1000, time.Hour, set)
 	release := blockDisk(disk)
--- a/internal/recovery/keeper.go
+++ b/internal/recovery/manager.go
@@ -37,31 +37,31 @@
 	checkpointInterval = time.Second
 )
 
-// Counters are the counters of a Keeper; any goroutine may read them.
+// Counters are the counters of a Manager; any goroutine may read them.
 type Counters struct {
-	InDoubt   atomic.Int64 // requests failed because an earlier incarnation may have run them
-	Snapshots atomic.Int64 // snapshots written
-	Failed    atomic.Int64 // writes that failed
-	Dropped   atomic.Int64 // snapshots discarded because runs contradicted them
+	InDoubt      atomic.Int64 // requests failed because an earlier incarnation may have run them
+	Snapshots    atomic.Int64 // snapshots written
+	FailedWrites atomic.Int64 // writes that failed
+	Discarded    atomic.Int64 // snapshots discarded because runs contradicted them
 }
 
-// Config is the configuration of a Keeper.
+// Config is the configuration of a Manager.
 type Config struct {
 	Options         config.Recovery // the [comeback] section
 	Store           *store.Store    // nil = nothing is stored
-	Recovery        store.Recovery  // what opening the store found
-	Results         bool            // the store holds the result cache, so lost records put requests in doubt
+	StoreRecovery   store.Recovery  // what opening the store found
+	HasResultCache  bool            // the store holds the result cache, so lost records put requests in doubt
 	Node            string          // name of the node
 	ControlServices int             // control services that can be asked for earlier incarnations
 	Settings        rules.Settings
 	Names           settings.Names
 	Log             *slog.Logger
-	Wall            func() int64 // Unix milliseconds, nil = the system's
+	WallClock       func() int64 // Unix milliseconds, nil = the system's
 }
 
-// Keeper manages the recovery of one incarnation of a node. Its methods belong to the node's loop,
+// Manager manages the recovery of one incarnation of a node. Its methods belong to the node's loop,
 // except Identity, View and the counters, which any goroutine may use.
-type Keeper struct {
+type Manager struct {
 	Counters Counters
 
 	cfg              Config
@@ -90,26 +90,26 @@
 type View struct {
 	State           string  // name of the recovery.State
 	RequestedShare  float64 // requested share of the load in full service
-	Warm            float64 // share of its usual speed that the node has reached
+	Speed           float64 // share of its usual speed that the node has reached
 	Integrity       string  // name of the recovery.Integrity, "" without a result cache
 	IntegrityReason string  // reason for Memory
 }
 
 // Open reads what earlier incarnations stored and begins a new one; processStart is when the process
 // started.
-func Open(cfg Config, processStart time.Time) (*Keeper, error) {
-	k := &Keeper{
+func Open(cfg Config, processStart time.Time) (*Manager, error) {
+	k := &Manager{
 		cfg: cfg, log: cfg.Log, processStart: processStart,
 		machineKind: machineDescription(cfg.Settings.Cores), digest: settingsDigest(cfg.Settings, cfg.Names),
 	}
-	if k.cfg.Wall == nil {
-		k.cfg.Wall = func() int64 { return time.Now().UnixMilli() }
+	if k.cfg.WallClock == nil {
+		k.cfg.WallClock = func() int64 { return time.Now().UnixMilli() }
 	}
 	if cfg.Store == nil {
 		return k, nil
 	}
 	k.found = decide.FoundState{
-		Keys: cfg.Store.Len(), UnreadablePlaces: len(cfg.Recovery.Damaged), CompleteSince: math.MinInt64,
+		Keys: cfg.Store.Len(), UnreadablePlaces: len(cfg.StoreRecovery.Damaged), CompleteSince: math.MinInt64,
 	}
 	switch err := k.get(identityKey, &k.identity); {
 	case errors.Is(err, store.ErrNotFound):
@@ -146,7 +146,7 @@
 }
 
 // loadSnapshot reads the snapshot and logs whether it is used.
-func (k *Keeper) loadSnapshot() {
+func (k *Manager) loadSnapshot() {
 	var snapshot decide.Snapshot
 	err := k.get(snapshotKey, &snapshot)
 	if errors.Is(err, store.ErrNotFound) {
@@ -157,19 +157,19 @@
 		return
 	}
 	weight, why := decide.SnapshotWeight(
-		&snapshot, k.digest, k.machineKind, len(k.cfg.Settings.Classes), k.cfg.Wall())
+		&snapshot, k.digest, k.machineKind, len(k.cfg.Settings.Classes), k.cfg.WallClock())
 	if weight <= 0 {
 		k.log.Info("snapshot not taken up", "why", why)
 		return
 	}
 	k.learned, k.weight = &snapshot.Learned, weight
 	k.log.Info("snapshot taken up, to be checked against runs",
-		"age", time.Duration(k.cfg.Wall()-snapshot.Taken)*time.Millisecond, "weight", math.Round(100*weight)/100,
+		"age", time.Duration(k.cfg.WallClock()-snapshot.Taken)*time.Millisecond, "weight", math.Round(100*weight)/100,
 		"limit", math.Round(snapshot.Learned.Limit), "rate", math.Round(snapshot.Learned.Rate))
 }
 
 // get reads the value of a key from the store.
-func (k *Keeper) get(key string, into any) error {
+func (k *Manager) get(key string, into any) error {
 	text, err := k.cfg.Store.Get(key)
 	if err == nil {
 		err = cbor.Unmarshal(text, into)
@@ -178,7 +178,7 @@
 }
 
 // put writes a value to the store and waits for it.
-func (k *Keeper) put(key string, v any, d store.Durability) error {
+func (k *Manager) put(key string, v any, d store.Durability) error {
 	var b store.Batch
 	text, err := cbor.Marshal(v)
 	if err != nil {
@@ -189,7 +189,7 @@
 }
 
 // putAsync writes a value to the store without waiting for it.
-func (k *Keeper) putAsync(key string, v any) {
+func (k *Manager) putAsync(key string, v any) {
 	var b store.Batch
 	text, err := cbor.Marshal(v)
 	if err != nil { // the types have nothing that can't be encoded
@@ -198,7 +198,7 @@
 	b.Put(key, text, 0)
 	k.cfg.Store.ApplyAsync(&b, store.Buffered, func(err error) {
 		if err != nil {
-			k.Counters.Failed.Add(1)
+			k.Counters.FailedWrites.Add(1)
 		} else if checkpoint, ok := v.(decide.Checkpoint); ok {
 			k.storedCheckpoint.Store(checkpoint.N)
 		}
@@ -207,7 +207,7 @@
 
 // Begin starts the recovery at the loop's time now, when the process has read its store. It must be
 // called before the other methods of the loop.
-func (k *Keeper) Begin(now time.Duration) {
+func (k *Manager) Begin(now time.Duration) {
 	settings := decide.StartupSettings{
 		Cores: k.cfg.Settings.Cores, ColdSpeed: k.cfg.Settings.ColdSpeed, WarmUpTime: k.cfg.Settings.WarmUpTime,
 	}
@@ -218,8 +218,8 @@
 	}
 	processStart := now - time.Since(k.processStart)
 	k.startup = decide.NewStartup(processStart, now, settings)
-	k.zeroUnix = k.cfg.Wall() - now.Milliseconds()
-	if k.cfg.Store == nil || !k.cfg.Results {
+	k.zeroUnix = k.cfg.WallClock() - now.Milliseconds()
+	if k.cfg.Store == nil || !k.cfg.HasResultCache {
 		return
 	}
 	if k.identity.CompleteSince != 0 {
@@ -233,7 +233,7 @@
 }
 
 // reportIntegrity logs a line of the StoreCheck, if any, and stores CompleteSince if it changed.
-func (k *Keeper) reportIntegrity(line string) {
+func (k *Manager) reportIntegrity(line string) {
 	if line == "" {
 		return
 	}
@@ -258,8 +258,8 @@
 
 // Identity returns what the node's reports say about its store, nil if there is no result cache. Any
 // goroutine may call it.
-func (k *Keeper) Identity() *decide.PreviousStore {
-	if k.cfg.Store == nil || !k.cfg.Results {
+func (k *Manager) Identity() *decide.PreviousStore {
+	if k.cfg.Store == nil || !k.cfg.HasResultCache {
 		return nil
 	}
 	return &decide.PreviousStore{
@@ -268,21 +268,21 @@
 }
 
 // ObservePrevious takes what a control service knows of an earlier incarnation, nil = of none.
-func (k *Keeper) ObservePrevious(now time.Duration, previous *decide.PreviousStore) {
+func (k *Manager) ObservePrevious(now time.Duration, previous *decide.PreviousStore) {
 	if k.check != nil {
 		k.reportIntegrity(k.check.ObservePrevious(now, previous))
 	}
 }
 
 // FleetCapacity takes the share of the fleet's usual capacity that was there at the time since.
-func (k *Keeper) FleetCapacity(since time.Duration, share float64) {
+func (k *Manager) FleetCapacity(since time.Duration, share float64) {
 	k.startup.FleetCapacity(since, share)
 }
 
 // WorkerPoolUp reports that the worker pool is up, since when, and whether it started cold. It returns
 // what the decision module may start from, nil = nothing, with its weight and the share of its usual
 // speed at which the node starts.
-func (k *Keeper) WorkerPoolUp(now, since time.Duration, cold bool) (learned *rules.Learned, weight, speed float64) {
+func (k *Manager) WorkerPoolUp(now, since time.Duration, cold bool) (learned *rules.Learned, weight, speed float64) {
 	k.startup.WorkerPoolUp(now, since, cold)
 	if k.check != nil {
 		k.reportIntegrity(k.check.WorkerPoolUp(since))
@@ -298,7 +298,7 @@
 // InDoubt reports whether a request without a record may have run in an earlier incarnation and must
 // not run again. key links the tries of a request, 0 = nothing does; age is the time since the request
 // reached the machine.
-func (k *Keeper) InDoubt(now time.Duration, class int, key uint64, furtherTry bool, age time.Duration) bool {
+func (k *Manager) InDoubt(now time.Duration, class int, key uint64, furtherTry bool, age time.Duration) bool {
 	if k.check == nil {
 		return false
 	}
@@ -318,17 +318,17 @@
 }
 
 // Arrived reports the arrival of a request; furtherTry marks a further try.
-func (k *Keeper) Arrived(now time.Duration, furtherTry bool) { k.startup.Arrived(now, furtherTry) }
+func (k *Manager) Arrived(now time.Duration, furtherTry bool) { k.startup.Arrived(now, furtherTry) }
 
 // RunSucceeded reports a successful run: how long it took, and the caller's hint of that, 0 = no hint.
 // It returns whether the decision module must discard what it took from the snapshot.
-func (k *Keeper) RunSucceeded(now time.Duration, class int, took, hint time.Duration) (discard bool) {
+func (k *Manager) RunSucceeded(now time.Duration, class int, took, hint time.Duration) (discard bool) {
 	k.startup.RunSucceeded(now, class, took, hint)
 	if k.warmStart == nil || k.warmStart.Settled() {
 		return false
 	}
 	if reason := k.warmStart.ObserveRun(class, took, k.startup.Speed(now)); reason != "" {
-		k.Counters.Dropped.Add(1)
+		k.Counters.Discarded.Add(1)
 		k.log.Warn("snapshot dropped", "why", reason)
 		k.learned = nil
 		return true
@@ -340,7 +340,7 @@
 // that the whole fleet is short of capacity; learned is called if a snapshot may be due. It returns the
 // share of its full-service load that the node requests, and the share of its usual speed that it has
 // reached.
-func (k *Keeper) Step(now time.Duration, short bool, learned func() rules.Learned) (share, speed float64) {
+func (k *Manager) Step(now time.Duration, short bool, learned func() rules.Learned) (share, speed float64) {
 	k.startup.FleetShortage(short)
 	share, line := k.startup.Step(now)
 	if line != "" {
@@ -348,7 +348,7 @@
 	}
 	speed = k.startup.Speed(now)
 	state, _ := k.startup.State()
-	view := View{State: state.String(), RequestedShare: share, Warm: speed}
+	view := View{State: state.String(), RequestedShare: share, Speed: speed}
 	if k.check != nil {
 		integrity, reason := k.check.Integrity(now)
 		view.Integrity, view.IntegrityReason = integrity.String(), reason
@@ -369,27 +369,27 @@
 
 // checkpoint stores how many keys the store holds: an incarnation that finds fewer, or an older
 // checkpoint than a control service received, has lost some.
-func (k *Keeper) checkpoint() {
-	if k.cfg.Results {
+func (k *Manager) checkpoint() {
+	if k.cfg.HasResultCache {
 		k.checkpoints++
 		k.putAsync(checkpointKey, decide.Checkpoint{N: k.checkpoints, Keys: k.cfg.Store.Len()})
 	}
 }
 
 // storeSnapshot stores what the decision module learned.
-func (k *Keeper) storeSnapshot(learned rules.Learned) {
+func (k *Manager) storeSnapshot(learned rules.Learned) {
 	k.Counters.Snapshots.Add(1)
 	k.putAsync(snapshotKey, decide.Snapshot{
-		Version: decide.SnapshotVersion, SettingsDigest: k.digest, Machine: k.machineKind, Taken: k.cfg.Wall(),
+		Version: decide.SnapshotVersion, SettingsDigest: k.digest, Machine: k.machineKind, Taken: k.cfg.WallClock(),
 		Learned: learned,
 	})
 }
 
 // View returns the state of the recovery, nil before the first step.
-func (k *Keeper) View() *View { return k.view.Load() }
+func (k *Manager) View() *View { return k.view.Load() }
 
 // Close stores a last checkpoint and snapshot. The loop must have ended, and the store must be open.
-func (k *Keeper) Close(learned rules.Learned) {
+func (k *Manager) Close(learned rules.Learned) {
 	if k.cfg.Store == nil {
 		return
 	}
--- a/internal/recovery/keeper_test.go
+++ b/internal/recovery/manager_test.go
@@ -42,7 +42,7 @@
 }
 
 // start begins an incarnation.
-func (n *testNode) start(snapshot bool) (k *Keeper, s *store.Store) {
+func (n *testNode) start(snapshot bool) (k *Manager, s *store.Store) {
 	n.t.Helper()
 	s, rec, err := store.Open("/s", store.Options{FS: n.disk, Manual: true})
 	if err != nil {
@@ -53,9 +53,9 @@
 	}
 	n.log.Reset()
 	k, err = Open(Config{
-		Options: config.Recovery{Enabled: true, Snapshot: snapshot}, Store: s, Recovery: rec, Results: true,
+		Options: config.Recovery{Enabled: true, Snapshot: snapshot}, Store: s, StoreRecovery: rec, HasResultCache: true,
 		Node: n.name, ControlServices: 1, Settings: n.settings, Names: settings.Names{Classes: []string{"a", "b", "c"}},
-		Log: slog.New(slog.NewTextHandler(&n.log, nil)), Wall: func() int64 { return n.wall },
+		Log: slog.New(slog.NewTextHandler(&n.log, nil)), WallClock: func() int64 { return n.wall },
 	}, time.Now())
 	if err != nil {
 		n.t.Fatal(err)
@@ -65,7 +65,7 @@
 }
 
 // stop ends an incarnation and closes its store.
-func (n *testNode) stop(k *Keeper, s *store.Store, l rules.Learned) {
+func (n *testNode) stop(k *Manager, s *store.Store, l rules.Learned) {
 	n.t.Helper()
 	k.Close(l)
 	if err := s.Close(); err != nil {
@@ -170,7 +170,7 @@
 	for i := range 12 {
 		dropped = dropped || k.RunSucceeded(second+time.Duration(i)*time.Millisecond, 0, second, 20*time.Millisecond)
 	}
-	if !dropped || k.Counters.Dropped.Load() != 1 {
+	if !dropped || k.Counters.Discarded.Load() != 1 {
 		t.Error("the snapshot is not discarded after runs of sixteen times the length")
 	}
 	node.stop(k, s, rules.Learned{})
--- a/internal/resultcache/cache.go
+++ b/internal/resultcache/cache.go
@@ -49,8 +49,8 @@
 	Restored atomic.Int64 // records restored at the start
 	Answered atomic.Int64 // repeats answered with the result of an earlier incarnation
 	Unknown  atomic.Int64 // repeats failed because the request ran, or may have run, and there is no result
-	Late     atomic.Int64 // ends of runs of an earlier incarnation, reported by a worker pool that outlived it
-	Aged     atomic.Int64 // records removed because they expired
+	LateEnds atomic.Int64 // ends of runs of an earlier incarnation, reported by a worker pool that outlived it
+	Expired  atomic.Int64 // records removed because they expired
 	Evicted  atomic.Int64 // records or results evicted for others
 	NoRoom   atomic.Int64 // requests for whose record there was no room
 	Failed   atomic.Int64 // writes that failed
@@ -58,15 +58,15 @@
 
 // Config is the configuration of a Cache.
 type Config struct {
-	Results  config.Results
-	Store    config.Store
-	Settings rules.Settings
-	Names    settings.Names
-	Log      *slog.Logger
-	Spread   time.Duration              // over which stores that open together spread the start of their maintenance
-	FS       vfs.FS                     // nil = the real file system
-	Clocks   func() decide.ClockReading // nil = the system's clocks
-	Elapsed  func() time.Duration       // since Open, on the loop's clock; nil = the system's
+	Results           config.Results
+	Store             config.Store
+	Settings          rules.Settings
+	Names             settings.Names
+	Log               *slog.Logger
+	MaintenanceSpread time.Duration              // over which stores that open together spread the start of their maintenance
+	FS                vfs.FS                     // nil = the real file system
+	Clocks            func() decide.ClockReading // nil = the system's clocks
+	Elapsed           func() time.Duration       // since Open, on the loop's clock; nil = the system's
 }
 
 // Cache stores the records and results of a node's runs. Its methods belong to the node's loop, except
@@ -132,8 +132,8 @@
 	}
 	settings := decide.Settings{
 		Classes: map[string]decide.Class{}, Tenants: map[string]bool{}, ReadFreshness: cfg.Settings.ReadFreshness,
-		MaxBytes: cfg.Results.Bytes, MaxRecords: cfg.Results.Entries, ClockSlack: cfg.Results.Slack,
-		FailUnknownReads: cfg.Results.FailUnknown, RecordUnsafe: cfg.Results.Unsafe,
+		MaxBytes: cfg.Results.MaxBytes, MaxRecords: cfg.Results.MaxRecords, ClockSlack: cfg.Results.ClockSlack,
+		FailUnknownReads: cfg.Results.FailUnknownReads, RecordUnsafe: cfg.Results.RecordUnsafe,
 	}
 	for i, name := range cfg.Names.Classes {
 		class := cfg.Settings.Classes[i]
@@ -144,8 +144,8 @@
 	}
 	c.module = decide.New(settings)
 	c.store, c.recovery, err = store.Open(cfg.Results.Dir, store.Options{
-		FS: cfg.FS, SlackBytes: cfg.Store.Segment, Interval: cfg.Store.Interval,
-		CompactionRate: cfg.Store.CompactionRate, MaintenanceDelay: cfg.Spread, Now: c.storeTime,
+		FS: cfg.FS, SlackBytes: cfg.Store.SlackBytes, SyncInterval: cfg.Store.SyncInterval,
+		CompactionRate: cfg.Store.CompactionRate, MaintenanceDelay: cfg.MaintenanceSpread, Now: c.storeTime,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("results: %w", err)
@@ -205,7 +205,7 @@
 	c.clockBase.Store(c.module.Unix(now) - c.cfg.Elapsed().Milliseconds())
 	if step == decide.WallBackTooFar {
 		c.log.Warn("wall clock went back across the restart: restored results expire after the slack",
-			"slack", c.cfg.Results.Slack)
+			"slack", c.cfg.Results.ClockSlack)
 	}
 	var restored []RestoredRecord
 	dropped := map[decide.DropReason]int{}
@@ -254,7 +254,7 @@
 		}
 	}
 	c.Counters.Restored.Store(int64(len(restored)))
-	c.Counters.Aged.Add(int64(dropped[decide.Expired]))
+	c.Counters.Expired.Add(int64(dropped[decide.Expired]))
 	args := []any{
 		"kept", len(restored), "bytes", c.module.Bytes(), "clock", step.String(), "away", away,
 		"recovery", c.recovery.Took, "restore", time.Since(began),
@@ -357,7 +357,7 @@
 
 // LateRunEnded records the end of a run of an earlier incarnation.
 func (c *Cache) LateRunEnded(now time.Duration, restored RestoredRecord, succeeded bool, body []byte) {
-	c.Counters.Late.Add(1)
+	c.Counters.LateEnds.Add(1)
 	c.recordEnd(now, restored.Record, succeeded, body, nil)
 }
 
@@ -454,7 +454,7 @@
 	if now-c.lastExpiry > time.Second {
 		c.lastExpiry = now
 		expired := c.module.Expire(now - expiryGrace)
-		c.Counters.Aged.Add(int64(len(expired)))
+		c.Counters.Expired.Add(int64(len(expired)))
 		c.deleteRecords(expired)
 	}
 	if now-c.lastCheckpoint >= decide.CheckpointInterval && (c.module.Len() > 0 || c.batch.Len() > 0) {
@@ -490,7 +490,7 @@
 // runs without a record.
 func (c *Cache) RunsUnrecorded(err error) bool {
 	c.logFailure(err)
-	return c.cfg.Results.RunUnwritten
+	return c.cfg.Results.RunUnrecorded
 }
 
 // Fetch reads a stored result. done is called by another goroutine, or at once with store.ErrBusy if
--- a/internal/standin/fleet/scenario.go
+++ b/internal/standin/fleet/scenario.go
@@ -162,12 +162,12 @@
 	}
 	file, err := ini.LoadSources(options, text)
 	if err != nil {
-		return nil, config.Fault{File: name, What: err.Error()}
+		return nil, config.Fault{File: name, Message: err.Error()}
 	}
 	fault := func(section, key, format string, args ...any) {
 		line := lines.Line(section, key)
 		faults = append(faults, config.Fault{
-			File: name, Line: line, Section: section, Key: key, What: fmt.Sprintf(format, args...),
+			File: name, Line: line, Section: section, Key: key, Message: fmt.Sprintf(format, args...),
 		})
 	}
 	s.Name = name
--- a/internal/standin/fleet/validate.go
+++ b/internal/standin/fleet/validate.go
@@ -18,7 +18,7 @@
 	var errs []error
 	s.validate(func(section, key, format string, args ...any) {
 		errs = append(errs, config.Fault{
-			File: s.Name, Section: section, Key: key, What: fmt.Sprintf(format, args...),
+			File: s.Name, Section: section, Key: key, Message: fmt.Sprintf(format, args...),
 		})
 	})
 	return errors.Join(errs...)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -66,7 +66,7 @@
 type Options struct {
 	FS               vfs.FS        // nil = the operating system's file system
 	SlackBytes       int64         // bytes of disk allowed beyond twice the live data; 0 = 8 MiB
-	Interval         time.Duration // maximum time until a Soon write is synced; 0 = 20 ms
+	SyncInterval     time.Duration // maximum time until a Soon write is synced; 0 = 20 ms
 	CompactionRate   int64         // bytes per second while disk use is within its bound; 0 = no limit
 	QueueBytes       int64         // maximum bytes of queued writes; 0 = 32 MiB
 	Now              func() int64  // Unix time in milliseconds; nil = the system's clock
@@ -84,7 +84,7 @@
 		o.FS = vfs.OS{}
 	}
 	o.SlackBytes = cmp.Or(o.SlackBytes, 8<<20)
-	o.Interval = cmp.Or(o.Interval, 20*time.Millisecond)
+	o.SyncInterval = cmp.Or(o.SyncInterval, 20*time.Millisecond)
 	o.QueueBytes = cmp.Or(o.QueueBytes, 32<<20)
 	if o.Now == nil {
 		o.Now = func() int64 { return time.Now().UnixMilli() }
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -105,7 +105,7 @@
 	for {
 		due := time.Hour
 		if s.unsynced {
-			due = s.opt.Interval
+			due = s.opt.SyncInterval
 		}
 		timer.Reset(due)
 		select {
