--- a/cmd/robinmast/command.go
+++ b/cmd/robinmast/command.go
@@ -105,11 +105,11 @@
 file.`,
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			own, err := config.Load(path)
+			iniConfig, err := config.Load(path)
 			if os.Getenv("EDGE_CONFIG") != "" {
 				cfg, platformErr := load(os.Getenv)
-				if platformErr == nil && own != nil {
-					platformErr = own.CheckClasses(cfg.names.Classes)
+				if platformErr == nil && iniConfig != nil {
+					platformErr = iniConfig.CheckClasses(cfg.names.Classes)
 				}
 				err = errors.Join(err, platformErr)
 			}
--- a/cmd/robinmast/command_test.go
+++ b/cmd/robinmast/command_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The command line without the platform's file: exit statuses and the begin of each output.
+// The command line without the platform's file: exit statuses and the start of each output.
 func TestCommands(t *testing.T) {
 	good, bad := writeFile(t, "[log]\nlevel = warn\n"), writeFile(t, "[log]\nlevle = warn\n[nothing]\n")
 	t.Setenv("EDGE_CONFIG", "")
--- a/cmd/robinmast/config.go
+++ b/cmd/robinmast/config.go
@@ -31,19 +31,19 @@
 	} `json:"limits"`
 	Settings json.RawMessage `json:"settings"`
 
-	set   rules.Settings
-	names settings.Names
-	seed  uint64
-	own   *config.Config // from the node's INI file
-	began time.Time      // start of the process
+	nodeSettings rules.Settings
+	names        settings.Names
+	seed         uint64
+	iniConfig    *config.Config // settings of the node's INI file
+	processStart time.Time      // start of the process
 }
 
-// uptime is the time since the process started.
+// uptime returns the time since the process started, 0 if its start is not set.
 func (c *platform) uptime() time.Duration {
-	if c.began.IsZero() {
+	if c.processStart.IsZero() {
 		return 0
 	}
-	return time.Since(c.began)
+	return time.Since(c.processStart)
 }
 
 // Defaults for limits that the platform does not set.
@@ -91,7 +91,7 @@
 // parse parses and checks a configuration; the name and the listen address may come from the
 // environment instead.
 func parse(text []byte, env func(string) string) (*platform, error) {
-	c := &platform{own: config.Defaults()}
+	c := &platform{iniConfig: config.Defaults()}
 	if err := json.Unmarshal(text, c); err != nil {
 		return nil, fmt.Errorf("configuration: %s%w", linePrefix(text, err), err)
 	}
@@ -131,7 +131,7 @@
 		c.Limits.Sockets = defaultSockets
 	}
 	var err error
-	if c.set, c.names, err = settings.ParseNamed(c.Settings); err != nil {
+	if c.nodeSettings, c.names, err = settings.ParseNamed(c.Settings); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
 	return c, c.check()
@@ -140,15 +140,15 @@
 // check returns an error for settings that this program does not support.
 func (c *platform) check() error {
 	switch {
-	case c.set.Dependency == rules.DependencyTier:
+	case c.nodeSettings.Dependency == rules.DependencyTier:
 		return errors.New("configuration: settings: extra.below: calls to another tier are not supported")
-	case c.set.Dependency == rules.DependencyShared && c.DB == "":
+	case c.nodeSettings.Dependency == rules.DependencyShared && c.DB == "":
 		return errors.New("configuration: settings: extra.below: downstream calls need a db address")
-	case c.set.Preemption == rules.PreemptPause:
+	case c.nodeSettings.Preemption == rules.PreemptPause:
 		return errors.New("configuration: settings: extra.preemption: suspending runs is not supported")
-	case c.set.BatchInterval <= 0 || c.set.BatchInterval > time.Second:
+	case c.nodeSettings.BatchInterval <= 0 || c.nodeSettings.BatchInterval > time.Second:
 		return fmt.Errorf("configuration: settings: tickMs: %v is out of range, want more than 0 and at most 1s",
-			c.set.BatchInterval)
+			c.nodeSettings.BatchInterval)
 	}
 	used := map[string]bool{}
 	for _, name := range c.names.Classes {
@@ -164,7 +164,7 @@
 		}
 		used[name] = true
 	}
-	if _, err := rules.New(0, c.set, 0, discardHost{}); err != nil {
+	if _, err := rules.New(0, c.nodeSettings, 0, discardHost{}); err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
 	return nil
--- a/cmd/robinmast/config_test.go
+++ b/cmd/robinmast/config_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	if c.seed != 0x8c1f30d27a5be964 || c.stop() != 3200*time.Millisecond || c.Limits.MemoryMB != 96 ||
-		c.Limits.Sockets != 512 || c.set.Cores != 2 || c.names.Classes[1] != "pay" || c.names.Tenants[0] != "acme" {
+		c.Limits.Sockets != 512 || c.nodeSettings.Cores != 2 || c.names.Classes[1] != "pay" || c.names.Tenants[0] != "acme" {
 		t.Errorf("read wrongly: %+v", c)
 	}
 }
--- a/cmd/robinmast/control.go
+++ b/cmd/robinmast/control.go
@@ -41,7 +41,7 @@
 	loadReport shedding.LoadReport
 	view       shedding.View
 	shedding   controlShedding // part of message
-	stop       time.Time       // end of the drain, zero = the node does not drain
+	drainEnd   time.Time       // end of the drain, zero = the node does not drain
 }
 
 // controlLink is the link to one control service. Each has its own reporter, so that a service
@@ -51,7 +51,7 @@
 	source   int
 
 	read, refused, furtherTries int64     // counters at the last report
-	at                          time.Time // of the last report
+	reportedAt                  time.Time // time of the last report
 	previousObserved            bool      // the service has answered what it knows of previous incarnations
 }
 
@@ -71,67 +71,69 @@
 	Refused     float64 `json:"refused"`
 	Flips       uint64  `json:"flips"`
 
-	Together *controlShedding `json:"together,omitempty"`
-	Comeback *controlRecovery `json:"comeback,omitempty"`
+	Shedding *controlShedding `json:"together,omitempty"`
+	Recovery *controlRecovery `json:"comeback,omitempty"`
 }
 
 // controlRecovery is the part of a report with [comeback] on.
 type controlRecovery struct {
-	State  string                `json:"state"`
-	Memory string                `json:"memory,omitempty"`
-	Store  *decide.PreviousStore `json:"store,omitempty"` // identity of the store that holds the results
-	Reads  float64               `json:"reads"`           // requests per second
-	Again  float64               `json:"again"`           // share of the requests that are further tries
+	State           string                `json:"state"`
+	Integrity       string                `json:"memory,omitempty"`
+	Store           *decide.PreviousStore `json:"store,omitempty"` // identity of the store that holds the results
+	ArrivalRate     float64               `json:"reads"`           // requests per second
+	FurtherTryShare float64               `json:"again"`           // share of the requests that are further tries
 }
 
 // controlShedding is the part of a report with [together] on.
 type controlShedding struct {
-	Drain  float64            `json:"drain"`  // queued requests that get a slot per second
-	Short  float64            `json:"short"`  // share of the time in which slots were short
-	Demand map[string]float64 `json:"demand"` // first tries per second by priority band; empty bands are left out
-	Ask    bool               `json:"ask"`    // for the fleet digest in the response
-	Cut    float64            `json:"cut"`    // shedding threshold that the node follows, 0 = none
-	Trust  float64            `json:"trust"`  // in the digest that the node follows, 0 to 1
+	DrainRate     float64            `json:"drain"`  // queued requests that get a slot per second
+	ShortageShare float64            `json:"short"`  // share of the time in which slots were short
+	Demand        map[string]float64 `json:"demand"` // first tries per second by priority band; bands at 0 are left out
+	WantsDigest   bool               `json:"ask"`    // the response should have the fleet digest
+	Threshold     float64            `json:"cut"`    // shedding threshold that the node follows, 0 = none
+	DigestTrust   float64            `json:"trust"`  // in the digest that the node follows, 0 to 1
 }
 
 // controlTLS returns the TLS configuration for the control services, nil for plain text. The
 // node's certificate and key are read again for each connection, so they may be replaced.
-func controlTLS(own config.Control) (*tls.Config, error) {
-	if own.Cert == "" {
+func controlTLS(options config.Control) (*tls.Config, error) {
+	if options.Cert == "" {
 		return nil, nil
 	}
 	load := func() (*tls.Certificate, error) {
-		pair, err := tls.LoadX509KeyPair(own.Cert, own.Key)
+		pair, err := tls.LoadX509KeyPair(options.Cert, options.Key)
 		return &pair, err
 	}
 	if _, err := load(); err != nil {
 		return nil, fmt.Errorf("control: %w", err)
 	}
-	text, err := os.ReadFile(own.CA)
+	text, err := os.ReadFile(options.CA)
 	if err != nil {
 		return nil, fmt.Errorf("control: %w", err)
 	}
 	ca := x509.NewCertPool()
 	if !ca.AppendCertsFromPEM(text) {
-		return nil, fmt.Errorf("control: no certificate in %s", own.CA)
+		return nil, fmt.Errorf("control: no certificate in %s", options.CA)
 	}
 	return &tls.Config{
-		MinVersion: tls.VersionTLS13, RootCAs: ca, ServerName: own.ServerName,
+		MinVersion: tls.VersionTLS13, RootCAs: ca, ServerName: options.ServerName,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return load() },
 	}, nil
 }
 
+// newControlReport returns the reports to the control services of [control]; they are sent once the
+// links' reporters run. The error is that of loading the certificates.
 func newControlReport(cfg *platform, requests *exchange.Counters, log *slog.Logger) (*controlReport, error) {
-	own := cfg.own.Control
-	tlsConfig, err := controlTLS(own)
+	options := cfg.iniConfig.Control
+	tlsConfig, err := controlTLS(options)
 	if err != nil {
 		return nil, err
 	}
 	c := &controlReport{requests: requests, message: controlMessage{
-		Addr: cmp.Or(own.Advertise, cfg.Listen), Zone: own.Zone, Incarnation: time.Now().UnixMicro(),
+		Addr: cmp.Or(options.Advertise, cfg.Listen), Zone: options.Zone, Incarnation: time.Now().UnixMicro(),
 		Phase: "up", Healthy: true, Warm: 1,
 	}}
-	for i, addr := range own.Address {
+	for i, addr := range options.Address {
 		l := &controlLink{source: i}
 		l.reporter = members.NewControl(addr, cfg.Name, tlsConfig, func() string { return c.next(l) }, log)
 		l.reporter.OnAnswer = func(sent time.Time, body []byte) { c.handleResponse(l, sent, body) }
@@ -143,15 +145,16 @@
 // setShedding sets the module's load report and view of the fleet, for the next report.
 func (c *controlReport) setShedding(r shedding.LoadReport, v shedding.View) {
 	c.mu.Lock()
-	c.loadReport, c.view, c.message.Together = r, v, &c.shedding
+	c.loadReport, c.view, c.message.Shedding = r, v, &c.shedding
 	c.mu.Unlock()
 }
 
 // fillShedding updates the shedding part of the message; c.mu must be held.
 func (c *controlReport) fillShedding() {
 	c.shedding = controlShedding{
-		Drain: roundTenth(c.loadReport.DrainRate), Short: round(c.loadReport.ShortageShare), Demand: map[string]float64{},
-		Ask: c.receiveDigest != nil, Cut: c.view.Threshold, Trust: round(c.view.Trust),
+		DrainRate: roundTenth(c.loadReport.DrainRate), ShortageShare: round(c.loadReport.ShortageShare),
+		Demand:      map[string]float64{},
+		WantsDigest: c.receiveDigest != nil, Threshold: c.view.Threshold, DigestTrust: round(c.view.Trust),
 	}
 	for band, rate := range c.loadReport.Demand {
 		if rate = roundTenth(rate); rate > 0 {
@@ -172,8 +175,8 @@
 	}
 	var d struct {
 		shedding.Digest
-		Heard *controlPrevious `json:"heard"`
-		Room  float64          `json:"room"`
+		Previous *controlPrevious `json:"heard"`
+		Capacity float64          `json:"room"`
 	}
 	if err := json.Unmarshal(body, &d); err != nil {
 		return
@@ -181,31 +184,31 @@
 	if c.receiveDigest != nil && d.Epoch != 0 {
 		c.receiveDigest(sent, l.source, d.Digest)
 	}
-	if c.fleetCapacity != nil && d.Room > 0 {
-		c.fleetCapacity(sent, d.Room)
+	if c.fleetCapacity != nil && d.Capacity > 0 {
+		c.fleetCapacity(sent, d.Capacity)
 	}
-	if c.observePrevious != nil && d.Heard != nil {
+	if c.observePrevious != nil && d.Previous != nil {
 		c.mu.Lock()
 		observed := l.previousObserved
 		l.previousObserved = true
 		c.mu.Unlock()
 		if !observed { // the first response is complete, as previous incarnations have ended
-			c.observePrevious(d.Heard.Before)
+			c.observePrevious(d.Previous.Store)
 		}
 	}
 }
 
 // controlPrevious is what a control service knows of previous incarnations of this node's name.
 type controlPrevious struct {
-	Before *decide.PreviousStore `json:"before,omitempty"` // nil = there was none
+	Store *decide.PreviousStore `json:"before,omitempty"` // nil = there was none
 }
 
 // useRecovery adds the recovery state to the reports, and passes on what services answer of
 // previous incarnations and of the fleet's capacity. It must be called before the reporters run.
 func (c *controlReport) useRecovery(
-	keeper *recovery.Manager, observePrevious func(*decide.PreviousStore), fleetCapacity func(time.Time, float64),
+	manager *recovery.Manager, observePrevious func(*decide.PreviousStore), fleetCapacity func(time.Time, float64),
 ) {
-	c.recovery, c.observePrevious, c.fleetCapacity = keeper, observePrevious, fleetCapacity
+	c.recovery, c.observePrevious, c.fleetCapacity = manager, observePrevious, fleetCapacity
 }
 
 // next returns the report to send now over a link.
@@ -213,7 +216,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.message.Seq++
-	if c.message.Together != nil {
+	if c.message.Shedding != nil {
 		c.fillShedding()
 	}
 	read, refused := c.requests.Read.Load(), c.requests.Count(exchange.EndedRefused)
@@ -222,8 +225,8 @@
 	}
 	c.fillRecovery(l, read)
 	l.read, l.refused = read, refused
-	if !c.stop.IsZero() {
-		c.message.DrainLeftMs = max(float64(time.Until(c.stop).Milliseconds()), 0)
+	if !c.drainEnd.IsZero() {
+		c.message.DrainLeftMs = max(float64(time.Until(c.drainEnd).Milliseconds()), 0)
 	}
 	text, err := json.Marshal(c.message)
 	if err != nil { // only a NaN or infinite number cannot be encoded
@@ -240,14 +243,14 @@
 	now, furtherTries := time.Now(), c.requests.FurtherTries.Load()
 	part := &controlRecovery{Store: c.recovery.Identity()}
 	if v := c.recovery.View(); v != nil {
-		part.State, part.Memory = v.State, v.Integrity
+		part.State, part.Integrity = v.State, v.Integrity
 	}
-	if seconds := now.Sub(l.at).Seconds(); !l.at.IsZero() && seconds > 0 && read > l.read {
-		part.Reads = roundTenth(float64(read-l.read) / seconds)
-		part.Again = round(min(float64(furtherTries-l.furtherTries)/float64(read-l.read), 1))
+	if seconds := now.Sub(l.reportedAt).Seconds(); !l.reportedAt.IsZero() && seconds > 0 && read > l.read {
+		part.ArrivalRate = roundTenth(float64(read-l.read) / seconds)
+		part.FurtherTryShare = round(min(float64(furtherTries-l.furtherTries)/float64(read-l.read), 1))
 	}
-	l.furtherTries, l.at = furtherTries, now
-	c.message.Comeback = part
+	l.furtherTries, l.reportedAt = furtherTries, now
+	c.message.Recovery = part
 }
 
 // setLoad sets the node's load, for the next report.
@@ -274,7 +277,7 @@
 // drain reports at once that the node drains for the time left.
 func (c *controlReport) drain(left time.Duration) {
 	c.mu.Lock()
-	c.message.Phase, c.stop = "draining", time.Now().Add(left)
+	c.message.Phase, c.drainEnd = "draining", time.Now().Add(left)
 	c.mu.Unlock()
 	c.reportNow()
 }
--- a/cmd/robinmast/counters.go
+++ b/cmd/robinmast/counters.go
@@ -18,7 +18,7 @@
 // read are those served, refused, failed, cancelled, gone and in_hand; messages queued on a
 // link are those sent, dropped and still waiting; connections opened, failed attempts
 // included, are those of all end_ counters and those still open.
-func (p *runningNode) logCounters(log *slog.Logger, line string) {
+func (p *runningNode) logCounters(log *slog.Logger, message string) {
 	requests, dispatchers, workers := p.requests, p.front, p.pool
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -62,7 +62,8 @@
 			"calls", calls.Calls.Load(), "well", calls.Ended[rules.OK].Load(),
 			"failed", calls.Ended[rules.Failed].Load(), "full", calls.Ended[rules.CallRejected].Load(),
 			"timed_out", calls.Ended[rules.TimedOut].Load(), "connect_failed", calls.Ended[rules.ConnectFailed].Load(),
-			"reset", calls.Ended[rules.ConnectionReset].Load(), "given_up", calls.Ended[rules.Cancelled].Load(), traffic(&calls.Traffic)))
+			"reset", calls.Ended[rules.ConnectionReset].Load(),
+			"given_up", calls.Ended[rules.Cancelled].Load(), traffic(&calls.Traffic)))
 	}
 	if p.results != nil {
 		c, s := &p.results.Counters, &p.results.Store().Stats
@@ -88,12 +89,13 @@
 		if v := p.recovery.View(); v != nil {
 			c := &p.recovery.Counters
 			args = append(args, slog.Group("comeback",
-				"state", v.State, "asks", round(v.RequestedShare), "warm", round(v.Speed), "memory", v.Integrity, "why", v.IntegrityReason,
+				"state", v.State, "asks", round(v.RequestedShare), "warm", round(v.Speed), "memory", v.Integrity,
+				"why", v.IntegrityReason,
 				"in_doubt", c.InDoubt.Load(), "snapshots", c.Snapshots.Load(),
 				"priors_dropped", c.Discarded.Load(), "failed_writes", c.FailedWrites.Load()))
 		}
 	}
-	if p.cfg.set.NewShedder != nil && line == countersMessage {
+	if p.cfg.nodeSettings.NewShedder != nil && message == countersMessage {
 		if v, ok := p.node.Shedding(viewTimeout); ok {
 			args = append(args, slog.Group("together",
 				"others_refuse", round(v.PeerRefusalShare), "short", round(v.Shortage),
@@ -101,7 +103,7 @@
 				"cut", round(v.Threshold), "digest_age", v.DigestAge, "follows", v.Source+1))
 		}
 	}
-	if p.cfg.set.NewPools != nil && line == countersMessage { // the decision loop answers only while it runs
+	if p.cfg.nodeSettings.NewPools != nil && message == countersMessage { // the decision loop answers only while it runs
 		views := p.node.Pools(viewTimeout)
 		var group []any
 		for _, v := range views {
@@ -113,7 +115,7 @@
 		}
 		args = append(args, slog.Group("pools", group...))
 	}
-	log.Info(line, args...)
+	log.Info(message, args...)
 }
 
 // Messages of the lines that hold the counters: of a node that serves, and of one that has left.
--- a/cmd/robinmast/drain.go
+++ b/cmd/robinmast/drain.go
@@ -29,7 +29,7 @@
 	if p.control != nil {
 		p.control.drain(left)
 	}
-	grace := max(min(cfg.set.DrainGrace, left-finMargin), 0)
+	grace := max(min(cfg.nodeSettings.DrainGrace, left-finMargin), 0)
 	tick := time.NewTicker(drainPoll)
 	defer tick.Stop()
 	refusing, quiet, read := false, notice, p.requests.Read.Load()
@@ -58,7 +58,7 @@
 	}
 	log.Info("leaving", "after", time.Since(notice), "in_hand", p.requests.OpenRequests(),
 		"flushed", p.front.Flushed())
-	if most := min(stop-time.Since(notice)-killMargin, maxCloseWait); !p.front.Drain(most) {
-		log.Warn("connections did not close in time", "most", most, "in_hand", p.requests.OpenRequests())
+	if timeout := min(stop-time.Since(notice)-killMargin, maxCloseWait); !p.front.Drain(timeout) {
+		log.Warn("connections did not close in time", "most", timeout, "in_hand", p.requests.OpenRequests())
 	}
 }
--- a/cmd/robinmast/log.go
+++ b/cmd/robinmast/log.go
@@ -23,14 +23,14 @@
 	done  chan struct{}
 }
 
-// newLog returns a logger with the format and level of the settings.
-func newLog(out io.Writer, set config.Log) *slog.Logger {
+// newLog returns a logger with the format and level of [log].
+func newLog(out io.Writer, settings config.Log) *slog.Logger {
 	opt := &slog.HandlerOptions{}
 	var level slog.Level
-	if level.UnmarshalText([]byte(set.Level)) == nil { // always true: the settings were checked
+	if level.UnmarshalText([]byte(settings.Level)) == nil { // always true: the settings were checked
 		opt.Level = level
 	}
-	if set.Format == "json" {
+	if settings.Format == "json" {
 		return slog.New(slog.NewJSONHandler(out, opt))
 	}
 	return slog.New(slog.NewTextHandler(out, opt))
@@ -63,11 +63,11 @@
 	return len(p), nil
 }
 
-// close waits at most that long until the queued lines are written.
-func (w *logWriter) close(most time.Duration) {
+// close ends the writer and waits, until the timeout, for the queued lines to be written.
+func (w *logWriter) close(timeout time.Duration) {
 	w.once.Do(func() { close(w.lines) })
 	select {
 	case <-w.done:
-	case <-time.After(most):
+	case <-time.After(timeout):
 	}
 }
--- a/cmd/robinmast/main.go
+++ b/cmd/robinmast/main.go
@@ -36,8 +36,8 @@
 
 // serveNode runs the node until it has left. An error before the node listens is returned, to
 // be printed as one line on standard error; a later one is logged and returned as silent.
-func serveNode(own *config.Config) error {
-	began := time.Now()
+func serveNode(iniConfig *config.Config) error {
+	processStart := time.Now()
 	// Separate channels, so that a flood of other signals cannot displace the notice to leave.
 	leave, other := make(chan os.Signal, 1), make(chan os.Signal, 16)
 	signal.Notify(leave, syscall.SIGTERM, syscall.SIGINT)
@@ -48,19 +48,19 @@
 		return failure{error: err, status: statusConfig}
 	}
 	applyLimits(cfg)
-	cfg.own, cfg.began = own, began
-	settings.UseShedding(&cfg.set, own)
-	if err := settings.UsePools(&cfg.set, cfg.names, own); err != nil {
+	cfg.iniConfig, cfg.processStart = iniConfig, processStart
+	settings.UseShedding(&cfg.nodeSettings, iniConfig)
+	if err := settings.UsePools(&cfg.nodeSettings, cfg.names, iniConfig); err != nil {
 		return failure{error: err, status: statusConfig}
 	}
 	out := newLogWriter(os.Stderr)
-	log := newLog(out, own.Log).With("node", cfg.Name)
+	log := newLog(out, iniConfig.Log).With("node", cfg.Name)
 	results, err := openResultCache(cfg, log)
 	if err != nil {
 		out.close(logFlush)
 		return failure{error: err, status: statusFailed}
 	}
-	keeper, closeStore, err := openRecovery(cfg, results, began, log)
+	recoveryManager, closeStore, err := openRecovery(cfg, results, processStart, log)
 	if err != nil {
 		out.close(logFlush)
 		return failure{error: err, status: statusFailed}
@@ -76,7 +76,8 @@
 		out.close(logFlush)
 		return nil
 	}
-	err = serve(cfg, results, keeper, ln, notices{leave, other}, func() (*platform, error) { return load(os.Getenv) }, log)
+	err = serve(cfg, results, recoveryManager, ln, notices{leave, other},
+		func() (*platform, error) { return load(os.Getenv) }, log)
 	if err != nil {
 		log.Error("node failed", "err", err)
 	}
--- a/cmd/robinmast/pools_test.go
+++ b/cmd/robinmast/pools_test.go
@@ -17,7 +17,7 @@
 	"robinmast/internal/standin/simulation"
 )
 
-// Three classes: cheap pings of little utility, texts that somebody waits for, and script steps.
+// Three classes: cheap pings of little utility, interactive texts, and script steps.
 const poolLanes = `"lanes":[
   {"name":"ping","aimMs":600,"deadlineMs":1500,"effect":"idempotent","worth":0.05},
   {"name":"text","aimMs":600,"deadlineMs":1500,"effect":"idempotent","worth":2},
@@ -25,8 +25,8 @@
 
 // TestPoolsOverload sends 130% of the capacity of four cores, whose runs slow each other down,
 // to the built program on loopback. The utility stays near the best achievable, cheap requests
-// are served in every second, and every request gets one answer in time. A reserve for a class
-// that does not exist ends the start.
+// are served in every second, and every request gets one answer in time. With a reserve for a
+// class that does not exist the program does not start.
 func TestPoolsOverload(t *testing.T) {
 	binary := buildNode(t)
 	s := newTestNode(t, 4, "[pools]\nenabled = true\nreserve = 0.04\n", func(r testplatform.Run) (float64, string, []byte) {
--- a/cmd/robinmast/reload.go
+++ b/cmd/robinmast/reload.go
@@ -39,7 +39,7 @@
 		return
 	}
 	if cfg.Name != p.cfg.Name || cfg.Listen != p.cfg.Listen || cfg.StopMs != p.cfg.StopMs || cfg.Limits != p.cfg.Limits ||
-		!equalSettings(cfg.set, p.cfg.set) || !reflect.DeepEqual(cfg.names, p.cfg.names) {
+		!equalSettings(cfg.nodeSettings, p.cfg.nodeSettings) || !reflect.DeepEqual(cfg.names, p.cfg.names) {
 		p.log.Error("new configuration rejected",
 			"err", "only the pool, members and db addresses can change without a restart")
 		return
--- a/cmd/robinmast/serve.go
+++ b/cmd/robinmast/serve.go
@@ -25,8 +25,8 @@
 const (
 	maxCallSockets  = 32          // for downstream calls, if there are any
 	reservedSockets = 16          // for everything but dispatchers' connections and downstream calls
-	outBufferPart   = 8           // all output buffers may use one part in so many of the memory
-	resultCachePart = 8           // the results in memory may use one part in so many of it
+	outBufferPart   = 8           // all output buffers together may use 1/8 of the memory
+	resultCachePart = 8           // results in memory may use 1/8 of it
 	minStopWait     = time.Second // least time for the components to stop
 )
 
@@ -59,24 +59,25 @@
 // serve runs the node until it has left, or until a component fails; reload reads the
 // platform's configuration again.
 func serve(
-	cfg *platform, results *resultcache.Cache, keeper *recovery.Manager, ln net.Listener, signals notices,
+	cfg *platform, results *resultcache.Cache, recoveryManager *recovery.Manager, ln net.Listener, signals notices,
 	reload func() (*platform, error), log *slog.Logger,
 ) error {
 	memory := int64(cfg.Limits.MemoryMB * (1 << 20))
 	p := &runningNode{
-		cfg: cfg, reload: reload, log: log, results: results, recovery: keeper, reloaded: make(chan reloaded, 1),
+		cfg: cfg, reload: reload, log: log, results: results,
+		recovery: recoveryManager, reloaded: make(chan reloaded, 1),
 		requests: &exchange.Counters{}, members: members.New(cfg.Members, cfg.Name, log),
 	}
 	nc := node.Config{
-		Settings: cfg.set, Seed: cfg.seed, ResultBytes: int(memory / resultCachePart),
+		Settings: cfg.nodeSettings, Seed: cfg.seed, ResultBytes: int(memory / resultCachePart),
 		Health: p.members.SetServing, Log: log,
 	}
-	if len(cfg.own.Control.Address) > 0 {
+	if len(cfg.iniConfig.Control.Address) > 0 {
 		var err error
 		if p.control, err = newControlReport(cfg, p.requests, log); err != nil {
 			return err
 		}
-		if cfg.own.Shedding.Enabled {
+		if cfg.iniConfig.Shedding.Enabled {
 			nc.LoadReport = p.control.setShedding
 		}
 		nc.Load, nc.Health = p.control.setLoad, func(healthy bool) {
@@ -90,32 +91,32 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	sockets := cfg.Limits.Sockets - reservedSockets
-	if cfg.set.Dependency == rules.DependencyShared {
+	if cfg.nodeSettings.Dependency == rules.DependencyShared {
 		conns := max(min(maxCallSockets, cfg.Limits.Sockets/8), 1)
 		p.dependency = dependency.New(ctx, cfg.DB, conns, log)
 		nc.Calls = p.dependency
 		sockets -= conns
 	}
-	if keeper != nil {
-		nc.Recovery = keeper
+	if recoveryManager != nil {
+		nc.Recovery = recoveryManager
 	}
 	p.node = node.New(nc)
-	if p.control != nil && keeper != nil {
-		p.control.useRecovery(keeper, p.node.ObservePrevious, p.node.FleetCapacity)
+	if p.control != nil && recoveryManager != nil {
+		p.control.useRecovery(recoveryManager, p.node.ObservePrevious, p.node.FleetCapacity)
 	}
-	if p.control != nil && cfg.own.Shedding.Enabled && cfg.own.Shedding.UseDigests {
+	if p.control != nil && cfg.iniConfig.Shedding.Enabled && cfg.iniConfig.Shedding.UseDigests {
 		p.control.receiveDigest = p.node.ReceiveDigest
 	}
 	setupCPU := 0.0
-	if cfg.own.Shedding.Enabled {
-		setupCPU = cfg.own.Shedding.SetupShare * cfg.Limits.Cores
+	if cfg.iniConfig.Shedding.Enabled {
+		setupCPU = cfg.iniConfig.Shedding.SetupShare * cfg.Limits.Cores
 	}
 	p.front = front.New(front.Config{
-		Settings: cfg.set, Names: cfg.names, MaxConns: max(sockets, 1),
+		Settings: cfg.nodeSettings, Names: cfg.names, MaxConns: max(sockets, 1),
 		OutBytes: memory / outBufferPart, SetupCPUShare: setupCPU, Log: log,
 	}, p.node, p.requests)
 	p.pool = pool.New(cfg.Pool, p.node, log)
-	if cfg.own.Shedding.Enabled { // the node's own reconnects and retries add to an overload too
+	if cfg.iniConfig.Shedding.Enabled { // the node's own reconnects and retries add to an overload too
 		p.pool.UseBackoff(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 		p.members.UseBackoff(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	}
--- a/cmd/robinmast/serve_test.go
+++ b/cmd/robinmast/serve_test.go
@@ -22,8 +22,8 @@
 )
 
 // workers is a test double of the worker pool that follows the published protocol. A run takes
-// as many milliseconds as the request's body says. It keeps all notices, and can break its
-// link at any time.
+// as many milliseconds as the request's body says. It records all notices, and can abort
+// its link at any time.
 type workers struct {
 	t  *testing.T
 	ln net.Listener
@@ -33,7 +33,7 @@
 	notices []string
 	runs    map[string]*time.Timer
 	started map[string]int
-	muted   bool // notices are kept but not sent
+	muted   bool // notices are recorded but not sent
 }
 
 func newWorkers(t *testing.T) *workers {
@@ -117,7 +117,7 @@
 	w.notice(fmt.Sprintf(`"op":"finished","id":%q,"end":%s`, id, end))
 }
 
-// notice numbers, keeps and sends a notice; w.mu must be held.
+// notice numbers, records and sends a notice; w.mu must be held.
 func (w *workers) notice(text string) {
 	n := fmt.Sprintf(`{"seq":%d,%s}`, len(w.notices)+1, text)
 	w.notices = append(w.notices, n)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -84,7 +84,7 @@
 	SetupShare float64 // share of the granted CPU for new connections and health checks; 0 = no limit
 }
 
-// Recovery holds the settings of [comeback].
+// Recovery holds the settings of [comeback], the recovery to full service after a start.
 type Recovery struct {
 	Enabled   bool
 	Snapshot  bool   // store what the node learns, for a warm start
@@ -95,8 +95,8 @@
 
 // Store holds the settings of [store], the store under the result cache.
 type Store struct {
-	SlackBytes     int64         // bytes of disk beyond twice the live data
-	SyncInterval   time.Duration // longest time between syncs
+	SlackBytes     int64         // bytes of disk allowed beyond twice the live data
+	SyncInterval   time.Duration // longest time between syncs of writes that do not wait for one
 	CompactionRate int64         // bytes per second
 }
 
@@ -141,7 +141,7 @@
 }
 
 // Load reads and checks the file at path. The error joins one Fault for each error in the
-// file, or says why the file cannot be read.
+// file, or is that of reading it.
 func Load(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -187,7 +187,7 @@
 				names = append(names, other.name)
 			}
 			faults = append(faults, Fault{
-				File: name, Line: lines.section[s.Name()], Section: s.Name(),
+				File: name, Line: lines.sectionLines[s.Name()], Section: s.Name(),
 				Message: "unknown section" + suggestion(s.Name(), names),
 			})
 			continue
@@ -221,7 +221,7 @@
 func (c *Config) withPosition(f Fault) Fault {
 	f.File, f.Line = c.name, c.lines.line(f.Section, f.Key)
 	if f.Line == 0 {
-		f.Line = c.lines.section[f.Section]
+		f.Line = c.lines.sectionLines[f.Section]
 	}
 	return f
 }
@@ -247,14 +247,16 @@
 	var errs []error
 	for name := range c.Pools.Classes {
 		if !slices.Contains(classes, name) {
-			errs = append(errs, c.withPosition(Fault{Section: "pool." + name, Message: "no such class" + suggestion(name, classes)}))
+			errs = append(errs, c.withPosition(Fault{
+				Section: "pool." + name, Message: "no such class" + suggestion(name, classes),
+			}))
 		}
 	}
 	slices.SortFunc(errs, func(a, b error) int { return strings.Compare(a.Error(), b.Error()) })
 	return errors.Join(errs...)
 }
 
-// check returns the faults that concern more than one key.
+// check returns the faults that concern more than one key, without file and line.
 func (c *Config) check() (faults []Fault) {
 	if c.Results.Enabled && c.Results.Dir == "" {
 		faults = append(faults, Fault{Section: "results", Key: "dir", Message: "a directory is required when enabled"})
@@ -404,11 +406,12 @@
 		v.number = int64(d)
 	}
 	if v.number < k.min || v.number > k.max {
-		return v, fmt.Errorf("%s is out of range: want %s", text, k.form())
+		return v, fmt.Errorf("%s is out of range: want %s", text, k.validValues())
 	}
 	return v, nil
 }
 
+// durationOf returns the value of a key of kindDuration.
 func durationOf(v value) time.Duration { return time.Duration(v.number) }
 
 // sizeUnits are the units of sizes, the largest first.
@@ -443,7 +446,7 @@
 	return "0B"
 }
 
-// Places holds the line numbers of a file's sections and keys.
+// LineIndex holds the line numbers of a file's sections and keys.
 type LineIndex struct{ lines lineIndex }
 
 // Line returns the line of a key, or else of its section, or else 0.
@@ -451,28 +454,29 @@
 	if n := p.lines.line(section, key); n > 0 {
 		return n
 	}
-	return p.lines.section[section]
+	return p.lines.sectionLines[section]
 }
 
-// Locate returns the line numbers of the sections and keys of an INI file, which need not be
+// IndexLines returns the line numbers of the sections and keys of an INI file, which need not be
 // a node's, and the faults that the INI library accepts without an error.
 func IndexLines(name string, text []byte) (LineIndex, []Fault) {
 	lines, faults := indexLines(name, text)
 	return LineIndex{lines}, faults
 }
 
-// lineIndex holds line numbers, from 1.
+// lineIndex holds the line numbers, from 1, of the sections and keys of a file.
 type lineIndex struct {
-	section map[string]int
-	key     map[[2]string]int // by section and key
+	sectionLines map[string]int
+	keyLines     map[[2]string]int // by section and key
 }
 
-func (x lineIndex) line(section, key string) int { return x.key[[2]string{section, key}] }
+// line returns the line of a key, 0 if the file has none.
+func (x lineIndex) line(section, key string) int { return x.keyLines[[2]string{section, key}] }
 
 // indexLines returns the line numbers of a file, and the faults that the INI library accepts
 // without an error: lines that are neither a section nor a key, and duplicates.
 func indexLines(name string, text []byte) (lineIndex, []Fault) {
-	index := lineIndex{section: map[string]int{}, key: map[[2]string]int{}}
+	index := lineIndex{sectionLines: map[string]int{}, keyLines: map[[2]string]int{}}
 	var faults []Fault
 	section, n := "", 0
 	lines := bufio.NewScanner(bytes.NewReader(text))
@@ -486,12 +490,12 @@
 		if line[0] == '[' {
 			if i := strings.IndexByte(line, ']'); i > 0 {
 				section = strings.TrimSpace(line[1:i])
-				if first := index.section[section]; first > 0 {
+				if first := index.sectionLines[section]; first > 0 {
 					faults = append(faults, Fault{File: name, Line: n, Section: section,
 						Message: fmt.Sprintf("duplicate section, first on line %d", first)})
 					continue
 				}
-				index.section[section] = n
+				index.sectionLines[section] = n
 				continue
 			}
 			faults = append(faults, Fault{File: name, Line: n,
@@ -510,7 +514,7 @@
 				Message: fmt.Sprintf("duplicate key, first on line %d", first)})
 			continue
 		}
-		index.key[[2]string{section, k}] = n
+		index.keyLines[[2]string{section, k}] = n
 	}
 	if err := lines.Err(); err != nil {
 		faults = append(faults, Fault{File: name, Line: n + 1, Message: err.Error()})
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -18,7 +18,7 @@
 	kindShare                   // a share of 1: 0.04
 	kindText                    // up to 128 bytes
 	kindAddress                 // IP address and port; empty = none
-	kindAddressList             // several, separated by commas
+	kindAddressList             // several IP addresses and ports, separated by commas; empty = none
 )
 
 // key is one row of the table. min and max are in the unit of the kind: bytes, nanoseconds,
@@ -67,9 +67,9 @@
 	mb = 1 << 20
 	gb = 1 << 30
 
-	million = 1_000_000 // shares are held in millionths
+	million = 1_000_000 // shares are stored as millionths of 1
 
-	ms     = 1_000_000 // in nanoseconds
+	ms     = 1_000_000 // nanoseconds
 	second = 1000 * ms
 )
 
@@ -191,7 +191,7 @@
 		func(c *Config, v value) { c.Store.CompactionRate = v.number }},
 }
 
-// Default returns the text of deploy/robinmast.ini: every key with its help text, default
+// DefaultText returns the text of deploy/robinmast.ini: every key with its help text, default
 // and range.
 func DefaultText() string {
 	var b strings.Builder
@@ -205,15 +205,15 @@
 		fmt.Fprintf(&b, "\n# %s\n%s[%s]\n", s.help, comment, strings.Replace(s.name, "*", "NAME", 1))
 		for _, k := range keys {
 			if k.section == s.name {
-				fmt.Fprintf(&b, "\n# %s\n# %s\n%s%s = %s\n", k.help, k.form(), comment, k.name, k.defaultText)
+				fmt.Fprintf(&b, "\n# %s\n# %s\n%s%s = %s\n", k.help, k.validValues(), comment, k.name, k.defaultText)
 			}
 		}
 	}
 	return strings.ReplaceAll(b.String(), "= \n", "=\n")
 }
 
-// form describes the valid values of a key.
-func (k *key) form() string {
+// validValues describes the valid values of a key.
+func (k *key) validValues() string {
 	switch k.kind {
 	case kindBool:
 		return "true or false"
--- a/internal/control/events.go
+++ b/internal/control/events.go
@@ -11,7 +11,7 @@
 	"robinmast/internal/store"
 )
 
-// Keys in the store.
+// Keys of the service in the store; viewKey is another.
 const (
 	eventsKey       = "events"
 	incarnationsKey = "lives"
@@ -20,7 +20,7 @@
 
 // savedEvents is the stored form of the events.
 type savedEvents struct {
-	Wall   int64            `json:"wall"` // Unix milliseconds at time 0 of the service that saved it
+	Wall   int64            `json:"wall"` // Unix milliseconds at the start of the service that saved it, its time 0
 	Events []recovery.Event `json:"events"`
 }
 
--- a/internal/control/http.go
+++ b/internal/control/http.go
@@ -14,7 +14,7 @@
 	"robinmast/decide/shedding"
 )
 
-// maxSheddingStates limits the nodes whose sheddingState is stored.
+// maxSheddingStates limits the number of sheddingStates in memory.
 const maxSheddingStates = 20_000
 
 // sheddingStateTTL is how long a sheddingState is shown after its report.
@@ -99,7 +99,7 @@
 	Limit    float64 `json:"limit"`
 	Penalty  float64 `json:"penalty"`
 	Unproven bool    `json:"unproven,omitempty"`
-	// Follows says whether the node applies the fleet's shedding threshold: "the cut" (yes), "an
+	// Follows tells whether the node applies the fleet's shedding threshold: "the cut" (yes), "an
 	// older cut" (that of an older digest), "hears no digest", or "alone" (it asks for no digest).
 	// It is empty for a node without fleet-aware load shedding.
 	Follows string `json:"follows,omitempty"`
--- a/internal/control/loads.go
+++ b/internal/control/loads.go
@@ -17,14 +17,14 @@
 // loadReportInterval is the interval at which proxies are asked to report load.
 const loadReportInterval = 2 * time.Second
 
-// Loads implements the load reporting service (LRS) of Envoy. It passes the request counts that
+// LoadReporting implements the load reporting service (LRS) of Envoy. It passes the request counts that
 // proxies report to Service, for nodes in its view only.
 type LoadReporting struct {
 	loadv3.UnimplementedLoadReportingServiceServer
 
 	Service *Service
 
-	open atomic.Int64 // streams
+	open atomic.Int64 // streams that are open, at most maxStreams
 }
 
 // StreamLoadStats receives the load reports of a proxy. Endpoints are mapped to nodes by address.
--- a/internal/control/proxies.go
+++ b/internal/control/proxies.go
@@ -13,8 +13,8 @@
 	Node, Zone string    // as the proxy names itself
 	Peer       string    // remote address
 	Form       string    // protocol variant, "world" or "delta"
-	Since      time.Time // it connected
-	Heard      time.Time // of its last request
+	Since      time.Time // time at which it connected
+	Heard      time.Time // time of its last request
 	Types      map[string]xds.Status
 	Behind     []string // types of which it has not accepted the latest version
 }
@@ -31,7 +31,7 @@
 	for _, x := range all {
 		x.mu.Lock()
 		p := Proxy{
-			Node: x.node, Zone: x.zone, Peer: x.peer, Form: [...]string{"world", "delta"}[x.form],
+			Node: x.node, Zone: x.zone, Peer: x.peer, Form: [...]string{"world", "delta"}[x.variant],
 			Since: x.connected, Heard: x.lastRequest, Types: map[string]xds.Status{},
 		}
 		latest, err := s.latestResources(x.zone)
--- a/internal/control/resources.go
+++ b/internal/control/resources.go
@@ -118,8 +118,8 @@
 	slices.SortFunc(assignment.Endpoints, func(a, b *endpointv3.LocalityLbEndpoints) int {
 		return cmp.Compare(a.Locality.Zone, b.Locality.Zone)
 	})
-	first := func(locality *endpointv3.LocalityLbEndpoints) bool { return locality.Priority == 0 }
-	if len(assignment.Endpoints) > 0 && !slices.ContainsFunc(assignment.Endpoints, first) {
+	hasPriority0 := func(locality *endpointv3.LocalityLbEndpoints) bool { return locality.Priority == 0 }
+	if len(assignment.Endpoints) > 0 && !slices.ContainsFunc(assignment.Endpoints, hasPriority0) {
 		for _, locality := range assignment.Endpoints { // priorities must begin at 0: the own zone is empty
 			locality.Priority = 0
 		}
--- a/internal/control/streams.go
+++ b/internal/control/streams.go
@@ -28,8 +28,8 @@
 // The first response of a type on a stream holds the full set of resources. Its bytes take up
 // memory of the service until the proxy reads them, and when all proxies reconnect at once each
 // needs one. Therefore at most maxFullResponses are written at a time, first to the proxies that
-// were served longest ago. A proxy that does not read blocks its slot for fullResponseTimeout at
-// most.
+// were served longest ago. A proxy that does not read keeps its slot for at most
+// fullResponseTimeout.
 const (
 	maxFullResponses    = 64
 	fullResponseTimeout = 250 * time.Millisecond
@@ -113,8 +113,8 @@
 	wakeup  chan struct{}
 
 	mu          sync.Mutex
-	state       *xds.Stream
-	form        xds.Variant
+	state       *xds.Stream // protocol state of each type
+	variant     xds.Variant
 	node        string
 	zone        string
 	peer        string
@@ -153,12 +153,12 @@
 
 // register adds a stream. It returns a gRPC status error if the proxy may not subscribe or if there
 // are too many streams.
-func (s *Streams) register(ctx context.Context, form xds.Variant) (*stream, error) {
+func (s *Streams) register(ctx context.Context, variant xds.Variant) (*stream, error) {
 	if !s.allowed(ctx) {
 		s.Rejected.Add(1)
 		return nil, status.Error(codes.PermissionDenied, "this proxy may not subscribe")
 	}
-	x := &stream{streams: s, wakeup: make(chan struct{}, 1), state: xds.New(form, newSalt()), form: form,
+	x := &stream{streams: s, wakeup: make(chan struct{}, 1), state: xds.New(variant, newSalt()), variant: variant,
 		connected: time.Now(), lastRequest: time.Now()}
 	if client, ok := peer.FromContext(ctx); ok {
 		x.peer = client.Addr.String()
--- a/internal/recovery/manager.go
+++ b/internal/recovery/manager.go
@@ -59,7 +59,7 @@
 	WallClock       func() int64 // Unix milliseconds, nil = the system's
 }
 
-// Manager manages the recovery of one incarnation of a node. Its methods belong to the node's loop,
+// Manager tracks the recovery of one incarnation of a node. Its methods belong to the node's loop,
 // except Identity, View and the counters, which any goroutine may use.
 type Manager struct {
 	Counters Counters
@@ -69,12 +69,12 @@
 	identity         decide.Identity        // belongs to the loop
 	storeID          atomic.Pointer[string] // ID of the store, for reports
 	startup          *decide.Startup
-	check            *decide.StoreCheck // nil = there is no result cache
-	found            decide.FoundState
+	storeCheck       *decide.StoreCheck // nil = there is no result cache
+	foundState       decide.FoundState
 	learned          *rules.Learned // of the snapshot in use, nil = none
 	weight           float64
 	warmStart        *decide.WarmStart
-	pacer            decide.SnapshotPacer
+	snapshotPacer    decide.SnapshotPacer
 	digest           uint64
 	machineKind      string
 	processStart     time.Time
@@ -88,89 +88,90 @@
 
 // View is the state of a node's recovery, for reports and counters.
 type View struct {
-	State           string  // name of the recovery.State
+	State           string  // name of the decide/recovery State
 	RequestedShare  float64 // requested share of the load in full service
 	Speed           float64 // share of its usual speed that the node has reached
-	Integrity       string  // name of the recovery.Integrity, "" without a result cache
-	IntegrityReason string  // reason for Memory
+	Integrity       string  // name of the decide/recovery Integrity, "" without a result cache
+	IntegrityReason string  // reason for Integrity
 }
 
 // Open reads what earlier incarnations stored and begins a new one; processStart is when the process
-// started.
+// started. Stored state that is unreadable, and an identity that cannot be written, are logged: the node
+// starts all the same.
 func Open(cfg Config, processStart time.Time) (*Manager, error) {
-	k := &Manager{
+	m := &Manager{
 		cfg: cfg, log: cfg.Log, processStart: processStart,
 		machineKind: machineDescription(cfg.Settings.Cores), digest: settingsDigest(cfg.Settings, cfg.Names),
 	}
-	if k.cfg.WallClock == nil {
-		k.cfg.WallClock = func() int64 { return time.Now().UnixMilli() }
+	if m.cfg.WallClock == nil {
+		m.cfg.WallClock = func() int64 { return time.Now().UnixMilli() }
 	}
 	if cfg.Store == nil {
-		return k, nil
+		return m, nil
 	}
-	k.found = decide.FoundState{
+	m.foundState = decide.FoundState{
 		Keys: cfg.Store.Len(), UnreadablePlaces: len(cfg.StoreRecovery.Damaged), CompleteSince: math.MinInt64,
 	}
-	switch err := k.get(identityKey, &k.identity); {
+	switch err := m.get(identityKey, &m.identity); {
 	case errors.Is(err, store.ErrNotFound):
-		k.found.Created = cfg.Store.Len() == 0
-		if !k.found.Created { // written before stores had an identity: taken as this node's
-			k.found.Node = cfg.Node
+		m.foundState.Created = cfg.Store.Len() == 0
+		if !m.foundState.Created { // written before stores had an identity: taken as this node's
+			m.foundState.Node = cfg.Node
 		}
-		k.identity = decide.Identity{ID: newStoreID()}
+		m.identity = decide.Identity{ID: newStoreID()}
 	case err != nil:
-		k.found.UnreadablePlaces++
-		k.log.Error("store identity is unreadable", "err", err)
+		m.foundState.UnreadablePlaces++
+		m.log.Error("store identity is unreadable", "err", err)
 	default:
-		k.found.Node = k.identity.Node
-	}
-	if err := k.get(checkpointKey, &k.found.Checkpoint); err != nil && !errors.Is(err, store.ErrNotFound) {
-		k.found.UnreadablePlaces++
-		k.log.Error("store checkpoint is unreadable", "err", err)
-	}
-	k.checkpoints = k.found.Checkpoint.N
-	k.storedCheckpoint.Store(k.checkpoints)
-	k.identity.Node = cfg.Node
-	k.identity.Epoch++
-	k.found.Identity = k.identity
-	k.storeID.Store(&k.found.Identity.ID)
-	if err := k.put(identityKey, k.identity, store.Durable); err != nil {
-		// The next incarnation will use the same number and hold its store incomplete.
-		k.log.Error("this incarnation is not stored: requests will be in doubt after the next start",
+		m.foundState.Node = m.identity.Node
+	}
+	if err := m.get(checkpointKey, &m.foundState.Checkpoint); err != nil && !errors.Is(err, store.ErrNotFound) {
+		m.foundState.UnreadablePlaces++
+		m.log.Error("store checkpoint is unreadable", "err", err)
+	}
+	m.checkpoints = m.foundState.Checkpoint.N
+	m.storedCheckpoint.Store(m.checkpoints)
+	m.identity.Node = cfg.Node
+	m.identity.Epoch++
+	m.foundState.Identity = m.identity
+	m.storeID.Store(&m.foundState.Identity.ID)
+	if err := m.put(identityKey, m.identity, store.Durable); err != nil {
+		// The next incarnation will have the same number, so its store will count as incomplete.
+		m.log.Error("this incarnation is not stored: requests will be in doubt after the next start",
 			"err", err)
 	}
 	if cfg.Options.Snapshot {
-		k.loadSnapshot()
+		m.loadSnapshot()
 	}
-	return k, nil
+	return m, nil
 }
 
 // loadSnapshot reads the snapshot and logs whether it is used.
-func (k *Manager) loadSnapshot() {
+func (m *Manager) loadSnapshot() {
 	var snapshot decide.Snapshot
-	err := k.get(snapshotKey, &snapshot)
+	err := m.get(snapshotKey, &snapshot)
 	if errors.Is(err, store.ErrNotFound) {
 		return
 	}
 	if err != nil {
-		k.log.Warn("snapshot not taken up", "why", err)
+		m.log.Warn("snapshot not taken up", "why", err)
 		return
 	}
 	weight, why := decide.SnapshotWeight(
-		&snapshot, k.digest, k.machineKind, len(k.cfg.Settings.Classes), k.cfg.WallClock())
+		&snapshot, m.digest, m.machineKind, len(m.cfg.Settings.Classes), m.cfg.WallClock())
 	if weight <= 0 {
-		k.log.Info("snapshot not taken up", "why", why)
+		m.log.Info("snapshot not taken up", "why", why)
 		return
 	}
-	k.learned, k.weight = &snapshot.Learned, weight
-	k.log.Info("snapshot taken up, to be checked against runs",
-		"age", time.Duration(k.cfg.WallClock()-snapshot.Taken)*time.Millisecond, "weight", math.Round(100*weight)/100,
+	m.learned, m.weight = &snapshot.Learned, weight
+	m.log.Info("snapshot taken up, to be checked against runs",
+		"age", time.Duration(m.cfg.WallClock()-snapshot.Taken)*time.Millisecond, "weight", math.Round(100*weight)/100,
 		"limit", math.Round(snapshot.Learned.Limit), "rate", math.Round(snapshot.Learned.Rate))
 }
 
-// get reads the value of a key from the store.
-func (k *Manager) get(key string, into any) error {
-	text, err := k.cfg.Store.Get(key)
+// get reads the value of a key from the store. The error is that of the store or of the decoding.
+func (m *Manager) get(key string, into any) error {
+	text, err := m.cfg.Store.Get(key)
 	if err == nil {
 		err = cbor.Unmarshal(text, into)
 	}
@@ -178,74 +179,75 @@
 }
 
 // put writes a value to the store and waits for it.
-func (k *Manager) put(key string, v any, d store.Durability) error {
+func (m *Manager) put(key string, v any, d store.Durability) error {
 	var b store.Batch
 	text, err := cbor.Marshal(v)
 	if err != nil {
 		return err
 	}
 	b.Put(key, text, 0)
-	return k.cfg.Store.Apply(&b, d)
+	return m.cfg.Store.Apply(&b, d)
 }
 
 // putAsync writes a value to the store without waiting for it.
-func (k *Manager) putAsync(key string, v any) {
+func (m *Manager) putAsync(key string, v any) {
 	var b store.Batch
 	text, err := cbor.Marshal(v)
-	if err != nil { // the types have nothing that can't be encoded
+	if err != nil { // both stored types can be encoded
 		panic(err)
 	}
 	b.Put(key, text, 0)
-	k.cfg.Store.ApplyAsync(&b, store.Buffered, func(err error) {
+	m.cfg.Store.ApplyAsync(&b, store.Buffered, func(err error) {
 		if err != nil {
-			k.Counters.FailedWrites.Add(1)
+			m.Counters.FailedWrites.Add(1)
 		} else if checkpoint, ok := v.(decide.Checkpoint); ok {
-			k.storedCheckpoint.Store(checkpoint.N)
+			m.storedCheckpoint.Store(checkpoint.N)
 		}
 	})
 }
 
-// Begin starts the recovery at the loop's time now, when the process has read its store. It must be
-// called before the other methods of the loop.
-func (k *Manager) Begin(now time.Duration) {
+// Begin starts the recovery at the time now of the loop's clock, after the process has read its store.
+// It must be called before the other methods of the loop.
+func (m *Manager) Begin(now time.Duration) {
 	settings := decide.StartupSettings{
-		Cores: k.cfg.Settings.Cores, ColdSpeed: k.cfg.Settings.ColdSpeed, WarmUpTime: k.cfg.Settings.WarmUpTime,
+		Cores: m.cfg.Settings.Cores, ColdSpeed: m.cfg.Settings.ColdSpeed, WarmUpTime: m.cfg.Settings.WarmUpTime,
 	}
-	if k.learned != nil {
-		for _, c := range k.learned.Classes {
+	if m.learned != nil {
+		for _, c := range m.learned.Classes {
 			settings.UsualRuns = append(settings.UsualRuns, c.Base)
 		}
 	}
-	processStart := now - time.Since(k.processStart)
-	k.startup = decide.NewStartup(processStart, now, settings)
-	k.zeroUnix = k.cfg.WallClock() - now.Milliseconds()
-	if k.cfg.Store == nil || !k.cfg.HasResultCache {
+	processStart := now - time.Since(m.processStart)
+	m.startup = decide.NewStartup(processStart, now, settings)
+	m.zeroUnix = m.cfg.WallClock() - now.Milliseconds()
+	if m.cfg.Store == nil || !m.cfg.HasResultCache {
 		return
 	}
-	if k.identity.CompleteSince != 0 {
-		k.found.CompleteSince = time.Duration(k.identity.CompleteSince-k.zeroUnix) * time.Millisecond
+	if m.identity.CompleteSince != 0 {
+		m.foundState.CompleteSince = time.Duration(m.identity.CompleteSince-m.zeroUnix) * time.Millisecond
 	}
-	k.check = decide.NewStoreCheck(processStart, k.found, k.cfg.ControlServices)
-	k.storedSince = k.found.CompleteSince
-	if integrity, _ := k.check.Integrity(now); integrity != decide.Intact {
-		k.reportIntegrity(k.check.Describe())
+	m.storeCheck = decide.NewStoreCheck(processStart, m.foundState, m.cfg.ControlServices)
+	m.storedSince = m.foundState.CompleteSince
+	if integrity, _ := m.storeCheck.Integrity(now); integrity != decide.Intact {
+		m.reportIntegrity(m.storeCheck.Describe())
 	}
 }
 
 // reportIntegrity logs a line of the StoreCheck, if any, and stores CompleteSince if it changed.
-func (k *Manager) reportIntegrity(line string) {
+func (m *Manager) reportIntegrity(line string) {
 	if line == "" {
 		return
 	}
-	k.log.Warn("comeback", "line", line, "store", k.identity.ID, "life", k.identity.Epoch)
-	if completeSince := k.check.CompleteSince(); completeSince != k.storedSince {
-		k.storedSince = completeSince
-		k.identity.CompleteSince = k.zeroUnix + completeSince.Milliseconds()
-		// Its checkpoints continue those of a copy: under the old ID they would pass for those already reported.
+	m.log.Warn("comeback", "line", line, "store", m.identity.ID, "life", m.identity.Epoch)
+	if completeSince := m.storeCheck.CompleteSince(); completeSince != m.storedSince {
+		m.storedSince = completeSince
+		m.identity.CompleteSince = m.zeroUnix + completeSince.Milliseconds()
+		// This store may be an older copy whose checkpoints go on from a number that was already reported:
+		// under the old ID a later check could not tell them apart.
 		id := newStoreID()
-		k.identity.ID = id
-		k.storeID.Store(&id)
-		k.putAsync(identityKey, k.identity)
+		m.identity.ID = id
+		m.storeID.Store(&id)
+		m.putAsync(identityKey, m.identity)
 	}
 }
 
@@ -256,112 +258,112 @@
 	return hex.EncodeToString(id[:])
 }
 
-// Identity returns what the node's reports say about its store, nil if there is no result cache. Any
+// Identity returns what the node reports about its store, nil if there is no result cache. Any
 // goroutine may call it.
-func (k *Manager) Identity() *decide.PreviousStore {
-	if k.cfg.Store == nil || !k.cfg.HasResultCache {
+func (m *Manager) Identity() *decide.PreviousStore {
+	if m.cfg.Store == nil || !m.cfg.HasResultCache {
 		return nil
 	}
 	return &decide.PreviousStore{
-		ID: *k.storeID.Load(), Epoch: k.found.Identity.Epoch, Checkpoint: k.storedCheckpoint.Load(),
+		ID: *m.storeID.Load(), Epoch: m.foundState.Identity.Epoch, Checkpoint: m.storedCheckpoint.Load(),
 	}
 }
 
-// ObservePrevious takes what a control service knows of an earlier incarnation, nil = of none.
-func (k *Manager) ObservePrevious(now time.Duration, previous *decide.PreviousStore) {
-	if k.check != nil {
-		k.reportIntegrity(k.check.ObservePrevious(now, previous))
+// ObservePrevious takes what a control service knows of the previous incarnation, nil = it knows of none.
+func (m *Manager) ObservePrevious(now time.Duration, previous *decide.PreviousStore) {
+	if m.storeCheck != nil {
+		m.reportIntegrity(m.storeCheck.ObservePrevious(now, previous))
 	}
 }
 
-// FleetCapacity takes the share of the fleet's usual capacity that was there at the time since.
-func (k *Manager) FleetCapacity(since time.Duration, share float64) {
-	k.startup.FleetCapacity(since, share)
+// FleetCapacity takes the share, 0 to 1, of the fleet's usual capacity that was available at the time since.
+func (m *Manager) FleetCapacity(since time.Duration, share float64) {
+	m.startup.FleetCapacity(since, share)
 }
 
 // WorkerPoolUp reports that the worker pool is up, since when, and whether it started cold. It returns
 // what the decision module may start from, nil = nothing, with its weight and the share of its usual
 // speed at which the node starts.
-func (k *Manager) WorkerPoolUp(now, since time.Duration, cold bool) (learned *rules.Learned, weight, speed float64) {
-	k.startup.WorkerPoolUp(now, since, cold)
-	if k.check != nil {
-		k.reportIntegrity(k.check.WorkerPoolUp(since))
+func (m *Manager) WorkerPoolUp(now, since time.Duration, cold bool) (learned *rules.Learned, weight, speed float64) {
+	m.startup.WorkerPoolUp(now, since, cold)
+	if m.storeCheck != nil {
+		m.reportIntegrity(m.storeCheck.WorkerPoolUp(since))
 	}
-	if k.learned == nil {
+	if m.learned == nil {
 		return nil, 0, 0
 	}
-	speed = k.startup.Speed(now)
-	k.warmStart = decide.NewWarmStart(*k.learned, speed)
-	return k.learned, k.weight, speed
+	speed = m.startup.Speed(now)
+	m.warmStart = decide.NewWarmStart(*m.learned, speed)
+	return m.learned, m.weight, speed
 }
 
 // InDoubt reports whether a request without a record may have run in an earlier incarnation and must
 // not run again. key links the tries of a request, 0 = nothing does; age is the time since the request
-// reached the machine.
-func (k *Manager) InDoubt(now time.Duration, class int, key uint64, furtherTry bool, age time.Duration) bool {
-	if k.check == nil {
+// reached the node's machine.
+func (m *Manager) InDoubt(now time.Duration, class int, key uint64, furtherTry bool, age time.Duration) bool {
+	if m.storeCheck == nil {
 		return false
 	}
-	c := &k.cfg.Settings.Classes[class]
+	c := &m.cfg.Settings.Classes[class]
 	window := c.IdempotencyWindow
-	if c.Effect == rules.Unsafe { // nothing links its tries: one may come as long as its caller waits
+	if c.Effect == rules.Unsafe { // nothing links its tries: one may arrive as long as its caller waits
 		window = c.Deadline
 	}
-	if c.Effect == rules.Keyed && k.cfg.Options.RunKeyed || c.Effect == rules.Unsafe && k.cfg.Options.RunUnsafe {
+	if c.Effect == rules.Keyed && m.cfg.Options.RunKeyed || c.Effect == rules.Unsafe && m.cfg.Options.RunUnsafe {
 		return false
 	}
-	if !k.check.MayHaveRun(now, c.Effect, window, key, furtherTry, age) {
+	if !m.storeCheck.MayHaveRun(now, c.Effect, window, key, furtherTry, age) {
 		return false
 	}
-	k.Counters.InDoubt.Add(1)
+	m.Counters.InDoubt.Add(1)
 	return true
 }
 
 // Arrived reports the arrival of a request; furtherTry marks a further try.
-func (k *Manager) Arrived(now time.Duration, furtherTry bool) { k.startup.Arrived(now, furtherTry) }
+func (m *Manager) Arrived(now time.Duration, furtherTry bool) { m.startup.Arrived(now, furtherTry) }
 
 // RunSucceeded reports a successful run: how long it took, and the caller's hint of that, 0 = no hint.
 // It returns whether the decision module must discard what it took from the snapshot.
-func (k *Manager) RunSucceeded(now time.Duration, class int, took, hint time.Duration) (discard bool) {
-	k.startup.RunSucceeded(now, class, took, hint)
-	if k.warmStart == nil || k.warmStart.Settled() {
+func (m *Manager) RunSucceeded(now time.Duration, class int, took, hint time.Duration) (discard bool) {
+	m.startup.RunSucceeded(now, class, took, hint)
+	if m.warmStart == nil || m.warmStart.Settled() {
 		return false
 	}
-	if reason := k.warmStart.ObserveRun(class, took, k.startup.Speed(now)); reason != "" {
-		k.Counters.Discarded.Add(1)
-		k.log.Warn("snapshot dropped", "why", reason)
-		k.learned = nil
+	if reason := m.warmStart.ObserveRun(class, took, m.startup.Speed(now)); reason != "" {
+		m.Counters.Discarded.Add(1)
+		m.log.Warn("snapshot dropped", "why", reason)
+		m.learned = nil
 		return true
 	}
 	return false
 }
 
-// Step advances the recovery, and stores a checkpoint and a snapshot when they are due. short says
+// Step advances the recovery, and stores a checkpoint and a snapshot when they are due. fleetShort reports
 // that the whole fleet is short of capacity; learned is called if a snapshot may be due. It returns the
 // share of its full-service load that the node requests, and the share of its usual speed that it has
 // reached.
-func (k *Manager) Step(now time.Duration, short bool, learned func() rules.Learned) (share, speed float64) {
-	k.startup.FleetShortage(short)
-	share, line := k.startup.Step(now)
+func (m *Manager) Step(now time.Duration, fleetShort bool, learned func() rules.Learned) (share, speed float64) {
+	m.startup.FleetShortage(fleetShort)
+	share, line := m.startup.Step(now)
 	if line != "" {
-		k.log.Info("comeback", "line", line, "in_doubt", k.Counters.InDoubt.Load())
+		m.log.Info("comeback", "line", line, "in_doubt", m.Counters.InDoubt.Load())
 	}
-	speed = k.startup.Speed(now)
-	state, _ := k.startup.State()
+	speed = m.startup.Speed(now)
+	state, _ := m.startup.State()
 	view := View{State: state.String(), RequestedShare: share, Speed: speed}
-	if k.check != nil {
-		integrity, reason := k.check.Integrity(now)
+	if m.storeCheck != nil {
+		integrity, reason := m.storeCheck.Integrity(now)
 		view.Integrity, view.IntegrityReason = integrity.String(), reason
 	}
-	k.view.Store(&view)
-	if k.cfg.Store == nil || now-k.lastCheckpoint < checkpointInterval {
+	m.view.Store(&view)
+	if m.cfg.Store == nil || now-m.lastCheckpoint < checkpointInterval {
 		return share, speed
 	}
-	k.lastCheckpoint = now
-	k.checkpoint()
-	if k.cfg.Options.Snapshot {
-		if figures := learned(); k.pacer.Due(now, &figures) {
-			k.storeSnapshot(figures)
+	m.lastCheckpoint = now
+	m.checkpoint()
+	if m.cfg.Options.Snapshot {
+		if current := learned(); m.snapshotPacer.Due(now, &current) {
+			m.storeSnapshot(current)
 		}
 	}
 	return share, speed
@@ -369,37 +371,38 @@
 
 // checkpoint stores how many keys the store holds: an incarnation that finds fewer, or an older
 // checkpoint than a control service received, has lost some.
-func (k *Manager) checkpoint() {
-	if k.cfg.HasResultCache {
-		k.checkpoints++
-		k.putAsync(checkpointKey, decide.Checkpoint{N: k.checkpoints, Keys: k.cfg.Store.Len()})
+func (m *Manager) checkpoint() {
+	if m.cfg.HasResultCache {
+		m.checkpoints++
+		m.putAsync(checkpointKey, decide.Checkpoint{N: m.checkpoints, Keys: m.cfg.Store.Len()})
 	}
 }
 
 // storeSnapshot stores what the decision module learned.
-func (k *Manager) storeSnapshot(learned rules.Learned) {
-	k.Counters.Snapshots.Add(1)
-	k.putAsync(snapshotKey, decide.Snapshot{
-		Version: decide.SnapshotVersion, SettingsDigest: k.digest, Machine: k.machineKind, Taken: k.cfg.WallClock(),
+func (m *Manager) storeSnapshot(learned rules.Learned) {
+	m.Counters.Snapshots.Add(1)
+	m.putAsync(snapshotKey, decide.Snapshot{
+		Version: decide.SnapshotVersion, SettingsDigest: m.digest, Machine: m.machineKind, Taken: m.cfg.WallClock(),
 		Learned: learned,
 	})
 }
 
 // View returns the state of the recovery, nil before the first step.
-func (k *Manager) View() *View { return k.view.Load() }
+func (m *Manager) View() *View { return m.view.Load() }
 
 // Close stores a last checkpoint and snapshot. The loop must have ended, and the store must be open.
-func (k *Manager) Close(learned rules.Learned) {
-	if k.cfg.Store == nil {
+func (m *Manager) Close(learned rules.Learned) {
+	if m.cfg.Store == nil {
 		return
 	}
-	k.checkpoint()
-	if k.cfg.Options.Snapshot && len(learned.Classes) > 0 {
-		k.storeSnapshot(learned)
+	m.checkpoint()
+	if m.cfg.Options.Snapshot && len(learned.Classes) > 0 {
+		m.storeSnapshot(learned)
 	}
 }
 
-// machineDescription describes the kind of machine that learned figures apply to.
+// machineDescription describes the kind of machine that a snapshot applies to: processor, architecture
+// and number of cores.
 func machineDescription(cores int) string {
 	name := "unknown"
 	if f, err := os.Open("/proc/cpuinfo"); err == nil {
--- a/internal/recovery/manager_test.go
+++ b/internal/recovery/manager_test.go
@@ -42,7 +42,7 @@
 }
 
 // start begins an incarnation.
-func (n *testNode) start(snapshot bool) (k *Manager, s *store.Store) {
+func (n *testNode) start(snapshot bool) (m *Manager, s *store.Store) {
 	n.t.Helper()
 	s, rec, err := store.Open("/s", store.Options{FS: n.disk, Manual: true})
 	if err != nil {
@@ -52,7 +52,7 @@
 		n.disk.Fail(func(vfs.Op) error { return syscall.ENOSPC })
 	}
 	n.log.Reset()
-	k, err = Open(Config{
+	m, err = Open(Config{
 		Options: config.Recovery{Enabled: true, Snapshot: snapshot}, Store: s, StoreRecovery: rec, HasResultCache: true,
 		Node: n.name, ControlServices: 1, Settings: n.settings, Names: settings.Names{Classes: []string{"a", "b", "c"}},
 		Log: slog.New(slog.NewTextHandler(&n.log, nil)), WallClock: func() int64 { return n.wall },
@@ -60,20 +60,20 @@
 	if err != nil {
 		n.t.Fatal(err)
 	}
-	k.Begin(0)
-	return k, s
+	m.Begin(0)
+	return m, s
 }
 
 // stop ends an incarnation and closes its store.
-func (n *testNode) stop(k *Manager, s *store.Store, l rules.Learned) {
+func (n *testNode) stop(m *Manager, s *store.Store, l rules.Learned) {
 	n.t.Helper()
-	k.Close(l)
+	m.Close(l)
 	if err := s.Close(); err != nil {
 		n.t.Fatal(err)
 	}
 }
 
-// learned returns figures of three classes.
+// learned returns learned values of three classes.
 func learned() rules.Learned {
 	c := rules.LearnedClass{Mean: 0.02, Base: 0.02, Runs: 50, Hint: 0.02, Var: 1e-4, Cov: 1e-4}
 	return rules.Learned{Limit: 4, Rate: 90, Classes: []rules.LearnedClass{c, c, c}}
@@ -84,96 +84,96 @@
 // store of another node is not accepted.
 func TestIncarnationsOfOneStore(t *testing.T) {
 	node := newTestNode(t)
-	k, s := node.start(false)
-	first := *k.Identity()
+	m, s := node.start(false)
+	first := *m.Identity()
 	if first.Epoch != 1 || len(first.ID) != 32 || !strings.Contains(node.log.String(), "memory unproven") {
 		t.Fatalf("identity %+v, log %s", first, node.log.String())
 	}
-	k.ObservePrevious(second, nil)
+	m.ObservePrevious(second, nil)
 	copied := node.disk.Clone()
 	for now := second; now <= 4*second; now += second / 2 {
-		k.Step(now, false, learned)
-	}
-	standin.Eventually(t, "checkpoints", func() bool { return k.Identity().Checkpoint >= 3 })
-	previous := *k.Identity()
-	node.stop(k, s, rules.Learned{})
-	k, s = node.start(false)
-	k.ObservePrevious(second, &previous)
-	if integrity, why := k.check.Integrity(second); integrity != decide.Intact ||
-		k.Identity().Epoch != 2 || k.Identity().ID != first.ID {
-		t.Errorf("integrity %v (%s), identity %+v", integrity, why, k.Identity())
-	}
-	node.stop(k, s, rules.Learned{})
+		m.Step(now, false, learned)
+	}
+	standin.Eventually(t, "checkpoints", func() bool { return m.Identity().Checkpoint >= 3 })
+	previous := *m.Identity()
+	node.stop(m, s, rules.Learned{})
+	m, s = node.start(false)
+	m.ObservePrevious(second, &previous)
+	if integrity, why := m.storeCheck.Integrity(second); integrity != decide.Intact ||
+		m.Identity().Epoch != 2 || m.Identity().ID != first.ID {
+		t.Errorf("integrity %v (%s), identity %+v", integrity, why, m.Identity())
+	}
+	node.stop(m, s, rules.Learned{})
 	node.disk = copied
-	k, s = node.start(false)
-	k.ObservePrevious(second, &previous)
-	if !strings.Contains(node.log.String(), "older copy") || !k.InDoubt(2*second, 1, 1, true, 0) ||
-		k.InDoubt(2*second, 0, 1, true, 0) || k.Counters.InDoubt.Load() != 1 {
+	m, s = node.start(false)
+	m.ObservePrevious(second, &previous)
+	if !strings.Contains(node.log.String(), "older copy") || !m.InDoubt(2*second, 1, 1, true, 0) ||
+		m.InDoubt(2*second, 0, 1, true, 0) || m.Counters.InDoubt.Load() != 1 {
 		t.Errorf("an older copy is not recognised: %s", node.log.String())
 	}
 	standin.Eventually(t, "the time of the loss is stored", func() bool {
 		var id decide.Identity
-		return k.get(identityKey, &id) == nil && id.CompleteSince != 0
+		return m.get(identityKey, &id) == nil && id.CompleteSince != 0
 	})
-	node.stop(k, s, rules.Learned{})
-	node.wall += 2000 // the next incarnation, 2 s later, holds the same requests in doubt
-	k, s = node.start(false)
-	if !k.InDoubt(second, 1, 2, true, 0) || k.InDoubt(9*second, 1, 2, true, 0) {
-		t.Error("the next incarnation does not hold requests in doubt for just the rest of the window")
+	node.stop(m, s, rules.Learned{})
+	node.wall += 2000 // the next incarnation, 2 s later, treats the same requests as in doubt
+	m, s = node.start(false)
+	if !m.InDoubt(second, 1, 2, true, 0) || m.InDoubt(9*second, 1, 2, true, 0) {
+		t.Error("the next incarnation does not treat requests as in doubt for just the rest of the window")
 	}
-	node.stop(k, s, rules.Learned{})
+	node.stop(m, s, rules.Learned{})
 	node.name = "n2"
-	k, s = node.start(false)
+	m, s = node.start(false)
 	if !strings.Contains(node.log.String(), "the folder is that of n1") {
 		t.Errorf("the store of another node is accepted: %s", node.log.String())
 	}
-	node.stop(k, s, rules.Learned{})
+	node.stop(m, s, rules.Learned{})
 }
 
 // With a full disk at the start the node serves and logs that its incarnation is not stored. The next
 // incarnation recognises that its store is incomplete.
 func TestStartOnFullDisk(t *testing.T) {
 	node := newTestNode(t)
-	k, s := node.start(false)
-	node.stop(k, s, rules.Learned{})
+	m, s := node.start(false)
+	node.stop(m, s, rules.Learned{})
 	complete := node.disk
 	node.disk = complete.Clone()
 	node.diskFull = true
-	k, s = node.start(false)
+	m, s = node.start(false)
 	node.diskFull = false
 	if !strings.Contains(node.log.String(), "this incarnation is not stored") {
 		t.Fatalf("a full disk logs %s", node.log.String())
 	}
-	previous := *k.Identity()
+	previous := *m.Identity()
 	_ = s.Close() // as a crash would leave it
 	node.disk = complete
-	k, s = node.start(false)
-	k.ObservePrevious(second, &previous)
-	if integrity, _ := k.check.Integrity(second); integrity != decide.Incomplete {
+	m, s = node.start(false)
+	m.ObservePrevious(second, &previous)
+	if integrity, _ := m.storeCheck.Integrity(second); integrity != decide.Incomplete {
 		t.Errorf("integrity %v after an incarnation that could not be stored", integrity)
 	}
-	node.stop(k, s, rules.Learned{})
+	node.stop(m, s, rules.Learned{})
 }
 
 // A snapshot is used by the next incarnation, unless it is outdated, unreadable or of other settings, and
 // is discarded when runs contradict it.
 func TestSnapshotAcrossRestarts(t *testing.T) {
 	node := newTestNode(t)
-	k, s := node.start(true)
-	node.stop(k, s, learned())
-	k, s = node.start(true)
-	l, weight, speed := k.WorkerPoolUp(second, second, true)
+	m, s := node.start(true)
+	node.stop(m, s, learned())
+	m, s = node.start(true)
+	l, weight, speed := m.WorkerPoolUp(second, second, true)
 	if l == nil || weight < 0.9 || speed > 0.4 || !strings.Contains(node.log.String(), "snapshot taken up") {
 		t.Fatalf("%v at %v, speed %v: %s", l, weight, speed, node.log.String())
 	}
 	dropped := false
 	for i := range 12 {
-		dropped = dropped || k.RunSucceeded(second+time.Duration(i)*time.Millisecond, 0, second, 20*time.Millisecond)
+		dropped = dropped || m.RunSucceeded(second+time.Duration(i)*time.Millisecond, 0, second, 20*time.Millisecond)
 	}
-	if !dropped || k.Counters.Discarded.Load() != 1 {
+	if !dropped || m.Counters.Discarded.Load() != 1 {
 		t.Error("the snapshot is not discarded after runs of sixteen times the length")
 	}
-	node.stop(k, s, rules.Learned{})
+	node.stop(m, s, rules.Learned{})
 	for name, change := range map[string]func(){
 		"other settings":  func() { node.settings.WarmUpTime++ },
 		"too old":         func() { node.wall += (13 * time.Hour).Milliseconds() },
@@ -196,8 +196,8 @@
 		was, disk, wall := node.settings, node.disk, node.wall
 		node.disk = disk.Clone()
 		change()
-		k, s := node.start(true)
-		if l, _, _ := k.WorkerPoolUp(second, second, false); l != nil || !strings.Contains(node.log.String(), "snapshot not taken up") {
+		m, s := node.start(true)
+		if l, _, _ := m.WorkerPoolUp(second, second, false); l != nil || !strings.Contains(node.log.String(), "snapshot not taken up") {
 			t.Errorf("%s: snapshot is used: %s", name, node.log.String())
 		}
 		_ = s.Close()
--- a/internal/recovery/settings_digest.go
+++ b/internal/recovery/settings_digest.go
@@ -77,7 +77,7 @@
 	}
 )
 
-// settingsDigest returns the digest of the settings that learned figures depend on. It does not cover
+// settingsDigest returns the digest of the settings that learned values depend on. It does not cover
 // a cold start, nor the features that are enabled apart from the platform's settings.
 func settingsDigest(set rules.Settings, names settings.Names) uint64 {
 	return xxhash.Sum64String(digestText(set, names))
--- a/internal/resultcache/cache.go
+++ b/internal/resultcache/cache.go
@@ -33,8 +33,8 @@
 	recordPrefix       = "m/"
 	resultPrefix       = "b/"
 	clockKey           = "clock"
-	expiryGrace        = 10 * time.Second // records stay in the store this much longer, for repeats that are read late
-	maxPendingFetches  = 256              // reads of results that may be pending
+	expiryGrace        = 10 * time.Second // for which the store holds expired records, for repeats that are read late
+	maxPendingFetches  = 256              // pending calls of Fetch; further ones fail
 	maxNamedRuns       = 8                // runs named in one log line
 	failureLogInterval = 5 * time.Second  // least time between log lines about failed writes
 )
@@ -49,7 +49,7 @@
 	Restored atomic.Int64 // records restored at the start
 	Answered atomic.Int64 // repeats answered with the result of an earlier incarnation
 	Unknown  atomic.Int64 // repeats failed because the request ran, or may have run, and there is no result
-	LateEnds atomic.Int64 // ends of runs of an earlier incarnation, reported by a worker pool that outlived it
+	LateEnds atomic.Int64 // runs of an earlier incarnation whose end the worker pool reported to this one
 	Expired  atomic.Int64 // records removed because they expired
 	Evicted  atomic.Int64 // records or results evicted for others
 	NoRoom   atomic.Int64 // requests for whose record there was no room
@@ -63,7 +63,7 @@
 	Settings          rules.Settings
 	Names             settings.Names
 	Log               *slog.Logger
-	MaintenanceSpread time.Duration              // over which stores that open together spread the start of their maintenance
+	MaintenanceSpread time.Duration              // upper bound of the random delay of the store's maintenance after Open
 	FS                vfs.FS                     // nil = the real file system
 	Clocks            func() decide.ClockReading // nil = the system's clocks
 	Elapsed           func() time.Duration       // since Open, on the loop's clock; nil = the system's
@@ -84,11 +84,11 @@
 	clockBase atomic.Int64 // the module's Unix time at Open, milliseconds; 0 = not known yet
 
 	batch          store.Batch
-	pending        []func(error)
+	pending        []func(error) // to be called when the batch is written
 	needsSync      bool          // a callback in pending waits for a durable write
 	lastCheckpoint time.Duration // when the clocks' checkpoint was stored
 	lastExpiry     time.Duration
-	lastFailureLog time.Time // about a failed write
+	lastFailureLog time.Time // time of the last log line about a failed write
 	fetches        chan fetchRequest
 	fetcherDone    chan struct{}
 }
@@ -170,7 +170,7 @@
 	var ts unix.Timespec
 	id, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts) != nil {
-		return reading // the wall clock alone has to do
+		return reading // only the wall clock is available
 	}
 	reading.Boot, reading.Up = strings.TrimSpace(string(id)), ts.Nano()/int64(time.Millisecond)
 	return reading
@@ -201,9 +201,9 @@
 			previous = nil
 		}
 	}
-	step, away := c.module.StartClock(now, c.cfg.Clocks(), previous)
+	clockStep, downtime := c.module.StartClock(now, c.cfg.Clocks(), previous)
 	c.clockBase.Store(c.module.Unix(now) - c.cfg.Elapsed().Milliseconds())
-	if step == decide.WallBackTooFar {
+	if clockStep == decide.WallBackTooFar {
 		c.log.Warn("wall clock went back across the restart: restored results expire after the slack",
 			"slack", c.cfg.Results.ClockSlack)
 	}
@@ -256,7 +256,7 @@
 	c.Counters.Restored.Store(int64(len(restored)))
 	c.Counters.Expired.Add(int64(dropped[decide.Expired]))
 	args := []any{
-		"kept", len(restored), "bytes", c.module.Bytes(), "clock", step.String(), "away", away,
+		"kept", len(restored), "bytes", c.module.Bytes(), "clock", clockStep.String(), "away", downtime,
 		"recovery", c.recovery.Took, "restore", time.Since(began),
 		"checkpoint", c.recovery.Checkpoint, "read_bytes", c.recovery.Read,
 	}
@@ -289,7 +289,7 @@
 	return restored, nil
 }
 
-// record returns the decide.Record.
+// record converts the stored form back.
 func (s storedRecord) record() decide.Record {
 	return decide.Record{
 		RequestKey: decide.RequestKey{Class: s.Class, Tenant: s.Tenant, Name: s.Name},
@@ -312,7 +312,7 @@
 	return key
 }
 
-// Wants reports whether x is recorded, and whether its run must wait for a stored intent.
+// ShouldRecord reports whether x is recorded, and whether its run must wait for a stored intent.
 func (c *Cache) ShouldRecord(x *exchange.Exchange) (record, intent bool) {
 	return c.module.ShouldRecord(c.cfg.Settings.Classes[x.Class].Effect, c.RequestKey(x).Name != "")
 }
@@ -348,8 +348,9 @@
 	c.notifyWhenWritten(done)
 }
 
-// RunEnded records how the run of x ended. done, if not nil, is called once the record is as durable as
-// configured, or could not be stored; its argument says whether the result is stored.
+// RunEnded records the end of the run of x; body is its result if it succeeded. done, if not nil, is
+// called once the record is as durable as configured, or could not be stored; its argument reports
+// whether the result is stored.
 func (c *Cache) RunEnded(now time.Duration, x *exchange.Exchange, expires time.Duration, succeeded bool,
 	body []byte, done func(stored bool)) {
 	c.recordEnd(now, c.record(now, x, expires), succeeded, body, done)
@@ -408,7 +409,7 @@
 		Kind: record.Kind, Effect: record.Effect, Class: record.Class, Tenant: record.Tenant, Name: record.Name, Run: record.Run,
 		Arrived: record.Arrived, Window: record.Window, Expires: record.Expires, Size: record.Size,
 	})
-	if err != nil { // the type has nothing that can't be encoded
+	if err != nil { // the type can always be encoded
 		panic(err)
 	}
 	c.batch.Put(recordPrefix+record.Text(), text, record.Expires+expiryGrace.Milliseconds())
@@ -441,7 +442,7 @@
 // putClockCheckpoint adds a checkpoint of the clocks to the batch.
 func (c *Cache) putClockCheckpoint(now time.Duration) {
 	text, err := c.encoder.Marshal(c.module.Checkpoint(now, c.cfg.Clocks()))
-	if err != nil { // the type has nothing that can't be encoded
+	if err != nil { // the type can always be encoded
 		panic(err)
 	}
 	c.batch.Put(clockKey, text, 0)
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -14,8 +14,8 @@
 }
 
 // check returns an error that names the first setting that is out of range, missing or in
-// conflict with another one. An optional setting is not required where leaving it out only
-// makes the decision module stricter. A bad value is never replaced by another.
+// conflict with another one. A setting may be missing only where that makes the decision
+// module stricter. A bad value is never replaced by a default.
 func (j *settingsJSON) check() error {
 	extra, obligations := &j.Extra, &j.Obligations
 	unbounded := math.MaxFloat64
@@ -64,6 +64,7 @@
 	return j.checkConsistency()
 }
 
+// rangeText describes a range; math.MaxFloat64 as the highest value means no upper bound.
 func rangeText(lowest, highest float64) string {
 	if highest == math.MaxFloat64 {
 		return fmt.Sprintf("at least %v", lowest)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -77,7 +77,7 @@
 	} `json:"obligations"`
 }
 
-// Words of the platform's settings.
+// The words of the platform's settings, with the values of the decision module.
 var effects = map[string]rules.Effect{
 	"idempotent": rules.Safe, "deduplicated": rules.Keyed, "at_most_once": rules.Unsafe,
 }
@@ -130,6 +130,7 @@
 	return s, names, err
 }
 
+// parse converts the JSON text and stores the names of classes and tenants in names.
 func parse(text []byte, names *Names) (rules.Settings, error) {
 	var j settingsJSON
 	if err := json.Unmarshal(text, &j); err != nil {
--- a/internal/settings/shedding.go
+++ b/internal/settings/shedding.go
@@ -8,12 +8,12 @@
 	"robinmast/rules"
 )
 
-// UseShedding sets the module's fleet-aware load shedding from the [together] section of own,
+// UseShedding sets the module's fleet-aware load shedding from the [together] section of cfg,
 // if that is enabled.
-func UseShedding(set *rules.Settings, own *config.Config) {
-	if !own.Shedding.Enabled {
+func UseShedding(set *rules.Settings, cfg *config.Config) {
+	if !cfg.Shedding.Enabled {
 		return
 	}
-	useDigests := own.Shedding.UseDigests
+	useDigests := cfg.Shedding.UseDigests
 	set.NewShedder = func(now time.Duration) rules.Shedder { return shedding.New(now, useDigests) }
 }
--- a/internal/store/batch.go
+++ b/internal/store/batch.go
@@ -17,6 +17,7 @@
 // Delete removes a key.
 func (b *Batch) Delete(key string) { b.add(op{key: key, delete: true}) }
 
+// add appends an operation and its size.
 func (b *Batch) add(o op) {
 	b.ops = append(b.ops, o)
 	b.size += o.size()
--- a/internal/store/checkpoint.go
+++ b/internal/store/checkpoint.go
@@ -22,6 +22,7 @@
 	checkpointBlockSize = 64 << 10 // bytes of entries after which a block is written
 )
 
+// checkpointName returns the name of the checkpoint file with this number.
 func checkpointName(id uint64) string { return fmt.Sprintf("%016x%s", id, checkpointSuffix) }
 
 // parseCheckpointName returns the number of a checkpoint file.
@@ -319,6 +320,7 @@
 	truncated bool
 }
 
+// uvarint decodes an unsigned number, 0 if truncated.
 func (r *checkpointDecoder) uvarint() uint64 {
 	v, n := binary.Uvarint(r.b)
 	if n <= 0 {
@@ -329,6 +331,7 @@
 	return v
 }
 
+// varint decodes a signed number, 0 if truncated.
 func (r *checkpointDecoder) varint() int64 {
 	v, n := binary.Varint(r.b)
 	if n <= 0 {
@@ -339,6 +342,7 @@
 	return v
 }
 
+// str decodes a string that follows its length, "" if truncated.
 func (r *checkpointDecoder) str() string {
 	n := r.uvarint()
 	if n > uint64(len(r.b)) {
--- a/internal/store/compact.go
+++ b/internal/store/compact.go
@@ -68,13 +68,13 @@
 	slices.SortFunc(sealed, func(a, b *segment) int {
 		return cmp.Or(cmp.Compare(share(b), share(a)), cmp.Compare(a.id, b.id))
 	})
-	var chosen []*segment
+	var victims []*segment
 	live := int64(0)
 	take := func(g *segment) bool {
-		if len(chosen) > 0 && live+g.liveBytes > s.opt.segmentSize() {
+		if len(victims) > 0 && live+g.liveBytes > s.opt.segmentSize() {
 			return false
 		}
-		chosen = append(chosen, g)
+		victims = append(victims, g)
 		live += g.liveBytes
 		return true
 	}
@@ -92,22 +92,22 @@
 				break
 			}
 		}
-		if len(chosen) < 2 {
+		if len(victims) < 2 {
 			return nil
 		}
 	}
-	return chosen
+	return victims
 }
 
-// compactOnce does one pass; again reports whether another pass may find work.
+// compactOnce runs one compaction pass; again reports whether another pass may find work.
 func (s *Store) compactOnce(ctx context.Context, anyGarbage bool) (again bool, err error) {
 	s.compactMu.Lock()
 	defer s.compactMu.Unlock()
-	chosen := s.selectVictims(anyGarbage)
-	if len(chosen) == 0 {
+	victims := s.selectVictims(anyGarbage)
+	if len(victims) == 0 {
 		return false, nil
 	}
-	err = s.rewriteSegments(ctx, chosen)
+	err = s.rewriteSegments(ctx, victims)
 	s.compactionFailing.Store(err != nil)
 	if err != nil {
 		s.Stats.CompactionFailures.Add(1)
@@ -132,8 +132,8 @@
 func (s *Store) rewriteSegments(ctx context.Context, victims []*segment) (err error) {
 	newHeader := header{salt: s.opt.Salt()}
 	s.mu.Lock()
-	s.nextID++
-	newHeader.id = s.nextID
+	s.lastID++
+	newHeader.id = s.lastID
 	s.mu.Unlock()
 	name := segmentName(newHeader.id, newHeader.salt, packSuffix)
 	temp := vfs.Join(s.dir, name+tempSuffix)
@@ -204,8 +204,8 @@
 	return nil
 }
 
-// copyLive appends the live records of a victim to the target, and appends what it copied
-// and dropped to the list.
+// copyLive appends the live records of a victim to the target, and adds a relocation for each
+// record that it copied or dropped to list.
 func (s *Store) copyLive(ctx context.Context, victim, target *segment, list []relocation) ([]relocation, error) {
 	f := segmentFile{segment: victim, headerOK: true, size: victim.end}
 	result, err := s.scanSegment(f, 0)
@@ -223,7 +223,7 @@
 		}
 		s.mu.Unlock()
 	}
-	w := &bufferedReader{file: victim.file, size: victim.end}
+	reader := &bufferedReader{file: victim.file, size: victim.end}
 	var ops []op
 	var items []relocation
 	size, read := 0, 0
@@ -252,7 +252,7 @@
 	}
 	for _, sp := range result.spans {
 		for off := sp.from; off < sp.to; {
-			head, err := w.at(off, recordHeaderSize)
+			head, err := reader.at(off, recordHeaderSize)
 			if err != nil {
 				return list, err
 			}
@@ -260,7 +260,7 @@
 			if !ok {
 				return list, fmt.Errorf("read %s at %d: file changed during compaction", victim.name, off)
 			}
-			b, err := w.at(off, int(r.size))
+			b, err := reader.at(off, int(r.size))
 			if err != nil || int64(len(b)) < r.size {
 				return list, errors.Join(fmt.Errorf("read %s at %d: file changed during compaction", victim.name, off), err)
 			}
@@ -276,7 +276,7 @@
 				s.mu.RUnlock()
 				isCurrent := exists && uint64(current.segmentID) == victim.id && int64(current.offset) == opOffset
 				switch {
-				case !isCurrent && o.delete: // a newer record replaced it, or it hid no records
+				case !isCurrent && o.delete: // obsolete: a newer record replaced it, or it hides none
 				case !isCurrent:
 					list = append(list, relocation{staleKey: o.key})
 				case current.deleted() && s.deletionObsolete(current, victim),
--- a/internal/store/index.go
+++ b/internal/store/index.go
@@ -25,6 +25,7 @@
 	return uint32(min(overhead, 255))<<24 | n
 }
 
+// deleted reports whether the item marks a deletion.
 func (it *item) deleted() bool { return it.meta&deletedSize == deletedSize }
 
 // valueSize is the size of the value in bytes.
@@ -35,6 +36,7 @@
 	return int(it.meta & deletedSize)
 }
 
+// deletedOrExpired reports whether the key has no value at the time now, in Unix milliseconds.
 func (it *item) deletedOrExpired(now int64) bool {
 	return it.deleted() || it.expiry != 0 && it.expiry <= now
 }
@@ -82,8 +84,8 @@
 	}
 }
 
-// sweep removes expired entries from the index. Each call visits a part, so that calls
-// once a second cover the index within a minute and hold the lock only for a short time.
+// sweep removes expired entries from the index. Each call visits a part, in batches, so that
+// calls once a second cover the index within a minute and hold the lock only for a short time.
 // An expired entry that hides older records stays until those are removed.
 func (s *Store) sweep() {
 	const batchSize = 512
--- a/internal/store/open.go
+++ b/internal/store/open.go
@@ -127,7 +127,7 @@
 			}
 		}
 		if id, _, ok := parseName(name, damagedSuffix); ok {
-			s.nextID = max(s.nextID, id)
+			s.lastID = max(s.lastID, id)
 		}
 		id, salt, ok := parseName(name, segmentSuffix)
 		packed := false
@@ -148,7 +148,7 @@
 			return rec, fmt.Errorf("segments %s and %s have the same number", other.name, name)
 		}
 		s.segments[uint32(id)] = g
-		s.nextID = max(s.nextID, id)
+		s.lastID = max(s.lastID, id)
 		size, err := f.Size()
 		if err != nil {
 			return rec, err
@@ -237,8 +237,8 @@
 	s.missingEnds[g.id] = true
 }
 
-// computeUncertainty determines the sequence number below which the newest record of an
-// entry may be unreadable. Records are numbered in the order of their segments, and
+// computeUncertainty determines the sequence number below which keys are in doubt, because
+// their newest record may be unreadable. Records are numbered in the order of their segments, and
 // compaction keeps their numbers.
 func (s *Store) computeUncertainty(rec *Recovery) {
 	for id := range s.missingEnds {
--- a/internal/store/read.go
+++ b/internal/store/read.go
@@ -81,7 +81,7 @@
 	Key     string
 	Value   []byte
 	Expiry  int64 // Unix milliseconds, 0 = never
-	InDoubt bool  // the newest record may be unreadable, and this value an older one: see InDoubt
+	InDoubt bool  // the newest record may be unreadable, and Value an older one: see Store.InDoubt
 }
 
 // Scan calls f for every key that begins with prefix, in order of the keys, on a snapshot
--- a/internal/store/replay.go
+++ b/internal/store/replay.go
@@ -20,11 +20,11 @@
 	if v, ok := voids[g.id]; ok {
 		stop = min(stop, v)
 	}
-	w := &bufferedReader{file: g.file, size: f.size}
+	reader := &bufferedReader{file: g.file, size: f.size}
 	firstSeqs := map[int64]uint64{} // the first sequence number of each span
 	for _, sp := range result.spans {
 		for off := sp.from; off < min(sp.to, stop); {
-			head, err := w.at(off, recordHeaderSize)
+			head, err := reader.at(off, recordHeaderSize)
 			if err != nil {
 				return fmt.Errorf("read %s at %d: %w", g.name, off, err)
 			}
@@ -32,7 +32,7 @@
 			if !ok {
 				return fmt.Errorf("read %s at %d: file changed during recovery", g.name, off)
 			}
-			b, err := w.at(off, int(r.size))
+			b, err := reader.at(off, int(r.size))
 			if err != nil {
 				return fmt.Errorf("read %s at %d: %w", g.name, off, err)
 			}
--- a/internal/store/rotate.go
+++ b/internal/store/rotate.go
@@ -13,7 +13,7 @@
 	from      int64
 }
 
-// syncActive syncs the writes that were acknowledged as Soon. If that fails the segment is
+// syncActive syncs the acknowledged Buffered writes. If that fails the segment is
 // abandoned, and the acknowledged writes in it are written again to a new one.
 func (s *Store) syncActive() error {
 	g := s.active
@@ -36,7 +36,7 @@
 }
 
 // abandonSegment seals a segment whose sync failed: what the disk holds of the bytes since
-// the last successful sync is unknown, and a repeated sync would not tell. The next segment
+// the last successful sync is unknown, and a repeated sync could succeed without them. The next segment
 // voids those bytes and holds the acknowledged writes among them again.
 func (s *Store) abandonSegment(g *segment) {
 	s.Stats.AbandonedSegments.Add(1)
@@ -130,8 +130,8 @@
 // createSegment creates a segment file and writes its header; it syncs nothing.
 func (s *Store) createSegment(h *header) (*segment, error) {
 	s.mu.Lock()
-	s.nextID++
-	h.id = s.nextID
+	s.lastID++
+	h.id = s.lastID
 	s.mu.Unlock()
 	name := segmentName(h.id, h.salt, segmentSuffix)
 	f, err := s.fs.Create(vfs.Join(s.dir, name))
--- a/internal/store/scan.go
+++ b/internal/store/scan.go
@@ -15,8 +15,8 @@
 	from   int64            // start of the scan; a checkpoint covers what is before it
 	spans  []span           // contiguous records
 	holes  []span           // unreadable bytes between and after the spans
-	synced int64            // synced size of the segment, according to its records
-	voids  map[uint64]int64 // void records found: segment number to offset
+	synced int64            // synced size of the segment, as its records state
+	voids  map[uint64]int64 // void records found: segment number to the offset where it stops being valid
 	reason string           // fault at the start of the first hole
 }
 
@@ -58,7 +58,7 @@
 // record it searches, byte by byte, for the next one.
 func (s *Store) scanSegment(f segmentFile, from int64) (*scanResult, error) {
 	result := &scanResult{from: from, voids: map[uint64]int64{}}
-	w := &bufferedReader{file: f.file, size: f.size}
+	reader := &bufferedReader{file: f.file, size: f.size}
 	off := from
 	if off == 0 {
 		off = headerSize
@@ -69,35 +69,35 @@
 			}
 		}
 	}
-	open := span{off, off}
+	current := span{off, off}
 	for off < f.size {
-		head, err := w.at(off, recordHeaderSize)
+		head, err := reader.at(off, recordHeaderSize)
 		if err != nil {
 			return nil, fmt.Errorf("read %s at %d: %w", f.name, off, err)
 		}
 		r, _, ok := decodeRecordHeader(head, f.salt, off)
 		var recordErr error
 		if ok {
-			b, err := w.at(off, int(r.size))
+			b, err := reader.at(off, int(r.size))
 			if err != nil {
 				return nil, fmt.Errorf("read %s at %d: %w", f.name, off, err)
 			}
 			if r, recordErr = decodeRecord(b, f.salt, off); recordErr == nil {
-				if open.to != off { // the record follows a hole
-					if open.to > open.from {
-						result.spans = append(result.spans, open)
+				if current.to != off { // the record follows a hole
+					if current.to > current.from {
+						result.spans = append(result.spans, current)
 					}
-					result.holes = append(result.holes, span{open.to, off})
-					open = span{off, off}
+					result.holes = append(result.holes, span{current.to, off})
+					current = span{off, off}
 				}
 				if r.kind == recordVoid {
-					if seg, at, err := r.decodeVoid(); err == nil {
-						result.voids[seg] = at
+					if seg, validEnd, err := r.decodeVoid(); err == nil {
+						result.voids[seg] = validEnd
 					}
 				}
 				result.synced = max(result.synced, r.synced)
 				off += r.size
-				open.to = off
+				current.to = off
 				continue
 			}
 		}
@@ -113,11 +113,11 @@
 		}
 		off++
 	}
-	if open.to > open.from {
-		result.spans = append(result.spans, open)
+	if current.to > current.from {
+		result.spans = append(result.spans, current)
 	}
-	if open.to < f.size {
-		result.holes = append(result.holes, span{open.to, f.size})
+	if current.to < f.size {
+		result.holes = append(result.holes, span{current.to, f.size})
 	}
 	return result, nil
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -66,7 +66,7 @@
 type Options struct {
 	FS               vfs.FS        // nil = the operating system's file system
 	SlackBytes       int64         // bytes of disk allowed beyond twice the live data; 0 = 8 MiB
-	SyncInterval     time.Duration // maximum time until a Soon write is synced; 0 = 20 ms
+	SyncInterval     time.Duration // maximum time until a Buffered write is synced; 0 = 20 ms
 	CompactionRate   int64         // bytes per second while disk use is within its bound; 0 = no limit
 	QueueBytes       int64         // maximum bytes of queued writes; 0 = 32 MiB
 	Now              func() int64  // Unix time in milliseconds; nil = the system's clock
@@ -105,13 +105,13 @@
 	id, salt  uint64
 	name      string
 	file      vfs.File
-	refs      atomic.Int32
-	end       int64  // offset of the next record; the size once sealed
-	syncedEnd int64  // end as of the last sync
-	liveBytes int64  // bytes of records that the index refers to
-	minSeq    uint64 // lowest sequence number in it
-	sealed    bool   // nothing is appended any more
-	torn      bool   // holds bytes of writes that were never acknowledged
+	refs      atomic.Int32 // the store's reference and those of reads in progress
+	end       int64        // offset of the next record; the size in bytes once sealed
+	syncedEnd int64        // end as of the last sync
+	liveBytes int64        // bytes of records that the index refers to
+	minSeq    uint64       // lowest sequence number in it
+	sealed    bool         // nothing is appended any more
+	torn      bool         // holds bytes of writes that were never acknowledged
 	faults    []Fault
 }
 
@@ -134,13 +134,13 @@
 	mu          sync.RWMutex // guards the fields up to sweepCursor
 	index       *btree.BTreeG[item]
 	segments    map[uint32]*segment
-	seq         uint64
-	nextID      uint64
+	seq         uint64 // sequence number of the last operation
+	lastID      uint64 // number of the last segment file
 	diskBytes   int64  // bytes of all segments
 	liveBytes   int64  // bytes of records that the index refers to
 	sweepCursor string // key at which the next sweep continues
 
-	// Set by Open: an entry with a lower sequence number may have a newer, unreadable record.
+	// Set by Open: a key whose newest readable record has a lower sequence number is in doubt.
 	uncertainBefore uint64
 	missingEnds     map[uint64]bool // segments whose end is missing; used while Open reads
 
@@ -162,9 +162,9 @@
 	passDone             chan struct{} // signalled after each maintenance pass
 	compactionFailing    atomic.Bool   // the last compaction pass failed
 	limiter              *rate.Limiter
-	bytesSinceCheckpoint int64 // used only by the writer
-	checkpointBytes      int64 // size of the last checkpoint file
-	checkpointID         uint64
+	bytesSinceCheckpoint int64  // used only by the writer
+	checkpointBytes      int64  // size of the last checkpoint file
+	checkpointID         uint64 // number of the last checkpoint file
 
 	cancel     context.CancelFunc
 	background sync.WaitGroup
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -133,9 +133,9 @@
 }
 
 // workload runs overwrites, deletions, expiring writes, compactions and restarts. Writes are
-// durable, or with withSoon partly Soon. Each batch sets or deletes a key and the same key
+// durable, or with withBuffered partly Buffered. Each batch sets or deletes a key and the same key
 // with the prefix "m". It returns the states in the order of acknowledgement.
-func workload(h *harness, withSoon bool, batches int) []acknowledgedState {
+func workload(h *harness, withBuffered bool, batches int) []acknowledgedState {
 	random := rand.New(rand.NewPCG(7, 7))
 	var steps []acknowledgedState
 	recordState := func() {
@@ -144,7 +144,7 @@
 	recordState()
 	for i := range batches {
 		durability := Durable
-		if withSoon && random.IntN(3) > 0 {
+		if withBuffered && random.IntN(3) > 0 {
 			durability = Buffered
 		}
 		k := fmt.Sprintf("k%02d", random.IntN(12))
@@ -277,10 +277,10 @@
 	t.Logf("%d states after %d operations", states, ops)
 }
 
-// Guards the weaker guarantee of Soon writes. A power cut may lose those that were not
+// Guards the weaker guarantee of Buffered writes. A power cut may lose those that were not
 // synced, but recovery must not return a value that was never written, nor a part of a
 // batch. A crash of the process alone must lose no acknowledged write.
-func TestEveryCutSoon(t *testing.T) {
+func TestEveryCutBuffered(t *testing.T) {
 	h := newHarness(t)
 	steps := workload(h, true, 80)
 	history := map[string]bool{}
@@ -421,7 +421,7 @@
 }
 
 // Guards against marking too many keys as in doubt: a key that was written after the damaged
-// record is not in doubt, and a write of a key ends its doubt.
+// record is not in doubt, and a write of a key ends the state.
 func TestInDoubtEndsWithWrite(t *testing.T) {
 	h := newHarness(t)
 	for _, kv := range [][2]string{{"a", "1"}, {"b", "1"}, {"a", "2"}, {"c", "1"}} {
--- a/internal/store/vfs/mem.go
+++ b/internal/store/vfs/mem.go
@@ -300,6 +300,7 @@
 	m.names[name], m.durable[name] = f, f
 }
 
+// memFile is an open file of a Mem.
 type memFile struct {
 	m     *Mem
 	f     *inode
@@ -378,6 +379,7 @@
 	return m.do(Op{Kind: OpSyncDir, Name: dir})
 }
 
+// memLock is a lock of a Mem, until Close.
 type memLock struct {
 	m    *Mem
 	name string
--- a/internal/store/vfs/vfs.go
+++ b/internal/store/vfs/vfs.go
@@ -59,6 +59,7 @@
 
 var _ FS = OS{}
 
+// osFile is an open file of OS.
 type osFile struct{ *os.File }
 
 // Sync calls fdatasync, which writes content and size but not the timestamps.
