--- a/cmd/robinmast/counters.go
+++ b/cmd/robinmast/counters.go
@@ -66,17 +66,7 @@
 			"given_up", calls.Ended[rules.Cancelled].Load(), traffic(&calls.Traffic)))
 	}
 	if p.results != nil {
-		c, s := &p.results.Counters, &p.results.Store().Stats
-		syncs := s.Syncs.Load()
-		args = append(args, slog.Group("results",
-			"intents", c.Intents.Load(), "stored", c.Stored.Load(), "restored", c.Restored.Load(),
-			"answered", c.Answered.Load(), "unknown", c.Unknown.Load(), "late_ends", c.LateEnds.Load(),
-			"aged", c.Expired.Load(), "evicted", c.Evicted.Load(), "no_room", c.NoRoom.Load(), "failed", c.Failed.Load()),
-			slog.Group("store",
-				"entries", p.results.Store().Len(), "batches", s.Batches.Load(), "bytes", s.Bytes.Load(),
-				"syncs", syncs, "sync_mean", time.Duration(s.SyncNanos.Load()/max(syncs, 1)), "full", s.Full.Load(),
-				"compactions", s.Compactions.Load(), "compaction_failures", s.CompactionFailures.Load(),
-				"checkpoints", s.Checkpoints.Load(), "given_up", s.AbandonedSegments.Load(), "damaged", s.Damaged.Load()))
+		args = append(args, p.resultGroups()...)
 	}
 	if p.control != nil {
 		sent, failed := int64(0), int64(0)
@@ -104,20 +94,40 @@
 		}
 	}
 	if p.cfg.nodeSettings.NewPools != nil && message == countersMessage { // the decision loop answers only while it runs
-		views := p.node.Pools(viewTimeout)
-		var group []any
-		for _, v := range views {
-			if (v.Running > 0 || v.Queued > 0 || v.Limit > 0 || v.Refused > 0) && len(group) < maxLoggedPools {
-				group = append(group, slog.Group(v.Name, "running", v.Running, "held", v.Queued, "limit", round(v.Limit),
-					"reserve", round(v.Reserve), "lent", round(v.Lent), "borrowed", round(v.Borrowed), "refused", v.Refused,
-					"cheap", v.Cheap, "hangs", v.Hanging))
-			}
-		}
-		args = append(args, slog.Group("pools", group...))
+		args = append(args, p.poolsGroup())
 	}
 	log.Info(message, args...)
 }
 
+// resultGroups returns the counters of the result cache and of its store.
+func (p *runningNode) resultGroups() []any {
+	c, s := &p.results.Counters, &p.results.Store().Stats
+	syncs := s.Syncs.Load()
+	return []any{slog.Group("results",
+		"intents", c.Intents.Load(), "stored", c.Stored.Load(), "restored", c.Restored.Load(),
+		"answered", c.Answered.Load(), "unknown", c.Unknown.Load(), "late_ends", c.LateEnds.Load(),
+		"aged", c.Expired.Load(), "evicted", c.Evicted.Load(), "no_room", c.NoRoom.Load(), "failed", c.Failed.Load()),
+		slog.Group("store",
+			"entries", p.results.Store().Len(), "batches", s.Batches.Load(), "bytes", s.Bytes.Load(),
+			"syncs", syncs, "sync_mean", time.Duration(s.SyncNanos.Load()/max(syncs, 1)), "full", s.Full.Load(),
+			"compactions", s.Compactions.Load(), "compaction_failures", s.CompactionFailures.Load(),
+			"checkpoints", s.Checkpoints.Load(), "given_up", s.AbandonedSegments.Load(), "damaged", s.Damaged.Load())}
+}
+
+// poolsGroup returns the state of the concurrency pools that are or were in use.
+func (p *runningNode) poolsGroup() slog.Attr {
+	views := p.node.Pools(viewTimeout)
+	var group []any
+	for _, v := range views {
+		if (v.Running > 0 || v.Queued > 0 || v.Limit > 0 || v.Refused > 0) && len(group) < maxLoggedPools {
+			group = append(group, slog.Group(v.Name, "running", v.Running, "held", v.Queued, "limit", round(v.Limit),
+				"reserve", round(v.Reserve), "lent", round(v.Lent), "borrowed", round(v.Borrowed), "refused", v.Refused,
+				"cheap", v.Cheap, "hangs", v.Hanging))
+		}
+	}
+	return slog.Group("pools", group...)
+}
+
 // Messages of the lines that hold the counters: of a node that serves, and of one that has left.
 const (
 	countersMessage = "counters"
--- a/internal/control/resources.go
+++ b/internal/control/resources.go
@@ -65,11 +65,44 @@
 }
 
 // buildResources builds the resources of a view for proxies of a zone: a cluster, its endpoints by
-// zone, a listener and a route, each with a hash of its content as its version. The proxies' own
-// zone has priority 0 and all others 1; without a zone all have 0.
+// zone, a listener and a route, each with a hash of its content as its version.
 func buildResources(view *fleet.View, zone string) (*resources, error) {
 	built := &resources{version: view.Version}
-	limit, localities := 0.0, map[string]*endpointv3.LocalityLbEndpoints{}
+	assignment, limit := buildEndpoints(view, zone)
+	cluster := buildCluster(limit)
+	listener, err := buildListener()
+	if err != nil {
+		return nil, err
+	}
+	route := &routev3.RouteConfiguration{Name: Name, VirtualHosts: []*routev3.VirtualHost{{
+		Name: Name, Domains: []string{"*"},
+		Routes: []*routev3.Route{{
+			Match: &routev3.RouteMatch{PathSpecifier: &routev3.RouteMatch_Prefix{Prefix: "/"}},
+			Action: &routev3.Route_Route{Route: &routev3.RouteAction{
+				ClusterSpecifier: &routev3.RouteAction_Cluster{Cluster: Name},
+			}},
+		}},
+	}}}
+	for t, message := range [xds.NumTypes]proto.Message{
+		xds.Clusters: cluster, xds.Endpoints: assignment, xds.Listeners: listener, xds.Routes: route,
+	} {
+		encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
+		if err != nil {
+			return nil, fmt.Errorf("%v: %w", xds.Type(t), err)
+		}
+		body := &anypb.Any{TypeUrl: typeURLs[t], Value: encoded}
+		version := fmt.Sprintf("%016x", contentHash(body))
+		built.bodies[t] = map[string]*anypb.Any{Name: body}
+		built.snapshots[t] = xds.Snapshot{Version: version, Resources: map[string]string{Name: version}}
+	}
+	return built, nil
+}
+
+// buildEndpoints builds the endpoints of a view by zone, and returns the sum of the concurrency
+// limits of the nodes that serve. The proxies' own zone has priority 0 and all others 1; without a
+// zone all have 0.
+func buildEndpoints(view *fleet.View, zone string) (_ *endpointv3.ClusterLoadAssignment, limit float64) {
+	localities := map[string]*endpointv3.LocalityLbEndpoints{}
 	for _, n := range view.Nodes {
 		status, listed := healthStatus[n.State]
 		if !listed {
@@ -135,6 +168,11 @@
 			DropOverloads: []*endpointv3.ClusterLoadAssignment_Policy_DropOverload{drop},
 		}
 	}
+	return assignment, limit
+}
+
+// buildCluster builds the cluster; limit is the sum of the nodes' concurrency limits, 0 = unknown.
+func buildCluster(limit float64) *clusterv3.Cluster {
 	breakers := &clusterv3.CircuitBreakers{}
 	if limit > 0 { // the sum of the concurrency limits, and as much again for the queues
 		maxRequests := wrapperspb.UInt32(uint32(min(max(2*math.Ceil(limit/8)*8, 1), math.MaxUint32)))
@@ -142,7 +180,7 @@
 			{MaxRequests: maxRequests, MaxPendingRequests: maxRequests},
 		}
 	}
-	cluster := &clusterv3.Cluster{
+	return &clusterv3.Cluster{
 		Name: Name, ConnectTimeout: durationpb.New(time.Second), LbPolicy: clusterv3.Cluster_ROUND_ROBIN,
 		CircuitBreakers:      breakers,
 		ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_EDS},
@@ -152,6 +190,10 @@
 		},
 		EdsClusterConfig: &clusterv3.Cluster_EdsClusterConfig{EdsConfig: adsSource, ServiceName: Name},
 	}
+}
+
+// buildListener builds the listener, which refers to the route.
+func buildListener() (*listenerv3.Listener, error) {
 	manager, err := anypb.New(&hcmv3.HttpConnectionManager{
 		StatPrefix: Name,
 		RouteSpecifier: &hcmv3.HttpConnectionManager_Rds{
@@ -161,29 +203,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("listener: %w", err)
 	}
-	listener := &listenerv3.Listener{Name: Name, ApiListener: &listenerv3.ApiListener{ApiListener: manager}}
-	route := &routev3.RouteConfiguration{Name: Name, VirtualHosts: []*routev3.VirtualHost{{
-		Name: Name, Domains: []string{"*"},
-		Routes: []*routev3.Route{{
-			Match: &routev3.RouteMatch{PathSpecifier: &routev3.RouteMatch_Prefix{Prefix: "/"}},
-			Action: &routev3.Route_Route{Route: &routev3.RouteAction{
-				ClusterSpecifier: &routev3.RouteAction_Cluster{Cluster: Name},
-			}},
-		}},
-	}}}
-	for t, message := range [xds.NumTypes]proto.Message{
-		xds.Clusters: cluster, xds.Endpoints: assignment, xds.Listeners: listener, xds.Routes: route,
-	} {
-		encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
-		if err != nil {
-			return nil, fmt.Errorf("%v: %w", xds.Type(t), err)
-		}
-		body := &anypb.Any{TypeUrl: typeURLs[t], Value: encoded}
-		version := fmt.Sprintf("%016x", contentHash(body))
-		built.bodies[t] = map[string]*anypb.Any{Name: body}
-		built.snapshots[t] = xds.Snapshot{Version: version, Resources: map[string]string{Name: version}}
-	}
-	return built, nil
+	return &listenerv3.Listener{Name: Name, ApiListener: &listenerv3.ApiListener{ApiListener: manager}}, nil
 }
 
 // contentHash returns the hash of a resource that serves as its version: the same bytes have the
--- a/internal/resultcache/restore.go
+++ b/internal/resultcache/restore.go
@@ -118,14 +118,7 @@
 		}
 	}
 	c.log.Info("remembered results", args...)
-	for _, fault := range c.recovery.Torn {
-		c.log.Info("store: truncated an incomplete write that was never acknowledged",
-			"file", fault.File, "offset", fault.Offset, "bytes", fault.Size)
-	}
-	for _, fault := range c.recovery.Damaged {
-		c.log.Error("store: damage; all other records are served, the file is set aside",
-			"file", fault.File, "offset", fault.Offset, "bytes", fault.Size, "reason", fault.Reason)
-	}
+	c.logStoreFaults()
 	if possiblyOutdated > 0 {
 		c.log.Warn("newer records of some results may be lost: reads are discarded, keyed ones restored",
 			"entries", possiblyOutdated)
@@ -141,6 +134,18 @@
 	return restored, nil
 }
 
+// logStoreFaults logs the faults that opening the store found.
+func (c *Cache) logStoreFaults() {
+	for _, fault := range c.recovery.Torn {
+		c.log.Info("store: truncated an incomplete write that was never acknowledged",
+			"file", fault.File, "offset", fault.Offset, "bytes", fault.Size)
+	}
+	for _, fault := range c.recovery.Damaged {
+		c.log.Error("store: damage; all other records are served, the file is set aside",
+			"file", fault.File, "offset", fault.Offset, "bytes", fault.Size, "reason", fault.Reason)
+	}
+}
+
 // record converts the stored form back.
 func (s storedRecord) record() decide.Record {
 	return decide.Record{
--- a/internal/store/open.go
+++ b/internal/store/open.go
@@ -119,61 +119,9 @@
 	if err != nil {
 		return rec, err
 	}
-	var all []segmentFile
-	for _, name := range names {
-		if strings.HasSuffix(name, tempSuffix) && !s.opt.ReadOnly {
-			if err := s.fs.Remove(vfs.Join(s.dir, name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
-				return rec, err
-			}
-		}
-		if id, _, ok := parseName(name, damagedSuffix); ok {
-			s.lastID = max(s.lastID, id)
-		}
-		id, salt, ok := parseName(name, segmentSuffix)
-		packed := false
-		if !ok {
-			id, salt, packed = parseName(name, packSuffix)
-		}
-		if !ok && !packed {
-			continue
-		}
-		f, err := s.fs.Open(vfs.Join(s.dir, name), !s.opt.ReadOnly)
-		if err != nil {
-			return rec, err
-		}
-		g := &segment{id: id, salt: salt, name: name, file: f, sealed: true, minSeq: ^uint64(0)}
-		g.refs.Store(1)
-		if other := s.segments[uint32(id)]; other != nil {
-			_ = f.Close()
-			return rec, fmt.Errorf("segments %s and %s have the same number", other.name, name)
-		}
-		s.segments[uint32(id)] = g
-		s.lastID = max(s.lastID, id)
-		size, err := f.Size()
-		if err != nil {
-			return rec, err
-		}
-		b := make([]byte, headerSize)
-		n, err := f.ReadAt(b, 0)
-		if err != nil && err != io.EOF {
-			return rec, fmt.Errorf("read %s: %w", name, err)
-		}
-		h, err := decodeHeader(b[:n])
-		var version *VersionError
-		if errors.As(err, &version) {
-			version.File = name
-			return rec, version
-		}
-		all = append(all, segmentFile{
-			segment: g, header: h, headerOK: err == nil && h.id == id && h.salt == salt, size: size, packed: packed,
-		})
-	}
-	slices.SortFunc(all, func(a, b segmentFile) int { return cmp.Compare(a.id, b.id) })
-	for i := len(all) - 1; i >= 0; i-- {
-		if !all[i].packed {
-			all[i].newest = true
-			break
-		}
+	all, err := s.openSegments(names)
+	if err != nil {
+		return rec, err
 	}
 	ends := map[uint64]int64{} // synced size of segments, according to later headers and checkpoints
 	for _, f := range all {
@@ -228,6 +176,67 @@
 	return rec, s.syncNewest(all)
 }
 
+// openSegments opens the segments among the files called names and reads their headers, removes
+// temporary files, and returns the segments in the order of their numbers.
+func (s *Store) openSegments(names []string) (all []segmentFile, err error) {
+	for _, name := range names {
+		if strings.HasSuffix(name, tempSuffix) && !s.opt.ReadOnly {
+			if err := s.fs.Remove(vfs.Join(s.dir, name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
+				return nil, err
+			}
+		}
+		if id, _, ok := parseName(name, damagedSuffix); ok {
+			s.lastID = max(s.lastID, id)
+		}
+		id, salt, ok := parseName(name, segmentSuffix)
+		packed := false
+		if !ok {
+			id, salt, packed = parseName(name, packSuffix)
+		}
+		if !ok && !packed {
+			continue
+		}
+		f, err := s.fs.Open(vfs.Join(s.dir, name), !s.opt.ReadOnly)
+		if err != nil {
+			return nil, err
+		}
+		g := &segment{id: id, salt: salt, name: name, file: f, sealed: true, minSeq: ^uint64(0)}
+		g.refs.Store(1)
+		if other := s.segments[uint32(id)]; other != nil {
+			_ = f.Close()
+			return nil, fmt.Errorf("segments %s and %s have the same number", other.name, name)
+		}
+		s.segments[uint32(id)] = g
+		s.lastID = max(s.lastID, id)
+		size, err := f.Size()
+		if err != nil {
+			return nil, err
+		}
+		b := make([]byte, headerSize)
+		n, err := f.ReadAt(b, 0)
+		if err != nil && err != io.EOF {
+			return nil, fmt.Errorf("read %s: %w", name, err)
+		}
+		h, err := decodeHeader(b[:n])
+		var version *VersionError
+		if errors.As(err, &version) {
+			version.File = name
+			return nil, version
+		}
+		all = append(all, segmentFile{
+			segment: g, header: h, headerOK: err == nil && h.id == id && h.salt == salt, size: size, packed: packed,
+		})
+	}
+	slices.SortFunc(all, func(a, b segmentFile) int { return cmp.Compare(a.id, b.id) })
+	for i := len(all) - 1; i >= 0; i-- {
+		if !all[i].packed {
+			all[i].newest = true
+			break
+		}
+	}
+	return all, nil
+}
+
 // noteMissingEnd records that the end of a segment, or any part of a segment written by
 // compaction, is missing. What it held is older than all that was appended to later segments.
 func (s *Store) noteMissingEnd(g *segment) {
