--- a/cmd/robinmast/bench_test.go
+++ b/cmd/robinmast/bench_test.go
@@ -52,12 +52,12 @@
 	if s.members, err = testplatform.StartMembers(); err != nil {
 		b.Fatal(err)
 	}
-	hold, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	s.addr = hold.Addr().String()
-	hold.Close()
+	s.addr = listener.Addr().String()
+	listener.Close()
 	s.ini = filepath.Join(s.dir, "robinmast.ini")
 	text := "[log]\nlevel = info\n"
 	if strings.HasPrefix(results, "[") {
@@ -81,13 +81,13 @@
 	if s.pool, err = testplatform.StartPool(s.cores, s.contention, s.work); err != nil {
 		s.b.Fatal(err)
 	}
-	whole := goodConfig
+	template := goodConfig
 	if s.config != "" {
-		whole = s.config
+		template = s.config
 	}
 	text := strings.NewReplacer("127.0.0.1:8080", s.addr, "127.0.0.1:4400", s.pool.Addr(), "127.0.0.1:2379", s.members.Addr(),
 		`"windowMs":5000`, `"windowMs":600000`, `"cpus":2`, fmt.Sprintf(`"cpus":%d`, s.cores), `"entryKb":1`, `"entryKb":0.1,"freshMs":60000`,
-		`"aimMs":1000`, `"aimMs":900`).Replace(whole)
+		`"aimMs":1000`, `"aimMs":900`).Replace(template)
 	path := filepath.Join(s.dir, "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		s.b.Fatal(err)
@@ -220,7 +220,7 @@
 				var txns, served atomic.Int64
 				seconds := int(length / time.Second)
 				good, sent := make([]int, seconds+1), make([]int, seconds+1)
-				try := func(desk, m int, item string, more bool) bool {
+				try := func(desk, m int, item string, retry bool) bool {
 					mu.Lock()
 					c := conns[[2]int{desk, m}]
 					if c == nil || !c.Usable() {
@@ -234,7 +234,7 @@
 					mu.Unlock()
 					began := time.Now()
 					a, err := c.Call(testplatform.Request{Txn: fmt.Sprintf("%016x", txns.Add(1)), Class: "read", Tenant: "acme", Limit: time.Second,
-						Item: item, Body: []byte(item), Retry: more, HintMs: workMs})
+						Item: item, Body: []byte(item), Retry: retry, HintMs: workMs})
 					return err == nil && a.Word == "ACK" && time.Since(began) < time.Second
 				}
 				began := time.Now()
--- a/cmd/robinmast/kill_test.go
+++ b/cmd/robinmast/kill_test.go
@@ -107,12 +107,12 @@
 		t.Fatal(err)
 	}
 	defer members.Close()
-	hold, err := net.Listen("tcp", "127.0.0.1:0") // a free port for the node
+	listener, err := net.Listen("tcp", "127.0.0.1:0") // a free port for the node
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := &restartedNode{t: t, binary: binary, dir: dir, addr: hold.Addr().String()}
-	hold.Close()
+	v := &restartedNode{t: t, binary: binary, dir: dir, addr: listener.Addr().String()}
+	listener.Close()
 	text := strings.NewReplacer("127.0.0.1:8080", v.addr, "127.0.0.1:4400", pool.Addr(), "127.0.0.1:2379", members.Addr(),
 		`"windowMs":5000`, `"windowMs":600000`, `"cpus":2`, `"cpus":8`, `"entryKb":1`, `"entryKb":0.1`, `"aimMs":1000`, `"aimMs":3000`).Replace(goodConfig)
 	path := filepath.Join(dir, "config.json")
@@ -130,7 +130,7 @@
 	var acks, repeats, fails, lost, gaveUp atomic.Int64
 	var known sync.Map // the answer to each key
 	var wg sync.WaitGroup
-	ask := func(client **testplatform.Client, n int, unique string, more bool) (testplatform.Answer, error) {
+	call := func(client **testplatform.Client, n int, unique string, retry bool) (testplatform.Answer, error) {
 		if *client == nil || !(*client).Usable() {
 			c, err := testplatform.Dial(v.addr, n)
 			if err != nil {
@@ -140,12 +140,12 @@
 			*client = c
 		}
 		limit := 2 * time.Second
-		if more { // if its run never began, the node does not answer in time
+		if retry { // if its run never began, the node does not answer in time
 			limit = 60 * time.Millisecond
 		}
 		return (*client).Call(testplatform.Request{
 			Txn: fmt.Sprintf("%016x", txns.Add(1)), Class: "pay", Tenant: "acme", Limit: limit, Unique: unique,
-			Body: []byte(unique), Retry: more,
+			Body: []byte(unique), Retry: retry,
 		})
 	}
 	for n := range 8 {
@@ -161,20 +161,20 @@
 			}()
 			for i := 0; !stop.Load(); i++ {
 				unique := fmt.Sprintf("u%d-%d", n, i)
-				body, first, again := "", true, 0
-				for tries := 0; tries < 200 && again < 3; tries++ {
+				body, first, answeredRounds := "", true, 0
+				for tries := 0; tries < 200 && answeredRounds < 3; tries++ {
 					if stop.Load() && body == "" {
 						break
 					}
 					// After a broken connection the repeats come on three connections at once.
-					at := 1
+					parallel := 1
 					if !first {
-						at = 3
+						parallel = 3
 					}
-					answers, errs := make([]testplatform.Answer, at), make([]error, at)
+					answers, errs := make([]testplatform.Answer, parallel), make([]error, parallel)
 					var round sync.WaitGroup
-					for j := range at {
-						round.Go(func() { answers[j], errs[j] = ask(&clients[j], 10*n+j, unique, !first) })
+					for j := range parallel {
+						round.Go(func() { answers[j], errs[j] = call(&clients[j], 10*n+j, unique, !first) })
 					}
 					round.Wait()
 					failed := 0
@@ -209,7 +209,7 @@
 						time.Sleep(5 * time.Millisecond)
 					}
 					if body != "" {
-						again++
+						answeredRounds++
 						if r.IntN(3) > 0 {
 							break
 						}
@@ -237,7 +237,7 @@
 	var last *testplatform.Client
 	checked := 0
 	known.Range(func(unique, body any) bool {
-		a, err := ask(&last, 99, unique.(string), false)
+		a, err := call(&last, 99, unique.(string), false)
 		if err != nil || a.Word != "ACK" || string(a.Body) != body {
 			t.Errorf("%s: was answered %q, finally %s %q, %v", unique, body, a.Word, a.Body, err)
 		}
@@ -266,8 +266,8 @@
 // without the store, depending on the settings.
 func TestStoreCannotOpen(t *testing.T) {
 	dir := t.TempDir()
-	at := filepath.Join(dir, "results")
-	if err := os.WriteFile(at, nil, 0o600); err != nil { // a file where the directory should be
+	notDirectory := filepath.Join(dir, "results")
+	if err := os.WriteFile(notDirectory, nil, 0o600); err != nil { // a file where the directory should be
 		t.Fatal(err)
 	}
 	var cfg map[string]any
@@ -280,9 +280,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, forget := range []bool{false, true} {
-		ini := fmt.Sprintf("[results]\nenabled = true\ndir = %s\n", at)
-		if forget {
+	for _, startEmpty := range []bool{false, true} {
+		ini := fmt.Sprintf("[results]\nenabled = true\ndir = %s\n", notDirectory)
+		if startEmpty {
 			ini += "unopened = forget\n"
 		}
 		c, _ := programCommand(writeFile(t, string(text)))
@@ -292,14 +292,14 @@
 		if err := c.Start(); err != nil {
 			t.Fatal(err)
 		}
-		if forget {
+		if startEmpty {
 			standin.Eventually(t, "a start without the store", func() bool {
 				return strings.Contains(out.String(), "serving without remembered results") && strings.Contains(out.String(), "node started")
 			})
 			_ = c.Process.Kill()
 		}
 		err := c.Wait()
-		if !forget && (c.ProcessState.ExitCode() != statusFailed || !strings.HasPrefix(out.String(), "robinmast: results: open store")) {
+		if !startEmpty && (c.ProcessState.ExitCode() != statusFailed || !strings.HasPrefix(out.String(), "robinmast: results: open store")) {
 			t.Errorf("refuse: %v, %q", err, out.String())
 		}
 	}
--- a/cmd/robinmast/lifecycle_test.go
+++ b/cmd/robinmast/lifecycle_test.go
@@ -59,13 +59,13 @@
 	}
 }
 
-// waitForExit waits for the exit, which must have status 0 and come within most.
-func (p *process) waitForExit(most time.Duration) {
+// waitForExit waits for the exit, which must have status 0 and come within timeout.
+func (p *process) waitForExit(timeout time.Duration) {
 	p.t.Helper()
 	began := time.Now()
 	select {
 	case err := <-p.exited:
-		if d := time.Since(began); err != nil || d > most {
+		if d := time.Since(began); err != nil || d > timeout {
 			p.t.Errorf("exit %v after %v: %s", err, d, p.out.String())
 		}
 	case <-time.After(15 * time.Second):
--- a/cmd/robinmast/system_test.go
+++ b/cmd/robinmast/system_test.go
@@ -281,13 +281,13 @@
 var txns atomic.Int64
 
 // call sends a request that runs for ms milliseconds and returns its txn.
-func (d dispatcher) call(tag, ms int, more string) string {
+func (d dispatcher) call(tag, ms int, params string) string {
 	txn := fmt.Sprintf("%016x", txns.Add(1))
 	class := "read"
-	if strings.Contains(more, "unique=") {
+	if strings.Contains(params, "unique=") {
 		class = "pay"
 	}
 	d.Send("RPC.CALL", fmt.Sprint(tag), class, fmt.Sprintf("txn=%s,door=%d,lb=1,team=acme,limit=4000,cpu=5,ram=10,standing=0.5%s",
-		txn, time.Now().UnixMilli(), more), fmt.Sprint(ms))
+		txn, time.Now().UnixMilli(), params), fmt.Sprint(ms))
 	return txn
 }
