--- a/cmd/robinmast-control/main.go
+++ b/cmd/robinmast-control/main.go
@@ -150,8 +150,8 @@
 	var security []grpc.ServerOption
 	if certs != nil {
 		service.Streams.MaySubscribe = control.MaySubscribe(o.proxySANs)
-		security = append(security, grpc.Creds(credentials.NewTLS(certs.Server("h2"))))
-		reportsListener = tls.NewListener(reportsListener, certs.Server("http/1.1"))
+		security = append(security, grpc.Creds(credentials.NewTLS(certs.ServerConfig("h2"))))
+		reportsListener = tls.NewListener(reportsListener, certs.ServerConfig("http/1.1"))
 	}
 	grpcServer := grpc.NewServer(append(security,
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 30 * time.Second, Timeout: 10 * time.Second}),
--- a/internal/control/certs.go
+++ b/internal/control/certs.go
@@ -115,9 +115,9 @@
 	}
 }
 
-// Server returns the TLS configuration of a listener with the given ALPN protocol. Each new
+// ServerConfig returns the TLS configuration of a listener with the given ALPN protocol. Each new
 // connection uses the certificates that are current.
-func (c *Certs) Server(protocol string) *tls.Config {
+func (c *Certs) ServerConfig(protocol string) *tls.Config {
 	base := &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: []string{protocol}}
 	base.GetConfigForClient = func(*tls.ClientHelloInfo) (*tls.Config, error) {
 		c.mu.Lock()
@@ -130,8 +130,8 @@
 	return base
 }
 
-// Names returns the DNS names of the peer's verified certificate, nil if there is none.
-func Names(state *tls.ConnectionState) []string {
+// DNSNames returns the DNS names of the peer's verified certificate, nil if there is none.
+func DNSNames(state *tls.ConnectionState) []string {
 	if state == nil || len(state.VerifiedChains) == 0 {
 		return nil
 	}
@@ -147,7 +147,7 @@
 	}
 	return func(r *http.Request, name string) bool {
 		want := strings.ReplaceAll(pattern, "{name}", name)
-		for _, dnsName := range Names(r.TLS) {
+		for _, dnsName := range DNSNames(r.TLS) {
 			if strings.EqualFold(dnsName, want) {
 				return true
 			}
@@ -160,7 +160,7 @@
 // certificate must be in the list allowed or be directly below the domain of a *.DOMAIN in it.
 func MaySubscribe(allowed []string) func(*tls.ConnectionState) bool {
 	return func(state *tls.ConnectionState) bool {
-		for _, name := range Names(state) {
+		for _, name := range DNSNames(state) {
 			for _, allowedName := range allowed {
 				_, domain, _ := strings.Cut(name, ".")
 				if strings.EqualFold(name, allowedName) ||
--- a/internal/control/certs_test.go
+++ b/internal/control/certs_test.go
@@ -54,16 +54,16 @@
 	go s.Run(ctx)
 	go certs.Watch(ctx)
 	xds, reports := standin.Listen(t), standin.Listen(t)
-	g := grpc.NewServer(grpc.Creds(credentials.NewTLS(certs.Server("h2"))))
+	g := grpc.NewServer(grpc.Creds(credentials.NewTLS(certs.ServerConfig("h2"))))
 	discoveryv3.RegisterAggregatedDiscoveryServiceServer(g, s.Streams)
 	go func() { _ = g.Serve(xds) }()
 	defer g.Stop()
 	h := &http.Server{Handler: s.Handler(), ErrorLog: slog.NewLogLogger(slog.NewTextHandler(io.Discard, nil), 0)}
-	go func() { _ = h.Serve(tls.NewListener(reports, certs.Server("http/1.1"))) }()
+	go func() { _ = h.Serve(tls.NewListener(reports, certs.ServerConfig("http/1.1"))) }()
 	defer h.Close()
 
-	put := func(as, name string) int {
-		c := &http.Client{Transport: &http.Transport{TLSClientConfig: a.Client(as, "control"), DisableKeepAlives: true}}
+	put := func(certName, name string) int {
+		c := &http.Client{Transport: &http.Transport{TLSClientConfig: a.Client(certName, "control"), DisableKeepAlives: true}}
 		url := "https://" + reports.Addr().String() + "/members/" + name
 		q, _ := http.NewRequest(http.MethodPut, url, strings.NewReader(`{"phase":"UP"}`))
 		r, err := c.Do(q)
@@ -74,15 +74,15 @@
 		return r.StatusCode
 	}
 	for _, c := range []struct {
-		as, name string
-		code     int
+		certName, name string
+		code           int
 	}{{"n1.node", "n1", 204}, {"n1.node", "n2", 403}, {"a.proxy", "n1", 403}, {"", "n1", 0}} {
-		if got := put(c.as, c.name); got != c.code {
-			t.Errorf("%q reports for %s: %d, want %d", c.as, c.name, got, c.code)
+		if got := put(c.certName, c.name); got != c.code {
+			t.Errorf("%q reports for %s: %d, want %d", c.certName, c.name, got, c.code)
 		}
 	}
-	subscribe := func(as string) (discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesClient, error) {
-		creds := credentials.NewTLS(a.Client(as, "control"))
+	subscribe := func(certName string) (discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesClient, error) {
+		creds := credentials.NewTLS(a.Client(certName, "control"))
 		conn, err := grpc.NewClient(xds.Addr().String(), grpc.WithTransportCredentials(creds))
 		if err != nil {
 			return nil, err
@@ -90,7 +90,7 @@
 		t.Cleanup(func() { conn.Close() })
 		st, err := discoveryv3.NewAggregatedDiscoveryServiceClient(conn).StreamAggregatedResources(ctx)
 		if err == nil {
-			err = st.Send(&discoveryv3.DiscoveryRequest{TypeUrl: typeURLs[0], Node: &corev3.Node{Id: as}})
+			err = st.Send(&discoveryv3.DiscoveryRequest{TypeUrl: typeURLs[0], Node: &corev3.Node{Id: certName}})
 		}
 		if err == nil {
 			_, err = st.Recv()
@@ -101,9 +101,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, as := range []string{"n1.node", "a.b.proxy", ""} {
-		if _, err := subscribe(as); err == nil {
-			t.Errorf("%q may subscribe", as)
+	for _, certName := range []string{"n1.node", "a.b.proxy", ""} {
+		if _, err := subscribe(certName); err == nil {
+			t.Errorf("%q may subscribe", certName)
 		}
 	}
 	serial := func() int64 {
@@ -188,7 +188,7 @@
 			}},
 		}
 		err := st.Send(&loadv3.LoadStatsRequest{ClusterStats: []*endpointv3.ClusterStats{
-			{ClusterName: Name, UpstreamLocalityStats: []*endpointv3.UpstreamLocalityStats{locality}},
+			{ClusterName: ResourceName, UpstreamLocalityStats: []*endpointv3.UpstreamLocalityStats{locality}},
 		}})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -62,7 +62,7 @@
 	g.remove(7) // a node that stops without draining
 	g.awaitState(7, "gone")
 	worst = max(worst, g.awaitView("a node that is gone", a, b))
-	if has, _ := a.Endpoints(); has["127.1.0.7:8080"].Status != corev3.HealthStatus_UNKNOWN {
+	if endpoints, _ := a.Endpoints(); endpoints["127.1.0.7:8080"].Status != corev3.HealthStatus_UNKNOWN {
 		t.Error("the proxy still has a stale node")
 	}
 	for i, bad := range []float64{40, 8} { // one fails fast, one only lets its callers time out
@@ -82,8 +82,8 @@
 	if worst > 2*time.Second {
 		t.Errorf("a proxy had the view only after %v", worst)
 	}
-	has, _ := b.Endpoints()
-	for addr, e := range has {
+	endpoints, _ := b.Endpoints()
+	for addr, e := range endpoints {
 		if want := map[bool]uint32{true: 0, false: 1}[e.Zone == "z1"]; e.Priority != want {
 			t.Errorf("%s of zone %s has priority %d for a proxy of z1", addr, e.Zone, e.Priority)
 		}
@@ -101,7 +101,7 @@
 	}
 	eds := "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
 	for round, delta := range []bool{false, true} {
-		inc := uint64(1001 + round)
+		incarnation := uint64(1001 + round)
 		good := g.startProxy(fmt.Sprint("good ", delta), delta, nil)
 		silent := g.startProxy(fmt.Sprint("never answers ", delta), delta, func(p *proxy.Proxy) {
 			p.Faults.NeverAcknowledges = true
@@ -115,10 +115,10 @@
 		g.awaitState(5, "healthy")
 		g.awaitView("the first view", good, silent, reconnects, forgets)
 		for i := range 50 {
-			g.setNode(0, inc, func(m *nodeReport) { m.Seq, m.Phase = uint64(1000*(i+1)), []string{"up", "out"}[i%2] })
+			g.setNode(0, incarnation, func(m *nodeReport) { m.Seq, m.Phase = uint64(1000*(i+1)), []string{"up", "out"}[i%2] })
 			time.Sleep(10 * time.Millisecond)
 		}
-		g.setNode(0, inc, func(m *nodeReport) { m.Seq, m.Phase = 100_000, "draining" })
+		g.setNode(0, incarnation, func(m *nodeReport) { m.Seq, m.Phase = 100_000, "draining" })
 		g.awaitState(0, "draining")
 		if d := g.awaitView("the last view", good, reconnects, forgets); d > 2*time.Second {
 			t.Errorf("the other proxies had the view only after %v", d)
@@ -126,7 +126,7 @@
 		if _, n := silent.Endpoints(); n > 4 {
 			t.Errorf("a proxy that never sends an ACK was sent %d messages", n)
 		}
-		if has, _ := rejects.Endpoints(); len(has) != 0 {
+		if endpoints, _ := rejects.Endpoints(); len(endpoints) != 0 {
 			t.Error("a rejected response was applied")
 		}
 		streams := 0
@@ -142,7 +142,7 @@
 		if streams != 1 {
 			t.Errorf("%d streams of the proxy that rejects, want 1", streams)
 		}
-		g.setNode(0, inc, func(m *nodeReport) { m.Seq = 200_000 })
+		g.setNode(0, incarnation, func(m *nodeReport) { m.Seq = 200_000 })
 		g.awaitState(0, "healthy")
 	}
 }
@@ -168,10 +168,10 @@
 	g.mu.Unlock()
 	standin.Eventually(t, "a frozen view", func() bool { return g.service.View().Frozen })
 	time.Sleep(4 * time.Second)
-	if has, _ := a.Endpoints(); len(has) != 8 {
-		t.Errorf("%d endpoints are left, want 8", len(has))
+	if endpoints, _ := a.Endpoints(); len(endpoints) != 8 {
+		t.Errorf("%d endpoints are left, want 8", len(endpoints))
 	}
-	was := g.service.View()
+	before := g.service.View()
 	g.stop()
 	if err := st.Close(); err != nil {
 		t.Fatal(err)
@@ -185,7 +185,7 @@
 	b := h.startProxy("b", false, nil)
 	h.awaitView("the saved view at once", b)
 	v := h.service.View()
-	if v.Version <= was.Version || len(v.Nodes) != 8 || !v.Nodes[0].Unproven || !v.Nodes[0].State.Serves() {
+	if v.Version <= before.Version || len(v.Nodes) != 8 || !v.Nodes[0].Unproven || !v.Nodes[0].State.Serves() {
 		t.Errorf("after the restart: %+v", v)
 	}
 	h.stop()
@@ -402,8 +402,8 @@
 		if d := g.awaitView("the latest after fifty updates", p); d > 2*time.Second {
 			t.Errorf("the proxy had the view only after %v", d)
 		}
-		if has, _ := p.Endpoints(); len(has) != 5-round {
-			t.Errorf("%d nodes, want %d", len(has), 5-round)
+		if endpoints, _ := p.Endpoints(); len(endpoints) != 5-round {
+			t.Errorf("%d nodes, want %d", len(endpoints), 5-round)
 		}
 		disconnectAgain()
 		done.Wait()
--- a/internal/control/loads.go
+++ b/internal/control/loads.go
@@ -51,7 +51,7 @@
 		}
 		if first {
 			err := server.Send(&loadv3.LoadStatsResponse{
-				SendAllClusters: true, Clusters: []string{Name},
+				SendAllClusters: true, Clusters: []string{ResourceName},
 				LoadReportingInterval: durationpb.New(loadReportInterval), ReportEndpointGranularity: true,
 			})
 			if err != nil {
--- a/internal/control/resources.go
+++ b/internal/control/resources.go
@@ -26,8 +26,8 @@
 	"robinmast/decide/xds"
 )
 
-// Name is the name of every resource that the service publishes.
-const Name = "robinmast"
+// ResourceName is the name of every resource that the service publishes.
+const ResourceName = "robinmast"
 
 // typeURLs are the type URLs of the resource types in the protocol.
 var typeURLs = [xds.NumTypes]string{
@@ -74,12 +74,12 @@
 	if err != nil {
 		return nil, err
 	}
-	route := &routev3.RouteConfiguration{Name: Name, VirtualHosts: []*routev3.VirtualHost{{
-		Name: Name, Domains: []string{"*"},
+	route := &routev3.RouteConfiguration{Name: ResourceName, VirtualHosts: []*routev3.VirtualHost{{
+		Name: ResourceName, Domains: []string{"*"},
 		Routes: []*routev3.Route{{
 			Match: &routev3.RouteMatch{PathSpecifier: &routev3.RouteMatch_Prefix{Prefix: "/"}},
 			Action: &routev3.Route_Route{Route: &routev3.RouteAction{
-				ClusterSpecifier: &routev3.RouteAction_Cluster{Cluster: Name},
+				ClusterSpecifier: &routev3.RouteAction_Cluster{Cluster: ResourceName},
 			}},
 		}},
 	}}}
@@ -92,8 +92,8 @@
 		}
 		body := &anypb.Any{TypeUrl: typeURLs[t], Value: encoded}
 		version := fmt.Sprintf("%016x", contentHash(body))
-		built.bodies[t] = map[string]*anypb.Any{Name: body}
-		built.snapshots[t] = xds.Snapshot{Version: version, Resources: map[string]string{Name: version}}
+		built.bodies[t] = map[string]*anypb.Any{ResourceName: body}
+		built.snapshots[t] = xds.Snapshot{Version: version, Resources: map[string]string{ResourceName: version}}
 	}
 	return built, nil
 }
@@ -143,7 +143,7 @@
 			HealthStatus: status, LoadBalancingWeight: wrapperspb.UInt32(weight),
 		})
 	}
-	assignment := &endpointv3.ClusterLoadAssignment{ClusterName: Name}
+	assignment := &endpointv3.ClusterLoadAssignment{ClusterName: ResourceName}
 	for _, locality := range localities {
 		locality.LoadBalancingWeight.Value = max(locality.LoadBalancingWeight.Value, 1)
 		assignment.Endpoints = append(assignment.Endpoints, locality)
@@ -181,29 +181,29 @@
 		}
 	}
 	return &clusterv3.Cluster{
-		Name: Name, ConnectTimeout: durationpb.New(time.Second), LbPolicy: clusterv3.Cluster_ROUND_ROBIN,
+		Name: ResourceName, ConnectTimeout: durationpb.New(time.Second), LbPolicy: clusterv3.Cluster_ROUND_ROBIN,
 		CircuitBreakers:      breakers,
 		ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_EDS},
 		OutlierDetection: &clusterv3.OutlierDetection{ // a proxy ejects a node that fails for it, for a short time
 			Consecutive_5Xx: wrapperspb.UInt32(2), BaseEjectionTime: durationpb.New(500 * time.Millisecond),
 			MaxEjectionTime: durationpb.New(8 * time.Second), MaxEjectionPercent: wrapperspb.UInt32(50),
 		},
-		EdsClusterConfig: &clusterv3.Cluster_EdsClusterConfig{EdsConfig: adsSource, ServiceName: Name},
+		EdsClusterConfig: &clusterv3.Cluster_EdsClusterConfig{EdsConfig: adsSource, ServiceName: ResourceName},
 	}
 }
 
 // buildListener builds the listener, which refers to the route.
 func buildListener() (*listenerv3.Listener, error) {
 	manager, err := anypb.New(&hcmv3.HttpConnectionManager{
-		StatPrefix: Name,
+		StatPrefix: ResourceName,
 		RouteSpecifier: &hcmv3.HttpConnectionManager_Rds{
-			Rds: &hcmv3.Rds{ConfigSource: adsSource, RouteConfigName: Name},
+			Rds: &hcmv3.Rds{ConfigSource: adsSource, RouteConfigName: ResourceName},
 		},
 	})
 	if err != nil {
 		return nil, fmt.Errorf("listener: %w", err)
 	}
-	return &listenerv3.Listener{Name: Name, ApiListener: &listenerv3.ApiListener{ApiListener: manager}}, nil
+	return &listenerv3.Listener{Name: ResourceName, ApiListener: &listenerv3.ApiListener{ApiListener: manager}}, nil
 }
 
 // contentHash returns the hash of a resource that serves as its version: the same bytes have the
--- a/internal/store/concurrent_test.go
+++ b/internal/store/concurrent_test.go
@@ -29,11 +29,11 @@
 		var wg sync.WaitGroup
 		for n := range writers {
 			r := rand.New(rand.NewPCG(uint64(incarnation), uint64(n)))
-			mine := map[string]string{}
-			want[n] = mine
+			expected := map[string]string{}
+			want[n] = expected
 			prefix := fmt.Sprintf("%d/", n)
 			err := s.Scan(prefix, nil, func(e Entry) error {
-				mine[e.Key] = string(e.Value)
+				expected[e.Key] = string(e.Value)
 				return nil
 			})
 			if err != nil {
@@ -47,19 +47,19 @@
 					if r.IntN(5) == 0 {
 						b.Delete(k)
 						b.Delete(k + "m")
-						delete(mine, k)
-						delete(mine, k+"m")
+						delete(expected, k)
+						delete(expected, k+"m")
 					} else {
 						b.Put(k, []byte(v), 0)
 						b.Put(k+"m", []byte(v), 0)
-						mine[k], mine[k+"m"] = v, v
+						expected[k], expected[k+"m"] = v, v
 					}
 					if err := s.Apply(&b, Durability(r.IntN(2))); err != nil {
 						t.Error(err)
 						return
 					}
 					got, err := s.Get(k)
-					if w, ok := mine[k]; ok && string(got) != w || !ok && !errors.Is(err, ErrNotFound) {
+					if w, ok := expected[k]; ok && string(got) != w || !ok && !errors.Is(err, ErrNotFound) {
 						t.Errorf("Get of %s returned %.20q, %v, want %.20q", k, got, err, w)
 						return
 					}
@@ -67,8 +67,8 @@
 			})
 		}
 		stop := make(chan struct{})
-		var others sync.WaitGroup
-		others.Go(func() {
+		var background sync.WaitGroup
+		background.Go(func() {
 			for {
 				select {
 				case <-stop:
@@ -94,7 +94,7 @@
 		})
 		wg.Wait()
 		close(stop)
-		others.Wait()
+		background.Wait()
 		if s.Stats.Compactions.Load() == 0 {
 			t.Error("no segment was compacted")
 		}
