--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -29,11 +29,11 @@
 )
 
 const (
-	stepInterval    = 100 * time.Millisecond
-	saveInterval    = time.Second
-	viewKey         = "fleet" // of the saved view in the store
-	maxQueuedInputs = 8192    // inputs queued for Run; further ones are dropped and counted
-	maxReportBytes  = 4 << 10 // size of the body of a report
+	stepInterval    = 100 * time.Millisecond // between steps of the decision modules
+	saveInterval    = time.Second            // least time between saves of the view
+	viewKey         = "fleet"                // of the saved view in the store
+	maxQueuedInputs = 8192                   // inputs queued for Run; further ones are dropped and counted
+	maxReportBytes  = 4 << 10                // maximum size of the body of a report
 )
 
 // Config configures a Service.
--- a/internal/recovery/manager.go
+++ b/internal/recovery/manager.go
@@ -70,16 +70,16 @@
 	storeID          atomic.Pointer[string] // ID of the store, for reports
 	startup          *decide.Startup
 	storeCheck       *decide.StoreCheck // nil = there is no result cache
-	foundState       decide.FoundState
-	learned          *rules.Learned // of the snapshot in use, nil = none
-	weight           float64
-	warmStart        *decide.WarmStart
+	foundState       decide.FoundState  // what Open found in the store
+	learned          *rules.Learned     // of the snapshot in use, nil = none
+	weight           float64            // of learned, 0 to 1
+	warmStart        *decide.WarmStart  // checks learned against runs, nil = no snapshot was used
 	snapshotPacer    decide.SnapshotPacer
-	digest           uint64
-	machineKind      string
+	digest           uint64 // of the settings, see settingsDigest
+	machineKind      string // see machineDescription
 	processStart     time.Time
-	lastCheckpoint   time.Duration
-	checkpoints      uint64
+	lastCheckpoint   time.Duration // time of the last checkpoint on the loop's clock
+	checkpoints      uint64        // number of the last checkpoint
 	storedCheckpoint atomic.Uint64 // number of the last checkpoint that was stored
 	storedSince      time.Duration // StoreCheck.CompleteSince as last stored
 	zeroUnix         int64         // Unix milliseconds at the zero of the loop's clock
@@ -242,8 +242,8 @@
 	if completeSince := m.storeCheck.CompleteSince(); completeSince != m.storedSince {
 		m.storedSince = completeSince
 		m.identity.CompleteSince = m.zeroUnix + completeSince.Milliseconds()
-		// This store may be an older copy whose checkpoints go on from a number that was already reported:
-		// under the old ID a later check could not tell them apart.
+		// An older copy of a store numbers its next checkpoints like those that the newer one has
+		// reported already: under the old ID they would pass for those.
 		id := newStoreID()
 		m.identity.ID = id
 		m.storeID.Store(&id)
--- a/internal/recovery/settings_digest.go
+++ b/internal/recovery/settings_digest.go
@@ -88,7 +88,8 @@
 	classes := make([]digestedClass, len(set.Classes))
 	for i, c := range set.Classes {
 		classes[i] = digestedClass{
-			Aim: c.LatencyTarget, AimStretch: c.LatencyTargetStretch, Deadline: c.Deadline, LateShare: c.LateUtilityShare, Worth: c.Utility,
+			Aim: c.LatencyTarget, AimStretch: c.LatencyTargetStretch, Deadline: c.Deadline,
+			LateShare: c.LateUtilityShare, Worth: c.Utility,
 			Window: c.IdempotencyWindow, Effect: uint8(c.Effect), Calls: c.CallsDependency, SkipWorth: c.SkipUtilityShare,
 		}
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -111,7 +111,7 @@
 	Tenants []string
 }
 
-// duration converts milliseconds to a duration, rounded to a microsecond.
+// duration converts milliseconds to a duration, rounded to the nearest microsecond.
 func duration(ms float64) time.Duration {
 	return time.Duration(math.Round(ms*1000)) * time.Microsecond
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -38,8 +38,8 @@
 	ErrClosed   = errors.New("store is closed")
 	ErrBusy     = errors.New("write queue is full") // Options.QueueBytes is reached
 	ErrReadOnly = errors.New("store is read-only")
-	ErrDamaged  = errors.New("value is damaged") // it can't be read, or its checksum differs
-	ErrTooLarge = errors.New("larger than the store takes")
+	ErrDamaged  = errors.New("value is damaged")            // it can't be read, or its checksum differs
+	ErrTooLarge = errors.New("larger than the store takes") // see MaxKey, MaxValue and MaxBatch
 )
 
 // VersionError reports a file with another version of the format. No file was changed.
@@ -133,12 +133,12 @@
 
 	mu          sync.RWMutex // guards the fields up to sweepCursor
 	index       *btree.BTreeG[item]
-	segments    map[uint32]*segment
-	seq         uint64 // sequence number of the last operation
-	lastID      uint64 // number of the last segment file
-	diskBytes   int64  // bytes of all segments
-	liveBytes   int64  // bytes of records that the index refers to
-	sweepCursor string // key at which the next sweep continues
+	segments    map[uint32]*segment // by number
+	seq         uint64              // sequence number of the last operation
+	lastID      uint64              // number of the last segment file
+	diskBytes   int64               // bytes of all segments
+	liveBytes   int64               // bytes of records that the index refers to
+	sweepCursor string              // key at which the next sweep continues
 
 	// Set by Open: a key whose newest readable record has a lower sequence number is in doubt.
 	uncertainBefore uint64
@@ -148,7 +148,7 @@
 	queue       []*pendingWrite
 	queuedBytes int64
 	closed      bool
-	writerWake  chan struct{}
+	writerWake  chan struct{} // signalled when the queue or closed has changed
 
 	// Used only by the writer's goroutine.
 	active      *segment
@@ -157,14 +157,14 @@
 	unsynced    bool        // acknowledged writes are not synced yet
 	writeBuffer []byte
 
-	compactMu            sync.Mutex // held by a compaction or a checkpoint
-	maintenanceWake      chan struct{}
+	compactMu            sync.Mutex    // held by a compaction or a checkpoint
+	maintenanceWake      chan struct{} // signalled when a pass may find work
 	passDone             chan struct{} // signalled after each maintenance pass
 	compactionFailing    atomic.Bool   // the last compaction pass failed
-	limiter              *rate.Limiter
-	bytesSinceCheckpoint int64  // used only by the writer
-	checkpointBytes      int64  // size of the last checkpoint file
-	checkpointID         uint64 // number of the last checkpoint file
+	limiter              *rate.Limiter // of Options.CompactionRate
+	bytesSinceCheckpoint int64         // used only by the writer
+	checkpointBytes      int64         // size of the last checkpoint file
+	checkpointID         uint64        // number of the last checkpoint file
 
 	cancel     context.CancelFunc
 	background sync.WaitGroup
