--- a/cmd/robinmast/counters.go
+++ b/cmd/robinmast/counters.go
@@ -18,7 +18,7 @@
 // read are those served, refused, failed, cancelled, gone and in_hand; messages queued on a
 // link are those sent, dropped and still waiting; connections opened, failed attempts
 // included, are those of all end_ counters and those still open.
-func (p *runningNode) logCounters(log *slog.Logger, line string) {
+func (p *runningNode) logCounters(log *slog.Logger, message string) {
 	requests, dispatchers, workers := p.requests, p.front, p.pool
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -62,20 +62,11 @@
 			"calls", calls.Calls.Load(), "well", calls.Ended[rules.OK].Load(),
 			"failed", calls.Ended[rules.Failed].Load(), "full", calls.Ended[rules.CallRejected].Load(),
 			"timed_out", calls.Ended[rules.TimedOut].Load(), "connect_failed", calls.Ended[rules.ConnectFailed].Load(),
-			"reset", calls.Ended[rules.ConnectionReset].Load(), "given_up", calls.Ended[rules.Cancelled].Load(), traffic(&calls.Traffic)))
+			"reset", calls.Ended[rules.ConnectionReset].Load(),
+			"given_up", calls.Ended[rules.Cancelled].Load(), traffic(&calls.Traffic)))
 	}
 	if p.results != nil {
-		c, s := &p.results.Counters, &p.results.Store().Stats
-		syncs := s.Syncs.Load()
-		args = append(args, slog.Group("results",
-			"intents", c.Intents.Load(), "stored", c.Stored.Load(), "restored", c.Restored.Load(),
-			"answered", c.Answered.Load(), "unknown", c.Unknown.Load(), "late_ends", c.Late.Load(),
-			"aged", c.Aged.Load(), "evicted", c.Evicted.Load(), "no_room", c.NoRoom.Load(), "failed", c.Failed.Load()),
-			slog.Group("store",
-				"entries", p.results.Store().Len(), "batches", s.Batches.Load(), "bytes", s.Bytes.Load(),
-				"syncs", syncs, "sync_mean", time.Duration(s.SyncNanos.Load()/max(syncs, 1)), "full", s.Full.Load(),
-				"compactions", s.Compactions.Load(), "compaction_failures", s.CompactionFailures.Load(),
-				"checkpoints", s.Checkpoints.Load(), "given_up", s.AbandonedSegments.Load(), "damaged", s.Damaged.Load()))
+		args = append(args, p.resultGroups()...)
 	}
 	if p.control != nil {
 		sent, failed := int64(0), int64(0)
@@ -88,12 +79,13 @@
 		if v := p.recovery.View(); v != nil {
 			c := &p.recovery.Counters
 			args = append(args, slog.Group("comeback",
-				"state", v.State, "asks", round(v.RequestedShare), "warm", round(v.Warm), "memory", v.Integrity, "why", v.IntegrityReason,
+				"state", v.State, "asks", round(v.RequestedShare), "warm", round(v.Speed), "memory", v.Integrity,
+				"why", v.IntegrityReason,
 				"in_doubt", c.InDoubt.Load(), "snapshots", c.Snapshots.Load(),
-				"priors_dropped", c.Dropped.Load(), "failed_writes", c.Failed.Load()))
+				"priors_dropped", c.Discarded.Load(), "failed_writes", c.FailedWrites.Load()))
 		}
 	}
-	if p.cfg.set.NewShedder != nil && line == countersMessage {
+	if p.cfg.nodeSettings.NewShedder != nil && message == countersMessage {
 		if v, ok := p.node.Shedding(viewTimeout); ok {
 			args = append(args, slog.Group("together",
 				"others_refuse", round(v.PeerRefusalShare), "short", round(v.Shortage),
@@ -101,19 +93,39 @@
 				"cut", round(v.Threshold), "digest_age", v.DigestAge, "follows", v.Source+1))
 		}
 	}
-	if p.cfg.set.NewPools != nil && line == countersMessage { // the decision loop answers only while it runs
-		views := p.node.Pools(viewTimeout)
-		var group []any
-		for _, v := range views {
-			if (v.Running > 0 || v.Queued > 0 || v.Limit > 0 || v.Refused > 0) && len(group) < maxLoggedPools {
-				group = append(group, slog.Group(v.Name, "running", v.Running, "held", v.Queued, "limit", round(v.Limit),
-					"reserve", round(v.Reserve), "lent", round(v.Lent), "borrowed", round(v.Borrowed), "refused", v.Refused,
-					"cheap", v.Cheap, "hangs", v.Hanging))
-			}
+	if p.cfg.nodeSettings.NewPools != nil && message == countersMessage { // the decision loop answers only while it runs
+		args = append(args, p.poolsGroup())
+	}
+	log.Info(message, args...)
+}
+
+// resultGroups returns the counters of the result cache and of its store.
+func (p *runningNode) resultGroups() []any {
+	c, s := &p.results.Counters, &p.results.Store().Stats
+	syncs := s.Syncs.Load()
+	return []any{slog.Group("results",
+		"intents", c.Intents.Load(), "stored", c.Stored.Load(), "restored", c.Restored.Load(),
+		"answered", c.Answered.Load(), "unknown", c.Unknown.Load(), "late_ends", c.LateEnds.Load(),
+		"aged", c.Expired.Load(), "evicted", c.Evicted.Load(), "no_room", c.NoRoom.Load(), "failed", c.Failed.Load()),
+		slog.Group("store",
+			"entries", p.results.Store().Len(), "batches", s.Batches.Load(), "bytes", s.Bytes.Load(),
+			"syncs", syncs, "sync_mean", time.Duration(s.SyncNanos.Load()/max(syncs, 1)), "full", s.Full.Load(),
+			"compactions", s.Compactions.Load(), "compaction_failures", s.CompactionFailures.Load(),
+			"checkpoints", s.Checkpoints.Load(), "given_up", s.AbandonedSegments.Load(), "damaged", s.Damaged.Load())}
+}
+
+// poolsGroup returns the state of the concurrency pools that are or were in use.
+func (p *runningNode) poolsGroup() slog.Attr {
+	views := p.node.Pools(viewTimeout)
+	var group []any
+	for _, v := range views {
+		if (v.Running > 0 || v.Queued > 0 || v.Limit > 0 || v.Refused > 0) && len(group) < maxLoggedPools {
+			group = append(group, slog.Group(v.Name, "running", v.Running, "held", v.Queued, "limit", round(v.Limit),
+				"reserve", round(v.Reserve), "lent", round(v.Lent), "borrowed", round(v.Borrowed), "refused", v.Refused,
+				"cheap", v.Cheap, "hangs", v.Hanging))
 		}
-		args = append(args, slog.Group("pools", group...))
 	}
-	log.Info(line, args...)
+	return slog.Group("pools", group...)
 }
 
 // Messages of the lines that hold the counters: of a node that serves, and of one that has left.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -8,12 +8,8 @@
 package config
 
 import (
-	"bufio"
-	"bytes"
 	"errors"
 	"fmt"
-	"math"
-	"net/netip"
 	"os"
 	"slices"
 	"strconv"
@@ -48,16 +44,16 @@
 
 // Results holds the settings of [results], the result cache.
 type Results struct {
-	Enabled      bool
-	Dir          string
-	Bytes        int64         // maximum size of the stored results
-	Entries      int           // maximum number of records
-	Durable      bool          // intents and results wait until they are synced to disk
-	StartEmpty   bool          // start without the store if it cannot be opened
-	RunUnwritten bool          // run requests whose intent cannot be written
-	FailUnknown  bool          // fail repeats of safe requests whose run was interrupted by a crash
-	Unsafe       bool          // write intents for requests that may run at most once
-	Slack        time.Duration // error of the wall clock that is tolerated across a restart
+	Enabled          bool
+	Dir              string
+	MaxBytes         int64         // maximum size of the stored results
+	MaxRecords       int           // maximum number of records
+	Durable          bool          // intents and results wait until they are synced to disk
+	StartEmpty       bool          // start without the store if it cannot be opened
+	RunUnrecorded    bool          // run requests whose intent cannot be written
+	FailUnknownReads bool          // fail repeats of safe requests whose run was interrupted by a crash
+	RecordUnsafe     bool          // write intents for requests that may run at most once
+	ClockSlack       time.Duration // error of the wall clock that is tolerated across a restart
 }
 
 // Pools holds the settings of [pools] and of the [pool.NAME] sections.
@@ -84,7 +80,7 @@
 	SetupShare float64 // share of the granted CPU for new connections and health checks; 0 = no limit
 }
 
-// Recovery holds the settings of [comeback].
+// Recovery holds the settings of [comeback], the recovery to full service after a start.
 type Recovery struct {
 	Enabled   bool
 	Snapshot  bool   // store what the node learns, for a warm start
@@ -95,8 +91,8 @@
 
 // Store holds the settings of [store], the store under the result cache.
 type Store struct {
-	Segment        int64         // bytes of disk beyond twice the live data
-	Interval       time.Duration // longest time between syncs
+	SlackBytes     int64         // bytes of disk allowed beyond twice the live data
+	SyncInterval   time.Duration // longest time between syncs of writes that do not wait for one
 	CompactionRate int64         // bytes per second
 }
 
@@ -106,7 +102,7 @@
 	Line    int // from 1; 0 = unknown
 	Section string
 	Key     string // "" if the fault concerns the whole section
-	What    string // what is wrong
+	Message string // what is wrong
 }
 
 // Error returns one line, FILE:LINE: [section] key: what is wrong.
@@ -121,7 +117,7 @@
 	if f.Key != "" {
 		s += " " + f.Key + ":"
 	}
-	return s + " " + f.What
+	return s + " " + f.Message
 }
 
 // Defaults returns the configuration that holds without a file: every feature is off.
@@ -141,7 +137,7 @@
 }
 
 // Load reads and checks the file at path. The error joins one Fault for each error in the
-// file, or says why the file cannot be read.
+// file, or is that of reading it.
 func Load(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -169,13 +165,13 @@
 		IgnoreContinuation: true, SpaceBeforeInlineComment: true, SkipUnrecognizableLines: true,
 	}, text)
 	if err != nil {
-		return c, append(faults, Fault{File: name, What: err.Error()})
+		return c, append(faults, Fault{File: name, Message: err.Error()})
 	}
 	for _, s := range file.Sections() {
 		if s.Name() == ini.DefaultSection {
 			for _, k := range s.Keys() {
 				faults = append(faults, Fault{
-					File: name, Line: lines.line("", k.Name()), Key: k.Name(), What: "key before any section",
+					File: name, Line: lines.line("", k.Name()), Key: k.Name(), Message: "key before any section",
 				})
 			}
 			continue
@@ -187,8 +183,8 @@
 				names = append(names, other.name)
 			}
 			faults = append(faults, Fault{
-				File: name, Line: lines.section[s.Name()], Section: s.Name(),
-				What: "unknown section" + suggestion(s.Name(), names),
+				File: name, Line: lines.sectionLines[s.Name()], Section: s.Name(),
+				Message: "unknown section" + suggestion(s.Name(), names),
 			})
 			continue
 		}
@@ -196,13 +192,13 @@
 			fault := Fault{File: name, Line: lines.line(s.Name(), k.Name()), Section: s.Name(), Key: k.Name()}
 			row := findKey(known, k.Name())
 			if row == nil {
-				fault.What = "unknown key" + suggestion(k.Name(), keyNames(known))
+				fault.Message = "unknown key" + suggestion(k.Name(), keyNames(known))
 				faults = append(faults, fault)
 				continue
 			}
 			v, err := row.parse(k.Value())
 			if err != nil {
-				fault.What = err.Error()
+				fault.Message = err.Error()
 				faults = append(faults, fault)
 				continue
 			}
@@ -221,7 +217,7 @@
 func (c *Config) withPosition(f Fault) Fault {
 	f.File, f.Line = c.name, c.lines.line(f.Section, f.Key)
 	if f.Line == 0 {
-		f.Line = c.lines.section[f.Section]
+		f.Line = c.lines.sectionLines[f.Section]
 	}
 	return f
 }
@@ -247,36 +243,38 @@
 	var errs []error
 	for name := range c.Pools.Classes {
 		if !slices.Contains(classes, name) {
-			errs = append(errs, c.withPosition(Fault{Section: "pool." + name, What: "no such class" + suggestion(name, classes)}))
+			errs = append(errs, c.withPosition(Fault{
+				Section: "pool." + name, Message: "no such class" + suggestion(name, classes),
+			}))
 		}
 	}
 	slices.SortFunc(errs, func(a, b error) int { return strings.Compare(a.Error(), b.Error()) })
 	return errors.Join(errs...)
 }
 
-// check returns the faults that concern more than one key.
+// check returns the faults that concern more than one key, without file and line.
 func (c *Config) check() (faults []Fault) {
 	if c.Results.Enabled && c.Results.Dir == "" {
-		faults = append(faults, Fault{Section: "results", Key: "dir", What: "a directory is required when enabled"})
+		faults = append(faults, Fault{Section: "results", Key: "dir", Message: "a directory is required when enabled"})
 	}
-	if c.Results.Enabled && c.Results.Bytes < c.Store.Segment/4 {
+	if c.Results.Enabled && c.Results.MaxBytes < c.Store.SlackBytes/4 {
 		faults = append(faults, Fault{Section: "results", Key: "bytes",
-			What: fmt.Sprintf("%s is less than one store file (a quarter of [store] segment)", sizeText(c.Results.Bytes))})
+			Message: fmt.Sprintf("%s is less than one store file (a quarter of [store] segment)", sizeText(c.Results.MaxBytes))})
 	}
 	if k := c.Control; k.Cert != "" || k.Key != "" || k.CA != "" {
 		for name, v := range map[string]string{"cert": k.Cert, "key": k.Key, "ca": k.CA} {
 			if v == "" {
-				faults = append(faults, Fault{Section: "control", Key: name, What: "cert, key and ca must be set together"})
+				faults = append(faults, Fault{Section: "control", Key: name, Message: "cert, key and ca must be set together"})
 			}
 		}
 	}
 	if c.Shedding.Enabled && c.Shedding.UseDigests && len(c.Control.Address) == 0 {
 		faults = append(faults, Fault{Section: "together", Key: "told",
-			What: "digests come from a control service: [control] address is required"})
+			Message: "digests come from a control service: [control] address is required"})
 	}
 	if k := c.Recovery; k.Enabled && k.Snapshot && !c.Results.Enabled && k.Dir == "" {
 		faults = append(faults, Fault{Section: "comeback", Key: "dir",
-			What: "a snapshot needs a directory: set dir, or enable [results]"})
+			Message: "a snapshot needs a directory: set dir, or enable [results]"})
 	}
 	sum, last := c.Pools.Reserve, Fault{Section: "pools", Key: "reserve"}
 	for name, r := range c.Pools.Classes {
@@ -286,7 +284,7 @@
 		}
 	}
 	if sum > 1+1e-9 {
-		last.What = fmt.Sprintf("the reserves add up to %.4g of the node, at most 1 is allowed", sum)
+		last.Message = fmt.Sprintf("the reserves add up to %.4g of the node, at most 1 is allowed", sum)
 		faults = append(faults, last)
 	}
 	return faults
@@ -326,194 +324,3 @@
 	}
 	return "; did you mean " + best + "?"
 }
-
-// parse parses a value of the key's kind and checks its range.
-func (k *key) parse(text string) (v value, err error) {
-	switch k.kind {
-	case kindBool:
-		switch text {
-		case "true", "false":
-			v.flag = text == "true"
-		default:
-			return v, fmt.Errorf("%q is neither true nor false", text)
-		}
-		return v, nil
-	case kindChoice:
-		if !slices.Contains(k.choices, text) {
-			return v, fmt.Errorf("unknown value %q%s", text, suggestion(text, k.choices))
-		}
-		v.text = text
-		return v, nil
-	case kindPath:
-		if strings.ContainsRune(text, 0) {
-			return v, errors.New("a path must not contain a zero byte")
-		}
-		v.text = text
-		return v, nil
-	case kindText:
-		if len(text) > 128 {
-			return v, errors.New("longer than 128 bytes")
-		}
-		v.text = text
-		return v, nil
-	case kindAddress:
-		if text != "" {
-			if _, err := netip.ParseAddrPort(text); err != nil {
-				return v, fmt.Errorf("%q is not an IP address and port such as 127.0.0.1:18001", text)
-			}
-		}
-		v.text = text
-		return v, nil
-	case kindAddressList:
-		for part := range strings.SplitSeq(text, ",") {
-			part = strings.TrimSpace(part)
-			if text == "" {
-				break
-			}
-			if _, err := netip.ParseAddrPort(part); err != nil {
-				return v, fmt.Errorf("%q is not an IP address and port such as 127.0.0.1:18001", part)
-			}
-			if slices.Contains(v.list, part) {
-				return v, fmt.Errorf("%s is listed twice", part)
-			}
-			v.list = append(v.list, part)
-		}
-		if int64(len(v.list)) > k.max {
-			return v, fmt.Errorf("%d addresses, at most %d are allowed", len(v.list), k.max)
-		}
-		return v, nil
-	case kindInt:
-		if v.number, err = strconv.ParseInt(text, 10, 64); err != nil {
-			return v, fmt.Errorf("%q is not a whole number", text)
-		}
-	case kindShare:
-		f, err := strconv.ParseFloat(text, 64)
-		if err != nil || math.IsNaN(f) || math.Abs(f) > 1e6 {
-			return v, fmt.Errorf("%q is not a share such as 0.04", text)
-		}
-		v.number = int64(math.Round(f * million))
-	case kindSize:
-		if v.number, err = parseSize(text); err != nil {
-			return v, err
-		}
-	case kindDuration:
-		d, err := time.ParseDuration(text)
-		if err != nil {
-			return v, fmt.Errorf("%q is not a duration such as 20ms or 1m30s", text)
-		}
-		v.number = int64(d)
-	}
-	if v.number < k.min || v.number > k.max {
-		return v, fmt.Errorf("%s is out of range: want %s", text, k.form())
-	}
-	return v, nil
-}
-
-func durationOf(v value) time.Duration { return time.Duration(v.number) }
-
-// sizeUnits are the units of sizes, the largest first.
-var sizeUnits = []struct {
-	unit  string
-	bytes int64
-}{{"GB", gb}, {"MB", mb}, {"KB", kb}, {"B", 1}}
-
-// parseSize parses a number of bytes, with or without a unit.
-func parseSize(text string) (int64, error) {
-	digits, unit := text, int64(1)
-	for _, s := range sizeUnits {
-		if d, ok := strings.CutSuffix(text, s.unit); ok {
-			digits, unit = strings.TrimSpace(d), s.bytes
-			break
-		}
-	}
-	n, err := strconv.ParseInt(digits, 10, 64)
-	if err != nil || n < 0 || n > math.MaxInt64/unit {
-		return 0, fmt.Errorf("%q is not a size such as 512KB, 64MB or 2GB", text)
-	}
-	return n * unit, nil
-}
-
-// sizeText formats a number of bytes with the largest unit that divides it.
-func sizeText(n int64) string {
-	for _, s := range sizeUnits {
-		if n >= s.bytes && n%s.bytes == 0 {
-			return strconv.FormatInt(n/s.bytes, 10) + s.unit
-		}
-	}
-	return "0B"
-}
-
-// Places holds the line numbers of a file's sections and keys.
-type LineIndex struct{ lines lineIndex }
-
-// Line returns the line of a key, or else of its section, or else 0.
-func (p LineIndex) Line(section, key string) int {
-	if n := p.lines.line(section, key); n > 0 {
-		return n
-	}
-	return p.lines.section[section]
-}
-
-// Locate returns the line numbers of the sections and keys of an INI file, which need not be
-// a node's, and the faults that the INI library accepts without an error.
-func IndexLines(name string, text []byte) (LineIndex, []Fault) {
-	lines, faults := indexLines(name, text)
-	return LineIndex{lines}, faults
-}
-
-// lineIndex holds line numbers, from 1.
-type lineIndex struct {
-	section map[string]int
-	key     map[[2]string]int // by section and key
-}
-
-func (x lineIndex) line(section, key string) int { return x.key[[2]string{section, key}] }
-
-// indexLines returns the line numbers of a file, and the faults that the INI library accepts
-// without an error: lines that are neither a section nor a key, and duplicates.
-func indexLines(name string, text []byte) (lineIndex, []Fault) {
-	index := lineIndex{section: map[string]int{}, key: map[[2]string]int{}}
-	var faults []Fault
-	section, n := "", 0
-	lines := bufio.NewScanner(bytes.NewReader(text))
-	lines.Buffer(nil, 1<<20)
-	for lines.Scan() {
-		n++
-		line := strings.TrimSpace(strings.TrimPrefix(lines.Text(), "\ufeff"))
-		if line == "" || line[0] == '#' || line[0] == ';' {
-			continue
-		}
-		if line[0] == '[' {
-			if i := strings.IndexByte(line, ']'); i > 0 {
-				section = strings.TrimSpace(line[1:i])
-				if first := index.section[section]; first > 0 {
-					faults = append(faults, Fault{File: name, Line: n, Section: section,
-						What: fmt.Sprintf("duplicate section, first on line %d", first)})
-					continue
-				}
-				index.section[section] = n
-				continue
-			}
-			faults = append(faults, Fault{File: name, Line: n,
-				What: fmt.Sprintf("%q is not a section: missing closing bracket", line)})
-			continue
-		}
-		i := strings.IndexAny(line, "=:")
-		if i <= 0 {
-			faults = append(faults, Fault{File: name, Line: n, Section: section,
-				What: fmt.Sprintf("%q is neither a section nor key = value", line)})
-			continue
-		}
-		k := strings.TrimSpace(line[:i])
-		if first := index.line(section, k); first > 0 {
-			faults = append(faults, Fault{File: name, Line: n, Section: section, Key: k,
-				What: fmt.Sprintf("duplicate key, first on line %d", first)})
-			continue
-		}
-		index.key[[2]string{section, k}] = n
-	}
-	if err := lines.Err(); err != nil {
-		faults = append(faults, Fault{File: name, Line: n + 1, What: err.Error()})
-	}
-	return index, faults
-}
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -18,7 +18,7 @@
 	kindShare                   // a share of 1: 0.04
 	kindText                    // up to 128 bytes
 	kindAddress                 // IP address and port; empty = none
-	kindAddressList             // several, separated by commas
+	kindAddressList             // several IP addresses and ports, separated by commas; empty = none
 )
 
 // key is one row of the table. min and max are in the unit of the kind: bytes, nanoseconds,
@@ -67,9 +67,9 @@
 	mb = 1 << 20
 	gb = 1 << 30
 
-	million = 1_000_000 // shares are held in millionths
+	million = 1_000_000 // shares are stored as millionths of 1
 
-	ms     = 1_000_000 // in nanoseconds
+	ms     = 1_000_000 // nanoseconds
 	second = 1000 * ms
 )
 
@@ -91,10 +91,10 @@
 		func(c *Config, v value) { c.Results.Dir = v.text }},
 	{"results", "bytes", kindSize, "64MB", 1 * mb, 64 * gb, nil,
 		"Maximum size of all stored results; those that expire first are evicted first.",
-		func(c *Config, v value) { c.Results.Bytes = v.number }},
+		func(c *Config, v value) { c.Results.MaxBytes = v.number }},
 	{"results", "entries", kindInt, "100000", 16, 50_000_000, nil,
 		"Maximum number of records; each takes about 200 bytes of the node's memory plus its key.",
-		func(c *Config, v value) { c.Results.Entries = int(v.number) }},
+		func(c *Config, v value) { c.Results.MaxRecords = int(v.number) }},
 	{"results", "durability", kindChoice, "durable", 0, 0, []string{"durable", "soon"},
 		"durable: intents and results wait until they are synced to disk, a power failure loses none; soon: a crash of the process loses none, a power failure loses up to one [store] interval.",
 		func(c *Config, v value) { c.Results.Durable = v.text == "durable" }},
@@ -103,16 +103,16 @@
 		func(c *Config, v value) { c.Results.StartEmpty = v.text == "forget" }},
 	{"results", "unwritable", kindChoice, "fail", 0, 0, []string{"fail", "run"},
 		"If an intent cannot be written (disk full): fail the request, or run it without a record.",
-		func(c *Config, v value) { c.Results.RunUnwritten = v.text == "run" }},
+		func(c *Config, v value) { c.Results.RunUnrecorded = v.text == "run" }},
 	{"results", "unknown", kindChoice, "run", 0, 0, []string{"run", "fail"},
 		"A repeat of a safe request whose run was interrupted by a crash: run it again, or fail it. Keyed requests always fail.",
-		func(c *Config, v value) { c.Results.FailUnknown = v.text == "fail" }},
+		func(c *Config, v value) { c.Results.FailUnknownReads = v.text == "fail" }},
 	{"results", "unsafe", kindBool, "false", 0, 0, nil,
 		"Also write intents for requests that may run at most once, so that the log after a crash names those that may have run.",
-		func(c *Config, v value) { c.Results.Unsafe = v.flag }},
+		func(c *Config, v value) { c.Results.RecordUnsafe = v.flag }},
 	{"results", "slack", kindDuration, "2s", 0, 600 * second, nil,
 		"How far the wall clock may be off across a restart before stored times are treated as uncertain.",
-		func(c *Config, v value) { c.Results.Slack = durationOf(v) }},
+		func(c *Config, v value) { c.Results.ClockSlack = durationOf(v) }},
 
 	{"pools", "enabled", kindBool, "false", 0, 0, nil,
 		"Divide the run slots by class.",
@@ -182,16 +182,16 @@
 
 	{"store", "segment", kindSize, "8MB", 256 * kb, 1 * gb, nil,
 		"Disk space that the store may use beyond twice the live data; each of its files is a quarter of it.",
-		func(c *Config, v value) { c.Store.Segment = v.number }},
+		func(c *Config, v value) { c.Store.SlackBytes = v.number }},
 	{"store", "interval", kindDuration, "20ms", 1 * ms, 10 * second, nil,
 		"Longest time between syncs of writes with durability soon.",
-		func(c *Config, v value) { c.Store.Interval = durationOf(v) }},
+		func(c *Config, v value) { c.Store.SyncInterval = durationOf(v) }},
 	{"store", "compaction_rate", kindSize, "16MB", 64 * kb, 16 * gb, nil,
 		"Bytes per second that compaction may read and write while disk use is within its limit.",
 		func(c *Config, v value) { c.Store.CompactionRate = v.number }},
 }
 
-// Default returns the text of deploy/robinmast.ini: every key with its help text, default
+// DefaultText returns the text of deploy/robinmast.ini: every key with its help text, default
 // and range.
 func DefaultText() string {
 	var b strings.Builder
@@ -205,15 +205,15 @@
 		fmt.Fprintf(&b, "\n# %s\n%s[%s]\n", s.help, comment, strings.Replace(s.name, "*", "NAME", 1))
 		for _, k := range keys {
 			if k.section == s.name {
-				fmt.Fprintf(&b, "\n# %s\n# %s\n%s%s = %s\n", k.help, k.form(), comment, k.name, k.defaultText)
+				fmt.Fprintf(&b, "\n# %s\n# %s\n%s%s = %s\n", k.help, k.validValues(), comment, k.name, k.defaultText)
 			}
 		}
 	}
 	return strings.ReplaceAll(b.String(), "= \n", "=\n")
 }
 
-// form describes the valid values of a key.
-func (k *key) form() string {
+// validValues describes the valid values of a key.
+func (k *key) validValues() string {
 	switch k.kind {
 	case kindBool:
 		return "true or false"
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -16,7 +16,6 @@
 	"time"
 
 	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
-	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/credentials/insecure"
 
@@ -27,157 +26,6 @@
 	"robinmast/internal/store"
 )
 
-// testService is a control service on loopback with simulated nodes that report to it.
-type testService struct {
-	t       *testing.T
-	service *Service
-	grpc    *grpc.Server
-	addr    string
-	cancel  context.CancelFunc
-	done    sync.WaitGroup
-
-	mu    sync.Mutex
-	nodes map[string]*nodeReport // what each node reports next
-	muted bool                   // no node reports
-}
-
-// newTestService starts a service; a nil store means none.
-func newTestService(t *testing.T, st *store.Store) *testService {
-	t.Helper()
-	g := &testService{t: t, nodes: map[string]*nodeReport{}}
-	g.service = New(Config{Store: st, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
-	ctx, cancel := context.WithCancel(context.Background())
-	g.cancel = cancel
-	ln := standin.Listen(t)
-	g.addr = ln.Addr().String()
-	g.serve(ln)
-	g.done.Go(func() { g.service.Run(ctx) })
-	g.done.Go(func() { g.report(ctx) })
-	t.Cleanup(g.stop)
-	return g
-}
-
-func (g *testService) serve(ln net.Listener) {
-	g.grpc = grpc.NewServer()
-	discoveryv3.RegisterAggregatedDiscoveryServiceServer(g.grpc, g.service.Streams)
-	server := g.grpc
-	g.done.Go(func() { _ = server.Serve(ln) }) // returns after Stop
-}
-
-func (g *testService) stop() {
-	g.cancel()
-	g.grpc.Stop()
-	g.done.Wait()
-}
-
-// report sends a report for each node every 300 ms until ctx is done.
-func (g *testService) report(ctx context.Context) {
-	for ctx.Err() == nil {
-		g.mu.Lock()
-		for name, m := range g.nodes {
-			m.Seq++
-			if !g.muted {
-				g.putReport("/nodes/"+name, m)
-			}
-		}
-		g.mu.Unlock()
-		select {
-		case <-ctx.Done():
-		case <-time.After(300 * time.Millisecond):
-		}
-	}
-}
-
-// putReport sends a report and returns the status code.
-func (g *testService) putReport(path string, body any) int {
-	text, _ := json.Marshal(body)
-	w := httptest.NewRecorder()
-	g.service.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodPut, path, strings.NewReader(string(text))))
-	return w.Code
-}
-
-// setNode adds or replaces a node. A new incarnation starts at sequence number 1.
-func (g *testService) setNode(i int, incarnation uint64, change func(*nodeReport)) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	m := &nodeReport{
-		Addr: fmt.Sprintf("127.1.0.%d:8080", i), Zone: fmt.Sprint("z", i%3), Incarnation: incarnation,
-		Phase: "up", Healthy: true, Warm: 1, Running: 1, Limit: 8,
-	}
-	if change != nil {
-		change(m)
-	}
-	g.nodes[fmt.Sprintf("n%02d", i)] = m
-}
-
-// remove stops the reports of a node.
-func (g *testService) remove(i int) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	delete(g.nodes, fmt.Sprintf("n%02d", i))
-}
-
-// startProxy connects a simulated proxy until the end of the test.
-func (g *testService) startProxy(id string, delta bool, change func(*proxy.Proxy)) *proxy.Proxy {
-	g.t.Helper()
-	conn, err := grpc.NewClient(g.addr, grpc.WithTransportCredentials(insecure.NewCredentials()))
-	if err != nil {
-		g.t.Fatal(err)
-	}
-	p := proxy.New(conn, id, delta)
-	if change != nil {
-		change(p)
-	}
-	ctx, cancel := context.WithCancel(context.Background())
-	var done sync.WaitGroup
-	done.Go(func() { p.Run(ctx) })
-	g.t.Cleanup(func() { cancel(); conn.Close(); done.Wait() })
-	return p
-}
-
-// awaitView waits until the proxies have exactly the endpoints of the service's view, and returns
-// how long that took.
-func (g *testService) awaitView(what string, proxies ...*proxy.Proxy) time.Duration {
-	g.t.Helper()
-	began := time.Now()
-	standin.Eventually(g.t, what, func() bool {
-		v := g.service.View()
-		for _, p := range proxies {
-			endpoints, _ := p.Endpoints()
-			n := 0
-			for _, node := range v.Nodes {
-				status, listed := healthStatus[node.State]
-				if !listed {
-					continue
-				}
-				n++
-				if e, ok := endpoints[node.Addr]; !ok || e.Status != status {
-					return false
-				}
-			}
-			if n != len(endpoints) {
-				return false
-			}
-		}
-		return len(v.Nodes) > 0
-	})
-	return time.Since(began)
-}
-
-// awaitState waits until a node has a state in the view.
-func (g *testService) awaitState(i int, want string) {
-	g.t.Helper()
-	name := fmt.Sprintf("n%02d", i)
-	standin.Eventually(g.t, name+" "+want, func() bool {
-		for _, n := range g.service.View().Nodes {
-			if n.Name == name {
-				return n.State.String() == want
-			}
-		}
-		return want == "unknown"
-	})
-}
-
 // Nodes are replaced a sixth at a time; one flaps, one falls silent without draining, two report
 // that they are healthy while proxies observe errors. Proxies of both variants must have the
 // latest view within 2 s of each change, without a stale node.
@@ -214,7 +62,7 @@
 	g.remove(7) // a node that stops without draining
 	g.awaitState(7, "gone")
 	worst = max(worst, g.awaitView("a node that is gone", a, b))
-	if has, _ := a.Endpoints(); has["127.1.0.7:8080"].Status != corev3.HealthStatus_UNKNOWN {
+	if endpoints, _ := a.Endpoints(); endpoints["127.1.0.7:8080"].Status != corev3.HealthStatus_UNKNOWN {
 		t.Error("the proxy still has a stale node")
 	}
 	for i, bad := range []float64{40, 8} { // one fails fast, one only lets its callers time out
@@ -234,8 +82,8 @@
 	if worst > 2*time.Second {
 		t.Errorf("a proxy had the view only after %v", worst)
 	}
-	has, _ := b.Endpoints()
-	for addr, e := range has {
+	endpoints, _ := b.Endpoints()
+	for addr, e := range endpoints {
 		if want := map[bool]uint32{true: 0, false: 1}[e.Zone == "z1"]; e.Priority != want {
 			t.Errorf("%s of zone %s has priority %d for a proxy of z1", addr, e.Zone, e.Priority)
 		}
@@ -253,7 +101,7 @@
 	}
 	eds := "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
 	for round, delta := range []bool{false, true} {
-		inc := uint64(1001 + round)
+		incarnation := uint64(1001 + round)
 		good := g.startProxy(fmt.Sprint("good ", delta), delta, nil)
 		silent := g.startProxy(fmt.Sprint("never answers ", delta), delta, func(p *proxy.Proxy) {
 			p.Faults.NeverAcknowledges = true
@@ -267,10 +115,10 @@
 		g.awaitState(5, "healthy")
 		g.awaitView("the first view", good, silent, reconnects, forgets)
 		for i := range 50 {
-			g.setNode(0, inc, func(m *nodeReport) { m.Seq, m.Phase = uint64(1000*(i+1)), []string{"up", "out"}[i%2] })
+			g.setNode(0, incarnation, func(m *nodeReport) { m.Seq, m.Phase = uint64(1000*(i+1)), []string{"up", "out"}[i%2] })
 			time.Sleep(10 * time.Millisecond)
 		}
-		g.setNode(0, inc, func(m *nodeReport) { m.Seq, m.Phase = 100_000, "draining" })
+		g.setNode(0, incarnation, func(m *nodeReport) { m.Seq, m.Phase = 100_000, "draining" })
 		g.awaitState(0, "draining")
 		if d := g.awaitView("the last view", good, reconnects, forgets); d > 2*time.Second {
 			t.Errorf("the other proxies had the view only after %v", d)
@@ -278,7 +126,7 @@
 		if _, n := silent.Endpoints(); n > 4 {
 			t.Errorf("a proxy that never sends an ACK was sent %d messages", n)
 		}
-		if has, _ := rejects.Endpoints(); len(has) != 0 {
+		if endpoints, _ := rejects.Endpoints(); len(endpoints) != 0 {
 			t.Error("a rejected response was applied")
 		}
 		streams := 0
@@ -294,7 +142,7 @@
 		if streams != 1 {
 			t.Errorf("%d streams of the proxy that rejects, want 1", streams)
 		}
-		g.setNode(0, inc, func(m *nodeReport) { m.Seq = 200_000 })
+		g.setNode(0, incarnation, func(m *nodeReport) { m.Seq = 200_000 })
 		g.awaitState(0, "healthy")
 	}
 }
@@ -320,10 +168,10 @@
 	g.mu.Unlock()
 	standin.Eventually(t, "a frozen view", func() bool { return g.service.View().Frozen })
 	time.Sleep(4 * time.Second)
-	if has, _ := a.Endpoints(); len(has) != 8 {
-		t.Errorf("%d endpoints are left, want 8", len(has))
+	if endpoints, _ := a.Endpoints(); len(endpoints) != 8 {
+		t.Errorf("%d endpoints are left, want 8", len(endpoints))
 	}
-	was := g.service.View()
+	before := g.service.View()
 	g.stop()
 	if err := st.Close(); err != nil {
 		t.Fatal(err)
@@ -337,7 +185,7 @@
 	b := h.startProxy("b", false, nil)
 	h.awaitView("the saved view at once", b)
 	v := h.service.View()
-	if v.Version <= was.Version || len(v.Nodes) != 8 || !v.Nodes[0].Unconfirmed || !v.Nodes[0].State.Serves() {
+	if v.Version <= before.Version || len(v.Nodes) != 8 || !v.Nodes[0].Unconfirmed || !v.Nodes[0].State.Serves() {
 		t.Errorf("after the restart: %+v", v)
 	}
 	h.stop()
@@ -554,8 +402,8 @@
 		if d := g.awaitView("the latest after fifty updates", p); d > 2*time.Second {
 			t.Errorf("the proxy had the view only after %v", d)
 		}
-		if has, _ := p.Endpoints(); len(has) != 5-round {
-			t.Errorf("%d nodes, want %d", len(has), 5-round)
+		if endpoints, _ := p.Endpoints(); len(endpoints) != 5-round {
+			t.Errorf("%d nodes, want %d", len(endpoints), 5-round)
 		}
 		disconnectAgain()
 		done.Wait()
--- a/internal/control/resources.go
+++ b/internal/control/resources.go
@@ -26,8 +26,8 @@
 	"robinmast/decide/xds"
 )
 
-// Name is the name of every resource that the service publishes.
-const Name = "robinmast"
+// ResourceName is the name of every resource that the service publishes.
+const ResourceName = "robinmast"
 
 // typeURLs are the type URLs of the resource types in the protocol.
 var typeURLs = [xds.NumTypes]string{
@@ -65,11 +65,44 @@
 }
 
 // buildResources builds the resources of a view for proxies of a zone: a cluster, its endpoints by
-// zone, a listener and a route, each with a hash of its content as its version. The proxies' own
-// zone has priority 0 and all others 1; without a zone all have 0.
+// zone, a listener and a route, each with a hash of its content as its version.
 func buildResources(view *fleet.View, zone string) (*resources, error) {
 	built := &resources{version: view.Version}
-	limit, localities := 0.0, map[string]*endpointv3.LocalityLbEndpoints{}
+	assignment, limit := buildEndpoints(view, zone)
+	cluster := buildCluster(limit)
+	listener, err := buildListener()
+	if err != nil {
+		return nil, err
+	}
+	route := &routev3.RouteConfiguration{Name: ResourceName, VirtualHosts: []*routev3.VirtualHost{{
+		Name: ResourceName, Domains: []string{"*"},
+		Routes: []*routev3.Route{{
+			Match: &routev3.RouteMatch{PathSpecifier: &routev3.RouteMatch_Prefix{Prefix: "/"}},
+			Action: &routev3.Route_Route{Route: &routev3.RouteAction{
+				ClusterSpecifier: &routev3.RouteAction_Cluster{Cluster: ResourceName},
+			}},
+		}},
+	}}}
+	for t, message := range [xds.NumTypes]proto.Message{
+		xds.Clusters: cluster, xds.Endpoints: assignment, xds.Listeners: listener, xds.Routes: route,
+	} {
+		encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
+		if err != nil {
+			return nil, fmt.Errorf("%v: %w", xds.Type(t), err)
+		}
+		body := &anypb.Any{TypeUrl: typeURLs[t], Value: encoded}
+		version := fmt.Sprintf("%016x", contentHash(body))
+		built.bodies[t] = map[string]*anypb.Any{ResourceName: body}
+		built.snapshots[t] = xds.Snapshot{Version: version, Resources: map[string]string{ResourceName: version}}
+	}
+	return built, nil
+}
+
+// buildEndpoints builds the endpoints of a view by zone, and returns the sum of the concurrency
+// limits of the nodes that serve. The proxies' own zone has priority 0 and all others 1; without a
+// zone all have 0.
+func buildEndpoints(view *fleet.View, zone string) (_ *endpointv3.ClusterLoadAssignment, limit float64) {
+	localities := map[string]*endpointv3.LocalityLbEndpoints{}
 	for _, n := range view.Nodes {
 		status, listed := healthStatus[n.State]
 		if !listed {
@@ -110,7 +143,7 @@
 			HealthStatus: status, LoadBalancingWeight: wrapperspb.UInt32(weight),
 		})
 	}
-	assignment := &endpointv3.ClusterLoadAssignment{ClusterName: Name}
+	assignment := &endpointv3.ClusterLoadAssignment{ClusterName: ResourceName}
 	for _, locality := range localities {
 		locality.LoadBalancingWeight.Value = max(locality.LoadBalancingWeight.Value, 1)
 		assignment.Endpoints = append(assignment.Endpoints, locality)
@@ -118,8 +151,8 @@
 	slices.SortFunc(assignment.Endpoints, func(a, b *endpointv3.LocalityLbEndpoints) int {
 		return cmp.Compare(a.Locality.Zone, b.Locality.Zone)
 	})
-	first := func(locality *endpointv3.LocalityLbEndpoints) bool { return locality.Priority == 0 }
-	if len(assignment.Endpoints) > 0 && !slices.ContainsFunc(assignment.Endpoints, first) {
+	hasPriority0 := func(locality *endpointv3.LocalityLbEndpoints) bool { return locality.Priority == 0 }
+	if len(assignment.Endpoints) > 0 && !slices.ContainsFunc(assignment.Endpoints, hasPriority0) {
 		for _, locality := range assignment.Endpoints { // priorities must begin at 0: the own zone is empty
 			locality.Priority = 0
 		}
@@ -135,6 +168,11 @@
 			DropOverloads: []*endpointv3.ClusterLoadAssignment_Policy_DropOverload{drop},
 		}
 	}
+	return assignment, limit
+}
+
+// buildCluster builds the cluster; limit is the sum of the nodes' concurrency limits, 0 = unknown.
+func buildCluster(limit float64) *clusterv3.Cluster {
 	breakers := &clusterv3.CircuitBreakers{}
 	if limit > 0 { // the sum of the concurrency limits, and as much again for the queues
 		maxRequests := wrapperspb.UInt32(uint32(min(max(2*math.Ceil(limit/8)*8, 1), math.MaxUint32)))
@@ -142,48 +180,30 @@
 			{MaxRequests: maxRequests, MaxPendingRequests: maxRequests},
 		}
 	}
-	cluster := &clusterv3.Cluster{
-		Name: Name, ConnectTimeout: durationpb.New(time.Second), LbPolicy: clusterv3.Cluster_ROUND_ROBIN,
+	return &clusterv3.Cluster{
+		Name: ResourceName, ConnectTimeout: durationpb.New(time.Second), LbPolicy: clusterv3.Cluster_ROUND_ROBIN,
 		CircuitBreakers:      breakers,
 		ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_EDS},
 		OutlierDetection: &clusterv3.OutlierDetection{ // a proxy ejects a node that fails for it, for a short time
 			Consecutive_5Xx: wrapperspb.UInt32(2), BaseEjectionTime: durationpb.New(500 * time.Millisecond),
 			MaxEjectionTime: durationpb.New(8 * time.Second), MaxEjectionPercent: wrapperspb.UInt32(50),
 		},
-		EdsClusterConfig: &clusterv3.Cluster_EdsClusterConfig{EdsConfig: adsSource, ServiceName: Name},
+		EdsClusterConfig: &clusterv3.Cluster_EdsClusterConfig{EdsConfig: adsSource, ServiceName: ResourceName},
 	}
+}
+
+// buildListener builds the listener, which refers to the route.
+func buildListener() (*listenerv3.Listener, error) {
 	manager, err := anypb.New(&hcmv3.HttpConnectionManager{
-		StatPrefix: Name,
+		StatPrefix: ResourceName,
 		RouteSpecifier: &hcmv3.HttpConnectionManager_Rds{
-			Rds: &hcmv3.Rds{ConfigSource: adsSource, RouteConfigName: Name},
+			Rds: &hcmv3.Rds{ConfigSource: adsSource, RouteConfigName: ResourceName},
 		},
 	})
 	if err != nil {
 		return nil, fmt.Errorf("listener: %w", err)
 	}
-	listener := &listenerv3.Listener{Name: Name, ApiListener: &listenerv3.ApiListener{ApiListener: manager}}
-	route := &routev3.RouteConfiguration{Name: Name, VirtualHosts: []*routev3.VirtualHost{{
-		Name: Name, Domains: []string{"*"},
-		Routes: []*routev3.Route{{
-			Match: &routev3.RouteMatch{PathSpecifier: &routev3.RouteMatch_Prefix{Prefix: "/"}},
-			Action: &routev3.Route_Route{Route: &routev3.RouteAction{
-				ClusterSpecifier: &routev3.RouteAction_Cluster{Cluster: Name},
-			}},
-		}},
-	}}}
-	for t, message := range [xds.NumTypes]proto.Message{
-		xds.Clusters: cluster, xds.Endpoints: assignment, xds.Listeners: listener, xds.Routes: route,
-	} {
-		encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
-		if err != nil {
-			return nil, fmt.Errorf("%v: %w", xds.Type(t), err)
-		}
-		body := &anypb.Any{TypeUrl: typeURLs[t], Value: encoded}
-		version := fmt.Sprintf("%016x", contentHash(body))
-		built.bodies[t] = map[string]*anypb.Any{Name: body}
-		built.snapshots[t] = xds.Snapshot{Version: version, Resources: map[string]string{Name: version}}
-	}
-	return built, nil
+	return &listenerv3.Listener{Name: ResourceName, ApiListener: &listenerv3.ApiListener{ApiListener: manager}}, nil
 }
 
 // contentHash returns the hash of a resource that serves as its version: the same bytes have the
--- a/internal/recovery/settings_digest.go
+++ b/internal/recovery/settings_digest.go
@@ -77,7 +77,7 @@
 	}
 )
 
-// settingsDigest returns the digest of the settings that learned figures depend on. It does not cover
+// settingsDigest returns the digest of the settings that learned values depend on. It does not cover
 // a cold start, nor the features that are enabled apart from the platform's settings.
 func settingsDigest(set rules.Settings, names settings.Names) uint64 {
 	return xxhash.Sum64String(digestText(set, names))
@@ -88,7 +88,8 @@
 	classes := make([]digestedClass, len(set.Classes))
 	for i, c := range set.Classes {
 		classes[i] = digestedClass{
-			Aim: c.LatencyTarget, AimStretch: c.LatencyTargetStretch, Deadline: c.Deadline, LateShare: c.LateUtilityShare, Worth: c.Utility,
+			Aim: c.LatencyTarget, AimStretch: c.LatencyTargetStretch, Deadline: c.Deadline,
+			LateShare: c.LateUtilityShare, Worth: c.Utility,
 			Window: c.IdempotencyWindow, Effect: uint8(c.Effect), Calls: c.CallsDependency, SkipWorth: c.SkipUtilityShare,
 		}
 	}
--- a/internal/resultcache/cache.go
+++ b/internal/resultcache/cache.go
@@ -12,7 +12,6 @@
 	"fmt"
 	"log/slog"
 	"os"
-	"slices"
 	"strings"
 	"sync/atomic"
 	"time"
@@ -33,8 +32,8 @@
 	recordPrefix       = "m/"
 	resultPrefix       = "b/"
 	clockKey           = "clock"
-	expiryGrace        = 10 * time.Second // records stay in the store this much longer, for repeats that are read late
-	maxPendingFetches  = 256              // reads of results that may be pending
+	expiryGrace        = 10 * time.Second // for which the store holds expired records, for repeats that are read late
+	maxPendingFetches  = 256              // pending calls of Fetch; further ones fail
 	maxNamedRuns       = 8                // runs named in one log line
 	failureLogInterval = 5 * time.Second  // least time between log lines about failed writes
 )
@@ -49,8 +48,8 @@
 	Restored atomic.Int64 // records restored at the start
 	Answered atomic.Int64 // repeats answered with the result of an earlier incarnation
 	Unknown  atomic.Int64 // repeats failed because the request ran, or may have run, and there is no result
-	Late     atomic.Int64 // ends of runs of an earlier incarnation, reported by a worker pool that outlived it
-	Aged     atomic.Int64 // records removed because they expired
+	LateEnds atomic.Int64 // runs of an earlier incarnation whose end the worker pool reported to this one
+	Expired  atomic.Int64 // records removed because they expired
 	Evicted  atomic.Int64 // records or results evicted for others
 	NoRoom   atomic.Int64 // requests for whose record there was no room
 	Failed   atomic.Int64 // writes that failed
@@ -58,15 +57,15 @@
 
 // Config is the configuration of a Cache.
 type Config struct {
-	Results  config.Results
-	Store    config.Store
-	Settings rules.Settings
-	Names    settings.Names
-	Log      *slog.Logger
-	Spread   time.Duration              // over which stores that open together spread the start of their maintenance
-	FS       vfs.FS                     // nil = the real file system
-	Clocks   func() decide.ClockReading // nil = the system's clocks
-	Elapsed  func() time.Duration       // since Open, on the loop's clock; nil = the system's
+	Results           config.Results
+	Store             config.Store
+	Settings          rules.Settings
+	Names             settings.Names
+	Log               *slog.Logger
+	MaintenanceSpread time.Duration              // upper bound of the random delay of the store's maintenance after Open
+	FS                vfs.FS                     // nil = the real file system
+	Clocks            func() decide.ClockReading // nil = the system's clocks
+	Elapsed           func() time.Duration       // since Open, on the loop's clock; nil = the system's
 }
 
 // Cache stores the records and results of a node's runs. Its methods belong to the node's loop, except
@@ -84,11 +83,11 @@
 	clockBase atomic.Int64 // the module's Unix time at Open, milliseconds; 0 = not known yet
 
 	batch          store.Batch
-	pending        []func(error)
+	pending        []func(error) // to be called when the batch is written
 	needsSync      bool          // a callback in pending waits for a durable write
 	lastCheckpoint time.Duration // when the clocks' checkpoint was stored
 	lastExpiry     time.Duration
-	lastFailureLog time.Time // about a failed write
+	lastFailureLog time.Time // time of the last log line about a failed write
 	fetches        chan fetchRequest
 	fetcherDone    chan struct{}
 }
@@ -99,21 +98,6 @@
 	done func([]byte, error)
 }
 
-// storedRecord is the stored form of a decide.Record: CBOR (RFC 8949) with numbered fields, so that
-// later versions can add fields.
-type storedRecord struct {
-	Kind    decide.Kind  `cbor:"1,keyasint"`
-	Effect  rules.Effect `cbor:"2,keyasint"`
-	Class   string       `cbor:"3,keyasint"`
-	Tenant  string       `cbor:"4,keyasint"`
-	Name    string       `cbor:"5,keyasint"`
-	Run     string       `cbor:"6,keyasint"`
-	Arrived int64        `cbor:"7,keyasint"`
-	Window  int64        `cbor:"8,keyasint"`
-	Expires int64        `cbor:"9,keyasint"`
-	Size    int64        `cbor:"10,keyasint"`
-}
-
 // Open opens the store of the cache. The records are not restored yet.
 func Open(cfg Config) (*Cache, error) {
 	c := &Cache{
@@ -132,8 +116,8 @@
 	}
 	settings := decide.Settings{
 		Classes: map[string]decide.Class{}, Tenants: map[string]bool{}, ReadFreshness: cfg.Settings.ReadFreshness,
-		MaxBytes: cfg.Results.Bytes, MaxRecords: cfg.Results.Entries, ClockSlack: cfg.Results.Slack,
-		FailUnknownReads: cfg.Results.FailUnknown, RecordUnsafe: cfg.Results.Unsafe,
+		MaxBytes: cfg.Results.MaxBytes, MaxRecords: cfg.Results.MaxRecords, ClockSlack: cfg.Results.ClockSlack,
+		FailUnknownReads: cfg.Results.FailUnknownReads, RecordUnsafe: cfg.Results.RecordUnsafe,
 	}
 	for i, name := range cfg.Names.Classes {
 		class := cfg.Settings.Classes[i]
@@ -144,8 +128,8 @@
 	}
 	c.module = decide.New(settings)
 	c.store, c.recovery, err = store.Open(cfg.Results.Dir, store.Options{
-		FS: cfg.FS, SlackBytes: cfg.Store.Segment, Interval: cfg.Store.Interval,
-		CompactionRate: cfg.Store.CompactionRate, MaintenanceDelay: cfg.Spread, Now: c.storeTime,
+		FS: cfg.FS, SlackBytes: cfg.Store.SlackBytes, SyncInterval: cfg.Store.SyncInterval,
+		CompactionRate: cfg.Store.CompactionRate, MaintenanceDelay: cfg.MaintenanceSpread, Now: c.storeTime,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("results: %w", err)
@@ -170,134 +154,12 @@
 	var ts unix.Timespec
 	id, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts) != nil {
-		return reading // the wall clock alone has to do
+		return reading // only the wall clock is available
 	}
 	reading.Boot, reading.Up = strings.TrimSpace(string(id)), ts.Nano()/int64(time.Millisecond)
 	return reading
 }
 
-// RestoredRecord is a record of an earlier incarnation.
-type RestoredRecord struct {
-	Record  decide.Record
-	Class   int           // index in the settings
-	Key     string        // RequestKey.Text of the record
-	Expires time.Duration // on the loop's clock
-}
-
-// Restore restores the records of earlier incarnations; now is the loop's time. It must be called once,
-// before any other method. The error is that of reading the store.
-func (c *Cache) Restore(now time.Duration) ([]RestoredRecord, error) {
-	began := time.Now()
-	var previous *decide.ClockCheckpoint
-	text, err := c.store.Get(clockKey)
-	switch {
-	case errors.Is(err, store.ErrNotFound):
-	case err != nil:
-		c.log.Warn("clock checkpoint is unreadable: using the wall clock", "err", err)
-	default:
-		previous = &decide.ClockCheckpoint{}
-		if err := cbor.Unmarshal(text, previous); err != nil {
-			c.log.Warn("clock checkpoint is unreadable: using the wall clock", "err", err)
-			previous = nil
-		}
-	}
-	step, away := c.module.StartClock(now, c.cfg.Clocks(), previous)
-	c.clockBase.Store(c.module.Unix(now) - c.cfg.Elapsed().Milliseconds())
-	if step == decide.WallBackTooFar {
-		c.log.Warn("wall clock went back across the restart: restored results expire after the slack",
-			"slack", c.cfg.Results.Slack)
-	}
-	var restored []RestoredRecord
-	dropped := map[decide.DropReason]int{}
-	unreadable, possiblyOutdated := 0, 0
-	var runs []string
-	var batch store.Batch
-	err = c.store.Scan(recordPrefix, func(key string, err error) {
-		unreadable++
-	}, func(entry store.Entry) error {
-		key := entry.Key[len(recordPrefix):]
-		var stored storedRecord
-		if err := cbor.Unmarshal(entry.Value, &stored); err != nil ||
-			(decide.RequestKey{Class: stored.Class, Tenant: stored.Tenant, Name: stored.Name}).Text() != key {
-			unreadable++
-			return nil
-		}
-		var record decide.Record
-		reason := decide.PossiblyOutdated
-		if entry.InDoubt {
-			possiblyOutdated++
-		}
-		if !entry.InDoubt || stored.Effect != rules.Safe { // an older intent or result of keyed work still holds
-			record, reason = c.module.Restore(now, stored.record())
-		}
-		dropped[reason]++
-		if reason != decide.Restored {
-			if reason == decide.UnsafeReported && len(runs) < maxNamedRuns {
-				runs = append(runs, stored.Run)
-			}
-			batch.Delete(entry.Key)
-			batch.Delete(resultPrefix + key)
-			return nil
-		}
-		restored = append(restored, RestoredRecord{
-			Record: record, Class: slices.Index(c.cfg.Names.Classes, record.Class), Key: key,
-			Expires: now + time.Duration(record.Expires-c.module.Unix(now))*time.Millisecond,
-		})
-		return nil
-	})
-	if err != nil {
-		return nil, fmt.Errorf("results: restore: %w", err)
-	}
-	if batch.Len() > 0 {
-		if err := c.store.Apply(&batch, store.Buffered); err != nil {
-			c.logFailure(err) // the next start will discard them again
-		}
-	}
-	c.Counters.Restored.Store(int64(len(restored)))
-	c.Counters.Aged.Add(int64(dropped[decide.Expired]))
-	args := []any{
-		"kept", len(restored), "bytes", c.module.Bytes(), "clock", step.String(), "away", away,
-		"recovery", c.recovery.Took, "restore", time.Since(began),
-		"checkpoint", c.recovery.Checkpoint, "read_bytes", c.recovery.Read,
-	}
-	for reason := decide.Expired; reason <= decide.PossiblyOutdated; reason++ {
-		if dropped[reason] > 0 {
-			args = append(args, "dropped_"+reason.String(), dropped[reason])
-		}
-	}
-	c.log.Info("remembered results", args...)
-	for _, fault := range c.recovery.Torn {
-		c.log.Info("store: truncated an incomplete write that was never acknowledged",
-			"file", fault.File, "offset", fault.Offset, "bytes", fault.Size)
-	}
-	for _, fault := range c.recovery.Damaged {
-		c.log.Error("store: damage; all other records are served, the file is set aside",
-			"file", fault.File, "offset", fault.Offset, "bytes", fault.Size, "reason", fault.Reason)
-	}
-	if possiblyOutdated > 0 {
-		c.log.Warn("newer records of some results may be lost: reads are discarded, keyed ones restored",
-			"entries", possiblyOutdated)
-	}
-	if unreadable > 0 {
-		c.log.Error("stored results are unreadable", "entries", unreadable)
-	}
-	if len(runs) > 0 {
-		c.log.Warn("unsafe work that may have run before the restart", "count", dropped[decide.UnsafeReported],
-			"runs", runs)
-	}
-	c.putClockCheckpoint(now)
-	return restored, nil
-}
-
-// record returns the decide.Record.
-func (s storedRecord) record() decide.Record {
-	return decide.Record{
-		RequestKey: decide.RequestKey{Class: s.Class, Tenant: s.Tenant, Name: s.Name},
-		Kind:       s.Kind, Effect: s.Effect, Run: s.Run,
-		Arrived: s.Arrived, Window: s.Window, Expires: s.Expires, Size: s.Size,
-	}
-}
-
 // RequestKey returns the key of all tries of x. Its Name is empty if nothing links them.
 func (c *Cache) RequestKey(x *exchange.Exchange) decide.RequestKey {
 	key := decide.RequestKey{Class: x.ClassName, Tenant: x.TenantName}
@@ -312,7 +174,7 @@
 	return key
 }
 
-// Wants reports whether x is recorded, and whether its run must wait for a stored intent.
+// ShouldRecord reports whether x is recorded, and whether its run must wait for a stored intent.
 func (c *Cache) ShouldRecord(x *exchange.Exchange) (record, intent bool) {
 	return c.module.ShouldRecord(c.cfg.Settings.Classes[x.Class].Effect, c.RequestKey(x).Name != "")
 }
@@ -348,8 +210,9 @@
 	c.notifyWhenWritten(done)
 }
 
-// RunEnded records how the run of x ended. done, if not nil, is called once the record is as durable as
-// configured, or could not be stored; its argument says whether the result is stored.
+// RunEnded records the end of the run of x; body is its result if it succeeded. done, if not nil, is
+// called once the record is as durable as configured, or could not be stored; its argument reports
+// whether the result is stored.
 func (c *Cache) RunEnded(now time.Duration, x *exchange.Exchange, expires time.Duration, succeeded bool,
 	body []byte, done func(stored bool)) {
 	c.recordEnd(now, c.record(now, x, expires), succeeded, body, done)
@@ -357,7 +220,7 @@
 
 // LateRunEnded records the end of a run of an earlier incarnation.
 func (c *Cache) LateRunEnded(now time.Duration, restored RestoredRecord, succeeded bool, body []byte) {
-	c.Counters.Late.Add(1)
+	c.Counters.LateEnds.Add(1)
 	c.recordEnd(now, restored.Record, succeeded, body, nil)
 }
 
@@ -408,7 +271,7 @@
 		Kind: record.Kind, Effect: record.Effect, Class: record.Class, Tenant: record.Tenant, Name: record.Name, Run: record.Run,
 		Arrived: record.Arrived, Window: record.Window, Expires: record.Expires, Size: record.Size,
 	})
-	if err != nil { // the type has nothing that can't be encoded
+	if err != nil { // the type can always be encoded
 		panic(err)
 	}
 	c.batch.Put(recordPrefix+record.Text(), text, record.Expires+expiryGrace.Milliseconds())
@@ -441,7 +304,7 @@
 // putClockCheckpoint adds a checkpoint of the clocks to the batch.
 func (c *Cache) putClockCheckpoint(now time.Duration) {
 	text, err := c.encoder.Marshal(c.module.Checkpoint(now, c.cfg.Clocks()))
-	if err != nil { // the type has nothing that can't be encoded
+	if err != nil { // the type can always be encoded
 		panic(err)
 	}
 	c.batch.Put(clockKey, text, 0)
@@ -454,7 +317,7 @@
 	if now-c.lastExpiry > time.Second {
 		c.lastExpiry = now
 		expired := c.module.Expire(now - expiryGrace)
-		c.Counters.Aged.Add(int64(len(expired)))
+		c.Counters.Expired.Add(int64(len(expired)))
 		c.deleteRecords(expired)
 	}
 	if now-c.lastCheckpoint >= decide.CheckpointInterval && (c.module.Len() > 0 || c.batch.Len() > 0) {
@@ -490,7 +353,7 @@
 // runs without a record.
 func (c *Cache) RunsUnrecorded(err error) bool {
 	c.logFailure(err)
-	return c.cfg.Results.RunUnwritten
+	return c.cfg.Results.RunUnrecorded
 }
 
 // Fetch reads a stored result. done is called by another goroutine, or at once with store.ErrBusy if
