--- a/rules/concurrency.go
+++ b/rules/concurrency.go
@@ -17,7 +17,7 @@
 	contentionRatio        = 1.3  // run latency over its baseline that means contention
 	idleBusyShare          = 0.95 // cores count as idle below this share of busy cores
 	maxRunnablePerIdleCore = 2.0  // from so many runnable threads a core, the busy share is out of date
-	concurrencyMargin      = 0.85 // of the concurrency that the node survives: the rest is for runs resuming after calls
+	concurrencyMargin      = 0.85 // of the survivable concurrency: the rest is for runs resuming after calls
 )
 
 // concurrencyCeiling is how many requests may run or be in calls, so that the node survives even if all
--- a/rules/feedback.go
+++ b/rules/feedback.go
@@ -17,11 +17,11 @@
 
 	// Retry advice.
 	retryAfterShare        = 0.3                   // of the time in which the queue drains
-	retryAfterGain         = 8.0                   // relative increase at full pressure: overload lasts longer than a queue
+	retryAfterGain         = 8.0                   // increase at full pressure: overload outlasts a queue
 	minRetryAfter          = 50 * time.Millisecond // about a control interval and a round trip
 	stopRetriesPressure    = 0.3                   // pressure from which refused retries are to stop
 	stopFirstTriesPressure = 0.6                   // first tries too: retries in a large fleet cost ten reads
-	fewRetriesShare        = 0.1                   // share of marked retries below which other nodes have capacity
+	fewRetriesShare        = 0.1                   // marked retries below which others have capacity
 	retryShareWeight       = 0.02                  // weight of a request in that share: about fifty requests
 
 	// Staleness of arrivals, and the health that follows from it.
@@ -43,7 +43,8 @@
 	othersHaveCapacity := m.settings.RetriesMarked && m.retryShare < fewRetriesShare
 	localDecision := !othersHaveCapacity && (timedOut || m.pressure > stopFirstTriesPressure ||
 		m.pressure > stopRetriesPressure && (r.Retry || !m.settings.RetriesMarked))
-	return m.shedder == nil && localDecision || m.shedder != nil && m.shedder.StopsRetries(m.now, m.firstTryUtility(r))
+	return m.shedder == nil && localDecision ||
+		m.shedder != nil && m.shedder.StopsRetries(m.now, m.firstTryUtility(r))
 }
 
 // retryAfter is the advice to a refused caller: a share of the time in which the queue drains, longer
--- a/rules/memory.go
+++ b/rules/memory.go
@@ -1,6 +1,7 @@
 package rules
 
-// memoryShare is the share of the memory that may be in use: the rest is for requests that are read before the next decision.
+// memoryShare is the share of the memory that may be in use: the rest is for requests that are read
+// before the next decision.
 const memoryShare = 0.88
 
 // exceedsMemory reports whether requests, idempotency records and extraKB would exceed memoryShare.
--- a/rules/queue.go
+++ b/rules/queue.go
@@ -1,7 +1,7 @@
 package rules
 
 const (
-	maxWaitShare         = 0.30 // longest wait as a share of the shortest latency target; the rest is for the run
+	maxWaitShare         = 0.30 // longest wait as a share of the shortest latency target: the rest is the run
 	minRunsToTarget      = 1.4  // expected runs that must fit before the latency target, or a start is wasted
 	minRunsToTargetIdle  = 0.7  // the same while cores are idle, at baseline latency: a try costs little then
 	utilityOrderPressure = 0.2  // pressure from which slots go by cost-weighted utility instead of age
--- a/rules/quota.go
+++ b/rules/quota.go
@@ -4,7 +4,7 @@
 
 const (
 	tenantShareWeight    = 0.01            // weight of a request in its tenant's share of arrivals
-	tenantShareTolerance = 1.2             // factor on its share: within random variation over a hundred requests
+	tenantShareTolerance = 1.2             // factor on its share: random variation over 100 requests
 	quotaBurstTime       = 5 * time.Second // of unused quota can be saved up: traffic at one node is uneven
 	minQuotaBurst        = 12.0            // requests that can be saved up at least: random bursts are as large
 )
